--- a/mulleinhitch/policy.py
+++ b/mulleinhitch/policy.py
@@ -1218,7 +1218,10 @@
         if request is None or request.started or request.asked is not server or server is None:
             return
         request.asked = None
-        if level is not None and level < 0.5 and self.legality.may_send(request, server, self.now):
+        idle = level is not None and level < 0.5
+        # Asked anew: requests that were answered first may have spent a cold server's credit meanwhile.
+        admitted = self.slow_start.admits(server, self.now)
+        if idle and admitted and self.legality.may_send(request, server, self.now):
             self._send(request, server)
         else:
             self._next(request)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -301,6 +301,18 @@
     assert max(hits.values()) < 3 * 0.1 * 50 + 2
 
 
+def test_idle_reports_that_come_together_do_not_overspend_a_cold_servers_credit() -> None:
+    made = Driver(replace(PROBING, cold_ms=3000.0, cold_share=0.2), seed=1)
+    made.list(ListKind.DELTA, (ServerEntry(0, started_ms=made.now),))
+    for _ in range(12):  # earn 2.4 calls of credit; each that is drawn awaits a report
+        made.request()
+    assert len(made.probes) > 3
+    while made.probes:
+        made.echo((0.0, 0.0))
+    # A drawn phase of less than one call comes on top of what was earned.
+    assert made.cold_sends <= 3
+
+
 def test_a_restarted_server_is_cold_again_and_a_warm_one_is_not() -> None:
     bench = driver(replace(PLAIN, tier=1, tiers=2, cold_share=0.05, cold_ms=50_000.0), servers=2)
     bench.list(ListKind.DELTA, (ServerEntry(0, started_ms=bench.now),))
