--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -18,9 +18,9 @@
 import time
 from itertools import pairwise
 
-from larkweir.config.transactions import State
-from larkweir.service.service import Service
-from standins.load import Load
+from sandhatch.config.transactions import State
+from sandhatch.service.service import Service
+from testkit.load import Load
 from tests.service.harness import Farm, Kept, serving
 from tests.service.test_versions import UNSAFE, check_no_mixture, choose, churn, variants
 
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -31,10 +31,10 @@
 import uvloop
 
 from benchmarks.through import RelaySide, spawn, up
-from larkweir.control.client import Client
-from standins.bodies import BLOCK, Body, BodyServer, Pattern, Upload, head, read_body
-from standins.ports import free_port
-from standins.wire import read_head
+from sandhatch.control.client import Client
+from testkit.bodies import BLOCK, Body, BodyServer, Pattern, Upload, head, read_body
+from testkit.ports import free_port
+from testkit.wire import read_head
 
 MIB = 1024 * 1024
 # Megabytes a second of either side, and how often each is drawn; 0: as fast as it goes.
@@ -230,7 +230,7 @@
     file.write_text(json.dumps(configuration(front, servers, args.memory_mb)))
     this = ("-m", "benchmarks.long_bodies", "--role")
     processes = [await spawn(*this, "server", "--port", str(port), cores=rest) for port in servers]
-    balancer = await spawn("-m", "larkweir", "serve", str(file), "--control", control, cores=one_core)
+    balancer = await spawn("-m", "sandhatch", "serve", str(file), "--control", control, cores=one_core)
     processes.append(balancer)
     try:
         for port in (*servers, front):
@@ -358,7 +358,7 @@
     relayed = ("relay", "--port", str(relay), "--to", str(server))
     processes.append(await spawn(*this, *relayed, cores=one_core))
     # One that is being measured must not meet the other's processes: they share the core, and take turns.
-    processes.append(await spawn("-m", "larkweir", "serve", str(file), "--control", control, cores=one_core))
+    processes.append(await spawn("-m", "sandhatch", "serve", str(file), "--control", control, cores=one_core))
     try:
         await up(relay)
         await up(front)
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -16,8 +16,8 @@
 from multiprocessing import Pool
 from statistics import mean
 
-from larkweir.planning.planner import PlannerTerms
-from standins.tier import Tier, TierPlan, over_ramp
+from sandhatch.planning.planner import PlannerTerms
+from testkit.tier import Tier, TierPlan, over_ramp
 
 CORES, SERVERS = 2, 20
 BEGIN, END = 12_000.0, 36_000.0
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from benchmarks.through import cpu_s, rate, spawn, up
-from larkweir.control.client import Client
-from standins.ports import free_port
+from sandhatch.control.client import Client
+from testkit.ports import free_port
 
 SERVERS = 8
 IDLE_S = 4.0
@@ -68,7 +68,7 @@
         file = directory / f"p{number}.json"
         file.write_text(json.dumps(planner_config(f"p{number}", port, key)))
         control = directory / f"p{number}.sock"
-        verb = ("-m", "larkweir", "planner", "run", str(file), "--control", str(control))
+        verb = ("-m", "sandhatch", "planner", "run", str(file), "--control", str(control))
         processes.append(await spawn(*verb, cores=rest))
         planners[f"p{number}"] = {"address": f"127.0.0.1:{port}"}
     linked = {"place": 0, "shared_key_file": str(key), "planners": planners}
@@ -77,7 +77,7 @@
         ports[name] = free_port()
         file = directory / f"{name}.json"
         file.write_text(json.dumps(forwarder_config(ports[name], servers, planning)))
-        verb = ("-m", "larkweir", "serve", str(file), "--control", str(directory / f"{name}.sock"))
+        verb = ("-m", "sandhatch", "serve", str(file), "--control", str(directory / f"{name}.sock"))
         measured[name] = await spawn(*verb, cores=one)
         processes.append(measured[name])
     try:
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -24,14 +24,14 @@
 from random import Random
 from typing import cast
 
-from larkweir.core.address import label_of
-from larkweir.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
-from larkweir.planning.messages import Advice, PartRow, PoolReport, Report, Row, decode, encode
-from larkweir.planning.observer import Observer
-from larkweir.planning.planner import Planner
-from mulleinhitch.advice import SharedRamp
-from mulleinhitch.interface import Effect, Guidance, RequestClass, ServerState, Settings
-from standins.tier import POOL, Tier, TierPlan, over_ramp, random_faults
+from sandhatch.balancing.guidance import SharedRamp
+from sandhatch.balancing.interface import Effect, Guidance, RequestClass, ServerState, Settings
+from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
+from sandhatch.planning.messages import Advice, PartRow, PoolReport, Report, Row, decode, encode
+from sandhatch.planning.observer import Observer
+from sandhatch.planning.planner import Planner
+from sandhatch.runtime.address import label_of
+from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
 
 BEGIN_MS = 1_000_000.0
 CLASS = RequestClass(aim_ms=150.0, deadline_ms=1_000.0, effect=Effect.SAFE, name="view")
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
-from larkweir.config.transactions import State
-from standins.load import Load
-from standins.servers import Talk
-from standins.wire import Incoming, ok
+from sandhatch.config.transactions import State
+from testkit.load import Load
+from testkit.servers import Talk
+from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, serving
 
 WATCH = {"window_ms": 10_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -9,7 +9,7 @@
 from random import Random
 from time import perf_counter
 
-from larkweir.routing.table import Query, Route, RouteTable
+from sandhatch.routing.table import Query, Route, RouteTable
 
 SIZES = (10, 100, 1_000, 10_000)
 LOOKUPS = 20_000
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -19,8 +19,9 @@
 import time
 from pathlib import Path
 
-from standins.platform import config_data, entry
-from standins.ports import free_port
+from benchmarks.checkouts import package_of
+from testkit.platform import config_data, entry
+from testkit.ports import free_port
 
 ROOT = Path(__file__).parent.parent
 
@@ -33,7 +34,7 @@
     env = dict(os.environ) | {"GW_CONFIG": str(config), "PYTHONPATH": str(checkout)}
     begun = time.perf_counter()
     process = subprocess.Popen(
-        [sys.executable, "-P", "-m", "larkweir"], cwd=checkout, env=env, stderr=subprocess.DEVNULL
+        [sys.executable, "-P", "-m", package_of(checkout)], cwd=checkout, env=env, stderr=subprocess.DEVNULL
     )
     try:
         while time.perf_counter() < begun + 20.0:
@@ -56,12 +57,9 @@
     parser.add_argument("--before", required=True, metavar="DIR")
     parser.add_argument("--rounds", type=int, default=15)
     args = parser.parse_args()
-    for checkout in (
-        Path(args.before),
-        ROOT,
-    ):  # else the one that is not compiled starts later for that alone
-        compileall.compile_dir(checkout / "larkweir", quiet=2)
-        compileall.compile_dir(checkout / "mulleinhitch", quiet=2)
+    for checkout in (Path(args.before), ROOT):
+        # Else the one that is not compiled starts later for that alone.
+        compileall.compile_dir(checkout / package_of(checkout), quiet=2)
     rows: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     with tempfile.TemporaryDirectory() as directory:
         for turn in range(args.rounds + 1):
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -24,8 +24,9 @@
 
 import uvloop
 
-from standins.platform import config_data, entry
-from standins.ports import free_port
+from benchmarks.checkouts import package_of
+from testkit.platform import config_data, entry
+from testkit.ports import free_port
 
 ROOT = Path(__file__).parent.parent
 BODY = b"x" * 200
@@ -169,13 +170,13 @@
     processes = [await spawn(*this, "--role", "server", "--port", str(port), cores=rest) for port in servers]
     relayed = ("--role", "relay", "--port", str(relay), "--to", str(servers[0]))
     measured = {"relay": await spawn(*this, *relayed, cores=one)}
-    measured["platform"] = await spawn("-m", "larkweir", cores=one, env={"GW_CONFIG": str(config)})
+    measured["platform"] = await spawn("-m", "sandhatch", cores=one, env={"GW_CONFIG": str(config)})
     if before:
         older = free_port()
         env = {"GW_CONFIG": str(config), "GW_LISTEN": f"127.0.0.1:{older}", "PYTHONPATH": before}
-        measured["before"] = await spawn("-P", "-m", "larkweir", cores=one, env=env, cwd=before)
+        measured["before"] = await spawn("-P", "-m", package_of(Path(before)), cores=one, env=env, cwd=before)
     control = str(Path(directory) / "c.sock")
-    measured["own"] = await spawn("-m", "larkweir", "serve", str(file), "--control", control, cores=one)
+    measured["own"] = await spawn("-m", "sandhatch", "serve", str(file), "--control", control, cores=one)
     processes += measured.values()
     try:
         for port in (*servers, relay, platform, own):
--- a/larkweir/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""larkweir: the real balancer, one program on real sockets round the decisions of `mulleinhitch`."""
--- a/larkweir/__main__.py
+++ b/sandhatch/__main__.py
@@ -1,4 +1,4 @@
-"""Start, signals and exit code of one real balancer; with a verb, the command line of `larkweir.cli`."""
+"""Start, signals and exit code of one real balancer; with a verb, the command line of `sandhatch.cli`."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import uvloop
 
-from larkweir.config.platform import Config, load
-from larkweir.core.address import ConfigError
-from larkweir.core.again import Again
-from larkweir.core.process import settle_collector, stop_event
-from larkweir.draining import drain
-from larkweir.single import Single
+from sandhatch.config.platform import Config, load
+from sandhatch.platform.graceful_shutdown import drain
+from sandhatch.platform.program import Single
+from sandhatch.runtime.address import ConfigError
+from sandhatch.runtime.coalescing_runner import Again
+from sandhatch.runtime.process import settle_collector, stop_event
 
 
 class Reload:
@@ -45,7 +45,7 @@
     try:
         single.listener.start()
     except OSError as problem:
-        print(f"larkweir: listen: {config.listen[0]}:{config.listen[1]}: {problem}", file=sys.stderr)
+        print(f"sandhatch: listen: {config.listen[0]}:{config.listen[1]}: {problem}", file=sys.stderr)
         return 2
     single.engine.source.start()
     settle_collector()
@@ -60,7 +60,7 @@
 
 def main() -> int:
     if len(sys.argv) > 1:  # a verb; what it needs beyond the platform's program is loaded only then
-        from larkweir.cli import main as command
+        from sandhatch.cli.commands import main as command
 
         return command(sys.argv[1:])
     # Until there is something to tell of a new configuration: the default would end the process.
@@ -68,7 +68,7 @@
     try:
         config = load()
     except ConfigError as problem:
-        print(f"larkweir: {problem}", file=sys.stderr)
+        print(f"sandhatch: {problem}", file=sys.stderr)
         return 2
     return uvloop.run(serve(config))
 
--- a/mulleinhitch/freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -38,7 +38,7 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     NONE_HELD,
     Action,
     ListKind,
--- a/mulleinhitch/advice.py
+++ b/sandhatch/balancing/guidance.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Protocol
 
-from mulleinhitch.interface import Guidance, GuidanceRefused, Part, ServerState, Settings, Weight
+from sandhatch.balancing.interface import Guidance, GuidanceRefused, Part, ServerState, Settings, Weight
 
 
 class Listed(Protocol):
--- /dev/null
+++ b/sandhatch/balancing/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision: which server, retry or not, admit or reject."""
--- a/mulleinhitch/policy.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of mulleinhitch. The types it takes and gives are in `mulleinhitch/interface.py`.
+"""Every decision of a balancer. The types it takes and gives are in `sandhatch.balancing.interface`.
 
 The ordinary path is PULL (Stolyar), single-token form: a call goes to a server drawn uniformly from the token
 holders, that is, the ready servers with none of this copy's calls outstanding; if no server holds a token, to
@@ -16,9 +16,9 @@
 from itertools import chain
 from random import Random
 
-from mulleinhitch.advice import Guide, SharedRamp, Warming
-from mulleinhitch.freshness import COOKIES, Freshness
-from mulleinhitch.interface import (
+from sandhatch.balancing.endpoint_freshness import COOKIES, Freshness
+from sandhatch.balancing.guidance import Guide, SharedRamp, Warming
+from sandhatch.balancing.interface import (
     NEVER_RAN,
     UNTELLING,
     Action,
--- a/mulleinhitch/succession.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from mulleinhitch.policy import Balancer, Server, SlowStart
+from sandhatch.balancing.policy.balancer import Balancer, Server, SlowStart
 
 
 def inherit(heir: Balancer, past: Balancer, linked: frozenset[int] = frozenset()) -> int:
--- /dev/null
+++ b/sandhatch/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line."""
--- a/larkweir/cli.py
+++ b/sandhatch/cli/commands.py
@@ -1,4 +1,4 @@
-"""The command line: `larkweir VERB`. Without a verb the platform's program runs, and none of this is loaded.
+"""The command line: `sandhatch VERB`. Without a verb the platform's program runs, and none of this is loaded.
 
 Exit codes: 0 done; 1 the configuration has errors, or the change failed or was taken back; 2 wrong usage; 3
 no service answers at the control socket; 4 the change conflicts with another; 5 another change is on its
@@ -17,27 +17,29 @@
 from collections.abc import Callable, Sequence
 from typing import Any, TextIO
 
-from larkweir.config.check import Checked, check_file, check_text
-from larkweir.config.document import CheckError, Problem, read_bytes
-from larkweir.control.client import Client, UnreachableError
-from larkweir.planner_cli import add_planner_verbs, run_planner_verb
-from larkweir.tables import table
+from sandhatch.cli.messages import warn
+from sandhatch.cli.planner import add_planner_verbs, run_planner_verb
+from sandhatch.cli.tables import table
+from sandhatch.config.check import Checked, check_file, check_text
+from sandhatch.config.document import CheckError, Problem, read_bytes
+from sandhatch.control.client import Client, UnreachableError
+from sandhatch.runtime.environment import renamed_variable
 
 OK, FAILED, USAGE, UNREACHABLE, CONFLICT, BUSY = range(6)
 CODES = {"conflict": CONFLICT, "busy": BUSY, "too many proposals": BUSY}
-CONTROL = "larkweir.sock"
+CONTROL = "sandhatch.sock"
 
 
 def _parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
-        prog="larkweir", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+        prog="sandhatch", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     verbs = parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    default = renamed_variable(os.environ, "CONTROL", warn) or CONTROL
 
     def verb(name: str, text: str, control: bool = True) -> argparse.ArgumentParser:
         sub = verbs.add_parser(name, help=text, description=text)
         if control:
-            default = os.environ.get("LARKWEIR_CONTROL", CONTROL)
             sub.add_argument(
                 "--control", default=default, metavar="PATH", help="control socket (%(default)s)"
             )
@@ -87,7 +89,7 @@
     except SystemExit as leaving:
         return int(leaving.code or 0)
     if args.verb == "demo":
-        return subprocess.call([sys.executable, "-m", "standins.demo"])
+        return subprocess.call([sys.executable, "-m", "testkit.demo"])
     try:
         if args.verb == "serve":
             return serve(args, err)
@@ -97,7 +99,7 @@
             return run_planner_verb(args, out, err)
         return _remote(args, out, err)
     except UnreachableError as problem:
-        print(f"larkweir: {problem}", file=err)
+        print(f"sandhatch: {problem}", file=err)
         return UNREACHABLE
 
 
@@ -179,7 +181,7 @@
     elif answer.get("ok"):
         PRINTERS[args.verb](answer, out, err)
     else:
-        print(f"larkweir: {answer.get('why')}: {answer.get('text')}", file=err)
+        print(f"sandhatch: {answer.get('why')}: {answer.get('text')}", file=err)
         for line in answer.get("problems", []):
             print(line, file=err)
     return code
@@ -287,15 +289,15 @@
 
 
 async def _serve(args: argparse.Namespace, checked: Checked, err: TextIO) -> int:
-    from larkweir.config.history import History, HistoryError
-    from larkweir.control.calls import Calls
-    from larkweir.control.server import ControlError, ControlServer
-    from larkweir.core.log import report_loop_errors
-    from larkweir.core.process import settle_collector, stop_event
-    from larkweir.service.accesslog import AccessLog
-    from larkweir.service.pools import StageError
-    from larkweir.service.reload import Reload
-    from larkweir.service.service import Service, check_data
+    from sandhatch.config.history import History, HistoryError
+    from sandhatch.control.calls import Calls
+    from sandhatch.control.server import ControlError, ControlServer
+    from sandhatch.runtime.logger import report_loop_errors
+    from sandhatch.runtime.process import settle_collector, stop_event
+    from sandhatch.service.accesslog import AccessLog
+    from sandhatch.service.pools import StageError
+    from sandhatch.service.reload import Reload
+    from sandhatch.service.service import Service, check_data
 
     loop = asyncio.get_running_loop()
     stopping = stop_event(loop)
@@ -306,10 +308,10 @@
             saved = history.load()
         if saved is not None:
             for note in saved.notes:
-                print(f"larkweir: {note}", file=err)
+                print(f"sandhatch: {note}", file=err)
             if saved.lost:
-                print(f"larkweir: version {saved.lost} was not confirmed and is not used", file=err)
-            print(f"larkweir: version {saved.confirmed} of {args.state} goes before {args.file}", file=err)
+                print(f"sandhatch: version {saved.lost} was not confirmed and is not used", file=err)
+            print(f"sandhatch: version {saved.confirmed} of {args.state} goes before {args.file}", file=err)
             checked = check_data(saved.data)
         service = Service(checked, loop, history, saved)
         report_loop_errors(loop, service.journal)
@@ -318,7 +320,7 @@
         control = ControlServer(Calls(service), service.journal, args.control)
         await control.start()
     except (HistoryError, ControlError, StageError, CheckError, OSError) as problem:
-        print(f"larkweir: {problem}", file=err)
+        print(f"sandhatch: {problem}", file=err)
         return FAILED
     loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).ask)
     settle_collector()
--- a/larkweir/planner_cli.py
+++ b/sandhatch/cli/planner.py
@@ -1,4 +1,4 @@
-"""`larkweir planner ...`: run a planner, ask a running one, make keys. Exit codes as of the other verbs."""
+"""`sandhatch planner ...`: run a planner, ask a running one, make keys. Exit codes as of the other verbs."""
 
 from __future__ import annotations
 
@@ -10,17 +10,19 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any, TextIO
 
-from larkweir.config.document import CheckError
-from larkweir.control.client import Client
-from larkweir.control.framing import fault
-from larkweir.tables import table
+from sandhatch.cli.messages import warn
+from sandhatch.cli.tables import table
+from sandhatch.config.document import CheckError
+from sandhatch.control.client import Client
+from sandhatch.control.framing import fault
+from sandhatch.runtime.environment import renamed_variable
 
 if TYPE_CHECKING:
-    from larkweir.config.planner import PlannerConfig
-    from larkweir.planning.server import PlannerServer
+    from sandhatch.config.planner import PlannerConfig
+    from sandhatch.planning.server import PlannerServer
 
 OK, FAILED = 0, 1
-CONTROL = "larkweir-planner.sock"
+CONTROL = "sandhatch-planner.sock"
 
 Verb = Callable[..., argparse.ArgumentParser]
 
@@ -28,7 +30,7 @@
 def add_planner_verbs(verb: Verb) -> None:
     planner = verb("planner", "advise forwarders: run a planner, or ask a running one", control=False)
     verbs = planner.add_subparsers(dest="planner_verb", required=True, metavar="VERB")
-    default = os.environ.get("LARKWEIR_PLANNER_CONTROL", CONTROL)
+    default = renamed_variable(os.environ, "PLANNER_CONTROL", warn) or CONTROL
     for name, text in (
         ("run", "run a planner"),
         ("check", "check a planner's configuration without starting"),
@@ -58,11 +60,11 @@
         if args.planner_verb == "key":
             return _new_key(args, out)
         if args.planner_verb == "public":
-            from larkweir.planning.keys import public_key, read_key
+            from sandhatch.planning.keys import public_key, read_key
 
             print(public_key(read_key(args.file)).hex(), file=out)
             return OK
-        from larkweir.config.planner import check_planner_file
+        from sandhatch.config.planner import check_planner_file
 
         config = check_planner_file(args.file)
     except CheckError as failure:
@@ -70,7 +72,7 @@
             print(problem, file=err)
         return FAILED
     except (OSError, ValueError) as problem:
-        print(f"larkweir: {problem}", file=err)
+        print(f"sandhatch: {problem}", file=err)
         return FAILED
     if args.planner_verb == "check":
         print(f"{args.file}: configuration is valid", file=out)
@@ -83,7 +85,7 @@
 
 def _new_key(args: argparse.Namespace, out: TextIO) -> int:
     """Into a new file that only its owner may read. OSError if there is one already."""
-    from larkweir.planning.keys import new_private_key, public_key
+    from sandhatch.planning.keys import new_private_key, public_key
 
     key = os.urandom(32) if args.shared else new_private_key()
     with os.fdopen(os.open(args.file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
@@ -125,14 +127,14 @@
 
 
 async def _run(config: PlannerConfig, control_path: str, err: TextIO) -> int:
-    from larkweir.control.server import ControlError, ControlServer
-    from larkweir.core.address import parse_address
-    from larkweir.core.clock import Clock
-    from larkweir.core.log import Journal, report_loop_errors
-    from larkweir.core.process import grant_descriptors, settle_collector, stop_event
-    from larkweir.planning.keys import BadKeyError, identity
-    from larkweir.planning.planner import PlannerTerms
-    from larkweir.planning.server import PlannerServer
+    from sandhatch.control.server import ControlError, ControlServer
+    from sandhatch.planning.keys import BadKeyError, identity
+    from sandhatch.planning.planner import PlannerTerms
+    from sandhatch.planning.server import PlannerServer
+    from sandhatch.runtime.address import parse_address
+    from sandhatch.runtime.clock import Clock
+    from sandhatch.runtime.logger import Journal, report_loop_errors
+    from sandhatch.runtime.process import grant_descriptors, settle_collector, stop_event
 
     loop = asyncio.get_running_loop()
     stopping = stop_event(loop)
@@ -157,7 +159,7 @@
         control = ControlServer(PlannerCalls(server), journal, control_path)
         await control.start()
     except (BadKeyError, ControlError, OSError) as problem:
-        print(f"larkweir: {problem}", file=err)
+        print(f"sandhatch: {problem}", file=err)
         return FAILED
     settle_collector()
     journal.line(f"planner {config.name} at {address[0]}:{server.port}; control at {control_path}")
@@ -180,7 +182,7 @@
     if args.json:
         print(json.dumps(answer), file=out)
     elif not answer.get("ok"):
-        print(f"larkweir: {answer.get('why')}: {answer.get('text')}", file=err)
+        print(f"sandhatch: {answer.get('why')}: {answer.get('text')}", file=err)
     elif args.explain is not None:
         for told in answer["servers"]:
             _print_explained(told, out)
--- a/larkweir/config/check.py
+++ b/sandhatch/config/check.py
@@ -15,12 +15,12 @@
 from pydantic import ValidationError
 from pydantic_core import ErrorDetails
 
-from larkweir.config.document import CheckError, Document, Path, Problem, parse, read
-from larkweir.config.model import Class, Configuration, HeaderMatch, Match, Pool, Target, Weighted
-from larkweir.config.model import Route as RouteModel
-from larkweir.routing.table import Answer, HeaderTest, Route, RouteTable, Split, Test, unreachable
-from larkweir.routing.table import Target as Compiled
-from mulleinhitch.interface import Effect, RequestClass, Settings, Tenant
+from sandhatch.balancing.interface import Effect, RequestClass, Settings, Tenant
+from sandhatch.config.document import CheckError, Document, Path, Problem, parse, read
+from sandhatch.config.model import Class, Configuration, HeaderMatch, Match, Pool, Target, Weighted
+from sandhatch.config.model import Route as RouteModel
+from sandhatch.routing.table import Answer, HeaderTest, Route, RouteTable, Split, Test, unreachable
+from sandhatch.routing.table import Target as Compiled
 
 MOST_PROBLEMS = 200  # told; the rest are counted
 
--- a/larkweir/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from larkweir.config.document import dotted
+from sandhatch.config.document import dotted
 
 Key = tuple[str, ...]
 ORDER = "(order)"
--- a/larkweir/config/model.py
+++ b/sandhatch/config/model.py
@@ -11,9 +11,9 @@
 import re2
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, StringConstraints, model_validator
 
-from larkweir.core.address import read_address
-from larkweir.core.flow import BodyTerms, StreamTerms
-from larkweir.core.pace import PaceLimits
+from sandhatch.runtime.address import read_address
+from sandhatch.streaming.flow import BodyTerms, StreamTerms
+from sandhatch.streaming.progress import PaceLimits
 
 MAX_POOLS = 1_000
 MAX_ROUTES = 100_000
--- a/larkweir/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -8,9 +8,9 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from larkweir.config.check import in_order, model_problems
-from larkweir.config.document import CheckError, Document, read
-from larkweir.config.model import AddressText, KeyText, Model, Name
+from sandhatch.config.check import in_order, model_problems
+from sandhatch.config.document import CheckError, Document, read
+from sandhatch.config.model import AddressText, KeyText, Model, Name
 
 
 class PlannerConfig(Model):
--- a/larkweir/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from larkweir.core.address import Address, ConfigError, parse_address
-from larkweir.core.process import grant_descriptors
-from mulleinhitch.interface import Settings, SettingsError
-from mulleinhitch.wire import decode_settings
+from sandhatch.balancing.interface import Settings, SettingsError
+from sandhatch.runtime.address import Address, ConfigError, parse_address
+from sandhatch.runtime.process import grant_descriptors
+from sandhatch.simulator.codec import decode_settings
 
 MEMORY_MB = 64.0  # taken where no limit is stated
 
--- a/larkweir/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -25,8 +25,8 @@
 from enum import Enum
 from typing import Any
 
-from larkweir.config.check import Checked
-from larkweir.config.diff import Change, MergeError, diff, merge, overlap
+from sandhatch.config.check import Checked
+from sandhatch.config.diff import Change, MergeError, diff, merge, overlap
 
 MOST_PROPOSALS = 256
 MOST_PROPOSED_BYTES = 64 * 1024 * 1024
--- a/larkweir/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -8,10 +8,10 @@
 
 import yaml
 
-from larkweir.config.check import Checked
-from larkweir.config.diff import diff
-from larkweir.config.transactions import Refusal, RefusedError, Version
-from larkweir.service.service import Service, checked_text
+from sandhatch.config.check import Checked
+from sandhatch.config.diff import diff
+from sandhatch.config.transactions import Refusal, RefusedError, Version
+from sandhatch.service.service import Service, checked_text
 
 MOST_TEXT = 500  # of a comment or a value shown
 
--- a/larkweir/control/client.py
+++ b/sandhatch/control/client.py
@@ -5,7 +5,7 @@
 import socket
 from typing import Any
 
-from larkweir.control.framing import CallError, LineReader, encode
+from sandhatch.control.framing import CallError, LineReader, encode
 
 
 class UnreachableError(Exception):
--- a/larkweir/control/server.py
+++ b/sandhatch/control/server.py
@@ -14,8 +14,8 @@
 import struct
 from typing import Any, Protocol
 
-from larkweir.control.framing import CallError, LineReader, encode, fault
-from larkweir.core.log import Journal
+from sandhatch.control.framing import CallError, LineReader, encode, fault
+from sandhatch.runtime.logger import Journal
 
 MOST_PEERS = 512
 MOST_HELD = 96 * 1024 * 1024  # bytes of calls that have not come whole, over all peers
--- a/larkweir/sources/discovery.py
+++ b/sandhatch/discovery/client.py
@@ -8,10 +8,10 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple, cast
 
-from larkweir.core.address import Address, ConfigError, label_of, parse_address, spell
-from larkweir.core.message import Message
-from larkweir.http1 import ResponseReader, encode_request
-from mulleinhitch.interface import NONE_HELD, ListKind, ServerEntry, ServerState, WatchList
+from sandhatch.balancing.interface import NONE_HELD, ListKind, ServerEntry, ServerState, WatchList
+from sandhatch.http1.framing import ResponseReader, encode_request
+from sandhatch.http1.message import Message
+from sandhatch.runtime.address import Address, ConfigError, label_of, parse_address, spell
 
 MAX_LIST = 4 * 1024 * 1024
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
@@ -184,7 +184,7 @@
 
 class Discovery:
     """Carries out calls to discovery, one watch at a time, and tells how each ended. When to call, and how
-    long to wait, is the decisions' (`mulleinhitch.freshness`).
+    long to wait, is the decisions' (`sandhatch.balancing.endpoint_freshness`).
     """
 
     # For a whole list that is fetched beside the watch: longer than discovery, which takes calls in turn, is
--- a/larkweir/sources/static.py
+++ b/sandhatch/discovery/static.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from larkweir.core.address import Address, label_of, spell
-from larkweir.sources.discovery import Listing
-from mulleinhitch.interface import ListKind, ServerEntry, ServerState, WatchList
+from sandhatch.balancing.interface import ListKind, ServerEntry, ServerState, WatchList
+from sandhatch.discovery.client import Listing
+from sandhatch.runtime.address import Address, label_of, spell
 
 
 @dataclass(slots=True, frozen=True)
--- a/larkweir/engine.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -12,16 +12,9 @@
 from functools import partial
 from typing import NamedTuple, Protocol
 
-from larkweir.core.address import spell
-from larkweir.core.clock import Timer
-from larkweir.core.flow import Flow, Side, Sink
-from larkweir.core.message import Headers, Message
-from larkweir.core.shared import Shared
-from larkweir.sources.discovery import Listing
-from larkweir.upstreams import LOAD_HEADER, Call, Upstreams, report_of
-from mulleinhitch import Balancer
-from mulleinhitch.freshness import told_after_ms
-from mulleinhitch.interface import (
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.endpoint_freshness import told_after_ms
+from sandhatch.balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -52,10 +45,17 @@
     Unrepeatable,
     WatchList,
 )
+from sandhatch.discovery.client import Listing
+from sandhatch.http1.message import Headers, Message
+from sandhatch.runtime.address import spell
+from sandhatch.runtime.clock import Timer
+from sandhatch.runtime.shared import Shared
+from sandhatch.streaming.flow import Flow, Side, Sink
+from sandhatch.upstream.pool import LOAD_HEADER, Call, Upstreams, report_of
 
 
 class Decisions(Protocol):
-    """What decides: `mulleinhitch.Balancer`."""
+    """What decides: `sandhatch.balancing.Balancer`."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]: ...
 
--- /dev/null
+++ b/sandhatch/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""Clients: the listener, their connections and their requests."""
--- a/larkweir/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -11,20 +11,20 @@
 from itertools import islice
 from typing import Protocol, cast
 
-from larkweir.body_end import BodyEnd
-from larkweir.core.address import Address
-from larkweir.core.flow import Flow, StreamTerms
-from larkweir.core.message import Fault, FramingError, Headers, Message
-from larkweir.core.outlet import SCRATCH, Outlet
-from larkweir.core.pace import Pace
-from larkweir.core.shared import Shared
-from larkweir.http1 import (
+from sandhatch.http1.framing import (
     End,
     Event,
     RequestReader,
     encode_response,
     encode_response_head,
 )
+from sandhatch.http1.message import Fault, FramingError, Headers, Message
+from sandhatch.runtime.address import Address
+from sandhatch.runtime.shared import Shared
+from sandhatch.streaming.body_endpoint import BodyEnd
+from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.progress import Pace
+from sandhatch.streaming.socket_writer import SCRATCH, Outlet
 
 
 class Gone(Protocol):
--- a/larkweir/requests.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -4,9 +4,9 @@
 
 import zlib
 
-from larkweir.core.message import FramingError, Headers, Message
-from larkweir.core.shared import Traces
-from mulleinhitch.interface import Effect, RequestArrived, Settings
+from sandhatch.balancing.interface import Effect, RequestArrived, Settings
+from sandhatch.http1.message import FramingError, Headers, Message
+from sandhatch.runtime.shared import Traces
 
 MAX_TRACE = 128  # bytes of a request's id
 METHODS = frozenset((b"GET", b"POST", b"PUT", b"PATCH", b"DELETE"))
--- /dev/null
+++ b/sandhatch/http1/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP/1.1: messages, parsers and serializers."""
--- a/larkweir/http1.py
+++ b/sandhatch/http1/framing.py
@@ -7,8 +7,8 @@
 
 import httptools
 
-from larkweir.core.flow import Piece
-from larkweir.core.message import Fault, FramingError, Headers, Message
+from sandhatch.http1.message import Fault, FramingError, Headers, Message
+from sandhatch.streaming.flow import Piece
 
 MAX_HEAD = 32 * 1024
 # Guards against heads of thousands of short fields, which cost far more than their bytes.
--- a/larkweir/core/message.py
+++ b/sandhatch/http1/message.py
@@ -1,7 +1,7 @@
 """A request or an answer, as every protocol hands it on: its head, and its body while that is held whole.
 
-A body that is passed on as it arrives is a `larkweir.core.flow.Flow` beside it. Source of the names that
-speak of one connection: RFC 9110 section 7.6.1.
+A body that is passed on as it arrives is a `sandhatch.streaming.flow.Flow` beside it. Source of the names
+that speak of one connection: RFC 9110 section 7.6.1.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 if TYPE_CHECKING:
-    from larkweir.core.flow import Flow, StreamTerms
+    from sandhatch.streaming.flow import Flow, StreamTerms
 
 Headers = list[tuple[bytes, bytes]]
 
--- a/larkweir/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -1,9 +1,10 @@
 """The forwarder's side of the link: which planner it lends its parts to, what it reports, what it takes of
 the advice that comes, and which planners it shuns. Events and ticks in, actions out; no I/O, no clock.
 
-Every planner is reported to, and every one's weights count (`mulleinhitch.advice` takes their median). Parts
-are lent to one at a time: the first, in the configured order, whose advice comes in time. While none does,
-the forwarder uses its own parts, from when they are its own again: it serves with every planner gone.
+Every planner is reported to, and every one's weights count (`sandhatch.balancing.guidance` takes their
+median). Parts are lent to one at a time: the first, in the configured order, whose advice comes in time.
+While none does, the forwarder uses its own parts, from when they are its own again: it serves with every
+planner gone.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from larkweir.planning.ledger import DRIFT
-from larkweir.planning.messages import Advice, PartRow, PoolAdvice, Report
-from larkweir.planning.observer import Observer, Told
-from mulleinhitch.advice import ramp_burst
-from mulleinhitch.interface import Guidance, Lent, Part, Settings, Weight
+from sandhatch.balancing.guidance import ramp_burst
+from sandhatch.balancing.interface import Guidance, Lent, Part, Settings, Weight
+from sandhatch.planning.ledger import DRIFT
+from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, Report
+from sandhatch.planning.observer import Observer, Told
 
 MOST_OPEN = 64  # reports that an answer may still name
 
--- a/larkweir/planning/ledger.py
+++ b/sandhatch/planning/ledger.py
@@ -1,8 +1,9 @@
 """What a planner may grant out of what it was lent, so that no two sides ever count the same part.
 
-Every copy owns a part of each ramp, known without a word (`mulleinhitch.advice.safe_part`). A forwarder lends
-its parts to one planner; the planner grants out of what it was lent, and nothing else. So planners need no
-leader and no agreement: what two of them grant was lent by different forwarders. No I/O, no clock.
+Every copy owns a part of each ramp, known without a word (`sandhatch.balancing.guidance.safe_part`). A
+forwarder lends its parts to one planner; the planner grants out of what it was lent, and nothing else. So
+planners need no leader and no agreement: what two of them grant was lent by different forwarders. No
+I/O, no clock.
 
 Both sides of a lease count from the event that is earlier for the one that must stop (Gray and Cheriton):
 a grantee counts from when it sent the report that the advice answers, the planner from when it sent the
@@ -18,7 +19,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from mulleinhitch.advice import safe_part
+from sandhatch.balancing.guidance import safe_part
 
 DRIFT = 0.01  # of a lease, by which the clocks of two machines may differ in their rate
 
--- a/larkweir/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -12,16 +12,16 @@
 from random import Random
 from typing import Any, Protocol, cast
 
-from larkweir.core.address import Address
-from larkweir.core.clock import Clock
-from larkweir.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
-from larkweir.planning.keys import Identity
-from larkweir.planning.messages import Advice, Bye
-from larkweir.planning.observer import Observer
-from larkweir.planning.pacing import Backoff
-from larkweir.planning.session import Budget, Established, ForwarderSession, SessionError
-from mulleinhitch.interface import Action as Decision
-from mulleinhitch.interface import Event, Guidance, GuidanceRefused, Lent, ListUpdate, Settings
+from sandhatch.balancing.interface import Action as Decision
+from sandhatch.balancing.interface import Event, Guidance, GuidanceRefused, Lent, ListUpdate, Settings
+from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
+from sandhatch.planning.keys import Identity
+from sandhatch.planning.messages import Advice, Bye
+from sandhatch.planning.observer import Observer
+from sandhatch.planning.pacing import Backoff
+from sandhatch.planning.session import Budget, Established, ForwarderSession, SessionError
+from sandhatch.runtime.address import Address
+from sandhatch.runtime.clock import Clock
 
 TICK_MS = 50.0
 HANDSHAKE_MS = 5_000.0
--- a/larkweir/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -14,7 +14,7 @@
 from itertools import chain
 from weakref import WeakValueDictionary
 
-from larkweir.planning.messages import PoolReport, WeightRow
+from sandhatch.planning.messages import PoolReport, WeightRow
 
 MOST_SERVERS = 20_000  # that a session may name in a pool
 MOST_WEIGHTS = 256  # told of a pool at once: an advice is bounded, however large the tier
--- a/larkweir/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -8,9 +8,7 @@
 from dataclasses import dataclass
 from heapq import nlargest
 
-from larkweir.planning.messages import PartRow, PoolReport, Row
-from larkweir.planning.sketch import bucket_of
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     NEVER_RAN,
     UNTELLING,
     Action,
@@ -23,6 +21,8 @@
     Send,
     ServerState,
 )
+from sandhatch.planning.messages import PartRow, PoolReport, Row
+from sandhatch.planning.quantile_sketch import bucket_of
 
 # What an item takes on the wire at most, bytes: a report is built within a budget of them.
 ROW_BYTES, PAIR_BYTES, NUMBER_BYTES, PART_BYTES = 32, 4, 4, 24
--- a/larkweir/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -1,9 +1,9 @@
 """The planner: reports and ticks in, advice out. No I/O, no clock: times are milliseconds of one clock that
 the caller chooses, and only moves forward.
 
-It advises three things, each bounded again by the forwarder (`mulleinhitch.advice`): weights of servers, from
-what all forwarders see together; parts in the ramps of cold servers, granted out of what was lent to it
-(`ledger`); and parts of what the tier bears. Planners don't know of each other and need no leader.
+It advises three things, each bounded again by the forwarder (`sandhatch.balancing.guidance`): weights of
+servers, from what all forwarders see together; parts in the ramps of cold servers, granted out of what was
+lent to it (`ledger`); and parts of what the tier bears. Planners don't know of each other and need no leader.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from heapq import nsmallest
 from typing import Any
 
-from larkweir.core.address import label_of
-from larkweir.planning.ledger import DRIFT, Ledger, Lenders
-from larkweir.planning.load import MemberLoad, PoolLoad, ServerView
-from larkweir.planning.messages import Advice, PartRow, PoolAdvice, PoolReport, Report
-from mulleinhitch.advice import Guide
+from sandhatch.balancing.guidance import Guide
+from sandhatch.planning.ledger import DRIFT, Ledger, Lenders
+from sandhatch.planning.load import MemberLoad, PoolLoad, ServerView
+from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, PoolReport, Report
+from sandhatch.runtime.address import label_of
 
 
 @dataclass(frozen=True)
--- a/larkweir/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -11,12 +11,12 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from larkweir.core.address import Address
-from larkweir.core.clock import Clock
-from larkweir.planning.keys import Identity
-from larkweir.planning.messages import Bye, Hello, Report
-from larkweir.planning.planner import Planner, PlannerTerms
-from larkweir.planning.session import Budget, EpochOverError, Established, PlannerSession, SessionError
+from sandhatch.planning.keys import Identity
+from sandhatch.planning.messages import Bye, Hello, Report
+from sandhatch.planning.planner import Planner, PlannerTerms
+from sandhatch.planning.session import Budget, EpochOverError, Established, PlannerSession, SessionError
+from sandhatch.runtime.address import Address
+from sandhatch.runtime.clock import Clock
 
 TICK_MS = 100.0
 HANDSHAKE_MS = 5_000.0
--- a/larkweir/planning/session.py
+++ b/sandhatch/planning/session.py
@@ -20,8 +20,8 @@
 from cryptography.hazmat.primitives.hashes import SHA256
 from cryptography.hazmat.primitives.kdf.hkdf import HKDF
 
-from larkweir.planning.keys import Identity
-from larkweir.planning.messages import (
+from sandhatch.planning.keys import Identity
+from sandhatch.planning.messages import (
     VERSION,
     BadMessageError,
     Bye,
--- /dev/null
+++ b/sandhatch/platform/__init__.py
@@ -0,0 +1,1 @@
+"""The platform's program: assembly and graceful shutdown."""
--- a/larkweir/draining.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -8,8 +8,8 @@
 import math
 from collections.abc import Callable, Sequence
 
-from larkweir.core.clock import Clock
-from larkweir.listener import Listener
+from sandhatch.downstream.listener import Listener
+from sandhatch.runtime.clock import Clock
 
 ACCEPT_MS = 550.0  # new connections go on coming for up to 400 ms after SIGTERM
 LAST_MS = 100.0  # past the longest deadline, for the last answers to be read
--- a/larkweir/single.py
+++ b/sandhatch/platform/program.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable
 from functools import partial
 
-from larkweir.config.platform import Config
-from larkweir.core.flow import StreamTerms
-from larkweir.core.log import report_loop_errors
-from larkweir.core.message import Message
-from larkweir.core.shared import Shared
-from larkweir.draining import LastCall
-from larkweir.engine import Decisions, Engine, PoolPlan
-from larkweir.listener import CallerConnection, Gone, Listener
-from larkweir.record import Recorder, asked_for
-from larkweir.requests import ALLOW, METHODS, Requests, refuse_known
-from larkweir.sources.discovery import Discovery, DiscoveryPlan, Listing
+from sandhatch.config.platform import Config
+from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
+from sandhatch.dispatch.dispatcher import Decisions, Engine, PoolPlan
+from sandhatch.downstream.listener import CallerConnection, Gone, Listener
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, refuse_known
+from sandhatch.http1.message import Message
+from sandhatch.platform.graceful_shutdown import LastCall
+from sandhatch.runtime.logger import report_loop_errors
+from sandhatch.runtime.shared import Shared
+from sandhatch.streaming.flow import StreamTerms
+from sandhatch.telemetry.event_recorder import Recorder, asked_for
 
 OWN_DESCRIPTORS = 24  # what the process itself needs
 
@@ -78,7 +78,7 @@
 
         self.engine = Engine(plan, self.shared, source, decisions)
         self.discovery = made[0]
-        record = asked_for(os.environ)
+        record = asked_for(os.environ, self.shared.journal.line)
         if record is not None:
             clock = self.shared.clock
             self.engine.observe(Recorder(config.name, settings.tier, clock.now_ms, what=record))
--- a/larkweir/core/log.py
+++ b/sandhatch/runtime/logger.py
@@ -36,7 +36,7 @@
 
     def _write(self, text: str) -> None:
         with suppress(OSError):  # a log that can't be written must not end the balancer
-            print(f"larkweir {self._name}: {text[:2000]}", file=sys.stderr, flush=True)
+            print(f"sandhatch {self._name}: {text[:2000]}", file=sys.stderr, flush=True)
 
 
 def report_loop_errors(loop: asyncio.AbstractEventLoop, journal: Journal) -> None:
--- a/larkweir/core/shared.py
+++ b/sandhatch/runtime/shared.py
@@ -6,10 +6,10 @@
 from collections import deque
 from typing import Protocol
 
-from larkweir.core.clock import Clock
-from larkweir.core.flow import FlowBook
-from larkweir.core.log import Journal
-from larkweir.core.room import Room
+from sandhatch.runtime.clock import Clock
+from sandhatch.runtime.logger import Journal
+from sandhatch.runtime.memory_budget import Room
+from sandhatch.streaming.flow import FlowBook
 
 
 class Traces:
--- a/larkweir/service/accesslog.py
+++ b/sandhatch/service/accesslog.py
@@ -4,8 +4,8 @@
 
 import json
 
-from larkweir.service.service import Service
-from larkweir.service.versions import RequestRecord
+from sandhatch.service.service import Service
+from sandhatch.service.versions import RequestRecord
 
 FLUSH_MS = 250.0
 
--- a/larkweir/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -1,21 +1,21 @@
 """This process as a forwarder among others: the link to its planners, as the version in force has it.
 
-Nothing of `larkweir.planning` is loaded where no planner is configured.
+Nothing of `sandhatch.planning` is loaded where no planner is configured.
 """
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from larkweir.config.check import pool_settings
-from larkweir.config.model import Configuration, Planning
-from larkweir.core.address import parse_address
-from larkweir.core.shared import Shared
-from larkweir.service.pools import RunningPool, StageError
+from sandhatch.config.check import pool_settings
+from sandhatch.config.model import Configuration, Planning
+from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.shared import Shared
+from sandhatch.service.pools import RunningPool, StageError
 
 if TYPE_CHECKING:
-    from larkweir.planning.keys import Identity
-    from larkweir.planning.link import ForwarderLink
+    from sandhatch.planning.keys import Identity
+    from sandhatch.planning.link import ForwarderLink
 
 
 class Forwarding:
@@ -36,7 +36,7 @@
     @staticmethod
     def _identity(spec: Planning) -> Identity:
         try:
-            from larkweir.planning.keys import BadKeyError, identity
+            from sandhatch.planning.keys import BadKeyError, identity
         except ImportError as problem:
             raise StageError(f"planning.planners: {problem}; install the extra `planning`") from None
         peers = {name: peer.public_key for name, peer in spec.planners.items() if peer.public_key is not None}
@@ -68,8 +68,8 @@
         self._spec = spec
         if spec is None:
             return
-        from larkweir.planning.forwarder import ForwarderTerms
-        from larkweir.planning.link import ForwarderLink
+        from sandhatch.planning.forwarder import ForwarderTerms
+        from sandhatch.planning.link import ForwarderLink
 
         terms = ForwarderTerms(
             report_ms=spec.report_ms,
--- a/larkweir/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -2,10 +2,10 @@
 it.
 
 A pool whose keys have not changed keeps its engine, and with it its balancer, tokens and connections. One
-that has changed gets a new engine, which takes over what the old one knows (mulleinhitch.succession) and its
-idle connections; requests of older versions stay with the old engine until they have ended. From shortly
-before the drain's grace is over, what the newer version no longer lists gets nothing new from older ones
-either.
+that has changed gets a new engine, which takes over what the old one knows
+(`sandhatch.balancing.state_transfer`) and its idle connections; requests of older versions stay with the old
+engine until they have ended. From shortly before the drain's grace is over, what the newer version no longer
+lists gets nothing new from older ones either.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from hashlib import sha256
 from typing import Any
 
-from larkweir.config.check import Checked, pool_settings
-from larkweir.config.model import Pool
-from larkweir.core.address import Address, parse_address
-from larkweir.core.shared import Shared
-from larkweir.engine import Engine, PoolPlan, Source
-from larkweir.sources.discovery import Discovery, DiscoveryPlan, Listing, Names
-from larkweir.sources.static import StaticServer, StaticSource
-from mulleinhitch import Balancer
-from mulleinhitch.interface import ServerState
-from mulleinhitch.succession import inherit
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import ServerState
+from sandhatch.balancing.state_transfer import inherit
+from sandhatch.config.check import Checked, pool_settings
+from sandhatch.config.model import Pool
+from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing, Names
+from sandhatch.discovery.static import StaticServer, StaticSource
+from sandhatch.dispatch.dispatcher import Engine, PoolPlan, Source
+from sandhatch.runtime.address import Address, parse_address
+from sandhatch.runtime.shared import Shared
 
 STAGE_S = 5.0  # for a list to come and a server to be reached
 PROBED = 8  # servers tried at once, in looking for one that can be reached
--- a/larkweir/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -6,11 +6,11 @@
 
 import asyncio
 
-from larkweir.config.check import Checked, check_file
-from larkweir.config.document import CheckError
-from larkweir.config.transactions import RefusedError
-from larkweir.core.again import Again
-from larkweir.service.service import Service
+from sandhatch.config.check import Checked, check_file
+from sandhatch.config.document import CheckError
+from sandhatch.config.transactions import RefusedError
+from sandhatch.runtime.coalescing_runner import Again
+from sandhatch.service.service import Service
 
 
 class Reload:
--- a/larkweir/service/service.py
+++ b/sandhatch/service/service.py
@@ -13,21 +13,21 @@
 from contextlib import contextmanager
 from typing import Any
 
-from larkweir.config import transactions as tx
-from larkweir.config.check import Checked, check, check_text
-from larkweir.config.diff import diff
-from larkweir.config.document import CheckError, Document
-from larkweir.config.history import History, Saved
-from larkweir.config.transactions import Refusal, RefusedError, State, Transactions, Version
-from larkweir.config.yield_watch import YieldWatch
-from larkweir.core.address import parse_address
-from larkweir.core.process import grant_descriptors
-from larkweir.core.shared import Shared
-from larkweir.draining import drain
-from larkweir.listener import Listener
-from larkweir.service.forwarding import Forwarding
-from larkweir.service.pools import Pools, StageError
-from larkweir.service.versions import Front, RequestRecord, RunningVersion
+from sandhatch.config import transactions as tx
+from sandhatch.config.check import Checked, check, check_text
+from sandhatch.config.diff import diff
+from sandhatch.config.document import CheckError, Document
+from sandhatch.config.goodput_watch import YieldWatch
+from sandhatch.config.history import History, Saved
+from sandhatch.config.transactions import Refusal, RefusedError, State, Transactions, Version
+from sandhatch.downstream.listener import Listener
+from sandhatch.platform.graceful_shutdown import drain
+from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.process import grant_descriptors
+from sandhatch.runtime.shared import Shared
+from sandhatch.service.forwarding import Forwarding
+from sandhatch.service.pools import Pools, StageError
+from sandhatch.service.versions import Front, RequestRecord, RunningVersion
 
 OWN_DESCRIPTORS = 64  # the process's own: listeners, control, discovery, files
 TICK_MS = 50.0
--- a/larkweir/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -13,17 +13,17 @@
 from random import Random
 from uuid import uuid4
 
-from larkweir.config.check import Checked, pool_settings
-from larkweir.config.transactions import Version
-from larkweir.core.flow import StreamTerms
-from larkweir.core.message import FramingError, Message
-from larkweir.core.shared import Shared
-from larkweir.engine import Exchange
-from larkweir.listener import CallerConnection, Gone
-from larkweir.requests import ALLOW, METHODS, Requests, refuse_known
-from larkweir.routing.table import Answer, Query, Split, Target
-from larkweir.service.pools import RunningPool
-from mulleinhitch.interface import RequestArrived
+from sandhatch.balancing.interface import RequestArrived
+from sandhatch.config.check import Checked, pool_settings
+from sandhatch.config.transactions import Version
+from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.downstream.listener import CallerConnection, Gone
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, refuse_known
+from sandhatch.http1.message import FramingError, Message
+from sandhatch.routing.table import Answer, Query, Split, Target
+from sandhatch.runtime.shared import Shared
+from sandhatch.service.pools import RunningPool
+from sandhatch.streaming.flow import StreamTerms
 
 
 @dataclass(slots=True, frozen=True)
--- a/mulleinhitch/wire.py
+++ b/sandhatch/simulator/codec.py
@@ -9,7 +9,7 @@
 from struct import Struct, error
 from typing import Any
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
--- a/mulleinhitch/wirehost.py
+++ b/sandhatch/simulator/host.py
@@ -7,9 +7,9 @@
 import traceback
 from typing import BinaryIO
 
-from mulleinhitch.interface import SettingsError
-from mulleinhitch.policy import Balancer
-from mulleinhitch.wire import (
+from sandhatch.balancing.interface import SettingsError
+from sandhatch.balancing.policy.balancer import Balancer
+from sandhatch.simulator.codec import (
     HEADER,
     Decoder,
     Destroy,
@@ -19,7 +19,7 @@
     encode_action,
     encode_crash,
 )
-from mulleinhitch.wire import encode_reply as frame_reply
+from sandhatch.simulator.codec import encode_reply as frame_reply
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- /dev/null
+++ b/sandhatch/streaming/__init__.py
@@ -0,0 +1,1 @@
+"""A body on its way: flow control, progress limits and the socket writer."""
--- a/larkweir/body_end.py
+++ b/sandhatch/streaming/body_endpoint.py
@@ -6,11 +6,11 @@
 
 import asyncio
 
-from larkweir.core.flow import Piece
-from larkweir.core.message import Headers
-from larkweir.core.outlet import Outlet
-from larkweir.core.room import Place
-from larkweir.http1 import chunk, last_chunk
+from sandhatch.http1.framing import chunk, last_chunk
+from sandhatch.http1.message import Headers
+from sandhatch.runtime.memory_budget import Place
+from sandhatch.streaming.flow import Piece
+from sandhatch.streaming.socket_writer import Outlet
 
 
 class BodyEnd:
--- a/larkweir/core/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -18,9 +18,9 @@
 from enum import Enum
 from typing import Protocol
 
-from larkweir.core.message import Headers
-from larkweir.core.pace import Pace, PaceLimits
-from larkweir.core.room import Room
+from sandhatch.http1.message import Headers
+from sandhatch.runtime.memory_budget import Room
+from sandhatch.streaming.progress import Pace, PaceLimits
 
 Piece = bytes | memoryview
 
--- a/larkweir/core/outlet.py
+++ b/sandhatch/streaming/socket_writer.py
@@ -10,7 +10,7 @@
 import os
 from collections.abc import Sequence
 
-from larkweir.core.flow import Piece
+from sandhatch.streaming.flow import Piece
 
 # One for the whole process: what is read is used up before the next read, and the rest is copied.
 READ_BYTES = 256 * 1024
--- a/larkweir/record.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -1,8 +1,8 @@
-"""A record of what one copy was told and did, a line an event, for counting over a fleet (`larkweir.tally`).
+"""A record of what one copy was told and did, a line an event, for counting over a fleet (`fleet_report`).
 
-Off unless `LARKWEIR_RECORD=1` is set, or `LARKWEIR_RECORD=lists` for calls to discovery alone, with the sends
-of each second counted by server: enough to tell which copy sent by how old a list, in a log that stays short
-under traffic. It never changes what it sees, and never raises: a record that can't be
+Off unless `SANDHATCH_RECORD=1` is set, or `SANDHATCH_RECORD=lists` for calls to discovery alone, with the
+sends of each second counted by server: enough to tell which copy sent by how old a list, in a log that
+stays short under traffic. It never changes what it sees, and never raises: a record that can't be
 written is left out.
 """
 
@@ -16,7 +16,7 @@
 from contextlib import suppress
 from typing import Any, TextIO
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     CloseIdle,
@@ -32,15 +32,16 @@
     Send,
     WatchList,
 )
+from sandhatch.runtime.environment import renamed_variable
 
-MARK = "larkweir-record "  # begins each line; what follows is one JSON object
-ENVIRONMENT = "LARKWEIR_RECORD"
+MARK = "sandhatch-record "  # begins each line; what follows is one JSON object
+VARIABLE = "RECORD"  # of the environment, behind the program's prefix
 ALL, LISTS = "1", "lists"  # what it may be set to
 
 
-def asked_for(env: Mapping[str, str]) -> str | None:
-    """Which record the environment asks for, if any."""
-    wanted = env.get(ENVIRONMENT)
+def asked_for(env: Mapping[str, str], warn: Callable[[str], None]) -> str | None:
+    """Which record the environment asks for, if any; `warn` is told where it does so by the former name."""
+    wanted = renamed_variable(env, VARIABLE, warn)
     return wanted if wanted in (ALL, LISTS) else None
 
 
--- a/larkweir/tally.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -1,6 +1,6 @@
-"""Counts over a whole fleet, second by second, from the records that its copies wrote (`larkweir.record`):
+"""Counts over a whole fleet, second by second, from the records that its copies wrote (`event_recorder`):
 
-    python -m larkweir.tally LOG...
+    python -m sandhatch.telemetry.fleet_report LOG...
 
 It reads nothing but those lines; other lines are passed over. Only `main` reads files.
 """
@@ -14,9 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from larkweir.record import MARK
-from larkweir.tables import table
-from mulleinhitch.interface import Outcome, ServerState
+from sandhatch.balancing.interface import Outcome, ServerState
+from sandhatch.cli.tables import table
+from sandhatch.telemetry.event_recorder import MARK
 
 COLD_S = 20.0  # a server is counted as cold for so long after its start, unless told otherwise
 COLUMNS = (
@@ -151,18 +151,21 @@
 
 def main(paths: Sequence[str]) -> int:
     if not paths:
-        print("larkweir.tally: name the log files of the fleet's copies", file=sys.stderr)
+        print("fleet_report: name the log files of the fleet's copies", file=sys.stderr)
         return 2
     try:
         logs = [Path(path).read_text(errors="replace").splitlines() for path in paths]
     except OSError as problem:
-        print(f"larkweir.tally: {problem.filename}: {problem.strerror}", file=sys.stderr)
+        print(f"fleet_report: {problem.filename}: {problem.strerror}", file=sys.stderr)
         return 2
     tiers = tally(logs)
     for tier, fleet in sorted(tiers.items()):
         print(f"tier {tier}\n{counts(fleet)}")
     if not tiers:
-        print("larkweir.tally: no records; copies write them with LARKWEIR_RECORD=1", file=sys.stderr)
+        print(
+            "fleet_report: no records; copies write them with SANDHATCH_RECORD=1",
+            file=sys.stderr,
+        )
         return 1
     return 0
 
--- /dev/null
+++ b/sandhatch/upstream/__init__.py
@@ -0,0 +1,1 @@
+"""Servers: connections to them and the attempts on these."""
--- a/larkweir/upstreams.py
+++ b/sandhatch/upstream/pool.py
@@ -13,16 +13,16 @@
 from dataclasses import dataclass
 from typing import cast
 
-from larkweir.body_end import BodyEnd
-from larkweir.core.address import Address
-from larkweir.core.clock import Clock, Timer
-from larkweir.core.flow import Flow, StreamTerms
-from larkweir.core.message import FramingError, Message
-from larkweir.core.outlet import SCRATCH, Outlet
-from larkweir.core.room import Room
-from larkweir.core.shared import Descriptors
-from larkweir.http1 import End, Event, ResponseReader, encode_request, encode_request_head
-from mulleinhitch.interface import Outcome, ServerState
+from sandhatch.balancing.interface import Outcome, ServerState
+from sandhatch.http1.framing import End, Event, ResponseReader, encode_request, encode_request_head
+from sandhatch.http1.message import FramingError, Message
+from sandhatch.runtime.address import Address
+from sandhatch.runtime.clock import Clock, Timer
+from sandhatch.runtime.memory_budget import Room
+from sandhatch.runtime.shared import Descriptors
+from sandhatch.streaming.body_endpoint import BodyEnd
+from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.socket_writer import SCRATCH, Outlet
 
 LOAD_HEADER = b"endpoint-load-metrics"
 NEVER_RAN_HEADER = b"x-never-ran"
--- a/standins/bodies.py
+++ b/testkit/bodies.py
@@ -11,8 +11,8 @@
 from random import Random
 from zlib import crc32
 
-from standins.servers import Talk
-from standins.wire import read_head
+from testkit.servers import Talk
+from testkit.wire import read_head
 
 BLOCK = 64 * 1024
 
--- a/standins/books.py
+++ b/testkit/books.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from standins.wire import Answer
+from testkit.wire import Answer
 
 
 @dataclass(slots=True)
--- a/standins/callers.py
+++ b/testkit/callers.py
@@ -5,7 +5,7 @@
 import asyncio
 from itertools import count
 
-from standins.wire import PATIENCE_S, Answer, read_answer
+from testkit.wire import PATIENCE_S, Answer, read_answer
 
 TRACES = count(1)  # an id is new with every request
 
--- a/standins/demo.py
+++ b/testkit/demo.py
@@ -1,4 +1,4 @@
-"""`larkweir demo`: three tiers of stand-in servers and the balancer on loopback, traffic, and changes under
+"""`sandhatch demo`: three tiers of stand-in servers and the balancer on loopback, traffic, and changes under
 it.
 
 The example configuration is used as it stands, but for its ports, which the system chooses. A web-front
@@ -19,11 +19,11 @@
 
 import yaml
 
-from standins.books import Books
-from standins.load import Load
-from standins.ports import free_port
-from standins.servers import FakeUpstream, Talk
-from standins.wire import Incoming, ok, read_answer
+from testkit.books import Books
+from testkit.load import Load
+from testkit.ports import free_port
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import Incoming, ok, read_answer
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
@@ -93,10 +93,10 @@
 
 async def command(directory: str, verb: str, *arguments: str) -> int:
     """A verb of the command line, shown with what it prints."""
-    print(f"\n$ larkweir {verb} {' '.join(Path(a).name if '/' in a else a for a in arguments)}", flush=True)
-    control = ["--control", f"{directory}/larkweir.sock"]
+    print(f"\n$ sandhatch {verb} {' '.join(Path(a).name if '/' in a else a for a in arguments)}", flush=True)
+    control = ["--control", f"{directory}/sandhatch.sock"]
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "larkweir", verb, *control, *arguments, cwd=ROOT
+        sys.executable, "-m", "sandhatch", verb, *control, *arguments, cwd=ROOT
     )
     return await process.wait()
 
@@ -132,11 +132,11 @@
     balancer = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "larkweir",
+        "sandhatch",
         "serve",
         str(first),
         "--control",
-        f"{directory}/larkweir.sock",
+        f"{directory}/sandhatch.sock",
         cwd=ROOT,
         stderr=asyncio.subprocess.DEVNULL,
     )
--- a/standins/discovery.py
+++ b/testkit/discovery.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import Any
 
-from standins.wire import ok, read_head
+from testkit.wire import ok, read_head
 
 
 class FakeDiscovery:
--- a/standins/lists.py
+++ b/testkit/lists.py
@@ -1,14 +1,14 @@
-"""Discovery in simulated time, for `standins.tier`: one service that takes its calls in turn, with faults."""
+"""Discovery in simulated time, for `testkit.tier`: one service that takes its calls in turn, with faults."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import TYPE_CHECKING
 
-from mulleinhitch.interface import ListKind, ListUpdate
+from sandhatch.balancing.interface import ListKind, ListUpdate
 
 if TYPE_CHECKING:
-    from standins.tier import SimForwarder, SimServer, Tier
+    from testkit.tier import SimForwarder, SimServer, Tier
 
 
 class SimDiscovery:
--- a/standins/load.py
+++ b/testkit/load.py
@@ -7,8 +7,8 @@
 from itertools import count
 from random import Random
 
-from standins.books import Books
-from standins.wire import read_answer
+from testkit.books import Books
+from testkit.wire import read_answer
 
 IDS = count(1)
 Choose = Callable[[Random], tuple[str, str]]  # class and target
--- a/standins/planners.py
+++ b/testkit/planners.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 from contextlib import suppress
 
-from larkweir.planning.keys import Identity
-from larkweir.planning.messages import Advice, Bye, PoolAdvice, Report
-from larkweir.planning.session import Established, PlannerSession, SessionError
+from sandhatch.planning.keys import Identity
+from sandhatch.planning.messages import Advice, Bye, PoolAdvice, Report
+from sandhatch.planning.session import Established, PlannerSession, SessionError
 
 
 class Seat:
--- a/standins/platform.py
+++ b/testkit/platform.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from standins.servers import entry as entry
+from testkit.servers import entry as entry
 
 SETTINGS: dict[str, Any] = {
     "Categories": [
--- a/standins/servers.py
+++ b/testkit/servers.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import Any
 
-from standins.wire import Incoming, ok, read_head
+from testkit.wire import Incoming, ok, read_head
 
 
 class Talk:
--- a/standins/tier.py
+++ b/testkit/tier.py
@@ -15,14 +15,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from larkweir.core.address import label_of
-from larkweir.planning.forwarder import Action as PlanningAction
-from larkweir.planning.forwarder import Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
-from larkweir.planning.messages import Advice, Report, decode, encode
-from larkweir.planning.observer import Observer
-from larkweir.planning.planner import Planner, PlannerTerms
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -43,7 +37,13 @@
     TimerFired,
     WatchList,
 )
-from standins.lists import SimDiscovery
+from sandhatch.planning.forwarder import Action as PlanningAction
+from sandhatch.planning.forwarder import Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
+from sandhatch.planning.messages import Advice, Report, decode, encode
+from sandhatch.planning.observer import Observer
+from sandhatch.planning.planner import Planner, PlannerTerms
+from sandhatch.runtime.address import label_of
+from testkit.lists import SimDiscovery
 
 POOL = "core"
 # What becomes of advice: each (delay, message) arrives; None in place of a message ends the session.
--- a/tests/bodies/harness.py
+++ b/tests/bodies/harness.py
@@ -10,12 +10,12 @@
 
 import uvloop
 
-from larkweir.core.flow import FlowBook
-from larkweir.engine import Decisions, Engine
-from mulleinhitch.interface import Action, AttemptEnded, Event
-from standins.bodies import Body, BodyServer, Pattern, Serve, Upload, head, read_body, send_all
-from standins.callers import TRACES, Caller
-from standins.wire import PATIENCE_S, read_head
+from sandhatch.balancing.interface import Action, AttemptEnded, Event
+from sandhatch.dispatch.dispatcher import Decisions, Engine
+from sandhatch.streaming.flow import FlowBook
+from testkit.bodies import Body, BodyServer, Pattern, Serve, Upload, head, read_body, send_all
+from testkit.callers import TRACES, Caller
+from testkit.wire import PATIENCE_S, read_head
 from tests.service.harness import Kept, serving
 
 T = TypeVar("T")
--- a/tests/bodies/test_flow.py
+++ b/tests/bodies/test_flow.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.core.flow import BodyTerms, Flow, FlowBook, Piece, Side
-from larkweir.core.message import Headers
-from larkweir.core.pace import Pace, PaceLimits
-from larkweir.core.room import Place, Room
+from sandhatch.http1.message import Headers
+from sandhatch.runtime.memory_budget import Place, Room
+from sandhatch.streaming.flow import BodyTerms, Flow, FlowBook, Piece, Side
+from sandhatch.streaming.progress import Pace, PaceLimits
 
 KIB = 1024
 PATIENT = PaceLimits(1e9, 0.0, 1e9)
--- a/tests/bodies/test_framing.py
+++ b/tests/bodies/test_framing.py
@@ -12,8 +12,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from larkweir.core.message import FramingError, Headers, Message
-from larkweir.http1 import End, RequestReader, ResponseReader, chunk, last_chunk
+from sandhatch.http1.framing import End, RequestReader, ResponseReader, chunk, last_chunk
+from sandhatch.http1.message import FramingError, Headers, Message
 
 KIB = 1024
 MOST = 4096 * KIB
--- a/tests/bodies/test_memory.py
+++ b/tests/bodies/test_memory.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from mulleinhitch.interface import Outcome
-from standins.bodies import Pattern, Upload
-from standins.callers import Caller
+from sandhatch.balancing.interface import Outcome
+from testkit.bodies import Pattern, Upload
+from testkit.callers import Caller
 from tests.bodies.harness import (
     KIB,
     MIB,
--- a/tests/bodies/test_passing.py
+++ b/tests/bodies/test_passing.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from mulleinhitch.interface import AnswerStarted, Fail, Outcome, Refuse, Send, Unrepeatable
-from standins.bodies import Pattern, Upload, chunked, head
-from standins.callers import Caller
-from standins.wire import ok
+from sandhatch.balancing.interface import AnswerStarted, Fail, Outcome, Refuse, Send, Unrepeatable
+from testkit.bodies import Pattern, Upload, chunked, head
+from testkit.callers import Caller
+from testkit.wire import ok
 from tests.bodies.harness import (
     KIB,
     MIB,
--- a/tests/bodies/test_slow.py
+++ b/tests/bodies/test_slow.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from larkweir.listener import CallerConnection
-from mulleinhitch.interface import Outcome
-from standins.bodies import Pattern, Upload, chunked, head
-from standins.callers import Caller
+from sandhatch.balancing.interface import Outcome
+from sandhatch.downstream.listener import CallerConnection
+from testkit.bodies import Pattern, Upload, chunked, head
+from testkit.callers import Caller
 from tests.bodies.harness import (
     KIB,
     MIB,
--- a/tests/config/samples.py
+++ b/tests/config/samples.py
@@ -6,7 +6,7 @@
 from copy import deepcopy
 from typing import Any
 
-from larkweir.config.check import Checked, check_text
+from sandhatch.config.check import Checked, check_text
 
 BASE: dict[str, Any] = {
     "format": 1,
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from larkweir.config.check import CheckError, check, check_text, pool_settings
-from larkweir.config.document import read
+from sandhatch.config.check import CheckError, check, check_text, pool_settings
+from sandhatch.config.document import read
 from tests.config.samples import checked, sample
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/config/test_diff.py
+++ b/tests/config/test_diff.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from larkweir.config.diff import MergeError, diff, merge, overlap
+from sandhatch.config.diff import MergeError, diff, merge, overlap
 from tests.config.samples import BASE, sample
 
 
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from larkweir.config.document import MAX_BYTES, DocumentError, parse, read
+from sandhatch.config.document import MAX_BYTES, DocumentError, parse, read
 
 
 def test_scalars_follow_the_core_schema() -> None:
--- a/tests/config/test_planning.py
+++ b/tests/config/test_planning.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from larkweir.config.check import check_text, pool_settings
-from larkweir.config.document import CheckError
+from sandhatch.config.check import check_text, pool_settings
+from sandhatch.config.document import CheckError
 from tests.config.samples import sample
 
 PEER = {"address": "127.0.0.1:7000"}
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -13,10 +13,10 @@
 
 import pytest
 
-from larkweir.config import transactions as tx
-from larkweir.config.check import Checked, check_text
-from larkweir.config.history import History, HistoryError, seal, unseal
-from larkweir.config.transactions import OVER, WAYS, Refusal, RefusedError, State, Transactions, Version
+from sandhatch.config import transactions as tx
+from sandhatch.config.check import Checked, check_text
+from sandhatch.config.history import History, HistoryError, seal, unseal
+from sandhatch.config.transactions import OVER, WAYS, Refusal, RefusedError, State, Transactions, Version
 from tests.config.samples import BASE, checked, sample
 
 
--- a/tests/config/test_yield_watch.py
+++ b/tests/config/test_yield_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from larkweir.config.yield_watch import ALL, Fall, YieldWatch, correlation_length, rank_test
+from sandhatch.config.goodput_watch import ALL, Fall, YieldWatch, correlation_length, rank_test
 
 BLOCK = 500.0
 
@@ -32,7 +32,7 @@
     rng = Random(4)
     before = [rng.random() for _ in range(60)]
     after = [rng.random() * 0.8 for _ in range(7)]
-    import larkweir.config.yield_watch as module
+    import sandhatch.config.goodput_watch as module
 
     ranks = module._doubled_midranks([*after, *before])
     exact = module._exact(ranks, 7, sum(ranks[:7]))
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -17,12 +17,12 @@
 import pytest
 import yaml
 
-from larkweir import cli
-from larkweir.config.transactions import State
-from larkweir.control.calls import Calls
-from larkweir.control.framing import CallError, LineReader, encode
-from larkweir.control.server import ControlError, ControlServer
-from standins.callers import Caller
+from sandhatch.cli import commands as cli
+from sandhatch.config.transactions import State
+from sandhatch.control.calls import Calls
+from sandhatch.control.framing import CallError, LineReader, encode
+from sandhatch.control.server import ControlError, ControlServer
+from testkit.callers import Caller
 from tests.service.harness import Farm, Kept, run, serving
 
 
@@ -230,7 +230,7 @@
 def test_a_peer_of_another_user_is_turned_away(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path):
-            monkeypatch.setattr("larkweir.control.server.peer_user", lambda sock: os.geteuid() + 4711)
+            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda sock: os.geteuid() + 4711)
             async with Peer(path) as peer:
                 assert await peer.reader.read() == b""  # closed unheard
             monkeypatch.undo()
--- a/tests/crossings/skipping.py
+++ b/tests/crossings/skipping.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from larkweir.core import clock
+from sandhatch.runtime import clock
 
 QUIET_S = 0.004  # in which bytes on loopback between two sockets of this process have long arrived
 
--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from larkweir.listener import CallerConnection
-from larkweir.upstreams import UpstreamConnection
-from mulleinhitch import Balancer
-from mulleinhitch.interface import Action, ClientGone, Event, Outcome, RequestArrived, Send, TimerFired
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import Action, ClientGone, Event, Outcome, RequestArrived, Send, TimerFired
+from sandhatch.downstream.listener import CallerConnection
+from sandhatch.upstream.pool import UpstreamConnection
 from tests.crossings.harness import answers, dial, holds, until
 from tests.fakes import (
     PATIENCE_S,
@@ -176,7 +176,7 @@
                 create_connection = staticmethod(late)
                 create_task = staticmethod(loop.create_task)
 
-            monkeypatch.setattr("larkweir.upstreams.asyncio.get_running_loop", lambda: Late)
+            monkeypatch.setattr("sandhatch.upstream.pool.asyncio.get_running_loop", lambda: Late)
             caller = dial(balancer.port)
             caller.sendall(request_bytes("move", b"x"))
             await waiting.wait()
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/crossings/test_kept_connections.py
@@ -7,8 +7,8 @@
 import struct
 from collections.abc import Callable
 
-from larkweir.upstreams import UpstreamConnection
-from mulleinhitch.interface import Outcome
+from sandhatch.balancing.interface import Outcome
+from sandhatch.upstream.pool import UpstreamConnection
 from tests.crossings.harness import accepted, holds, until, until_unread
 from tests.fakes import PATIENCE_S, Caller, FakeUpstream, Incoming, Script, Talk, entry, ok, running
 from tests.test_attempts import run
--- a/tests/crossings/test_list_age.py
+++ b/tests/crossings/test_list_age.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.wire import ok, read_head
+from testkit.wire import ok, read_head
 from tests.crossings.skipping import SkippingLoop, run
 from tests.fakes import SETTINGS, Caller, FakeUpstream, running
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from larkweir import draining
-from larkweir.single import PlatformFront
+from sandhatch.platform import graceful_shutdown as draining
+from sandhatch.platform.program import PlatformFront
 from tests.crossings.harness import dial, holds, until, until_unread
 from tests.fakes import PATIENCE_S, Caller, FakeUpstream, Incoming, Running, Talk, ok, request_bytes, running
 from tests.test_attempts import run
--- a/tests/crossings/test_signals.py
+++ b/tests/crossings/test_signals.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from standins.ports import free_port
+from testkit.ports import free_port
 from tests.crossings.harness import holds
 from tests.fakes import PATIENCE_S, Caller, FakeDiscovery, FakeUpstream, Incoming, Talk, config_data, ok
 from tests.test_attempts import run
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -14,10 +14,10 @@
 
 import pytest
 
-from larkweir.sources.discovery import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
-from mulleinhitch.interface import NONE_HELD, ListKind, ServerState, WatchList
-from standins.servers import entry
-from standins.wire import PATIENCE_S, ok, read_head
+from sandhatch.balancing.interface import NONE_HELD, ListKind, ServerState, WatchList
+from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
+from testkit.servers import entry
+from testkit.wire import PATIENCE_S, ok, read_head
 from tests.test_attempts import run
 
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass, field
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -29,7 +29,7 @@
     Settings,
     TimerFired,
 )
-from mulleinhitch.policy import Balancer
+from sandhatch.balancing.policy.balancer import Balancer
 
 UNRUN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -13,14 +13,8 @@
 from random import Random
 from typing import Any
 
-from larkweir.config.platform import decode
-from larkweir.core.shared import Shared
-from larkweir.engine import Decisions, Engine
-from larkweir.listener import Listener
-from larkweir.single import Single
-from larkweir.sources.discovery import Discovery
-from mulleinhitch.freshness import COOKIES, Freshness
-from mulleinhitch.interface import (
+from sandhatch.balancing.endpoint_freshness import COOKIES, Freshness
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     Effect,
@@ -33,11 +27,17 @@
     Settings,
     TimerFired,
 )
-from standins.callers import Caller, request_bytes
-from standins.discovery import FakeDiscovery
-from standins.platform import SETTINGS, config_data
-from standins.servers import Behaviour, FakeUpstream, Talk, entry, serve_ok
-from standins.wire import PATIENCE_S, Answer, Incoming, ok, read_answer, read_head, status
+from sandhatch.config.platform import decode
+from sandhatch.discovery.client import Discovery
+from sandhatch.dispatch.dispatcher import Decisions, Engine
+from sandhatch.downstream.listener import Listener
+from sandhatch.platform.program import Single
+from sandhatch.runtime.shared import Shared
+from testkit.callers import Caller, request_bytes
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, config_data
+from testkit.servers import Behaviour, FakeUpstream, Talk, entry, serve_ok
+from testkit.wire import PATIENCE_S, Answer, Incoming, ok, read_answer, read_head, status
 
 
 class Script:
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -11,9 +11,9 @@
 
 import pytest
 
-from mulleinhitch.interface import Effect, RequestClass, ServerEntry, Settings
-from mulleinhitch.policy import Server, SlowStart
-from standins.tier import SimServer, Tier, TierPlan
+from sandhatch.balancing.interface import Effect, RequestClass, ServerEntry, Settings
+from sandhatch.balancing.policy.balancer import Server, SlowStart
+from testkit.tier import SimServer, Tier, TierPlan
 
 PLAN = TierPlan(
     servers=20,
--- a/tests/fleet/test_lists.py
+++ b/tests/fleet/test_lists.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from standins.tier import Tier, TierPlan
+from testkit.tier import Tier, TierPlan
 
 PLAN = TierPlan(
     forwarders=40,
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.tier import Tier, TierPlan
+from testkit.tier import Tier, TierPlan
 
 PLAN = TierPlan(
     servers=10,
--- a/tests/freshness/fleet.py
+++ b/tests/freshness/fleet.py
@@ -9,8 +9,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from mulleinhitch.freshness import MOVED_MS, TOLD_MS, Freshness
-from mulleinhitch.interface import (
+from sandhatch.balancing.endpoint_freshness import MOVED_MS, TOLD_MS, Freshness
+from sandhatch.balancing.interface import (
     NONE_HELD,
     Action,
     Effect,
--- a/tests/freshness/test_settings.py
+++ b/tests/freshness/test_settings.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from larkweir.config.platform import decode
-from larkweir.core.address import ConfigError
-from mulleinhitch.freshness import LEAST_MS, TOLD_MS, Freshness, told_after_ms
-from mulleinhitch.interface import ListKind, ListUpdate, SetTimer, WatchList
-from standins.platform import SETTINGS, config_data, entry
+from sandhatch.balancing.endpoint_freshness import LEAST_MS, TOLD_MS, Freshness, told_after_ms
+from sandhatch.balancing.interface import ListKind, ListUpdate, SetTimer, WatchList
+from sandhatch.config.platform import decode
+from sandhatch.runtime.address import ConfigError
+from testkit.platform import SETTINGS, config_data, entry
 
 KEYS = ["DrainGraceMs", "AskWithinMs", "ColdMs", "FallMs", "PeersTotal"]
 NONSENSE = [-1, -0.5, "soon", None, True, [], {}, 1e400]
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -7,14 +7,8 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from larkweir.core.clock import Clock
-from larkweir.planning.forwarder import ForwarderTerms
-from larkweir.planning.keys import SharedKey
-from larkweir.planning.link import ForwarderLink, Watcher
-from larkweir.planning.planner import PlannerTerms
-from larkweir.planning.server import PlannerServer
-from mulleinhitch import Balancer
-from mulleinhitch.interface import (
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import (
     Effect,
     Guidance,
     GuidanceRefused,
@@ -25,8 +19,14 @@
     ServerEntry,
     Settings,
 )
-from standins.planners import Script, ScriptedPlanner
-from standins.wire import PATIENCE_S
+from sandhatch.planning.forwarder import ForwarderTerms
+from sandhatch.planning.keys import SharedKey
+from sandhatch.planning.link import ForwarderLink, Watcher
+from sandhatch.planning.planner import PlannerTerms
+from sandhatch.planning.server import PlannerServer
+from sandhatch.runtime.clock import Clock
+from testkit.planners import Script, ScriptedPlanner
+from testkit.wire import PATIENCE_S
 
 KEY = SharedKey(b"k" * 32)
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
--- a/tests/planning/test_advice.py
+++ b/tests/planning/test_advice.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from mulleinhitch import Balancer
-from mulleinhitch.advice import Guide, SharedRamp, Slide, safe_part
-from mulleinhitch.interface import (
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.guidance import Guide, SharedRamp, Slide, safe_part
+from sandhatch.balancing.interface import (
     AttemptEnded,
     Effect,
     Fail,
@@ -30,7 +30,7 @@
     SettingsError,
     Weight,
 )
-from mulleinhitch.succession import inherit
+from sandhatch.balancing.state_transfer import inherit
 
 CLASS = RequestClass(aim_ms=100.0, deadline_ms=1000.0, effect=Effect.SAFE, name="view")
 SETTINGS = Settings(
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -4,10 +4,7 @@
 
 from typing import Any
 
-from larkweir.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
-from larkweir.planning.messages import Advice, PartRow, PoolAdvice, Report, WeightRow
-from larkweir.planning.observer import Observer
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Effect,
     Guidance,
     Lent,
@@ -17,6 +14,9 @@
     ServerEntry,
     Settings,
 )
+from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
+from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, Report, WeightRow
+from sandhatch.planning.observer import Observer
 
 CLASS = RequestClass(aim_ms=100.0, deadline_ms=1000.0, effect=Effect.SAFE, name="view")
 SETTINGS = Settings(classes=[CLASS], copies=4, me=2, ramp_per_s=10.0)
@@ -250,7 +250,7 @@
 
 
 def test_reports_stay_within_their_bytes_a_second() -> None:
-    from larkweir.planning.messages import encode
+    from sandhatch.planning.messages import encode
 
     desk = Desk("p0", bytes_per_s=2_000.0)
     desk.connect("p0")
--- a/tests/planning/test_ledger.py
+++ b/tests/planning/test_ledger.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.planning.ledger import Ledger, Lenders
-from mulleinhitch.advice import safe_part
+from sandhatch.balancing.guidance import safe_part
+from sandhatch.planning.ledger import Ledger, Lenders
 
 
 def lenders(copies: int, burst: float, *places: int) -> Lenders:
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
-from larkweir.planning.messages import PartRow, PoolAdvice, Report, Row, WeightRow
-from larkweir.planning.session import SessionError
-from mulleinhitch.interface import RequestArrived
-from standins.planners import Seat
+from sandhatch.balancing.interface import RequestArrived
+from sandhatch.planning.messages import PartRow, PoolAdvice, Report, Row, WeightRow
+from sandhatch.planning.session import SessionError
+from testkit.planners import Seat
 from tests.planning.harness import (
     ADDRESSES,
     SETTINGS,
@@ -427,7 +427,7 @@
             await until(lambda: post.link._connections)
             session = post.link._connections["p0"].session
             await until(lambda: session.established)
-            from larkweir.planning.messages import PoolReport
+            from sandhatch.planning.messages import PoolReport
 
             try:
                 session.send(Report(1, 0.0, pools=[PoolReport("core", names=["x" * 300] * 4000)]))
--- a/tests/planning/test_loopback.py
+++ b/tests/planning/test_loopback.py
@@ -16,15 +16,15 @@
 
 import pytest
 
-from larkweir.core.clock import Clock
-from larkweir.planning.keys import SharedKey, read_key
-from larkweir.planning.planner import PlannerTerms
-from larkweir.planning.server import PlannerServer
-from mulleinhitch.interface import Action, Event, Send
-from standins.books import Books
-from standins.discovery import FakeDiscovery
-from standins.load import Load
-from standins.tier import TierPlan, over_ramp
+from sandhatch.balancing.interface import Action, Event, Send
+from sandhatch.planning.keys import SharedKey, read_key
+from sandhatch.planning.planner import PlannerTerms
+from sandhatch.planning.server import PlannerServer
+from sandhatch.runtime.clock import Clock
+from testkit.books import Books
+from testkit.discovery import FakeDiscovery
+from testkit.load import Load
+from testkit.tier import TierPlan, over_ramp
 from tests.service.harness import Farm, Kept, run, serving
 
 FORWARDERS = 20
--- a/tests/planning/test_observer.py
+++ b/tests/planning/test_observer.py
@@ -4,10 +4,7 @@
 
 from random import Random
 
-from larkweir.planning.messages import PoolReport, Report, encode
-from larkweir.planning.observer import Observer
-from larkweir.planning.sketch import BUCKETS, Sketch, bucket_of, merged, value_of
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     AttemptEnded,
     ListKind,
     ListUpdate,
@@ -17,6 +14,9 @@
     ServerEntry,
     ServerState,
 )
+from sandhatch.planning.messages import PoolReport, Report, encode
+from sandhatch.planning.observer import Observer
+from sandhatch.planning.quantile_sketch import BUCKETS, Sketch, bucket_of, merged, value_of
 
 COLD_MS = 10_000.0
 
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from larkweir.planning.load import PoolLoad
-from larkweir.planning.messages import Advice, PoolReport, Report, Row
-from larkweir.planning.planner import Planner, PlannerTerms
+from sandhatch.planning.load import PoolLoad
+from sandhatch.planning.messages import Advice, PoolReport, Report, Row
+from sandhatch.planning.planner import Planner, PlannerTerms
 
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 11)]
 
--- a/tests/planning/test_programs.py
+++ b/tests/planning/test_programs.py
@@ -11,10 +11,10 @@
 from pathlib import Path
 from typing import Any
 
-from larkweir.cli import main
-from standins.callers import Caller
-from standins.ports import free_port
-from standins.wire import PATIENCE_S
+from sandhatch.cli.commands import main
+from testkit.callers import Caller
+from testkit.ports import free_port
+from testkit.wire import PATIENCE_S
 from tests.service.harness import Farm, run
 
 
@@ -26,7 +26,7 @@
 
 async def spawn(*arguments: str) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "larkweir", *arguments, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "sandhatch", *arguments, stderr=asyncio.subprocess.PIPE
     )
 
 
--- a/tests/planning/test_ramps.py
+++ b/tests/planning/test_ramps.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from standins.tier import POOL, Tier, TierPlan, over_ramp, random_faults
+from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
 
 # More comes than the ramp lets through, so that it binds; few servers, so that each draw may be the cold one.
 PLAN = TierPlan(
--- a/tests/planning/test_service.py
+++ b/tests/planning/test_service.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from larkweir.planning.messages import Report
-from standins.tier import Tier, TierPlan
+from sandhatch.planning.messages import Report
+from testkit.tier import Tier, TierPlan
 
 # 20 servers of two cores with calls of 100 ms: 400 calls a second are all that they can do.
 PLAN = TierPlan(
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkweir.planning.keys import (
+from sandhatch.planning.keys import (
     BadKeyError,
     Identity,
     OwnKey,
@@ -19,7 +19,7 @@
     public_key,
     read_key,
 )
-from larkweir.planning.messages import (
+from sandhatch.planning.messages import (
     Advice,
     BadMessageError,
     Bye,
@@ -31,7 +31,7 @@
     encode,
     encode_handshake,
 )
-from larkweir.planning.session import (
+from sandhatch.planning.session import (
     MOST_FRAME,
     MOST_HANDSHAKE,
     Budget,
--- a/tests/planning/test_versions.py
+++ b/tests/planning/test_versions.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import Any
 
-from larkweir.config.transactions import State
-from standins.callers import Caller
+from sandhatch.config.transactions import State
+from testkit.callers import Caller
 from tests.planning.harness import planning, until
 from tests.service.harness import Farm, run, serving
 
--- a/tests/record/test_tally.py
+++ b/tests/record/test_tally.py
@@ -8,9 +8,7 @@
 
 import pytest
 
-from larkweir.record import ALL, LISTS, MARK, Recorder, asked_for
-from larkweir.tally import counts, main, records, tally
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     Event,
@@ -26,6 +24,8 @@
     TimerFired,
     WatchList,
 )
+from sandhatch.telemetry.event_recorder import ALL, LISTS, MARK, Recorder, asked_for
+from sandhatch.telemetry.fleet_report import counts, main, records, tally
 
 START_MS = 1_700_000_000_000.0
 
@@ -118,8 +118,23 @@
 
 @pytest.mark.parametrize(("set_to", "kept"), [("1", ALL), ("lists", LISTS), ("", None), ("yes", None)])
 def test_which_record_is_asked_for(set_to: str, kept: str | None) -> None:
-    assert asked_for({"LARKWEIR_RECORD": set_to}) == kept
-    assert asked_for({}) is None
+    warnings: list[str] = []
+    assert asked_for({"SANDHATCH_RECORD": set_to}, warnings.append) == kept
+    assert asked_for({}, warnings.append) is None
+    assert warnings == []
+
+
+def test_the_variables_old_name_counts_and_gets_one_warning_line_that_names_the_new_one() -> None:
+    warnings: list[str] = []
+    assert asked_for({"LARKWEIR_RECORD": "lists"}, warnings.append) == LISTS
+    assert warnings == ["LARKWEIR_RECORD is now called SANDHATCH_RECORD; set that one instead"]
+
+
+def test_the_variables_new_name_goes_before_its_old_one() -> None:
+    warnings: list[str] = []
+    both = {"LARKWEIR_RECORD": "lists", "SANDHATCH_RECORD": "1"}
+    assert asked_for(both, warnings.append) == ALL
+    assert warnings == []
 
 
 def test_a_timer_that_does_nothing_is_not_recorded() -> None:
@@ -129,7 +144,7 @@
 
 def test_lines_that_are_cut_off_or_foreign_are_left_out() -> None:
     one, _ = fleet_of_two()
-    broken = ["larkweir n0: discovery: answered 503", one.lines[0][:-9], MARK + "[1]", MARK + '{"t":"x"}']
+    broken = ["sandhatch n0: discovery: answered 503", one.lines[0][:-9], MARK + "[1]", MARK + '{"t":"x"}']
     assert [record["in"] for record in records([*broken, one.lines[1]])] == ["RequestArrived"]
 
 
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from larkweir.routing.table import Answer, HeaderTest, Query, Route, RouteTable, Split, prefixes, unreachable
+from sandhatch.routing.table import Answer, HeaderTest, Query, Route, RouteTable, Split, prefixes, unreachable
 
 
 def ask(path: bytes, host: bytes = b"shop.example.org", **more: Any) -> Query:
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -8,15 +8,15 @@
 from contextlib import asynccontextmanager
 from typing import Any
 
-from larkweir.config.check import check_text
-from larkweir.config.history import History
-from larkweir.config.transactions import State, Version
-from larkweir.service.service import Service
-from larkweir.service.versions import RequestRecord
-from larkweir.upstreams import Upstreams
-from standins.books import Books
-from standins.servers import FakeUpstream, Talk
-from standins.wire import PATIENCE_S, Incoming, ok
+from sandhatch.config.check import check_text
+from sandhatch.config.history import History
+from sandhatch.config.transactions import State, Version
+from sandhatch.service.service import Service
+from sandhatch.service.versions import RequestRecord
+from sandhatch.upstream.pool import Upstreams
+from testkit.books import Books
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 
 
 class Farm:
--- a/tests/service/test_program.py
+++ b/tests/service/test_program.py
@@ -1,4 +1,4 @@
-"""`larkweir serve` as a process: killed at every step of a change, and SIGHUP, SIGTERM and a commit at
+"""`sandhatch serve` as a process: killed at every step of a change, and SIGHUP, SIGTERM and a commit at
 once.
 """
 
@@ -16,12 +16,12 @@
 
 import pytest
 
-from larkweir.config.history import History
-from larkweir.control.framing import encode
-from standins.callers import Caller
-from standins.load import Load
-from standins.ports import free_port
-from standins.wire import PATIENCE_S
+from sandhatch.config.history import History
+from sandhatch.control.framing import encode
+from testkit.callers import Caller
+from testkit.load import Load
+from testkit.ports import free_port
+from testkit.wire import PATIENCE_S
 from tests.service.harness import Farm, run
 
 ROOT = Path(__file__).parent.parent.parent
@@ -40,7 +40,7 @@
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "larkweir",
+            "sandhatch",
             "serve",
             str(self.file),
             "--control",
@@ -205,7 +205,7 @@
 
     async def work() -> None:
         code = (
-            "import sys; import larkweir.__main__; "
+            "import sys; import sandhatch.__main__; "
             "print([m for m in ('pydantic', 'yaml', 're2') if m in sys.modules])"
         )
         process = await asyncio.create_subprocess_exec(
--- a/tests/service/test_sources.py
+++ b/tests/service/test_sources.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from larkweir.config.transactions import State
-from larkweir.service import pools
-from standins.callers import Caller
-from standins.discovery import FakeDiscovery
+from sandhatch.config.transactions import State
+from sandhatch.service import pools
+from testkit.callers import Caller
+from testkit.discovery import FakeDiscovery
 from tests.service.harness import Farm, run, serving
 
 
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -11,16 +11,16 @@
 
 import pytest
 
-from larkweir.config.check import CheckError
-from larkweir.config.transactions import Refusal, RefusedError, State
-from mulleinhitch import Balancer
-from mulleinhitch.interface import ServerState
-from mulleinhitch.policy import SlowStart
-from standins.callers import Caller
-from standins.load import Load
-from standins.ports import free_port
-from standins.servers import Talk
-from standins.wire import Incoming, ok
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import ServerState
+from sandhatch.balancing.policy.balancer import SlowStart
+from sandhatch.config.check import CheckError
+from sandhatch.config.transactions import Refusal, RefusedError, State
+from testkit.callers import Caller
+from testkit.load import Load
+from testkit.ports import free_port
+from testkit.servers import Talk
+from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, Kept, run, serving
 
 UNSAFE = frozenset(("order",))
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,9 +10,7 @@
 import pytest
 import uvloop
 
-from larkweir.sources.discovery import Listing
-from larkweir.upstreams import parse_report
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AttemptEnded,
     Cancel,
@@ -29,6 +27,8 @@
     ServerEntry,
     ServerState,
 )
+from sandhatch.discovery.client import Listing
+from sandhatch.upstream.pool import parse_report
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from larkweir.sources.discovery import DiscoveryError, Names, parse_listing
-from mulleinhitch.interface import ListKind, ListUpdate, WatchList
+from sandhatch.balancing.interface import ListKind, ListUpdate, WatchList
+from sandhatch.discovery.client import DiscoveryError, Names, parse_listing
 from tests.fakes import PATIENCE_S, SETTINGS, Caller, FakeDiscovery, FakeUpstream, Script, entry, ok, running
 from tests.test_attempts import run
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -13,9 +13,9 @@
 
 import pytest
 
-from larkweir.core.process import grant_descriptors
-from standins.platform import SETTINGS
-from standins.ports import free_port
+from sandhatch.runtime.process import grant_descriptors
+from testkit.platform import SETTINGS
+from testkit.ports import free_port
 from tests.crossings.skipping import SkippingLoop
 from tests.crossings.skipping import run as skip
 from tests.fakes import PATIENCE_S, Caller, FakeDiscovery, FakeUpstream, config_data, running
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -9,11 +9,19 @@
 
 import pytest
 
-from larkweir.http1 import ResponseReader
-from larkweir.sources.discovery import MAX_LIST, Names, parse_listing
-from mulleinhitch import Balancer
-from mulleinhitch.interface import Effect, ListKind, ListUpdate, RequestArrived, RequestClass, Send, Settings
-from standins.ports import free_port
+from sandhatch.balancing import Balancer
+from sandhatch.balancing.interface import (
+    Effect,
+    ListKind,
+    ListUpdate,
+    RequestArrived,
+    RequestClass,
+    Send,
+    Settings,
+)
+from sandhatch.discovery.client import MAX_LIST, Names, parse_listing
+from sandhatch.http1.framing import ResponseReader
+from testkit.ports import free_port
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -9,11 +9,20 @@
 
 import pytest
 
-from larkweir.engine import Exchange
-from larkweir.http1 import RequestReader, ResponseReader
-from larkweir.listener import CallerConnection, Listener
-from larkweir.upstreams import Call, UpstreamConnection
-from mulleinhitch.interface import Action, ClientGone, Event, Fail, Outcome, Refuse, RequestArrived, Send
+from sandhatch.balancing.interface import (
+    Action,
+    ClientGone,
+    Event,
+    Fail,
+    Outcome,
+    Refuse,
+    RequestArrived,
+    Send,
+)
+from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.downstream.listener import CallerConnection, Listener
+from sandhatch.http1.framing import RequestReader, ResponseReader
+from sandhatch.upstream.pool import Call, UpstreamConnection
 from tests.fakes import (
     PATIENCE_S,
     Caller,
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     AnswerStarted,
     AttemptEnded,
     CloseIdle,
@@ -32,7 +32,7 @@
     Tenant,
     WatchList,
 )
-from mulleinhitch.policy import Attempt, Balancer, Legality, Request, Server, Usual
+from sandhatch.balancing.policy.balancer import Attempt, Balancer, Legality, Request, Server, Usual
 from tests.driver import Driver
 
 SAFE = RequestClass(100.0, 400.0, Effect.SAFE)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from standins.ports import free_port
+from testkit.ports import free_port
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
@@ -43,7 +43,7 @@
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
-        "larkweir",
+        "sandhatch",
         cwd=ROOT,
         env=env,
         stderr=asyncio.subprocess.PIPE,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     ClientGone,
     Effect,
     Group,
@@ -140,7 +140,7 @@
 
     @rule()
     def list_fails(self) -> None:
-        from mulleinhitch.interface import ListUpdate
+        from sandhatch.balancing.interface import ListUpdate
 
         self.driver.feed(ListUpdate(ListKind.FAILED))
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from mulleinhitch.interface import (
+from sandhatch.balancing.interface import (
     Action,
     AnswerStarted,
     AttemptEnded,
@@ -37,7 +37,7 @@
     TimerFired,
     WatchList,
 )
-from mulleinhitch.wire import (
+from sandhatch.simulator.codec import (
     Decoder,
     Destroy,
     Hello,
@@ -47,7 +47,7 @@
     encode_crash,
     encode_reply,
 )
-from mulleinhitch.wirehost import serve
+from sandhatch.simulator.host import serve
 
 A, B = 0x0A124A07_2BC3, 0x0A9011F2_2BEC
 CATALOG = (
