--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -18,9 +18,10 @@
 from enum import Enum
 from typing import Protocol
 
-from sandhatch.http1.message import Headers
-from sandhatch.runtime.memory_budget import Room
-from sandhatch.streaming.progress import Pace, PaceLimits
+from sandhatch.runtime.flow_statistics import FlowStatistics
+from sandhatch.runtime.memory_budget import MemoryBudget
+from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.progress import ProgressLimits, ProgressMonitor
 
 Piece = bytes | memoryview
 
@@ -37,8 +38,8 @@
     hold_bytes: int
     replay_bytes: int
     ceiling_bytes: int
-    writer: PaceLimits
-    reader: PaceLimits
+    writer: ProgressLimits
+    reader: ProgressLimits
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,24 +102,6 @@
         """The whole body, with its end, has left through the sink."""
 
 
-class FlowBook:
-    """The account of all flows of a process: nothing is sampled, each change is entered."""
-
-    __slots__ = ("bytes", "most_open", "open", "opened", "over", "peak_bytes")
-
-    def __init__(self) -> None:
-        self.open = 0
-        self.most_open = 0
-        self.opened = 0
-        self.bytes = 0  # passed on, in both directions
-        self.peak_bytes = 0  # the most that one flow held
-        self.over = 0  # times that a flow held more than its ceiling
-
-    def told(self) -> dict[str, int]:
-        """For status and measurements."""
-        return {name: getattr(self, name) for name in self.__slots__}
-
-
 class Flow:
     """See the head of the module. `reserve` bytes are booked of the room already, and stay with it until what
     it keeps for a repeat is let go; after that it stays sure of `LEAST`. One that `lends` has `LEAST` of them
@@ -132,11 +115,11 @@
         "_clock",
         "_kept",
         "_kept_bytes",
-        "_lent",
+        "_leased",
+        "_memory_budget",
         "_paused",
         "_reader",
         "_reserve",
-        "_room",
         "_seen_unsent",
         "_sink",
         "_watcher",
@@ -154,8 +137,8 @@
         self,
         terms: BodyTerms,
         clock: Ticks,
-        room: Room,
-        account: FlowBook,
+        memory_budget: MemoryBudget,
+        account: FlowStatistics,
         source: Source,
         reserve: int,
         lends: bool = True,
@@ -164,17 +147,17 @@
         self.account = account
         self.source: Source | None = source
         self._clock = clock
-        self._room = room
+        self._memory_budget = memory_budget
         self._reserve = self._booked = reserve
-        self._lent = not lends
+        self._leased = not lends
         self._watcher: Watcher | None = None
         self._sink: Sink | None = None
         self._seen_unsent = 0
         # Before the first sink this is what waits for it; afterwards what a second one would be given.
         self._kept: list[bytes] | None = []
         self._kept_bytes = 0
-        self._writer = Pace(terms.writer)
-        self._reader = Pace(terms.reader)
+        self._writer = ProgressMonitor(terms.writer)
+        self._reader = ProgressMonitor(terms.reader)
         self._paused = False
         self.ended = False  # the source has brought all of it
         self.done = False  # the sink has let all of it go
@@ -192,7 +175,7 @@
         """Bytes that the source may bring now. A ceiling of its own bounds it, and what is left of the room;
         whoever has begun keeps what it was promised.
         """
-        most = min(self.terms.ceiling_bytes, max(self._reserve, self._booked + self._room.free))
+        most = min(self.terms.ceiling_bytes, max(self._reserve, self._booked + self._memory_budget.free))
         return max(0, most - self.held)
 
     def push(self, piece: Piece) -> None:
@@ -277,7 +260,7 @@
         self._sink = self._watcher = self.source = None
         self._kept = None
         self._kept_bytes = 0
-        self._room.book(self._booked, 0)
+        self._memory_budget.book(self._booked, 0)
         self._booked = 0
         self.account.open -= 1
 
@@ -297,10 +280,10 @@
         made to wait for the memory of its answer. Returns the bytes, which are booked. Another attempt's
         answer gets as many, booked anew: what was lent before went back to the room.
         """
-        if self._lent or self.closed:
-            self._room.book(0, self.LEAST)
+        if self._leased or self.closed:
+            self._memory_budget.book(0, self.LEAST)
             return self.LEAST
-        self._lent = True
+        self._leased = True
         self._reserve = max(0, self._reserve - self.LEAST)
         self._booked -= self.LEAST
         self._settle()
@@ -312,7 +295,7 @@
         """What was sent is kept no longer."""
         self._kept = None
         self._kept_bytes = 0
-        self._reserve = min(self._reserve, self.LEAST if self._lent else 2 * self.LEAST)
+        self._reserve = min(self._reserve, self.LEAST if self._leased else 2 * self.LEAST)
         if self._watcher is not None:
             self._watcher.unrepeatable()
 
@@ -337,7 +320,7 @@
         booked = max(held, self._reserve)
         if booked != self._booked:
             before, self._booked = self._booked, booked
-            self._room.book(before, booked)
+            self._memory_budget.book(before, booked)
         behind = self._seen_unsent > 0  # the sink is
         if behind:
             self._reader.wait(now)
--- a/sandhatch/streaming/progress.py
+++ b/sandhatch/streaming/progress.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PaceLimits:
+class ProgressLimits:
     """`stall_ms`: the longest time without a byte. `floor_bytes_per_s`: the least rate over each whole window
     of `window_ms`; 0 asks for none. Both count waited time only.
     """
@@ -21,12 +21,12 @@
     window_ms: float
 
 
-class Pace:
+class ProgressMonitor:
     """One side's progress."""
 
     __slots__ = ("_bytes", "_from_ms", "_limits", "_moved_ms", "_waited_ms")
 
-    def __init__(self, limits: PaceLimits) -> None:
+    def __init__(self, limits: ProgressLimits) -> None:
         self._limits = limits
         self._from_ms: float | None = None  # since when it is waited for and not yet counted
         self._moved_ms = 0.0  # of its last byte, or since when it is waited for
--- a/sandhatch/streaming/socket_writer.py
+++ b/sandhatch/streaming/socket_writer.py
@@ -17,7 +17,7 @@
 SCRATCH = memoryview(bytearray(READ_BYTES))
 
 
-class Outlet:
+class SocketWriter:
     """Writes to one transport. The transport's own buffer must be empty, or in order before it: pieces never
     overtake what it holds.
     """
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -16,22 +16,8 @@
 from contextlib import suppress
 from typing import Any, TextIO
 
-from sandhatch.balancing.interface import (
-    Action,
-    AttemptEnded,
-    CloseIdle,
-    Event,
-    Fail,
-    FetchList,
-    ListKind,
-    ListUpdate,
-    Probe,
-    ProbeEnded,
-    Refuse,
-    RequestArrived,
-    Send,
-    WatchList,
-)
+from sandhatch.balancing.actions import Action, CloseIdle, Fail, FetchList, Probe, Reject, Send, WatchList
+from sandhatch.balancing.events import AttemptEnded, Event, ListKind, ListUpdate, ProbeEnded, RequestArrived
 from sandhatch.runtime.environment import renamed_variable
 
 MARK = "sandhatch-record "  # begins each line; what follows is one JSON object
@@ -39,7 +25,7 @@
 ALL, LISTS = "1", "lists"  # what it may be set to
 
 
-def asked_for(env: Mapping[str, str], warn: Callable[[str], None]) -> str | None:
+def requested_record(env: Mapping[str, str], warn: Callable[[str], None]) -> str | None:
     """Which record the environment asks for, if any; `warn` is told where it does so by the former name."""
     wanted = renamed_variable(env, VARIABLE, warn)
     return wanted if wanted in (ALL, LISTS) else None
@@ -76,7 +62,7 @@
         self._since_ms = 0.0
         self._oldest_ms = 0.0
 
-    def hear_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
+    def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
         self._addresses, self._why = addresses, why
 
     def saw(self, event: Event, actions: Sequence[Action]) -> None:
@@ -157,7 +143,7 @@
     def _action(self, action: Action) -> list[Any] | None:
         if isinstance(action, Send):
             return ["send", action.request, action.server, round(action.timeout_ms, 1), self._age_ms()]
-        if isinstance(action, Refuse):
+        if isinstance(action, Reject):
             return ["refuse", action.request, round(action.wait_ms, 1)]
         if isinstance(action, Fail):
             return ["fail", action.request]
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 from typing import Any
 
-from sandhatch.balancing.interface import Outcome, ServerState
-from sandhatch.cli.tables import table
+from sandhatch.balancing.events import Outcome, ServerState
+from sandhatch.runtime.text_table import table
 from sandhatch.telemetry.event_recorder import MARK
 
 COLD_S = 20.0  # a server is counted as cold for so long after its start, unless told otherwise
--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -13,40 +13,40 @@
 from dataclasses import dataclass
 from typing import cast
 
-from sandhatch.balancing.interface import Outcome, ServerState
+from sandhatch.balancing.events import Outcome, ServerState
+from sandhatch.http1.body_endpoint import BodyEndpoint
 from sandhatch.http1.framing import End, Event, ResponseReader, encode_request, encode_request_head
 from sandhatch.http1.message import FramingError, Message
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock, Timer
-from sandhatch.runtime.memory_budget import Room
+from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.runtime.shared import Descriptors
-from sandhatch.streaming.body_endpoint import BodyEnd
 from sandhatch.streaming.flow import Flow, StreamTerms
-from sandhatch.streaming.socket_writer import SCRATCH, Outlet
+from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
 
 LOAD_HEADER = b"endpoint-load-metrics"
 NEVER_RAN_HEADER = b"x-never-ran"
 
 
 @dataclass(slots=True)
-class Upstream:
+class UpstreamServer:
     """One upstream as discovery last told of it."""
 
     number: int
     address: Address
     state: ServerState
     started_ms: float
-    told_ms: float = 0.0  # when it was told to drain or to be gone
+    notified_ms: float = 0.0  # when it was told to drain or to be gone
 
-    def move(self, address: Address, state: ServerState, started_ms: float, told_ms: float) -> bool:
-        """Take over what discovery tells, and counts as told since `told_ms`; whether connections from before
-        lead to the same process.
+    def move(self, address: Address, state: ServerState, started_ms: float, notified_ms: float) -> bool:
+        """Take over what discovery tells, and counts as told since `notified_ms`; whether connections from
+        before lead to the same process.
         """
         same = self.address == address and (self.started_ms == started_ms or state is not ServerState.READY)
         if state is ServerState.READY:
-            self.told_ms = 0.0
-        elif self.state is ServerState.READY or not self.told_ms:
-            self.told_ms = told_ms  # the grace runs from the first word of it
+            self.notified_ms = 0.0
+        elif self.state is ServerState.READY or not self.notified_ms:
+            self.notified_ms = notified_ms  # the grace runs from the first word of it
         self.address, self.state, self.started_ms = address, state, started_ms
         return same
 
@@ -56,18 +56,18 @@
 
 
 def _is_over() -> Outcome | None:
-    return Outcome.MOOT
+    return Outcome.DISCARDED
 
 
 def _no_finish(outcome: Outcome, answer: Message | None) -> None:
     raise AssertionError("a call ends once")
 
 
-def _not_passed_on(call: Call, answer: Message, reserved: int) -> Flow | None:
+def _not_passed_on(call: Attempt, answer: Message, reserved: int) -> Flow | None:
     return None
 
 
-class Call:
+class Attempt:
     """An attempt or a probe. `finish` is called once, with the outcome and the answer that it came with.
 
     `flow` brings a body that is still arriving. With `terms` an answer may be passed on as it arrives: then
@@ -95,7 +95,7 @@
 
     def __init__(
         self,
-        upstream: Upstream,
+        upstream: UpstreamServer,
         request: Callable[[], Message],
         blocked: Callable[[], Outcome | None],
         finish: Callable[[Outcome, Message | None], None],
@@ -109,16 +109,16 @@
         self._finish = finish
         self.flow: Flow | None = None
         self.terms: StreamTerms | None = None
-        self.opened: Callable[[Call, Message, int], Flow | None] = _not_passed_on
+        self.opened: Callable[[Attempt, Message, int], Flow | None] = _not_passed_on
         self.sent_ms = sent_ms  # since when its answer is waited for: of a flow, when all of it was sent
-        self.connection: UpstreamConnection | None = None
+        self.connection: ServerConnection | None = None
         self.timeout_ms = 0.0
         self.timer: Timer | None = None
         self.written = False  # it may have run: the system has taken the last byte, of a flow the first
         self.touched = False  # something has come back for it
         self.ended = False
 
-    def write(self, connection: UpstreamConnection) -> bool:
+    def write(self, connection: ServerConnection) -> bool:
         """Send it on a connection that is up, unless it is over; whether a byte was written."""
         if not self.may_be_written():
             return False
@@ -139,7 +139,7 @@
 
     def time_out(self) -> None:
         """No answer in time; if it has not been written whole, it never will be."""
-        if self.connection is not None and self.connection.waits_for_room:
+        if self.connection is not None and self.connection.waits_for_memory:
             self.end(Outcome.CANCELLED)  # its server was not what was waited for
             return
         self.end(Outcome.TIMEOUT if self.written or self.touched else Outcome.CONNECT_FAILED)
@@ -172,7 +172,7 @@
         return Outcome.OK
     if answer.status in (503, 504) and answer.values(NEVER_RAN_HEADER) == [b"1"]:
         return Outcome.FULL
-    return Outcome.REJECTED if 400 <= answer.status < 500 else Outcome.ERROR
+    return Outcome.CLIENT_ERROR if 400 <= answer.status < 500 else Outcome.ERROR
 
 
 def parse_report(text: bytes, names: Sequence[str]) -> tuple[float, ...]:
@@ -191,12 +191,12 @@
     return tuple(found) if all(0.0 <= value < 1e9 for value in found) else ()
 
 
-class UpstreamConnection(BodyEnd, asyncio.BufferedProtocol):
+class ServerConnection(BodyEndpoint, asyncio.BufferedProtocol):
     """One connection; carries one call at a time. It is the sink of a request's flow, and the source of an
     answer's.
     """
 
-    def __init__(self, pool: Upstreams, upstream: Upstream) -> None:
+    def __init__(self, pool: ConnectionPool, upstream: UpstreamServer) -> None:
         super().__init__()
         self.ending = False
         self._pool = pool
@@ -205,7 +205,7 @@
         self.started_ms = upstream.started_ms  # of the process that it leads to, as far as was told
         self._transport: asyncio.Transport | None = None
         self._reader = ResponseReader()
-        self._call: Call | None = None
+        self._call: Attempt | None = None
         self._rest = b""  # of the call's request, what is held back: see HOLD_MS
         self._used = False  # it has carried a call before
         self._held = 0  # booked of the room that all connections share
@@ -287,46 +287,46 @@
         self._pool.after(call.terms.answer_hold_ms, lambda: self._impatient(call, answer))
 
     @staticmethod
-    def _needs(call: Call) -> int:
+    def _needs(call: Attempt) -> int:
         """What is held of a long answer before it begins. That of a request which has begun itself has its
         part of the memory already, and never waits for any.
         """
         assert call.terms is not None
         return Flow.LEAST if call.flow is not None else max(Flow.LEAST, call.terms.answer.hold_bytes)
 
-    def _impatient(self, call: Call, answer: Message) -> None:
+    def _impatient(self, call: Attempt, answer: Message) -> None:
         """It has been held for long enough, however little has come."""
         if self._call is call and self._head is None and self._reader.in_body:
             self._reader.stream(0, self._reader.most_body)
             if self._reserved and self._reader.openable:
                 self._begin(call)
 
-    def _holding(self, call: Call) -> None:
+    def _holding(self, call: Attempt) -> None:
         """A long answer is held until there is enough of it; memory for that comes first."""
         if self._reserved or self._place is not None:
             return
         if call.flow is not None:
             self._admitted(call, call.flow.lend())
             return
-        self._place = self._pool.room.reserve(self._needs(call), lambda: self._granted(call))
+        self._place = self._pool.memory_budget.reserve(self._needs(call), lambda: self._granted(call))
         if self._place is None:
             self._admitted(call, self._needs(call))
         else:
             self.pause()
 
-    def _granted(self, call: Call) -> None:
+    def _granted(self, call: Attempt) -> None:
         self._place = None
         self._admitted(call, self._needs(call))
         self.resume()
         if self._reader.openable:
             self._begin(call)
 
-    def _admitted(self, call: Call, reserved: int) -> None:
+    def _admitted(self, call: Attempt, reserved: int) -> None:
         self._reserved = reserved
         self._held += reserved
         self._book(self._reader.held)
 
-    def _begin(self, call: Call) -> None:
+    def _begin(self, call: Attempt) -> None:
         """What is booked for it becomes the flow's."""
         answer = self._head = self._reader.open()
         held, answer.body = answer.body, b""
@@ -344,7 +344,7 @@
             self._answer = flow
             flow.push(held)
 
-    def _pass_on(self, call: Call, events: Sequence[Event]) -> None:
+    def _pass_on(self, call: Attempt, events: Sequence[Event]) -> None:
         flow = self._answer
         for at, event in enumerate(events):
             if flow is None or self._answer is not flow:
@@ -358,21 +358,21 @@
             self.abort()
             call.broken()
 
-    def _whole(self, call: Call, flow: Flow, end: End, clean: bool) -> None:
+    def _whole(self, call: Attempt, flow: Flow, end: End, clean: bool) -> None:
         """The answer has come to its end."""
         answer, self._head, self._answer, self._call = self._head, None, None, None
         sent = call.written and (call.flow is None or call.flow.done)
         clean = clean and sent and self._reader.fault is None and not self._reader.begun
         if call.flow is not None:
             call.flow.detach(self)
-        self._outlet = None
+        self._socket_writer = None
         self._report = None
         flow.end(end.trailers)
         assert answer is not None  # its head came before its end
         self.resume()  # the flow may have stopped it at the last piece
         self._answered(call, answer, clean)
 
-    def _answered(self, call: Call, answer: Message, clean: bool) -> None:
+    def _answered(self, call: Attempt, answer: Message, clean: bool) -> None:
         """The call has its answer, and the connection is kept if nothing else is left on it."""
         call.connection = None
         if clean and answer.keep_alive:
@@ -383,12 +383,12 @@
         call.end(outcome_of(answer), answer)
 
     @property
-    def waits_for_room(self) -> bool:
+    def waits_for_memory(self) -> bool:
         return self._place is not None
 
     # ------------------------------------------------
 
-    def _take(self, call: Call, answers: list[Message]) -> None:
+    def _take(self, call: Attempt, answers: list[Message]) -> None:
         answer = answers[0]
         reader = self._reader
         if self._long:  # it came whole while it was held
@@ -399,7 +399,7 @@
             clean = clean and call.flow.done
             call.flow.detach(self)
         self._call = None
-        self._outlet = None
+        self._socket_writer = None
         report, self._report = self._report, answer.body if call.probe else None
         if not call.probe and report is not None and answer.body == report and report.strip():
             # The probe's answer once more, which came after this call was written: its own is still to come.
@@ -411,7 +411,7 @@
 
     def _book(self, held: int) -> bool:
         held = max(held, self._reserved)
-        fits = self._pool.room.book(self._held, held)
+        fits = self._pool.memory_budget.book(self._held, held)
         self._held = held
         return fits
 
@@ -435,7 +435,7 @@
         else:
             call.broken()
 
-    def _give_back(self, call: Call) -> None:
+    def _give_back(self, call: Attempt) -> None:
         """Nobody has the request: it is as if it had not been begun, and goes out on a new connection."""
         self._rest = b""
         self._call = call.connection = None
@@ -444,7 +444,7 @@
 
     # Called by the pool and by calls.
 
-    def send(self, call: Call, request: Message) -> None:
+    def send(self, call: Attempt, request: Message) -> None:
         """Write the request; on a kept connection its last byte a moment later, so that a flow, which has
         no such moment, is never sent on one.
         """
@@ -463,17 +463,17 @@
         self._used = True
         self._write(payload)
 
-    def _send_flow(self, call: Call, flow: Flow, request: Message) -> None:
+    def _send_flow(self, call: Attempt, flow: Flow, request: Message) -> None:
         assert self._transport is not None and not self._used
         self._used = True
-        self._outlet = Outlet(self._transport)
+        self._socket_writer = SocketWriter(self._transport)
         self._chunked = request.length is None
         call.written = True  # from here on it may have run, whatever the server has of it
         head = encode_request_head(request.method, request.target, request.headers, request.length)
-        self._outlet.write((head,))
+        self._socket_writer.write((head,))
         flow.attach(self)
 
-    def _complete(self, call: Call) -> None:
+    def _complete(self, call: Attempt) -> None:
         if self._call is not call or not self._rest or not call.may_be_written():
             return
         if not self.usable():
@@ -489,7 +489,7 @@
         if not self._rest and self._transport.get_write_buffer_size() == 0:
             self._call.written = True
 
-    def release(self, call: Call) -> None:
+    def release(self, call: Attempt) -> None:
         """The call has ended without an answer: closing the connection is what gives it up."""
         if self._call is call:
             self._call = self._head = self._answer = None
@@ -498,7 +498,7 @@
             self.abort()
             if call.flow is not None:
                 call.flow.detach(self)
-            self._outlet = None
+            self._socket_writer = None
 
     def _let_go(self) -> None:
         """Of an answer that was held, or waited for memory."""
@@ -515,12 +515,12 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
 
-    def move(self, pool: Upstreams, upstream: Upstream) -> None:
+    def move(self, pool: ConnectionPool, upstream: UpstreamServer) -> None:
         """To another pool's keeping, while it carries no call."""
         self._pool, self.upstream = pool, upstream
 
 
-class Upstreams:
+class ConnectionPool:
     """The table of upstreams, the idle connections, and the budget of sockets."""
 
     SWEEP_MS = 1_000.0
@@ -538,7 +538,7 @@
     def __init__(
         self,
         clock: Clock,
-        room: Room,
+        memory_budget: MemoryBudget,
         descriptors: Descriptors,
         budget: int,
         idle_ms: float,
@@ -548,15 +548,15 @@
         self._clock = clock
         self._descriptors = descriptors
         descriptors.holders[self] = None
-        self.room = room
+        self.memory_budget = memory_budget
         self._budget = budget
         # Guards against writing to a connection in the moment the upstream closes it for having stood idle.
         self._keep_ms = idle_ms - min(5_000.0, 0.2 * idle_ms)
         self._connect_timeout_ms = connect_timeout_ms
         self._grace_ms = max(0.0, grace_ms - self.CONNECT_MARGIN_MS)
-        self.table: dict[int, Upstream] = {}
-        self._idle: dict[int, list[UpstreamConnection]] = {}  # by upstream, the one used last at the end
-        self._open: set[UpstreamConnection] = set()
+        self.table: dict[int, UpstreamServer] = {}
+        self._idle: dict[int, list[ServerConnection]] = {}  # by upstream, the one used last at the end
+        self._open: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         self._sweeping = False
 
@@ -565,26 +565,26 @@
         return len(self._open) + len(self._connecting)
 
     def update(
-        self, number: int, address: Address, state: ServerState, started_ms: float, told_ms: float
+        self, number: int, address: Address, state: ServerState, started_ms: float, notified_ms: float
     ) -> None:
-        """What discovery tells of one upstream; `told_ms`: since when that counts as told."""
+        """What discovery tells of one upstream; `notified_ms`: since when that counts as told."""
         upstream = self.table.get(number)
         if upstream is None:
             if state is not ServerState.GONE:
-                told = 0.0 if state is ServerState.READY else told_ms
-                self.table[number] = Upstream(number, address, state, started_ms, told)
+                told = 0.0 if state is ServerState.READY else notified_ms
+                self.table[number] = UpstreamServer(number, address, state, started_ms, told)
             return
-        same = upstream.move(address, state, started_ms, told_ms)
+        same = upstream.move(address, state, started_ms, notified_ms)
         if not same or state is ServerState.GONE:
             self.close_idle(number)
         if state is ServerState.GONE:
             del self.table[number]  # calls on their way to it hold it, and see its state
 
-    def past_grace(self, upstream: Upstream) -> bool:
+    def grace_expired(self, upstream: UpstreamServer) -> bool:
         """Whether nothing new may go there any more."""
-        return bool(upstream.told_ms) and self._clock.now_ms() >= upstream.told_ms + self._grace_ms
+        return bool(upstream.notified_ms) and self._clock.now_ms() >= upstream.notified_ms + self._grace_ms
 
-    def start(self, call: Call, timeout_ms: float) -> None:
+    def start(self, call: Attempt, timeout_ms: float) -> None:
         """Begin a call, on an idle connection or a new one."""
         call.timeout_ms = timeout_ms
         if call.flow is not None:  # always on a new connection; its time runs from when all of it is sent
@@ -598,7 +598,7 @@
             return
         self.renew(call)
 
-    def sent(self, call: Call) -> None:
+    def sent(self, call: Attempt) -> None:
         """All of its flow has left: from now on its answer is waited for."""
         if not call.ended:
             call.sent_ms = self._clock.now_ms()
@@ -610,7 +610,7 @@
     def after(self, delay_ms: float, call: Callable[[], None]) -> None:
         self._clock.after(delay_ms, call)
 
-    def renew(self, call: Call) -> None:
+    def renew(self, call: Attempt) -> None:
         """Go on with a call on a new connection."""
         if (self.sockets >= self._budget and not self.close_oldest()) or not self._descriptors.make_room():
             call.end(Outcome.CONNECT_FAILED)
@@ -619,8 +619,8 @@
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def _connect(self, call: Call) -> None:
-        connection = UpstreamConnection(self, call.upstream)
+    async def _connect(self, call: Attempt) -> None:
+        connection = ServerConnection(self, call.upstream)
         try:
             async with asyncio.timeout(self._connect_timeout_ms / 1000.0):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *connection.address)
@@ -635,7 +635,7 @@
         elif not call.write(connection):
             self.put(connection)
 
-    def _take(self, upstream: Upstream) -> UpstreamConnection | None:
+    def _take(self, upstream: UpstreamServer) -> ServerConnection | None:
         idle = self._idle.get(upstream.number, [])
         now = self._clock.now_ms()
         for at in range(len(idle) - 1, -1, -1):
@@ -649,7 +649,7 @@
             connection.abort()
         return None
 
-    def put(self, connection: UpstreamConnection) -> None:
+    def put(self, connection: ServerConnection) -> None:
         """Keep a connection for the next call, if it still leads to an upstream that takes new ones."""
         upstream = connection.upstream
         stays = self.table.get(upstream.number) is upstream and upstream.address == connection.address
@@ -695,13 +695,13 @@
         for connection in self._idle.pop(number, []):
             connection.abort()
 
-    def closed(self, connection: UpstreamConnection) -> None:
+    def closed(self, connection: ServerConnection) -> None:
         self._open.discard(connection)
         idle = self._idle.get(connection.upstream.number)
         if idle and connection in idle:
             idle.remove(connection)
 
-    def hand_over(self, to: Upstreams) -> list[int]:
+    def hand_over(self, to: ConnectionPool) -> list[int]:
         """Give the idle connections to servers that `to` has too, at the same address; their numbers."""
         given = []
         for number, idle in list(self._idle.items()):
@@ -716,7 +716,7 @@
             given.append(number)
         return given
 
-    def adopt(self, connection: UpstreamConnection) -> None:
+    def adopt(self, connection: ServerConnection) -> None:
         """Take over an idle connection; it keeps the time since when it is idle."""
         self._open.add(connection)
         since = connection.idle_since_ms
--- a/testkit/callers.py
+++ b/testkit/clients.py
@@ -10,13 +10,13 @@
 TRACES = count(1)  # an id is new with every request
 
 
-class Caller:
+class HttpClient:
     """A caller's connection."""
 
     def __init__(self, port: int) -> None:
         self._port = port
 
-    async def __aenter__(self) -> Caller:
+    async def __aenter__(self) -> HttpClient:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self._port)
         return self
 
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -28,7 +28,7 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
 BELOW = {"web-front": ("/core/part", "web-front"), "config-core": ("/store/price", "config-core")}
-UNSAFE = frozenset(("place-order", "save-quote", "send-drawing"))
+NON_IDEMPOTENT = frozenset(("place-order", "save-quote", "send-drawing"))
 CLASSES = {"view-config": 38, "save-quote": 30, "send-drawing": 18, "place-order": 14}  # their shares
 
 
@@ -144,7 +144,7 @@
     try:
         await ready(tiers.port)
         print(f"three tiers of stand-ins, the balancer at 127.0.0.1:{tiers.port}, 6 callers", flush=True)
-        load = Load(tiers.port, books, choose, callers=6, pause_s=0.04, unsafe=UNSAFE)
+        load = Load(tiers.port, books, choose, clients=6, pause_s=0.04, unsafe=NON_IDEMPOTENT)
         await asyncio.sleep(4.0)
         await command(directory, "status")
         print(summary(books, 0))
@@ -155,7 +155,7 @@
         balancer.terminate()
         await balancer.wait()
         tiers.close()
-    faults = [line for line in books.faults(UNSAFE) if "answers" in line]
+    faults = [line for line in books.faults(NON_IDEMPOTENT) if "answers" in line]
     print(f"\nin all{summary(books, 0)}; requests without exactly one answer: {len(faults)}")
     return 1 if faults else 0
 
--- a/testkit/lists.py
+++ b/testkit/lists.py
@@ -5,7 +5,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from sandhatch.balancing.interface import ListKind, ListUpdate
+from sandhatch.balancing.events import ListKind, ListUpdate
 
 if TYPE_CHECKING:
     from testkit.tier import SimForwarder, SimServer, Tier
@@ -23,7 +23,9 @@
         self._call_ms, self._notice_ms, self._patience_ms = call_ms, notice_ms, patience_ms
         self.up = True
         self.calls_ms: list[float] = []  # when each came
-        self.told_ms: dict[int, float] = {}  # by copy, when it last had the whole of what there is to tell
+        self.notified_ms: dict[
+            int, float
+        ] = {}  # by copy, when it last had the whole of what there is to tell
         self._queue: deque[tuple[SimForwarder, float]] = deque()
         self._busy = False
         self._version = 0
@@ -73,14 +75,14 @@
 
     @staticmethod
     def _fail(copy: SimForwarder) -> None:
-        copy.hear_list(ListUpdate(ListKind.FAILED))
+        copy.on_endpoint_list(ListUpdate(ListKind.FAILED))
 
     def _tell(self, copy: SimForwarder) -> None:
         if copy.number not in self._heard_by:
             return
         held = self._held.get(copy.number, 0)
         self._held[copy.number] = self._version
-        self.told_ms[copy.number] = self._tier.now
+        self.notified_ms[copy.number] = self._tier.now
         rows = [self._tier.servers[n].entry() for n, version in self._changed.items() if version > held]
         if rows:
-            copy.hear_list(ListUpdate(ListKind.DELTA, self._version, rows))
+            copy.on_endpoint_list(ListUpdate(ListKind.DELTA, self._version, rows))
--- a/testkit/load.py
+++ b/testkit/load.py
@@ -15,7 +15,7 @@
 
 
 class Load:
-    """`callers` connections, each asking one request after another, a pause between them. It stops when
+    """`clients` connections, each asking one request after another, a pause between them. It stops when
     told, or after `most` requests in all.
     """
 
@@ -24,7 +24,7 @@
         port: int,
         books: Books,
         choose: Choose,
-        callers: int = 8,
+        clients: int = 8,
         pause_s: float = 0.0,
         seed: int = 1,
         most: int = 1_000_000,
@@ -37,7 +37,7 @@
         self._unsafe = unsafe
         self._stopping = asyncio.Event()
         self._left = most
-        self._tasks = [asyncio.create_task(self._ask_on(Random(seed * 1000 + n))) for n in range(callers)]
+        self._tasks = [asyncio.create_task(self._ask_on(Random(seed * 1000 + n))) for n in range(clients)]
 
     async def _ask_on(self, rng: Random) -> None:
         reader: asyncio.StreamReader | None = None
--- a/testkit/tier.py
+++ b/testkit/tier.py
@@ -16,27 +16,19 @@
 from random import Random
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.interface import (
-    Action,
+from sandhatch.balancing.actions import Action, Fail, GuidanceRejected, Reject, Send, SetTimer, WatchList
+from sandhatch.balancing.events import (
     AttemptEnded,
-    Effect,
     Event,
-    Fail,
-    GuidanceRefused,
     ListKind,
     ListUpdate,
     Outcome,
-    Refuse,
     RequestArrived,
-    RequestClass,
-    Send,
     ServerEntry,
     ServerState,
-    SetTimer,
-    Settings,
     TimerFired,
-    WatchList,
 )
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.forwarder import Action as PlanningAction
 from sandhatch.planning.forwarder import Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
 from sandhatch.planning.messages import Advice, Report, decode, encode
@@ -149,7 +141,7 @@
         self.tier = tier
         self.number: int = number
         self.up = True
-        self.settings = replace(tier.settings, me=number % tier.settings.copies)
+        self.settings = replace(tier.settings, instance_index=number % tier.settings.instances)
         self.balancer = Balancer(self.settings, tier.rng.getrandbits(32))
         self.observer = Observer([cls.name for cls in self.settings.classes], plan.cold_ms)
         self.machine: Forwarder | None = None
@@ -176,14 +168,14 @@
             tier.send(self, action)
         elif isinstance(action, SetTimer):
             tier.after(action.delay_ms, partial(self.feed, TimerFired(action.cookie)))
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             tier.done(action.request, False)
         elif isinstance(action, WatchList):
             tier.discovery.ask(self)
-        elif isinstance(action, GuidanceRefused):
+        elif isinstance(action, GuidanceRejected):
             self.refusals.append(action.why)
             if self.machine is not None:
-                self.plan_actions(self.machine.refused(action.planner, action.why, tier.now))
+                self.plan_actions(self.machine.rejected(action.planner, action.why, tier.now))
 
     # ------------------------------------------------ the link
 
@@ -208,11 +200,11 @@
             elif isinstance(action, Note):
                 self.notes.append(f"{self.tier.now:.0f} {action.text}")
 
-    def hear_list(self, update: ListUpdate) -> None:
+    def on_endpoint_list(self, update: ListUpdate) -> None:
         if not self.up:
             return
         addresses = [self.tier.servers[entry.server].address for entry in update.entries]
-        self.observer.hear_list(update, addresses)
+        self.observer.on_endpoint_list(update, addresses)
         self.feed(update)
 
 
@@ -227,19 +219,21 @@
         self.now = 1_000_000.0
         self._heap: list[tuple[float, int, Callable[[], object]]] = []
         self._serial = 0
-        cls = RequestClass(aim_ms=plan.aim_ms, deadline_ms=plan.deadline_ms, effect=Effect.SAFE, name="view")
+        cls = RequestClass(
+            objective_ms=plan.aim_ms, deadline_ms=plan.deadline_ms, effect=Effect.IDEMPOTENT, name="view"
+        )
         self.settings = Settings(
             classes=[cls],
-            copies=plan.places or plan.forwarders,
+            instances=plan.places or plan.forwarders,
             tier=plan.tier,
             tiers=plan.tier + 1,
-            cold_share=plan.cold_share,
-            cold_ms=plan.cold_ms,
+            initial_capacity_share=plan.cold_share,
+            warm_up_ms=plan.cold_ms,
             ramp_per_s=plan.ramp_per_s,
             ramp_burst=plan.ramp_burst,
             max_attempts=plan.max_attempts,
-            on_request_discovery=plan.list_call_ms > 0.0,
-            ask_within_ms=plan.ask_within_ms,
+            polled_discovery=plan.list_call_ms > 0.0,
+            poll_interval_ms=plan.ask_within_ms,
             retry_advice=True,
             max_retry_after_ms=2_000.0,
         )
@@ -250,7 +244,7 @@
         self.cut: set[tuple[int, str]] = (
             set()
         )  # partitions: forwarder and planner that don't reach each other
-        self.asked = self.answered = self.in_time = self.refused = 0
+        self.asked = self.answered = self.in_time = self.rejected = 0
         self.times: list[tuple[float, bool]] = []  # when a request came, and whether it was served in time
         self._came: dict[int, tuple[float, float]] = {}
         self._next = 0
@@ -286,7 +280,7 @@
         forwarder = SimForwarder(self, len(self.forwarders))
         self.forwarders.append(forwarder)
         kind = ListKind.CACHED if self.plan.list_call_ms else ListKind.FULL
-        forwarder.hear_list(self._list([s for s in self.servers if s.up], kind))
+        forwarder.on_endpoint_list(self._list([s for s in self.servers if s.up], kind))
         self.after(self.rng.random() * 50.0, forwarder.tick)
         return forwarder
 
@@ -330,7 +324,7 @@
             self.discovery.change(servers)
             return
         for forwarder in self.forwarders:
-            forwarder.hear_list(self._list(servers, ListKind.DELTA))
+            forwarder.on_endpoint_list(self._list(servers, ListKind.DELTA))
 
     # ------------------------------------------------ requests and servers
 
@@ -400,7 +394,7 @@
             return
         good = served and self.now - came[0] <= self.plan.aim_ms
         self.answered += served
-        self.refused += not served
+        self.rejected += not served
         self.in_time += good
         self.times.append((came[0], good))
 
@@ -532,7 +526,7 @@
     """So many faults by chance in a span of the run: planners killed, started anew and slow, partitions,
     forwarders that die and join.
     """
-    number, places = tier.plan.forwarders, tier.settings.copies
+    number, places = tier.plan.forwarders, tier.settings.instances
     for _ in range(count):
         at, name = rng.uniform(begin_ms, end_ms), f"p{rng.randrange(tier.plan.planners)}"
         cut = [(f, p) for f in range(number) for p in tier.planners if rng.random() < 0.5]
--- a/tests/bodies/harness.py
+++ b/tests/bodies/harness.py
@@ -10,11 +10,12 @@
 
 import uvloop
 
-from sandhatch.balancing.interface import Action, AttemptEnded, Event
-from sandhatch.dispatch.dispatcher import Decisions, Engine
-from sandhatch.streaming.flow import FlowBook
+from sandhatch.balancing.actions import Action
+from sandhatch.balancing.events import AttemptEnded, Event
+from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
+from sandhatch.runtime.flow_statistics import FlowStatistics
 from testkit.bodies import Body, BodyServer, Pattern, Serve, Upload, head, read_body, send_all
-from testkit.callers import TRACES, Caller
+from testkit.clients import TRACES, HttpClient
 from testkit.wire import PATIENCE_S, read_head
 from tests.service.harness import Kept, serving
 
@@ -30,11 +31,11 @@
 class Ears:
     """Between an engine and its balancer: keeps every event and action."""
 
-    def __init__(self, engine: Engine) -> None:
-        self._inner: Decisions = engine.balancer
+    def __init__(self, dispatcher: Dispatcher) -> None:
+        self._inner: Decisions = dispatcher.balancer
         self.events: list[Event] = []
         self.actions: list[Action] = []
-        engine.balancer = self
+        dispatcher.balancer = self
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         self.events.append(event)
@@ -61,7 +62,7 @@
         return self.kept.port
 
     @property
-    def account(self) -> FlowBook:
+    def account(self) -> FlowStatistics:
         return self.kept.service.shared.flows
 
     def number(self, server: BodyServer) -> int:
@@ -73,7 +74,7 @@
     async def settled(self) -> None:
         """Until nothing is open, and everything that was held is let go."""
         service = self.kept.service
-        await self.kept.until(lambda: all(not pool.engine.open for pool in service.pools.alive.values()))
+        await self.kept.until(lambda: all(not pool.dispatcher.open for pool in service.pools.alive.values()))
         await self.kept.until(lambda: not service.shared.flows.open)
         assert service.shared.flows.over == 0
 
@@ -107,10 +108,10 @@
     try:
         async with serving(config(servers, request or {}, answer or {}, **more)) as kept:
             pools = kept.service.pools.alive.values()
-            await kept.until(lambda: all(pool.engine.ready for pool in pools))
+            await kept.until(lambda: all(pool.dispatcher.ready for pool in pools))
             for server in servers:
                 server.connections = 0  # without the one that tried whether it can be reached
-            yield Stage(kept, servers, Ears(next(iter(pools)).engine))
+            yield Stage(kept, servers, Ears(next(iter(pools)).dispatcher))
     finally:
         for server in servers:
             server.close()
@@ -130,17 +131,17 @@
     return head(f"GET {target} HTTP/1.1", **({"Host": "d", "X-Trace-Id": trace, "X-Qos": "look"} | headers))
 
 
-async def answer_head(caller: Caller) -> tuple[int, dict[str, str]]:
+async def answer_head(client: HttpClient) -> tuple[int, dict[str, str]]:
     async with asyncio.timeout(PATIENCE_S):
-        came = await read_head(caller.reader)
+        came = await read_head(client.reader)
     assert came is not None, "the connection ended without an answer"
     return int(came[0].split()[1]), came[1]
 
 
-async def answer_of(caller: Caller) -> tuple[int, Body]:
-    status, headers = await answer_head(caller)
+async def answer_of(client: HttpClient) -> tuple[int, Body]:
+    status, headers = await answer_head(client)
     async with asyncio.timeout(PATIENCE_S):
-        return status, await read_body(caller.reader, headers)
+        return status, await read_body(client.reader, headers)
 
 
 async def say(upload: Upload, text: str, status: int = 200, **headers: str) -> None:
--- a/tests/bodies/test_flow.py
+++ b/tests/bodies/test_flow.py
@@ -8,13 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sandhatch.http1.message import Headers
-from sandhatch.runtime.memory_budget import Place, Room
-from sandhatch.streaming.flow import BodyTerms, Flow, FlowBook, Piece, Side
-from sandhatch.streaming.progress import Pace, PaceLimits
+from sandhatch.runtime.flow_statistics import FlowStatistics
+from sandhatch.runtime.memory_budget import MemoryBudget, MemoryWaiter
+from sandhatch.streaming.flow import BodyTerms, Flow, Piece, Side
+from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.progress import ProgressLimits, ProgressMonitor
 
 KIB = 1024
-PATIENT = PaceLimits(1e9, 0.0, 1e9)
+PATIENT = ProgressLimits(1e9, 0.0, 1e9)
 
 
 class Hands:
@@ -40,10 +41,10 @@
 
 
 class FakeSink:
-    """Takes `room` bytes at once; the rest stays unsent until `let`."""
+    """Takes `memory_budget` bytes at once; the rest stays unsent until `let`."""
 
-    def __init__(self, room: int = 1 << 60) -> None:
-        self.room = room
+    def __init__(self, memory_budget: int = 1 << 60) -> None:
+        self.memory_budget = memory_budget
         self.got = b""
         self.unsent = 0
         self.end: Headers | None = None
@@ -51,8 +52,8 @@
     def write(self, piece: Piece) -> None:
         assert self.end is None
         self.got += bytes(piece)
-        taken = min(self.room, len(piece)) if not self.unsent else 0
-        self.room -= taken
+        taken = min(self.memory_budget, len(piece)) if not self.unsent else 0
+        self.memory_budget -= taken
         self.unsent += len(piece) - taken
 
     def finish(self, trailers: Headers) -> None:
@@ -77,20 +78,20 @@
 class Rig:
     def __init__(
         self,
-        writer: PaceLimits = PATIENT,
-        reader: PaceLimits = PATIENT,
+        writer: ProgressLimits = PATIENT,
+        reader: ProgressLimits = PATIENT,
         replay: int = 64 * KIB,
         memory_mb: float = 64.0,
     ) -> None:
         self.clock = Hands()
-        self.room = Room(memory_mb)
-        self.account = FlowBook()
+        self.memory_budget = MemoryBudget(memory_mb)
+        self.account = FlowStatistics()
         self.source = FakeSource()
         self.heard = Heard()
         terms = BodyTerms(1 << 40, 64 * KIB, replay, 256 * KIB, writer, reader)
         reserve = 96 * KIB
-        self.room.book(0, reserve)
-        self.flow = Flow(terms, self.clock, self.room, self.account, self.source, reserve)
+        self.memory_budget.book(0, reserve)
+        self.flow = Flow(terms, self.clock, self.memory_budget, self.account, self.source, reserve)
         self.flow.watch(self.heard)
 
 
@@ -103,7 +104,7 @@
     sink = FakeSink()
     rig.flow.attach(sink)
     assert not rig.source.paused
-    sink.room = 1000
+    sink.memory_budget = 1000
     rig.flow.push(b"y" * 100 * KIB)  # past the replay buffer: what was kept is let go
     assert rig.heard.said == ["unrepeatable"]
     assert rig.flow.held == 100 * KIB - 1000
@@ -134,7 +135,7 @@
 
 def test_the_end_is_passed_on_when_the_last_byte_has_left() -> None:
     rig = Rig()
-    sink = FakeSink(room=2)
+    sink = FakeSink(memory_budget=2)
     rig.flow.attach(sink)
     rig.flow.push(b"abcdef")
     rig.flow.end([])
@@ -159,10 +160,10 @@
 def test_memory_short_leaves_the_begun_what_they_were_promised_and_no_more() -> None:
     rig = Rig(memory_mb=0.5)  # 128 KiB, of which it has booked 96
     assert rig.flow.credit == 128 * KIB
-    other = rig.room.reserve(120 * KIB, lambda: None)
+    other = rig.memory_budget.reserve(120 * KIB, lambda: None)
     assert other is not None  # has to wait
     assert rig.flow.credit == 96 * KIB  # and nothing goes to others before it
-    sink = FakeSink(room=0)
+    sink = FakeSink(memory_budget=0)
     rig.flow.attach(sink)
     rig.flow.push(b"x" * 96 * KIB)
     assert rig.flow.credit == 0 and rig.source.paused
@@ -174,7 +175,7 @@
 
 def test_closing_gives_all_memory_back_and_drops_what_still_comes() -> None:
     rig = Rig()
-    sink = FakeSink(room=0)
+    sink = FakeSink(memory_budget=0)
     rig.flow.push(b"x" * 50 * KIB)
     rig.flow.attach(sink)
     assert rig.flow.lend() == Flow.LEAST
@@ -183,12 +184,12 @@
     rig.flow.push(b"more")
     rig.flow.end([])
     rig.flow.drained()
-    assert rig.room.used == Flow.LEAST  # what was lent is the answer's now
+    assert rig.memory_budget.used == Flow.LEAST  # what was lent is the answer's now
     assert rig.account.open == 0
     assert sink.end is None and len(sink.got) == 50 * KIB
 
 
-STRICT = PaceLimits(1_000.0, 100.0, 2_000.0)
+STRICT = ProgressLimits(1_000.0, 100.0, 2_000.0)
 
 
 def test_a_stalled_source_is_found_after_its_time_and_not_before() -> None:
@@ -206,7 +207,7 @@
 
 def test_a_source_is_not_blamed_for_the_time_of_a_sink_that_is_behind() -> None:
     rig = Rig(writer=STRICT)
-    sink = FakeSink(room=0)
+    sink = FakeSink(memory_budget=0)
     rig.flow.attach(sink)
     rig.flow.push(b"x" * 100)
     rig.clock.now = 50_000.0
@@ -221,7 +222,7 @@
 
 def test_a_sink_that_takes_nothing_is_found_and_one_that_takes_a_little_is_not() -> None:
     rig = Rig(reader=STRICT)
-    sink = FakeSink(room=0)
+    sink = FakeSink(memory_budget=0)
     rig.flow.attach(sink)
     rig.flow.push(b"x" * 100 * KIB)
     for step in range(1, 20):
@@ -256,7 +257,7 @@
 
 
 def test_waited_time_counts_over_rests() -> None:
-    pace = Pace(PaceLimits(1e9, 100.0, 1_000.0))
+    pace = ProgressMonitor(ProgressLimits(1e9, 100.0, 1_000.0))
     pace.wait(0.0)
     pace.moved(10, 100.0)
     pace.rest(600.0)
@@ -289,7 +290,7 @@
             flow.attach(sink)
         elif turn == 4:
             sink.let(rng.randrange(100 * KIB))
-            sink.room = rng.randrange(100 * KIB)
+            sink.memory_budget = rng.randrange(100 * KIB)
             if not sink.unsent:
                 flow.drained()
         elif turn == 5 and flow.repeatable and not flow.done and rng.random() < 0.2:
@@ -302,31 +303,31 @@
     assert rig.account.over == 0
     assert rig.heard.said.count("unrepeatable") == (not flow.repeatable)
     flow.close()
-    assert rig.room.used == 0
+    assert rig.memory_budget.used == 0
 
 
 def test_who_waits_for_room_is_served_in_the_order_of_coming() -> None:
-    room = Room(1.0)
+    memory_budget = MemoryBudget(1.0)
     served: list[str] = []
-    assert room.reserve(200 * KIB, lambda: served.append("never")) is None
-    places: dict[str, Place | None] = {}
+    assert memory_budget.reserve(200 * KIB, lambda: served.append("never")) is None
+    places: dict[str, MemoryWaiter | None] = {}
     for name, size in (("large", 200 * KIB), ("small", 10 * KIB), ("gone", 10 * KIB), ("last", KIB)):
-        places[name] = room.reserve(size, lambda name=name: served.append(name))  # type: ignore[misc]
-    assert served == [] and room.free == 0  # the small one does not overtake
+        places[name] = memory_budget.reserve(size, lambda name=name: served.append(name))  # type: ignore[misc]
+    assert served == [] and memory_budget.free == 0  # the small one does not overtake
     gone = places["gone"]
     assert gone is not None
     gone.leave()
-    room.book(200 * KIB, 0)
+    memory_budget.book(200 * KIB, 0)
     assert served == ["large", "small", "last"]
-    assert room.used == 211 * KIB
+    assert memory_budget.used == 211 * KIB
     gone.leave()
-    assert room.used == 211 * KIB
+    assert memory_budget.used == 211 * KIB
 
 
 @pytest.mark.parametrize("lower", [0.1, 10.0])
 def test_a_new_limit_serves_those_who_fit_it(lower: float) -> None:
-    room = Room(0.001)
+    memory_budget = MemoryBudget(0.001)
     served: list[int] = []
-    assert room.reserve(KIB * 100, lambda: served.append(1)) is not None
-    room.set_limit(lower)
+    assert memory_budget.reserve(KIB * 100, lambda: served.append(1)) is not None
+    memory_budget.set_limit(lower)
     assert served == ([1] if lower > 1 else [])
--- a/tests/bodies/test_framing.py
+++ b/tests/bodies/test_framing.py
@@ -13,7 +13,8 @@
 from hypothesis import strategies as st
 
 from sandhatch.http1.framing import End, RequestReader, ResponseReader, chunk, last_chunk
-from sandhatch.http1.message import FramingError, Headers, Message
+from sandhatch.http1.message import FramingError, Message
+from sandhatch.streaming.headers import Headers
 
 KIB = 1024
 MOST = 4096 * KIB
@@ -290,10 +291,10 @@
 
 
 def test_a_front_that_refuses_at_the_head_is_heard() -> None:
-    def refuse(message: Message) -> None:
+    def reject(message: Message) -> None:
         raise FramingError(403, "not here")
 
     reader = RequestReader()
-    reader.headed = refuse
+    reader.headed = reject
     reader.feed(b"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n")
     assert reader.fault is not None and tuple(reader.fault) == (403, "not here")
--- a/tests/bodies/test_memory.py
+++ b/tests/bodies/test_memory.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from sandhatch.balancing.interface import Outcome
+from sandhatch.balancing.events import Outcome
 from testkit.bodies import Pattern, Upload
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from tests.bodies.harness import (
     KIB,
     MIB,
@@ -33,11 +33,11 @@
     results: dict[int, int] = {}
 
     async def one(stage: Stage, n: int) -> None:
-        async with Caller(stage.port) as caller:
-            caller.send(upload_head(size, Expect="100-continue") + body)
-            status, headers = await answer_head(caller)
+        async with HttpClient(stage.port) as client:
+            client.send(upload_head(size, Expect="100-continue") + body)
+            status, headers = await answer_head(client)
             if status == 100:
-                status, headers = await answer_head(caller)
+                status, headers = await answer_head(client)
             if status == 503:
                 assert float(headers["retry-after"]) > 0
             results[n] = status
@@ -48,22 +48,24 @@
         async with staged(
             store, limits=limits, bodies=bodies, pool={"tier": 1, "max_connections": 2_000}
         ) as stage:
-            room = stage.kept.service.shared.room
+            memory_budget = stage.kept.service.shared.memory_budget
             most = 0
-            watch = room.book
+            watch = memory_budget.book
 
             def booked(before: int, now: int) -> bool:
                 nonlocal most
                 fits = watch(before, now)
-                most = max(most, room.used)
+                most = max(most, memory_budget.used)
                 return fits
 
-            room.book = booked  # type: ignore[method-assign]
+            memory_budget.book = booked  # type: ignore[method-assign]
             await asyncio.gather(*(one(stage, n) for n in range(count)))
             assert set(results.values()) <= {200, 503} and len(results) == count
             served = sum(status == 200 for status in results.values())
             assert served > 500
-            assert most <= room.most + 64 * KIB  # a read that does not fit is booked, and let go at once
+            assert (
+                most <= memory_budget.most + 64 * KIB
+            )  # a read that does not fit is booked, and let go at once
             assert stage.account.most_open < count  # so some did wait
             await stage.settled()
             assert len(stage.servers[0].seen) == served  # whoever has begun goes on to its end
@@ -77,22 +79,22 @@
         bodies = {"room_wait_ms": 300}
         async with staged(store, limits={"memory_mb": 16}, bodies=bodies) as stage:
             size = MIB
-            begun = [await Caller(stage.port).__aenter__() for _ in range(4)]
-            for caller in begun:
-                caller.send(upload_head(size) + BODY.whole(65 * KIB))
+            begun = [await HttpClient(stage.port).__aenter__() for _ in range(4)]
+            for client in begun:
+                client.send(upload_head(size) + BODY.whole(65 * KIB))
             await stage.kept.until(lambda: len(stage.servers[0].seen) == 4)
-            room = stage.kept.service.shared.room
-            rest = room.free - 32 * KIB
-            room.book(0, rest)
-            async with Caller(stage.port) as late:
+            memory_budget = stage.kept.service.shared.memory_budget
+            rest = memory_budget.free - 32 * KIB
+            memory_budget.book(0, rest)
+            async with HttpClient(stage.port) as late:
                 late.send(upload_head(size) + BODY.whole(32 * KIB))
                 status, headers = await answer_head(late)
                 assert status == 503 and headers["retry-after"] and headers["connection"] == "close"
-            for caller in begun:
-                caller.send(BODY.whole(size)[65 * KIB :])
-                assert (await answer_of(caller))[0] == 200
-                await caller.__aexit__()
-            room.book(rest, 0)
+            for client in begun:
+                client.send(BODY.whole(size)[65 * KIB :])
+                assert (await answer_of(client))[0] == 200
+                await client.__aexit__()
+            memory_budget.book(rest, 0)
             await stage.settled()
             assert {end.outcome for end in stage.ears.ends} == {Outcome.OK}
 
@@ -102,17 +104,19 @@
 def test_an_answer_waits_for_room_before_it_begins_and_not_after() -> None:
     async def work() -> None:
         async with staged(fetch(8 * MIB), limits={"memory_mb": 16}) as stage:
-            room = stage.kept.service.shared.room
-            rest = room.free
-            room.book(0, rest - 40 * KIB)  # enough to read a head, and not for what is held of a body
-            async with Caller(stage.port) as caller:
-                caller.send(look_head())
+            memory_budget = stage.kept.service.shared.memory_budget
+            rest = memory_budget.free
+            memory_budget.book(
+                0, rest - 40 * KIB
+            )  # enough to read a head, and not for what is held of a body
+            async with HttpClient(stage.port) as client:
+                client.send(look_head())
                 await stage.servers[0].arrived.get()
-                engine = next(iter(stage.kept.service.pools.alive.values())).engine
+                dispatcher = next(iter(stage.kept.service.pools.alive.values())).dispatcher
                 await asyncio.sleep(0.3)
-                assert stage.account.opened == 0 and engine.owed == 1
-                room.book(rest - 40 * KIB, 0)
-                assert (await answer_of(caller))[1].whole
+                assert stage.account.opened == 0 and dispatcher.unanswered == 1
+                memory_budget.book(rest - 40 * KIB, 0)
+                assert (await answer_of(client))[1].whole
             await stage.settled()
 
     run(work())
@@ -122,18 +126,18 @@
     async def work() -> None:
         times = {"aim_ms": 300, "deadline_ms": 1_000}
         async with staged(fetch(8 * MIB), limits={"memory_mb": 16}, times=times) as stage:
-            room = stage.kept.service.shared.room
-            rest = room.free - 40 * KIB
-            room.book(0, rest)
-            async with Caller(stage.port) as caller:
-                caller.send(look_head())
-                status, headers = await answer_head(caller)
+            memory_budget = stage.kept.service.shared.memory_budget
+            rest = memory_budget.free - 40 * KIB
+            memory_budget.book(0, rest)
+            async with HttpClient(stage.port) as client:
+                client.send(look_head())
+                status, headers = await answer_head(client)
                 assert status == 503 and headers["retry-after"]
             await stage.settled()
             outcomes = {end.outcome for end in stage.ears.ends}
             assert Outcome.CANCELLED in outcomes and Outcome.TIMEOUT not in outcomes
-            room.book(rest, 0)
-            assert room.used == 0
+            memory_budget.book(rest, 0)
+            assert memory_budget.used == 0
 
     run(work())
 
@@ -141,15 +145,15 @@
 def test_a_client_that_leaves_the_queue_for_memory_leaves_nothing_behind() -> None:
     async def work() -> None:
         async with staged(store, limits={"memory_mb": 16}) as stage:
-            room = stage.kept.service.shared.room
-            rest = room.free - 8 * KIB
-            room.book(0, rest)
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(MIB) + BODY.whole(2 * KIB))
-                await stage.kept.until(lambda: room.free == 0)
-            await stage.kept.until(lambda: room.free > 0)
-            room.book(rest, 0)
-            await stage.kept.until(lambda: room.used == 0)
+            memory_budget = stage.kept.service.shared.memory_budget
+            rest = memory_budget.free - 8 * KIB
+            memory_budget.book(0, rest)
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+                await stage.kept.until(lambda: memory_budget.free == 0)
+            await stage.kept.until(lambda: memory_budget.free > 0)
+            memory_budget.book(rest, 0)
+            await stage.kept.until(lambda: memory_budget.used == 0)
             assert not stage.servers[0].seen
 
     run(work())
@@ -171,17 +175,17 @@
             upload.talk.writer.close()
 
     async def one(stage: Stage, n: int) -> None:
-        async with Caller(stage.port) as caller:
-            caller.send(upload_head(512 * KIB, f"/{n}", X_Qos="look" if n % 3 else "draw"))
-            caller.send(BODY.whole((512 if n % 5 else 300) * KIB))
+        async with HttpClient(stage.port) as client:
+            client.send(upload_head(512 * KIB, f"/{n}", X_Qos="look" if n % 3 else "draw"))
+            client.send(BODY.whole((512 if n % 5 else 300) * KIB))
             if n % 5:
-                await answer_of(caller)
+                await answer_of(client)
 
     async def work() -> None:
         async with staged(fickle, fickle) as stage:
             await asyncio.gather(*(one(stage, n) for n in range(60)))
             await stage.settled()
-            await stage.kept.until(lambda: stage.kept.service.shared.room.used == 0)
+            await stage.kept.until(lambda: stage.kept.service.shared.memory_budget.used == 0)
             assert len(stage.kept.records) == 60
 
     run(work())
--- a/tests/bodies/test_passing.py
+++ b/tests/bodies/test_passing.py
@@ -6,9 +6,10 @@
 
 import pytest
 
-from sandhatch.balancing.interface import AnswerStarted, Fail, Outcome, Refuse, Send, Unrepeatable
+from sandhatch.balancing.actions import Fail, Reject, Send
+from sandhatch.balancing.events import AnswerStarted, Outcome, Unrepeatable
 from testkit.bodies import Pattern, Upload, chunked, head
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from testkit.wire import ok
 from tests.bodies.harness import (
     KIB,
@@ -28,24 +29,24 @@
 BODY = Pattern(1)
 
 
-async def upload(caller: Caller, size: int, chunks: bool = False, most: int = 0) -> None:
-    caller.send(upload_head(None if chunks else size))
+async def upload(client: HttpClient, size: int, chunks: bool = False, most: int = 0) -> None:
+    client.send(upload_head(None if chunks else size))
     for piece in BODY.pieces(size, most):
-        caller.send(chunked(piece) if chunks else bytes(piece))
-        await caller.writer.drain()
+        client.send(chunked(piece) if chunks else bytes(piece))
+        await client.writer.drain()
     if chunks:
-        caller.send(b"0\r\nX-Sum: 7\r\nAuthorization: me\r\n\r\n")
+        client.send(b"0\r\nX-Sum: 7\r\nAuthorization: me\r\n\r\n")
 
 
 @pytest.mark.parametrize("chunks", [False, True], ids=["length", "chunked"])
 @pytest.mark.parametrize("size", [0, 1, 64 * KIB, 64 * KIB + 1, 5 * MIB])
 def test_an_upload_arrives_whole_once_and_unchanged(size: int, chunks: bool) -> None:
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
+        async with staged(store) as stage, HttpClient(stage.port) as client:
             for _ in range(2):  # and the connection is good for another
-                await upload(caller, size, chunks)
-                status, headers = await answer_head(caller)
-                text = await caller.reader.readexactly(int(headers["content-length"]))
+                await upload(client, size, chunks)
+                status, headers = await answer_head(client)
+                text = await client.reader.readexactly(int(headers["content-length"]))
                 assert (status, text.decode()) == (200, f"{size} {BODY.crc(size)}")
             await stage.settled()
             assert len(stage.servers[0].seen) == 2
@@ -58,10 +59,10 @@
 @pytest.mark.parametrize("size", [0, 64 * KIB + 1, 5 * MIB])
 def test_an_answer_arrives_whole_once_and_unchanged(size: int, chunks: bool) -> None:
     async def work() -> None:
-        async with staged(fetch(size, 2, chunks)) as stage, Caller(stage.port) as caller:
+        async with staged(fetch(size, 2, chunks)) as stage, HttpClient(stage.port) as client:
             for _ in range(2):
-                caller.send(look_head())
-                status, body = await answer_of(caller)
+                client.send(look_head())
+                status, body = await answer_of(client)
                 assert (status, body.size, body.crc) == (200, size, Pattern(2).crc(size))
                 assert body.whole
             await stage.settled()
@@ -81,9 +82,9 @@
         await fetch(MIB, 2, True)(upload)
 
     async def work() -> None:
-        async with staged(serve) as stage, Caller(stage.port) as caller:
-            await upload(caller, MIB, chunks=True)
-            _, body = await answer_of(caller)
+        async with staged(serve) as stage, HttpClient(stage.port) as client:
+            await upload(client, MIB, chunks=True)
+            _, body = await answer_of(client)
             assert seen == [{"x-sum": "7"}]
             assert body.whole and body.trailers == {"x-sum": "7"}
 
@@ -101,9 +102,9 @@
         await upload.talk.send(b"0\r\n\r\n")
 
     async def work() -> None:
-        async with staged(echo) as stage, Caller(stage.port) as caller:
-            sending = asyncio.create_task(upload(caller, 8 * MIB))
-            status, body = await answer_of(caller)
+        async with staged(echo) as stage, HttpClient(stage.port) as client:
+            sending = asyncio.create_task(upload(client, 8 * MIB))
+            status, body = await answer_of(client)
             await sending
             assert (status, body.size, body.crc) == (200, 8 * MIB, BODY.crc(8 * MIB))
             await stage.settled()
@@ -122,9 +123,9 @@
         await say(upload, f"{body.size} {body.crc}")
 
     async def work() -> None:
-        async with staged(slow) as stage, Caller(stage.port) as caller:
-            await upload(caller, 12 * MIB)
-            assert (await answer_of(caller))[0] == 200
+        async with staged(slow) as stage, HttpClient(stage.port) as client:
+            await upload(client, 12 * MIB)
+            assert (await answer_of(client))[0] == 200
             await stage.settled()
             assert 0 < stage.account.peak_bytes <= 192 * KIB
             assert stage.account.over == 0
@@ -147,12 +148,12 @@
 
     async def work() -> None:
         for target in ("/length", "/chunked"):
-            async with staged(cut_short) as stage, Caller(stage.port) as caller:
-                caller.send(look_head(target))
-                status, body = await answer_of(caller)
+            async with staged(cut_short) as stage, HttpClient(stage.port) as client:
+                client.send(look_head(target))
+                status, body = await answer_of(client)
                 assert status == 200 and not body.whole
                 assert body.size <= MIB // 2
-                assert await caller.ended() == b""
+                assert await client.ended() == b""
                 await stage.settled()
                 assert [(end.outcome, end.final) for end in stage.ears.ends] == [(Outcome.RESET, True)]
                 assert len(stage.servers[0].seen) == 1  # what has begun is never tried again
@@ -175,16 +176,16 @@
 
     async def work() -> None:
         async with staged(cut_short) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(look_head("/whole").replace(b"HTTP/1.1", b"HTTP/1.0"))
-                _, headers = await answer_head(caller)
+            async with HttpClient(stage.port) as client:
+                client.send(look_head("/whole").replace(b"HTTP/1.1", b"HTTP/1.0"))
+                _, headers = await answer_head(client)
                 assert "transfer-encoding" not in headers and "content-length" not in headers
-                assert len(await caller.ended()) == MIB // 2
-            async with Caller(stage.port) as caller:
-                caller.send(look_head("/cut").replace(b"HTTP/1.1", b"HTTP/1.0"))
-                await answer_head(caller)
+                assert len(await client.ended()) == MIB // 2
+            async with HttpClient(stage.port) as client:
+                client.send(look_head("/cut").replace(b"HTTP/1.1", b"HTTP/1.0"))
+                await answer_head(client)
                 with pytest.raises(ConnectionResetError):
-                    await caller.ended()
+                    await client.ended()
 
     run(work())
 
@@ -197,12 +198,12 @@
         await upload.talk.ended()
 
     async def work() -> None:
-        async with staged(early) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(8 * MIB))
-            caller.send(BODY.whole(300 * KIB))
-            status, headers = await answer_head(caller)
+        async with staged(early) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(8 * MIB))
+            client.send(BODY.whole(300 * KIB))
+            status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (200, "close")  # the rest of the body is not wanted
-            assert await caller.reader.readexactly(6) == b"enough"
+            assert await client.reader.readexactly(6) == b"enough"
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.OK]
             assert len(stage.servers[0].seen) == 1
@@ -218,14 +219,14 @@
         upload.talk.reset()
 
     async def work() -> None:
-        async with staged(resets, resets) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(8 * MIB))
-            caller.send(BODY.whole(64 * KIB))
-            status, headers = await answer_head(caller)
+        async with staged(resets, resets) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(8 * MIB))
+            client.send(BODY.whole(64 * KIB))
+            status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (502, "close")
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.RESET]
-            assert not [action for action in stage.ears.actions if isinstance(action, Refuse)]
+            assert not [action for action in stage.ears.actions if isinstance(action, Reject)]
             assert sum(len(server.seen) for server in stage.servers) == 1
 
     run(work())
@@ -247,16 +248,16 @@
             await store(upload)
 
     async def work() -> None:
-        async with staged(serve, serve) as stage, Caller(stage.port) as caller:
+        async with staged(serve, serve) as stage, HttpClient(stage.port) as client:
             size = 4 * MIB
-            caller.send(upload_head(size, X_Qos="look"))
+            client.send(upload_head(size, X_Qos="look"))
             body = BODY.whole(size)
-            caller.send(body[: 64 * KIB])  # what is held before the first send; the rest follows the failure
+            client.send(body[: 64 * KIB])  # what is held before the first send; the rest follows the failure
             await stage.kept.until(lambda: len(stage.ears.ends) == 1)
             assert not stage.ears.of(Unrepeatable)
-            caller.send(body[64 * KIB :])
-            status, headers = await answer_head(caller)
-            text = await caller.reader.readexactly(int(headers["content-length"]))
+            client.send(body[64 * KIB :])
+            status, headers = await answer_head(client)
+            text = await client.reader.readexactly(int(headers["content-length"]))
             assert (status, text.decode()) == (200, f"{size} {BODY.crc(size)}")
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.RESET, Outcome.OK]
@@ -270,11 +271,11 @@
         await dies_at(upload, MIB)
 
     async def work() -> None:
-        async with staged(serve, serve) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(4 * MIB, X_Qos="look"))
-            caller.send(BODY.whole(2 * MIB))
+        async with staged(serve, serve) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(4 * MIB, X_Qos="look"))
+            client.send(BODY.whole(2 * MIB))
             # Safe, so a refusal with the time to come back: a repeat by the caller does no harm.
-            status, headers = await answer_head(caller)
+            status, _headers = await answer_head(client)
             assert status == 503
             await stage.settled()
             kinds = [type(event).__name__ for event in stage.ears.events]
@@ -294,9 +295,9 @@
             gone.close()
             await asyncio.sleep(0)
             for _ in range(6):
-                async with Caller(stage.port) as caller:
-                    await upload(caller, MIB)
-                    assert (await answer_head(caller))[0] == 200
+                async with HttpClient(stage.port) as client:
+                    await upload(client, MIB)
+                    assert (await answer_head(client))[0] == 200
             await stage.settled()
             outcomes = {end.outcome for end in stage.ears.ends}
             assert outcomes == {Outcome.CONNECT_FAILED, Outcome.OK}
@@ -310,9 +311,9 @@
 def test_a_caller_gone_in_mid_upload_takes_its_attempt_with_it() -> None:
     async def work() -> None:
         async with staged(store) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(8 * MIB))
-                caller.send(BODY.whole(MIB))
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(8 * MIB))
+                client.send(BODY.whole(MIB))
                 await stage.servers[0].arrived.get()
             await stage.settled()
             await stage.kept.until(lambda: stage.servers[0].open == 0)
@@ -325,9 +326,9 @@
 def test_a_caller_gone_in_mid_answer_is_never_held_against_its_server() -> None:
     async def work() -> None:
         async with staged(fetch(64 * MIB)) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(look_head())
-                await answer_head(caller)
+            async with HttpClient(stage.port) as client:
+                client.send(look_head())
+                await answer_head(client)
             await stage.settled()
             await stage.kept.until(lambda: stage.servers[0].open == 0)
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
@@ -351,11 +352,11 @@
 )
 def test_chunks_that_are_no_good_end_the_request_and_its_connection(bad: bytes) -> None:
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(None) + chunked(BODY.whole(100 * KIB)))
+        async with staged(store) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(None) + chunked(BODY.whole(100 * KIB)))
             await stage.servers[0].arrived.get()  # it has begun
-            caller.send(bad + upload_head(3) + b"abc")
-            status, headers = await answer_head(caller)
+            client.send(bad + upload_head(3) + b"abc")
+            status, headers = await answer_head(client)
             assert status in (400, 413, 431) and headers["connection"] == "close"
             await stage.settled()
             assert len(stage.servers[0].seen) == 1  # never a second request out of the rest
@@ -367,17 +368,17 @@
 def test_a_length_that_lies_makes_neither_a_second_request_nor_a_whole_one() -> None:
     async def work() -> None:
         async with staged(store) as stage:
-            async with Caller(stage.port) as caller:  # less than announced
-                caller.send(upload_head(MIB) + BODY.whole(MIB - 1))
-                caller.writer.write_eof()
-                await caller.ended()
+            async with HttpClient(stage.port) as client:  # less than announced
+                client.send(upload_head(MIB) + BODY.whole(MIB - 1))
+                client.writer.write_eof()
+                await client.ended()
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
-            async with Caller(stage.port) as caller:  # more than announced: no request of its own
-                caller.send(upload_head(MIB) + BODY.whole(MIB) + b"and some more\r\n\r\n")
-                status, _ = await answer_of(caller)
+            async with HttpClient(stage.port) as client:  # more than announced: no request of its own
+                client.send(upload_head(MIB) + BODY.whole(MIB) + b"and some more\r\n\r\n")
+                status, _ = await answer_of(client)
                 assert status == 200
-                status, headers = await answer_head(caller)
+                status, headers = await answer_head(client)
                 assert (status, headers["connection"]) == (400, "close")
             await stage.settled()
             assert len(stage.servers[0].seen) == 2
@@ -400,10 +401,10 @@
 )
 def test_smuggling_shapes_are_an_error_and_a_close(lines: bytes) -> None:
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
-            caller.send(b"POST /d HTTP/1.1\r\nHost: d\r\n" + lines + b"\r\n")
-            caller.send(b"3\r\nabc\r\n0\r\n\r\n" + upload_head(3) + b"abc")
-            status, headers = await answer_head(caller)
+        async with staged(store) as stage, HttpClient(stage.port) as client:
+            client.send(b"POST /d HTTP/1.1\r\nHost: d\r\n" + lines + b"\r\n")
+            client.send(b"3\r\nabc\r\n0\r\n\r\n" + upload_head(3) + b"abc")
+            status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (400, "close")
             await stage.settled()
             assert not stage.servers[0].seen
@@ -414,14 +415,14 @@
 def test_a_body_past_the_limit_is_refused_by_its_length_or_where_it_passes_it() -> None:
     async def work() -> None:
         async with staged(store, request={"most_bytes": MIB}) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(MIB + 1, Expect="100-continue"))
-                status, _ = await answer_head(caller)
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(MIB + 1, Expect="100-continue"))
+                status, _ = await answer_head(client)
                 assert status == 413
                 assert not stage.servers[0].seen
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(None) + chunked(BODY.whole(MIB)) + chunked(b"x"))
-                status, headers = await answer_head(caller)
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(None) + chunked(BODY.whole(MIB)) + chunked(b"x"))
+                status, headers = await answer_head(client)
                 assert (status, headers["connection"]) == (413, "close")
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
@@ -433,16 +434,16 @@
     async def work() -> None:
         answer = {"match": {"path": {"prefix": "/no"}}, "to": {"answer": {"status": 403, "body": "no"}}}
         async with staged(store, routes=[{"name": "no"} | answer]) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(MIB, Expect="100-continue"))
-                assert (await answer_head(caller))[0] == 100
-                caller.send(BODY.whole(MIB))
-                assert (await answer_head(caller))[0] == 200
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(MIB, Expect="100-continue"))
+                assert (await answer_head(client))[0] == 100
+                client.send(BODY.whole(MIB))
+                assert (await answer_head(client))[0] == 200
                 assert "expect" not in stage.servers[0].seen[0].headers
             for bad in ({"target": "/no/way"}, {"X_Qos": "nobody"}):
-                async with Caller(stage.port) as caller:
-                    caller.send(upload_head(MIB, **{"Expect": "100-continue"} | bad))
-                    status, headers = await answer_head(caller)
+                async with HttpClient(stage.port) as client:
+                    client.send(upload_head(MIB, **{"Expect": "100-continue"} | bad))
+                    status, headers = await answer_head(client)
                     assert status == (403 if "target" in bad else 400)
                     assert headers["connection"] == "close"
             await stage.settled()
@@ -455,13 +456,13 @@
     async def work() -> None:
         for half_close in (False, True):
             listeners = {"front": {"address": "127.0.0.1:0", "half_close": half_close}}
-            async with staged(store, listeners=listeners) as stage, Caller(stage.port) as caller:
-                await upload(caller, MIB)
-                caller.writer.write_eof()
+            async with staged(store, listeners=listeners) as stage, HttpClient(stage.port) as client:
+                await upload(client, MIB)
+                client.writer.write_eof()
                 if half_close:
-                    assert (await answer_of(caller))[0] == 200
+                    assert (await answer_of(client))[0] == 200
                 else:
-                    assert await caller.ended() == b""
+                    assert await client.ended() == b""
                 await stage.settled()
 
     run(work())
@@ -472,10 +473,10 @@
 
 def test_a_server_told_to_drain_while_a_body_flows_to_it_finishes_that_and_gets_nothing_new() -> None:
     async def work() -> None:
-        async with staged(store, store) as stage, Caller(stage.port) as caller:
+        async with staged(store, store) as stage, HttpClient(stage.port) as client:
             size = 4 * MIB
             body = BODY.whole(size)
-            caller.send(upload_head(size) + body[:MIB])
+            client.send(upload_head(size) + body[:MIB])
             await stage.kept.until(lambda: any(server.seen for server in stage.servers))
             busy = next(server for server in stage.servers if server.seen)
             data = stage.kept.service.transactions.in_force.checked.model.model_dump(mode="json")
@@ -484,10 +485,10 @@
             servers[named]["state"] = "draining"
             await stage.kept.confirmed(data)
             await asyncio.sleep(2.1)  # past the grace
-            caller.send(body[MIB:])
-            assert (await answer_of(caller))[0] == 200
+            client.send(body[MIB:])
+            assert (await answer_of(client))[0] == 200
             for _ in range(8):
-                async with Caller(stage.port) as other:
+                async with HttpClient(stage.port) as other:
                     await upload(other, 100 * KIB)
                     assert (await answer_of(other))[0] == 200
             assert len(busy.seen) == 1
@@ -498,20 +499,20 @@
 
 def test_a_commit_in_mid_body_leaves_the_body_to_the_version_that_it_began_under() -> None:
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
+        async with staged(store) as stage, HttpClient(stage.port) as client:
             size = 4 * MIB
             body = BODY.whole(size)
-            caller.send(upload_head(size) + body[:MIB])
+            client.send(upload_head(size) + body[:MIB])
             await stage.kept.until(lambda: bool(stage.servers[0].seen))
             data = stage.kept.service.transactions.in_force.checked.model.model_dump(mode="json")
             data["default"] = {"answer": {"status": 404}}
             data["classes"]["draw"]["bodies"]["request"]["most_bytes"] = 1024
             await stage.kept.confirmed(data)
-            caller.send(body[MIB:])
-            status, headers = await answer_head(caller)
-            text = await caller.reader.readexactly(int(headers["content-length"]))
+            client.send(body[MIB:])
+            status, headers = await answer_head(client)
+            text = await client.reader.readexactly(int(headers["content-length"]))
             assert (status, text.decode()) == (200, f"{size} {BODY.crc(size)}")
-            async with Caller(stage.port) as other:
+            async with HttpClient(stage.port) as other:
                 other.send(upload_head(MIB))
                 assert (await answer_head(other))[0] == 404
             await stage.kept.until(lambda: bool(stage.kept.records))
@@ -522,16 +523,16 @@
 
 def test_a_drain_in_mid_body_waits_for_its_end() -> None:
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
+        async with staged(store) as stage, HttpClient(stage.port) as client:
             size = 4 * MIB
             body = BODY.whole(size)
-            caller.send(upload_head(size) + body[:MIB])
+            client.send(upload_head(size) + body[:MIB])
             await stage.kept.until(lambda: bool(stage.servers[0].seen))
             draining = asyncio.create_task(stage.kept.service.drain())
             await asyncio.sleep(0.7)  # past the time in which newcomers are still taken
             assert not draining.done()
-            caller.send(body[MIB:])
-            status, headers = await answer_head(caller)
+            client.send(body[MIB:])
+            status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (200, "close")
             await draining
 
@@ -545,10 +546,10 @@
         assert not go
 
     async def work() -> None:
-        async with staged(drip, bodies={"answer_hold_ms": 20}) as stage, Caller(stage.port) as caller:
-            caller.send(look_head())
-            assert (await answer_head(caller))[0] == 200
-            assert await caller.reader.readexactly(10) == b"5\r\nfirst\r\n"
+        async with staged(drip, bodies={"answer_hold_ms": 20}) as stage, HttpClient(stage.port) as client:
+            client.send(look_head())
+            assert (await answer_head(client))[0] == 200
+            assert await client.reader.readexactly(10) == b"5\r\nfirst\r\n"
 
     run(work())
 
@@ -561,11 +562,11 @@
             await store(upload)
 
     async def work() -> None:
-        async with staged(serve) as stage, Caller(stage.port) as caller:
-            caller.send(look_head() + upload_head(MIB) + BODY.whole(MIB) + look_head())
+        async with staged(serve) as stage, HttpClient(stage.port) as client:
+            client.send(look_head() + upload_head(MIB) + BODY.whole(MIB) + look_head())
             sizes = []
             for _ in range(3):
-                status, body = await answer_of(caller)
+                status, body = await answer_of(client)
                 assert status == 200
                 sizes.append(body.size)
             assert sizes == [3, len(f"{MIB} {BODY.crc(MIB)}"), 3]
@@ -580,9 +581,9 @@
         await upload.talk.send(head("HTTP/1.1 500 X", Content_Length=str(MIB)) + Pattern(3).whole(MIB))
 
     async def work(stage: Stage | None = None) -> None:
-        async with staged(broken) as stage, Caller(stage.port) as caller:
-            await upload(caller, MIB)
-            assert (await answer_head(caller))[0] == 502
+        async with staged(broken) as stage, HttpClient(stage.port) as client:
+            await upload(client, MIB)
+            assert (await answer_head(client))[0] == 502
             await stage.settled()
             assert [action for action in stage.ears.actions if isinstance(action, Fail)]
 
--- a/tests/bodies/test_slow.py
+++ b/tests/bodies/test_slow.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from sandhatch.balancing.interface import Outcome
-from sandhatch.downstream.listener import CallerConnection
+from sandhatch.balancing.events import Outcome
+from sandhatch.downstream.listener import ClientConnection
 from testkit.bodies import Pattern, Upload, chunked, head
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from tests.bodies.harness import (
     KIB,
     MIB,
@@ -29,14 +29,14 @@
 
 BODY = Pattern(1)
 # Whoever is not meant is given all the time there is.
-CALLER_STALLS: Any = {"request": {"writer_stall_ms": 400}}
+CLIENT_STALLS: Any = {"request": {"writer_stall_ms": 400}}
 SERVER_STALLS: Any = {"request": {"reader_stall_ms": 400}}
 
 
-async def trickle(caller: Caller) -> None:
+async def trickle(client: HttpClient) -> None:
     """A byte at a time, until the balancer ends it."""
-    while not caller.reader.at_eof():
-        caller.send(b"x")
+    while not client.reader.at_eof():
+        client.send(b"x")
         await asyncio.sleep(0.02)
 
 
@@ -45,10 +45,10 @@
 
     async def work() -> None:
         limits = {"writer_floor_bytes_per_s": 512, "window_ms": 500}
-        async with staged(store, request=limits) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(MIB))
-            trickling = asyncio.create_task(trickle(caller))
-            status, headers = await answer_head(caller)
+        async with staged(store, request=limits) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(MIB))
+            trickling = asyncio.create_task(trickle(client))
+            status, headers = await answer_head(client)
             trickling.cancel()
             assert (status, headers["connection"]) == (408, "close")
             await stage.settled()
@@ -61,10 +61,10 @@
 def test_a_client_that_trickles_after_its_body_has_begun_holds_a_server_no_longer_than_configured() -> None:
     async def work() -> None:
         limits = {"writer_floor_bytes_per_s": 512, "window_ms": 500}
-        async with staged(store, request=limits) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(MIB) + BODY.whole(100 * KIB))
-            trickling = asyncio.create_task(trickle(caller))
-            status, _ = await answer_head(caller)
+        async with staged(store, request=limits) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            trickling = asyncio.create_task(trickle(client))
+            status, _ = await answer_head(client)
             trickling.cancel()
             assert status == 408
             await stage.settled()
@@ -77,9 +77,9 @@
 
 def test_a_client_that_stalls_in_mid_upload_is_told_so() -> None:
     async def work() -> None:
-        async with staged(store, **CALLER_STALLS) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(MIB) + BODY.whole(100 * KIB))
-            assert (await answer_head(caller))[0] == 408
+        async with staged(store, **CLIENT_STALLS) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            assert (await answer_head(client))[0] == 408
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
 
@@ -88,20 +88,20 @@
 
 def test_a_short_body_has_the_patience_of_a_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """Else 60 KiB from a poor link would be refused where 70 KiB pass."""
-    monkeypatch.setattr(CallerConnection, "FIRST_MS", 300.0)
-    monkeypatch.setattr(CallerConnection, "PART_MS", 300.0)
+    monkeypatch.setattr(ClientConnection, "FIRST_MS", 300.0)
+    monkeypatch.setattr(ClientConnection, "PART_MS", 300.0)
 
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
+        async with staged(store) as stage, HttpClient(stage.port) as client:
             for _ in range(2):
-                caller.send(upload_head(32 * KIB))
+                client.send(upload_head(32 * KIB))
                 for piece in BODY.pieces(32 * KIB, 8 * KIB):
                     await asyncio.sleep(0.3)
-                    caller.send(bytes(piece))
-                assert (await answer_of(caller))[0] == 200
-        async with staged(store, **CALLER_STALLS) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(32 * KIB) + BODY.whole(KIB))
-            assert (await answer_head(caller))[0] == 408
+                    client.send(bytes(piece))
+                assert (await answer_of(client))[0] == 200
+        async with staged(store, **CLIENT_STALLS) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(32 * KIB) + BODY.whole(KIB))
+            assert (await answer_head(client))[0] == 408
 
     run(work())
 
@@ -114,10 +114,10 @@
         await asyncio.sleep(3600.0)
 
     async def work() -> None:
-        async with staged(stalls, stalls, **SERVER_STALLS) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(64 * MIB))
-            sending = asyncio.create_task(drain_all(caller, 64 * MIB))
-            assert (await answer_head(caller))[0] == 502
+        async with staged(stalls, stalls, **SERVER_STALLS) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(64 * MIB))
+            sending = asyncio.create_task(drain_all(client, 64 * MIB))
+            assert (await answer_head(client))[0] == 502
             sending.cancel()
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.TIMEOUT]
@@ -126,10 +126,10 @@
     run(work())
 
 
-async def drain_all(caller: Caller, size: int) -> None:
+async def drain_all(client: HttpClient, size: int) -> None:
     for piece in BODY.pieces(size):
-        caller.send(bytes(piece))
-        await caller.writer.drain()
+        client.send(bytes(piece))
+        await client.writer.drain()
 
 
 def test_a_server_that_stalls_halfway_through_an_answer_with_a_fast_client() -> None:
@@ -140,9 +140,9 @@
         await upload.talk.ended()
 
     async def work() -> None:
-        async with staged(stalls, answer={"writer_stall_ms": 400}) as stage, Caller(stage.port) as caller:
-            caller.send(look_head())
-            status, body = await answer_of(caller)
+        async with staged(stalls, answer={"writer_stall_ms": 400}) as stage, HttpClient(stage.port) as client:
+            client.send(look_head())
+            status, body = await answer_of(client)
             assert status == 200 and not body.whole and body.size == MIB  # what came is passed on, no end
             await stage.settled()
             assert [(end.outcome, end.final) for end in stage.ears.ends] == [(Outcome.TIMEOUT, True)]
@@ -155,10 +155,10 @@
 def test_a_client_that_stops_reading_halfway_with_a_fast_server() -> None:
     async def work() -> None:
         limits = {"reader_stall_ms": 400}
-        async with staged(fetch(64 * MIB), answer=limits) as stage, Caller(stage.port) as caller:
-            caller.send(look_head())
-            await answer_head(caller)
-            caller.writer.transport.pause_reading()  # type: ignore[attr-defined]
+        async with staged(fetch(64 * MIB), answer=limits) as stage, HttpClient(stage.port) as client:
+            client.send(look_head())
+            await answer_head(client)
+            client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
             assert [record.cut for record in stage.kept.records] == ["client"]
@@ -182,15 +182,15 @@
     async def work() -> None:
         other = "writer" if who == "server" else "reader"
         tight = {f"{other}_stall_ms": 300, f"{other}_floor_bytes_per_s": 10 * MIB, "window_ms": 300}
-        async with staged(slow, request=tight) as stage, Caller(stage.port) as caller:
+        async with staged(slow, request=tight) as stage, HttpClient(stage.port) as client:
             size = 2 * MIB  # at some 2 MiB a second
-            caller.send(upload_head(size))
+            client.send(upload_head(size))
             for piece in BODY.pieces(size, 64 * KIB):
-                caller.send(bytes(piece))
-                await caller.writer.drain()
+                client.send(bytes(piece))
+                await client.writer.drain()
                 if who == "client":
                     await asyncio.sleep(0.03)
-            assert (await answer_of(caller))[0] == 200
+            assert (await answer_of(client))[0] == 200
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.OK]
 
@@ -201,12 +201,12 @@
     """What the module learns as a server's latency runs from the last byte to the answer."""
 
     async def work() -> None:
-        async with staged(store) as stage, Caller(stage.port) as caller:
-            caller.send(upload_head(MIB) + BODY.whole(MIB - 1))
+        async with staged(store) as stage, HttpClient(stage.port) as client:
+            client.send(upload_head(MIB) + BODY.whole(MIB - 1))
             await stage.servers[0].arrived.get()
             await asyncio.sleep(2.0)
-            caller.send(BODY.whole(MIB)[-1:])
-            assert (await answer_of(caller))[0] == 200
+            client.send(BODY.whole(MIB)[-1:])
+            assert (await answer_of(client))[0] == 200
             await stage.settled()
             assert stage.ears.ends[0].spent_ms < 1_500.0
 
@@ -217,10 +217,10 @@
     async def work() -> None:
         times = {"aim_ms": 500, "deadline_ms": 600}
         async with staged(store, bodies={"total_ms": 600}, times=times) as stage:
-            async with Caller(stage.port) as caller:
-                caller.send(upload_head(64 * MIB) + BODY.whole(100 * KIB))
-                trickling = asyncio.create_task(trickle(caller))
-                assert (await answer_head(caller))[0] == 504
+            async with HttpClient(stage.port) as client:
+                client.send(upload_head(64 * MIB) + BODY.whole(100 * KIB))
+                trickling = asyncio.create_task(trickle(client))
+                assert (await answer_head(client))[0] == 504
                 trickling.cancel()
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.CANCELLED]
@@ -235,12 +235,12 @@
         await asyncio.sleep(3600.0)
 
     async def work() -> None:
-        async with staged(silent) as stage, Caller(stage.port) as caller:
-            engine = next(iter(stage.kept.service.pools.alive.values())).engine
-            caller.send(upload_head(MIB) + BODY.whole(MIB))
+        async with staged(silent) as stage, HttpClient(stage.port) as client:
+            dispatcher = next(iter(stage.kept.service.pools.alive.values())).dispatcher
+            client.send(upload_head(MIB) + BODY.whole(MIB))
             await stage.servers[0].arrived.get()
             # The module's time-out for the attempt is the class's aim, which has not begun to run before.
-            exchange = next(iter(engine._exchanges.values()))
+            exchange = next(iter(dispatcher._exchanges.values()))
             call = exchange.attempts[0]
             assert call is not None
             await stage.kept.until(lambda: call.timer is not None)
@@ -248,7 +248,7 @@
             assert timer is not None
             assert timer.due_ms == pytest.approx(call.sent_ms + call.timeout_ms, abs=50.0)
             call.time_out()
-            assert (await answer_head(caller))[0] == 502
+            assert (await answer_head(client))[0] == 502
             await stage.settled()
             assert [end.outcome for end in stage.ears.ends] == [Outcome.TIMEOUT]
 
--- a/tests/config/test_planning.py
+++ b/tests/config/test_planning.py
@@ -49,11 +49,11 @@
     data = sample(planning=planning, pools__web__copies=3, pools__orders__planned=False)
     model = check_text(json.dumps(data)).model
     settings = pool_settings(model, model.pools["web"])
-    assert (settings.me, settings.copies, settings.ramp_per_s) == (2, 3, 0.0)
+    assert (settings.instance_index, settings.instances, settings.ramp_per_s) == (2, 3, 0.0)
     assert model.planning is not None and model.planning.forwarder == "forwarder-2"
 
 
 def test_without_planning_everything_is_as_before(tmp_path: Path) -> None:
     model = check_text(json.dumps(sample())).model
     settings = pool_settings(model, model.pools["web"])
-    assert (settings.me, settings.ramp_per_s, settings.ramp_burst) == (0, 0.0, 0.0)
+    assert (settings.instance_index, settings.ramp_per_s, settings.ramp_burst) == (0, 0.0, 0.0)
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -16,7 +16,7 @@
 from sandhatch.config import transactions as tx
 from sandhatch.config.check import Checked, check_text
 from sandhatch.config.history import History, HistoryError, seal, unseal
-from sandhatch.config.transactions import OVER, WAYS, Refusal, RefusedError, State, Transactions, Version
+from sandhatch.config.transactions import OVER, WAYS, Refusal, RejectedError, State, Transactions, Version
 from tests.config.samples import BASE, checked, sample
 
 
@@ -92,10 +92,10 @@
 ORDERS3 = sample(pools__orders__max_attempts=3)
 
 
-def refused(why: Refusal) -> Any:
+def rejected(why: Refusal) -> Any:
     class Check:
         def __enter__(self) -> Any:
-            self.raises = pytest.raises(RefusedError)
+            self.raises = pytest.raises(RejectedError)
             self.info = self.raises.__enter__()
             return self.info
 
@@ -130,13 +130,13 @@
     owner = Owner()
     first, second = owner.propose(WEB3), owner.propose(WEB4)
     owner.machine.commit(owner.now, first)
-    with refused(Refusal.CONFLICT) as info:
+    with rejected(Refusal.CONFLICT) as info:
         owner.machine.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
     owner.act()
     owner.stage()
     owner.save()
-    with refused(Refusal.CONFLICT) as info:
+    with rejected(Refusal.CONFLICT) as info:
         owner.machine.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
     assert owner.in_force.data == WEB3
@@ -150,7 +150,7 @@
     for number in numbers:
         try:
             won.append(owner.machine.commit(owner.now, number))
-        except RefusedError as why:
+        except RejectedError as why:
             assert why.why is Refusal.CONFLICT and why.keys == ["pools.web.max_connections"]
     owner.act()
     owner.stage()
@@ -163,12 +163,12 @@
     other = owner.propose(ORDERS3)
     merged = owner.propose(ORDERS3, merged=True)
     owner.commit(WEB3, watched=False)
-    with refused(Refusal.BUSY):
+    with rejected(Refusal.BUSY):
         owner.machine.commit(owner.now, other)
     owner.stage()
     owner.save()
     owner.save()
-    with refused(Refusal.CONFLICT) as info:
+    with rejected(Refusal.CONFLICT) as info:
         owner.machine.commit(owner.now, other)
     assert info.value.keys == [] and "can be merged" in info.value.text
     version = owner.machine.commit(owner.now, merged)
@@ -185,7 +185,7 @@
     leads["routes"].append({"name": "beta", "to": {"pool": "spare"}})
     late = owner.propose(leads, 2, merged=True)
     owner.confirmed_with(BASE, 2)
-    with refused(Refusal.CONFLICT) as info:
+    with rejected(Refusal.CONFLICT) as info:
         owner.machine.commit(owner.now, late)
     assert any("names no pool" in line for line in info.value.problems)
     assert owner.in_force.data == BASE
@@ -222,10 +222,10 @@
     waiting = owner.propose(WEB4, version.number)
     owner.machine.rollback(owner.now, "anna")
     owner.act()
-    with refused(Refusal.CONFLICT) as info:
+    with rejected(Refusal.CONFLICT) as info:
         owner.machine.commit(owner.now, waiting)
     assert info.value.keys == ["pools.web.max_attempts"]
-    with refused(Refusal.CONFLICT):
+    with rejected(Refusal.CONFLICT):
         owner.propose(WEB4, version.number)
     assert owner.commit(WEB4, 1).state is State.STAGING
 
@@ -233,7 +233,7 @@
 def test_by_hand_at_every_state() -> None:
     owner = Owner()
     version = owner.commit(WEB3)
-    with refused(Refusal.BUSY):
+    with rejected(Refusal.BUSY):
         owner.machine.confirm()
     owner.machine.rollback(owner.now)
     owner.act()
@@ -241,15 +241,15 @@
     owner.machine.staged(owner.staging.pop())  # too late: what was built goes
     owner.act()
     assert owner.unstaged == [2, 2] and owner.in_force.number == 1
-    with refused(Refusal.NOTHING):
+    with rejected(Refusal.NOTHING):
         owner.machine.confirm()
-    with refused(Refusal.UNKNOWN):
+    with rejected(Refusal.UNKNOWN):
         owner.machine.rollback(owner.now)  # nothing stands before the first
-    with refused(Refusal.NOTHING):
+    with rejected(Refusal.NOTHING):
         owner.commit(BASE)
-    with refused(Refusal.UNKNOWN):
+    with rejected(Refusal.UNKNOWN):
         owner.machine.commit(owner.now, 999)
-    with refused(Refusal.UNKNOWN):
+    with rejected(Refusal.UNKNOWN):
         owner.propose(WEB3, base=77)
 
 
@@ -296,12 +296,12 @@
     owner = Owner()
     for _ in range(tx.MOST_PROPOSALS):
         owner.propose(WEB3)
-    with refused(Refusal.FULL):
+    with rejected(Refusal.FULL):
         owner.propose(WEB3)
     owner.now += tx.PROPOSAL_MS + 1.0
     owner.propose(WEB3)
     assert len(owner.machine.proposals) == 1
-    with refused(Refusal.FULL):
+    with rejected(Refusal.FULL):
         owner.machine.propose(owner.now, 1, checked(WEB3), size=tx.MOST_PROPOSED_BYTES + 1)
 
 
@@ -329,7 +329,7 @@
         machine = owner.machine
         for _ in range(120):
             owner.now += rng.random() * 5_000.0
-            with suppress(RefusedError):
+            with suppress(RejectedError):
                 _random_call(owner, rng, made)
             owner.act()
             where = f"seed {seed}"
--- a/tests/config/test_yield_watch.py
+++ b/tests/config/test_yield_watch.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from sandhatch.config.goodput_watch import ALL, Fall, YieldWatch, correlation_length, rank_test
+from sandhatch.config.goodput_watch import ALL, Fall, GoodputWatch, correlation_length, rank_test
 
 BLOCK = 500.0
 
@@ -45,7 +45,7 @@
     """Feeds a watch block by block; the yield and the load of each block are the caller's."""
 
     def __init__(self, seed: int = 1, before_ms: float = 30_000.0) -> None:
-        self.watch = YieldWatch(BLOCK, before_ms)
+        self.watch = GoodputWatch(BLOCK, before_ms)
         self.rng = Random(seed)
         self.now = 0.0
 
@@ -78,7 +78,7 @@
     at = next(n for n, fall in enumerate(falls) if fall)
     fall = falls[at]
     assert fall is not None and fall.name == ALL
-    assert fall.before > 0.85 and fall.after < 0.6 and fall.refused_after > 0.3
+    assert fall.before > 0.85 and fall.after < 0.6 and fall.rejected_after > 0.3
     assert "the yield of all classes fell from 0." in str(fall)
 
 
@@ -185,7 +185,7 @@
 
 
 def test_blocks_wait_for_slow_requests_but_not_past_the_longest_aim() -> None:
-    watch = YieldWatch(BLOCK, 30_000.0)
+    watch = GoodputWatch(BLOCK, 30_000.0)
     for n in range(40):
         watch.came(n * BLOCK, "order", "web", 1.0)
         watch.over(n * BLOCK, "order", "web", 1.0, True, False)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -22,7 +22,7 @@
 from sandhatch.control.calls import Calls
 from sandhatch.control.framing import CallError, LineReader, encode
 from sandhatch.control.server import ControlError, ControlServer
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from tests.service.harness import Farm, Kept, run, serving
 
 
@@ -56,7 +56,7 @@
     farm = await Farm().start("a1", "b1", "o1")
     async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept:
         path = str(tmp / "c.sock")
-        server = ControlServer(Calls(kept.service), kept.service.journal, path, call_s)
+        server = ControlServer(Calls(kept.service), kept.service.logger, path, call_s)
         await server.start()
         try:
             yield kept, farm, path
@@ -74,7 +74,7 @@
         async with (
             controlled(tmp_path) as (kept, farm, path),
             Peer(path) as peer,
-            Caller(kept.port) as caller,
+            HttpClient(kept.port) as client,
         ):
             assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
             proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
@@ -83,14 +83,14 @@
             assert any("b1.address" in line for line in diff["changes"])
             done = await peer.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
             assert done["state"] == "in force" and done["confirm_in_ms"] > 50_000
-            caller.ask()
-            assert (await caller.answer()).body == b"b1"
+            client.ask()
+            assert (await client.answer()).body == b"b1"
             status = await peer.call("status")
             assert (status["in_force"], status["confirmed"], status["pending"]["version"]) == (2, 1, 2)
             assert (await peer.call("extend", within_ms=90_000))["confirm_in_ms"] > 80_000
             assert (await peer.call("rollback"))["state"] == "taken back"
-            caller.ask()
-            assert (await caller.answer()).body == b"a1"
+            client.ask()
+            assert (await client.answer()).body == b"a1"
             history = await peer.call("history")
             assert [row["state"] for row in history["versions"]] == ["confirmed", "taken back"]
             shown = yaml.safe_load((await peer.call("show"))["text"])
@@ -220,9 +220,9 @@
             assert (await peer.call("commit", proposal=proposed["proposal"], wait=True))[
                 "state"
             ] == "confirmed"
-            async with Caller(kept.port) as caller:
-                caller.ask(target="/p/9999")
-                assert (await caller.answer()).body == b"o1"
+            async with HttpClient(kept.port) as client:
+                client.ask(target="/p/9999")
+                assert (await client.answer()).body == b"o1"
 
     run(work())
 
@@ -244,10 +244,10 @@
     async def work() -> None:
         async with controlled(tmp_path) as (kept, _, path):
             with pytest.raises(ControlError, match="another process listens"):
-                await ControlServer(Calls(kept.service), kept.service.journal, path).start()
+                await ControlServer(Calls(kept.service), kept.service.logger, path).start()
             (tmp_path / "file").write_text("mine")
             with pytest.raises(ControlError, match="another file"):
-                await ControlServer(Calls(kept.service), kept.service.journal, str(tmp_path / "file")).start()
+                await ControlServer(Calls(kept.service), kept.service.logger, str(tmp_path / "file")).start()
             assert (tmp_path / "file").read_text() == "mine"
         assert not os.path.exists(path)
 
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -12,9 +12,9 @@
 
 def dial(port: int) -> socket.socket:
     """A caller whose bytes reach the system at once, while the loop stands still."""
-    caller = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
-    caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return caller
+    client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+    client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return client
 
 
 def until_unread(descriptor: int) -> None:
--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -10,9 +10,10 @@
 import pytest
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.interface import Action, ClientGone, Event, Outcome, RequestArrived, Send, TimerFired
-from sandhatch.downstream.listener import CallerConnection
-from sandhatch.upstream.pool import UpstreamConnection
+from sandhatch.balancing.actions import Action, Send
+from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived, TimerFired
+from sandhatch.downstream.listener import ClientConnection
+from sandhatch.upstream.pool import ServerConnection
 from tests.crossings.harness import answers, dial, holds, until
 from tests.fakes import (
     PATIENCE_S,
@@ -33,25 +34,25 @@
     nobody looks out for: what is begun after it is then kept back by the look before each attempt alone.
     """
     balancer.listener.SWEEP_MS = balancer.listener.END_MS = 1e9
-    caller = dial(balancer.port)
-    caller.sendall(b"".join(request_bytes() for _ in range(CallerConnection.AHEAD)))
-    return caller
+    client = dial(balancer.port)
+    client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.AHEAD)))
+    return client
 
 
-async def crowded(balancer: Running, caller: socket.socket) -> None:
+async def crowded(balancer: Running, client: socket.socket) -> None:
     """To be called once its first request is begun."""
-    caller.sendall(request_bytes())
+    client.sendall(request_bytes())
     (connection,) = balancer.listener._connections
     connection.check = lambda now_ms: None  # type: ignore[method-assign]
     await until(lambda: connection.crowded)
 
 
-async def leaves(balancer: Running, caller: socket.socket) -> None:
+async def leaves(balancer: Running, client: socket.socket) -> None:
     """It has left, the system knows, and the program has not been told."""
     (connection,) = balancer.listener._connections
-    caller.close()
-    await until(connection.departed)
-    assert balancer.engine.owed
+    client.close()
+    await until(connection.has_disconnected)
+    assert balancer.dispatcher.unanswered
 
 
 def test_behind_requests_sent_ahead_with_reading_paused() -> None:
@@ -63,21 +64,21 @@
         upstream = await FakeUpstream(holds(go)).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            caller = dial(balancer.port)
-            caller.sendall(b"".join(request_bytes() for _ in range(4)))
+            client = dial(balancer.port)
+            client.sendall(b"".join(request_bytes() for _ in range(4)))
             await until(lambda: upstream.seen)
-            caller.sendall(request_bytes())
+            client.sendall(request_bytes())
             (connection,) = balancer.listener._connections
             await until(lambda: len(connection._waiting) == connection.AHEAD)
             balancer.listener.SWEEP_MS = 1e9  # which is for the others
             connection.check = lambda now_ms: None  # type: ignore[method-assign]
             assert 2.0 * balancer.listener.END_MS <= LATER_MS
-            caller.close()
+            client.close()
             async with asyncio.timeout(PATIENCE_S):  # it is looked out for, though the upstream hangs
-                while not isinstance(await script.told.get(), ClientGone):
+                while not isinstance(await script.told.get(), ClientDisconnected):
                     pass
             go.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -92,17 +93,17 @@
 
         upstream = await FakeUpstream(holds(go)).start()
         async with running(upstream.entry("a"), script=Script([1])) as balancer:
-            caller = dial(balancer.port)
-            caller.sendall(b"".join(request_bytes() for _ in range(4)))
+            client = dial(balancer.port)
+            client.sendall(b"".join(request_bytes() for _ in range(4)))
             await until(lambda: upstream.seen)
-            caller.sendall(request_bytes())
+            client.sendall(request_bytes())
             (connection,) = balancer.listener._connections
             await until(lambda: len(connection._waiting) == connection.AHEAD)
             balancer.listener.SWEEP_MS = 1e9
             connection.check = lambda now_ms: None  # type: ignore[method-assign]
-            caller.close()
+            client.close()
             go.set()
-            await until(lambda: not balancer.engine.open and not balancer.listener.connections)
+            await until(lambda: not balancer.dispatcher.open and not balancer.listener.connections)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -116,11 +117,11 @@
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            gone: list[CallerConnection] = []
+            gone: list[ClientConnection] = []
             balancer.listener.left = gone.append  # type: ignore[method-assign]
-            caller = dial(balancer.port)
-            caller.sendall(request_bytes("move", b"x"))
-            caller.close()  # the loop has not run since: both wait in the system
+            client = dial(balancer.port)
+            client.sendall(request_bytes("move", b"x"))
+            client.close()  # the loop has not run since: both wait in the system
             await until(lambda: gone)
             assert not any(isinstance(event, RequestArrived) for event in script.events)
             assert not upstream.seen
@@ -136,18 +137,18 @@
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            pool = balancer.engine.upstreams
-            caller = dial(balancer.port)
-            caller.sendall(request_bytes())
-            await until(lambda: upstream.seen and not balancer.engine.open)
+            pool = balancer.dispatcher.connection_pool
+            client = dial(balancer.port)
+            client.sendall(request_bytes())
+            await until(lambda: upstream.seen and not balancer.dispatcher.open)
             held: list[Callable[[], None]] = []
             pool.later = held.append  # type: ignore[method-assign]
-            caller.sendall(request_bytes("move", b"x"))
+            client.sendall(request_bytes("move", b"x"))
             await until(lambda: held)
-            caller.close()
-            await until(lambda: any(isinstance(event, ClientGone) for event in script.events))
+            client.close()
+            await until(lambda: any(isinstance(event, ClientDisconnected) for event in script.events))
             held[0]()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -166,7 +167,7 @@
             connect = loop.create_connection
             waiting = asyncio.Event()
 
-            async def late(factory: Callable[[], UpstreamConnection], host: str, port: int) -> object:
+            async def late(factory: Callable[[], ServerConnection], host: str, port: int) -> object:
                 made = await connect(factory, host, port)
                 waiting.set()
                 await up.wait()
@@ -177,14 +178,14 @@
                 create_task = staticmethod(loop.create_task)
 
             monkeypatch.setattr("sandhatch.upstream.pool.asyncio.get_running_loop", lambda: Late)
-            caller = dial(balancer.port)
-            caller.sendall(request_bytes("move", b"x"))
+            client = dial(balancer.port)
+            client.sendall(request_bytes("move", b"x"))
             await waiting.wait()
             monkeypatch.undo()
-            caller.close()
-            await until(lambda: any(isinstance(event, ClientGone) for event in script.events))
+            client.close()
+            await until(lambda: any(isinstance(event, ClientDisconnected) for event in script.events))
             up.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert not upstream.seen
         upstream.close()
 
@@ -197,7 +198,7 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a", lifecycle="leaving")) as balancer:
-            decisions = balancer.engine.balancer
+            decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
             handle = decisions.handle
             events: list[Event] = []
@@ -207,16 +208,16 @@
                 return handle(now_ms, event)
 
             decisions.handle = seen  # type: ignore[method-assign]
-            caller = dial(balancer.port)
-            caller.sendall(request_bytes("move", b"x"))
+            client = dial(balancer.port)
+            client.sendall(request_bytes("move", b"x"))
             await until(lambda: decisions.held)
-            caller.close()
-            await until(lambda: any(isinstance(event, ClientGone) for event in events))
+            client.close()
+            await until(lambda: any(isinstance(event, ClientDisconnected) for event in events))
             balancer.discovery.change(upstream.entry("a"))
-            await until(lambda: balancer.engine.ready)
+            await until(lambda: balancer.dispatcher.ready)
             at = len(events)
             await until(lambda: any(isinstance(event, TimerFired) for event in events[at:]))
-            assert not balancer.engine.open and not upstream.seen
+            assert not balancer.dispatcher.open and not upstream.seen
         upstream.close()
 
     run(work())
@@ -229,13 +230,13 @@
         go = asyncio.Event()
         upstream = await FakeUpstream(answers(go, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
-            caller = dial(balancer.port)
-            caller.sendall(request_bytes())
+            client = dial(balancer.port)
+            client.sendall(request_bytes())
             await until(lambda: upstream.seen)
-            caller.close()
-            await until(lambda: not balancer.engine.owed)
+            client.close()
+            await until(lambda: not balancer.dispatcher.unanswered)
             go.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -249,12 +250,12 @@
         go = asyncio.Event()
         upstream = await FakeUpstream(answers(go, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
-            caller = crowd(balancer)
+            client = crowd(balancer)
             await until(lambda: upstream.seen)
-            await crowded(balancer, caller)
-            await leaves(balancer, caller)
+            await crowded(balancer, client)
+            await leaves(balancer, client)
             go.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -272,15 +273,15 @@
             script.more = lambda event: (
                 [Send(1, 2, 0.0)] if isinstance(event, TimerFired) and event.cookie == 1 else None
             )
-            caller = crowd(balancer)
+            client = crowd(balancer)
             await until(lambda: first.seen)
-            await crowded(balancer, caller)
-            await leaves(balancer, caller)
-            balancer.engine._deliver(TimerFired(1))
-            assert script.ends()[-1].outcome is Outcome.MOOT
-            assert any(isinstance(event, ClientGone) for event in script.events)
+            await crowded(balancer, client)
+            await leaves(balancer, client)
+            balancer.dispatcher._deliver(TimerFired(1))
+            assert script.ends()[-1].outcome is Outcome.DISCARDED
+            assert any(isinstance(event, ClientDisconnected) for event in script.events)
             go.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert not second.seen and second.connections == 0
         first.close()
         second.close()
@@ -295,16 +296,16 @@
         async with running(upstream.entry("a"), script=script) as balancer:
             with dial(balancer.port) as other:  # leaves a connection that is kept
                 other.sendall(request_bytes())
-                await until(lambda: upstream.seen and not balancer.engine.open)
+                await until(lambda: upstream.seen and not balancer.dispatcher.open)
             await until(lambda: not balancer.listener.connections)
             held: list[Callable[[], None]] = []
-            balancer.engine.upstreams.later = held.append  # type: ignore[method-assign]
-            caller = crowd(balancer)
+            balancer.dispatcher.connection_pool.later = held.append  # type: ignore[method-assign]
+            client = crowd(balancer)
             await until(lambda: held)
-            await crowded(balancer, caller)
-            await leaves(balancer, caller)
+            await crowded(balancer, client)
+            await leaves(balancer, client)
             held[0]()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
@@ -315,14 +316,14 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a", lifecycle="leaving")) as balancer:
-            decisions = balancer.engine.balancer
+            decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
-            caller = crowd(balancer)
+            client = crowd(balancer)
             await until(lambda: decisions.held)
-            await crowded(balancer, caller)
-            await leaves(balancer, caller)
+            await crowded(balancer, client)
+            await leaves(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert not upstream.seen and upstream.connections == 0
         upstream.close()
 
@@ -338,19 +339,19 @@
         upstream = await FakeUpstream(answers(go, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
             if seen:
-                caller = dial(balancer.port)
-                caller.sendall(request_bytes())
+                client = dial(balancer.port)
+                client.sendall(request_bytes())
             else:
-                caller = crowd(balancer)
+                client = crowd(balancer)
             await until(lambda: upstream.seen)
             if not seen:
-                await crowded(balancer, caller)
-            caller.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                await crowded(balancer, client)
+            client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             (connection,) = balancer.listener._connections
-            caller.close()
-            await until(lambda: not balancer.engine.owed if seen else connection.departed())
+            client.close()
+            await until(lambda: not balancer.dispatcher.unanswered if seen else connection.has_disconnected())
             go.set()
-            await until(lambda: not balancer.engine.open)
+            await until(lambda: not balancer.dispatcher.open)
             assert len(upstream.seen) == 1
         upstream.close()
 
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/crossings/test_kept_connections.py
@@ -7,14 +7,14 @@
 import struct
 from collections.abc import Callable
 
-from sandhatch.balancing.interface import Outcome
-from sandhatch.upstream.pool import UpstreamConnection
+from sandhatch.balancing.events import Outcome
+from sandhatch.upstream.pool import ServerConnection
 from tests.crossings.harness import accepted, holds, until, until_unread
-from tests.fakes import PATIENCE_S, Caller, FakeUpstream, Incoming, Script, Talk, entry, ok, running
+from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
 from tests.test_attempts import run
 
 
-def own_end(connection: UpstreamConnection) -> int:
+def own_end(connection: ServerConnection) -> int:
     """The balancer's end of a connection to a server."""
     assert connection._transport is not None
     return int(connection._transport.get_extra_info("socket").fileno())
@@ -34,16 +34,16 @@
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x", "/api?1")
-            assert (await caller.answer()).body == b"/api?1"
+            client.ask("move", b"x", "/api?1")
+            assert (await client.answer()).body == b"/api?1"
             held: list[Callable[[], None]] = []
-            balancer.engine.upstreams.later = held.append  # type: ignore[method-assign]
-            caller.ask("move", b"x", "/api?2")
+            balancer.dispatcher.connection_pool.later = held.append  # type: ignore[method-assign]
+            client.ask("move", b"x", "/api?2")
             await until(lambda: held)
             await upstream.talks[0].send(ok(b"/api?1"))
-            assert (await caller.answer()).body == b"/api?2"
+            assert (await client.answer()).body == b"/api?2"
             held[0]()  # its moment comes, and finds nothing to write
             await script.ended()
         upstream.close()
@@ -63,18 +63,18 @@
         upstream = await FakeUpstream(holds(go)).start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x")
+            client.ask("move", b"x")
             await until(lambda: upstream.seen)
             balancer.discovery.change(upstream.entry("a", startedAtMs=1_000))
-            table = balancer.engine.upstreams.table
+            table = balancer.dispatcher.connection_pool.table
             await until(lambda: table[1].started_ms == 1_000)
             go.set()
-            assert (await caller.answer()).status == 200
-            await until(lambda: not balancer.engine.upstreams.sockets)
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
+            await until(lambda: not balancer.dispatcher.connection_pool.sockets)
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 200
             assert upstream.connections == 2
         upstream.close()
 
@@ -92,16 +92,16 @@
         script = Script([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            pool = balancer.engine.upstreams
-            caller.ask("move", b"x", "/api?1")
+            pool = balancer.dispatcher.connection_pool
+            client.ask("move", b"x", "/api?1")
             first, _ = await accepted(listener)
             first.sendall(ok())
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             held: list[Callable[[], None]] = []
             pool.later = held.append  # type: ignore[method-assign]
-            caller.ask("move", b"x", "/api?2")
+            client.ask("move", b"x", "/api?2")
             await until(lambda: held)
             (kept,) = pool._open
             first.close()
@@ -110,7 +110,7 @@
             second, request = await accepted(listener)
             assert b"/api?2" in request
             second.sendall(ok())
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
             second.close()
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
@@ -127,14 +127,14 @@
         script = Script([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x")
+            client.ask("move", b"x")
             served, _ = await accepted(listener)
             served.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             served.sendall(ok())  # no await between the two: the loop reads neither before the other
             served.close()
-            assert (await caller.answer()).status == 200
+            assert (await client.answer()).status == 200
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK]
 
@@ -150,18 +150,18 @@
         script = Script([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x")
+            client.ask("move", b"x")
             served, _ = await accepted(listener)
-            (connection,) = balancer.engine.upstreams._open
+            (connection,) = balancer.dispatcher.connection_pool._open
             call = connection._call
             assert call is not None
             served.sendall(ok())
             until_unread(own_end(connection))
             call.time_out()
-            assert (await caller.answer()).status == 502
-            await until(lambda: not balancer.engine.upstreams.sockets)
+            assert (await client.answer()).status == 502
+            await until(lambda: not balancer.dispatcher.connection_pool.sockets)
             served.close()
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.TIMEOUT]
--- a/tests/crossings/test_list_age.py
+++ b/tests/crossings/test_list_age.py
@@ -13,7 +13,7 @@
 
 from testkit.wire import ok, read_head
 from tests.crossings.skipping import SkippingLoop, run
-from tests.fakes import SETTINGS, Caller, FakeUpstream, running
+from tests.fakes import SETTINGS, FakeUpstream, HttpClient, running
 
 TOLD_S, GRACE_S = 6.0, 2.0  # the protocol's bound, and the settings' grace of this deployment
 ASKED = SETTINGS | {
@@ -131,11 +131,11 @@
     return True
 
 
-async def sends_to_a(caller: Caller, a: FakeUpstream, number: int = 12) -> int:
+async def sends_to_a(client: HttpClient, a: FakeUpstream, number: int = 12) -> int:
     before = len(a.seen)
     for _ in range(number):
-        caller.ask()
-        assert (await caller.answer()).status == 200
+        client.ask()
+        assert (await client.answer()).status == 200
     return len(a.seen) - before
 
 
@@ -155,14 +155,14 @@
         announced = loop.time()
         discovery.faulty = True
         discovery.leave()
-        async with Caller(balancer.port) as caller:
-            assert await sends_to_a(caller, a) > 0  # what the list held says: the test can see such sends
+        async with HttpClient(balancer.port) as client:
+            assert await sends_to_a(client, a) > 0  # what the list held says: the test can see such sends
         await asyncio.sleep(announced + faulty_s - loop.time())
         discovery.faulty = False
         # Discovery can be reached from here on at the latest, and what it has counts as told so much later.
         await asyncio.sleep(announced + TOLD_S + GRACE_S - loop.time())
-        async with Caller(balancer.port) as caller:
-            assert await sends_to_a(caller, a) == 0
+        async with HttpClient(balancer.port) as client:
+            assert await sends_to_a(client, a) == 0
             assert len(b.seen) >= 12
     discovery.close()
     a.close()
--- a/tests/crossings/test_signals.py
+++ b/tests/crossings/test_signals.py
@@ -12,7 +12,7 @@
 
 from testkit.ports import free_port
 from tests.crossings.harness import holds
-from tests.fakes import PATIENCE_S, Caller, FakeDiscovery, FakeUpstream, Incoming, Talk, config_data, ok
+from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
 from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
@@ -58,7 +58,7 @@
         discovery = await FakeDiscovery([upstream.entry("a")]).start()
         port = free_port()
         data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
-        async with started(tmp_path / "config.json", data) as process, PatientCaller(port) as out:
+        async with started(tmp_path / "config.json", data) as process, PatientClient(port) as out:
             out.ask("move", b"x")
             await upstream.arrived.get()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
@@ -77,10 +77,10 @@
     run(work())
 
 
-class PatientCaller(Caller):
+class PatientClient(HttpClient):
     """A caller that waits until the program serves."""
 
-    async def __aenter__(self) -> Caller:
+    async def __aenter__(self) -> HttpClient:
         await ready(self._port)
         return await super().__aenter__()
 
@@ -100,8 +100,8 @@
         data = config_data([old.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
         async with (
             started(tmp_path / "config.json", data) as process,
-            PatientCaller(port) as out,
-            Caller(port) as kept,
+            PatientClient(port) as out,
+            HttpClient(port) as kept,
         ):
             kept.ask(target="/ready")
             assert (await kept.answer()).status == 200
@@ -143,22 +143,22 @@
         known = {"generation": 41, "reset": True, "instances": [one.entry("a")]}
         data = config_data([one.entry("a")], old.port, listen=f"127.0.0.1:{port}", known=known)
         path = tmp_path / "config.json"
-        async with started(path, data) as process, PatientCaller(port) as caller:
+        async with started(path, data) as process, PatientClient(port) as client:
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{free_port()}"}))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             async with asyncio.timeout(PATIENCE_S):
                 while b"discovery: " not in await process.stderr.readline():
                     pass  # the first call to nobody has failed
-            caller.ask()
-            assert (await caller.answer()).body == b"served"
+            client.ask()
+            assert (await client.answer()).body == b"served"
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
             async with asyncio.timeout(PATIENCE_S):
                 while "after=1&" not in await new.calls.get():
                     pass
-            caller.ask()
-            assert (await caller.answer()).body == b"second"
+            client.ask()
+            assert (await client.answer()).body == b"second"
         for item in (one, two):
             item.close()
         old.stop()
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -14,7 +14,8 @@
 
 import pytest
 
-from sandhatch.balancing.interface import NONE_HELD, ListKind, ServerState, WatchList
+from sandhatch.balancing.actions import WatchList
+from sandhatch.balancing.events import NO_VERSION, ListKind, ServerState
 from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
 from testkit.servers import entry
 from testkit.wire import PATIENCE_S, ok, read_head
@@ -252,9 +253,9 @@
             _, watch = await held.call()
             says(watch, version, False, a="leaving")
             failed = await told.next()
-            assert (failed.kind, failed.version) == (ListKind.FAILED, NONE_HELD)
+            assert (failed.kind, failed.version) == (ListKind.FAILED, NO_VERSION)
             assert told.states[1] is ServerState.READY
-            source.watch(ask(2, NONE_HELD))
+            source.watch(ask(2, NO_VERSION))
             target, _ = await held.call()
             assert target == "/v1/endpoints"
 
@@ -272,8 +273,8 @@
                 source.watch(ask())
                 _, late = await held.call()
             source.move(("127.0.0.1", after.port))
-            assert (await told.next()).kind is ListKind.MOVED
-            source.watch(ask(2, NONE_HELD))
+            assert (await told.next()).kind is ListKind.RELOCATED
+            source.watch(ask(2, NO_VERSION))
             target, writer = await after.call()
             assert "after" not in target  # its numbers are its own
             if watching:
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -7,31 +7,23 @@
 
 from dataclasses import dataclass, field
 
-from sandhatch.balancing.interface import (
-    Action,
+from sandhatch.balancing.actions import Action, Cancel, Fail, Probe, Reject, Send, SetTimer
+from sandhatch.balancing.events import (
     AttemptEnded,
-    Cancel,
-    Effect,
     Event,
-    Fail,
-    Group,
     ListKind,
     ListUpdate,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
-    Send,
     ServerEntry,
     ServerState,
-    SetTimer,
-    Settings,
     TimerFired,
 )
 from sandhatch.balancing.policy.balancer import Balancer
+from sandhatch.balancing.settings import DeduplicationScope, Effect, Settings
 
-UNRUN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
+UNRUN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED}
 
 
 @dataclass
@@ -59,7 +51,7 @@
         self.balancer = Balancer(settings, seed)
         self.now = start
         self.told: dict[int, ServerEntry] = {}
-        self.owed: dict[int, Owed] = {}
+        self.unanswered: dict[int, Owed] = {}
         self.alive: list[int] = []  # requests not settled yet
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
@@ -91,30 +83,36 @@
         left = cls.deadline_ms if left is None else left
         self.next_id += 1
         self.alive.append(self.next_id)
-        self.owed[self.next_id] = Owed(class_index, self.now + left)
+        self.unanswered[self.next_id] = Owed(class_index, self.now + left)
         ready = [e for e in self.told.values() if e.state is ServerState.READY]
         cold = [e for e in ready if self.is_cold(e)]
         if cold:
-            share = self.settings.cold_share
-            grown = sum(share + (1 - share) * (self.now - e.started_ms) / self.settings.cold_ms for e in cold)
+            share = self.settings.initial_capacity_share
+            grown = sum(
+                share + (1 - share) * (self.now - e.started_ms) / self.settings.warm_up_ms for e in cold
+            )
             self.cold_allowance += grown / len(ready)
         return self.feed(RequestArrived(self.next_id, class_index, left, tenant, expected_ms=hint))
 
     def is_cold(self, entry: ServerEntry) -> bool:
-        return entry.started_ms > 0 and self.now - entry.started_ms < self.settings.cold_ms
+        return entry.started_ms > 0 and self.now - entry.started_ms < self.settings.warm_up_ms
 
     def open_tries(self) -> list[tuple[int, int]]:
-        return [(r, n) for r in self.alive for n, t in enumerate(self.owed[r].tries) if t.outcome is None]
+        return [
+            (r, n) for r in self.alive for n, t in enumerate(self.unanswered[r].tries) if t.outcome is None
+        ]
 
     def end(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
-        owed = self.owed[request]
-        one = owed.tries[attempt]
+        unanswered = self.unanswered[request]
+        one = unanswered.tries[attempt]
         assert one.outcome is None
         one.outcome = outcome
-        if outcome is Outcome.OK and not owed.over:
-            owed.answers += 1
-            owed.over = True
-        return self.feed(AttemptEnded(request, attempt, one.server, outcome, owed.over, self.now - one.sent))
+        if outcome is Outcome.OK and not unanswered.over:
+            unanswered.answers += 1
+            unanswered.over = True
+        return self.feed(
+            AttemptEnded(request, attempt, one.server, outcome, unanswered.over, self.now - one.sent)
+        )
 
     def echo(self, report: tuple[float, ...], outcome: Outcome = Outcome.OK) -> list[Action]:
         return self.feed(ProbeEnded(self.probes.pop(0), outcome, 1.0, report))
@@ -123,12 +121,14 @@
         """Let time pass a tick at a time: timers fire and attempts run into their time-outs."""
         end = self.now + ms
         while self.now < end:
-            self.alive = [r for r in self.alive if not self._settled(self.owed[r])]
-            due = [t for t, _ in self.timers] + [self.owed[r].tries[n].expires for r, n in self.open_tries()]
+            self.alive = [r for r in self.alive if not self._settled(self.unanswered[r])]
+            due = [t for t, _ in self.timers] + [
+                self.unanswered[r].tries[n].expires for r, n in self.open_tries()
+            ]
             step = min([end, *due], default=end)
             self.now = max(self.now, min(step, end))
             for request, attempt in self.open_tries():
-                if self.owed[request].tries[attempt].expires <= self.now:
+                if self.unanswered[request].tries[attempt].expires <= self.now:
                     self.end(request, attempt, Outcome.TIMEOUT)
             ripe = sorted(item for item in self.timers if item[0] <= self.now)
             self.timers = [item for item in self.timers if item[0] > self.now]
@@ -137,30 +137,32 @@
             self.check_answers()
 
     @staticmethod
-    def _settled(owed: Owed) -> bool:
-        return owed.over and all(t.outcome is not None for t in owed.tries)
+    def _settled(unanswered: Owed) -> bool:
+        return unanswered.over and all(t.outcome is not None for t in unanswered.tries)
 
     # the account
 
     def check_answers(self) -> None:
         slack = self.settings.answer_slack_ms
         for request in self.alive:
-            owed = self.owed[request]
-            assert owed.answers <= 1, f"request {request} answered twice"
-            assert owed.over or self.now <= owed.deadline + slack, f"request {request} lost"
+            unanswered = self.unanswered[request]
+            assert unanswered.answers <= 1, f"request {request} answered twice"
+            assert unanswered.over or self.now <= unanswered.deadline + slack, f"request {request} lost"
 
     def _take(self, action: Action) -> None:
         if isinstance(action, Send):
             self._take_send(action)
-        elif isinstance(action, Refuse):
-            owed = self.owed[action.request]
-            self._answer(owed, action.request)
-            cls = self.settings.classes[owed.class_index]
-            ran = [t for t in owed.tries if t.outcome not in UNRUN]
-            harmless = cls.effect is Effect.SAFE or (cls.effect is Effect.KEYED and cls.group is Group.ALL)
+        elif isinstance(action, Reject):
+            unanswered = self.unanswered[action.request]
+            self._answer(unanswered, action.request)
+            cls = self.settings.classes[unanswered.class_index]
+            ran = [t for t in unanswered.tries if t.outcome not in UNRUN]
+            harmless = cls.effect is Effect.IDEMPOTENT or (
+                cls.effect is Effect.IDEMPOTENT_WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
+            )
             assert harmless or not ran, "refused though it may have run"
         elif isinstance(action, Fail):
-            self._answer(self.owed[action.request], action.request)
+            self._answer(self.unanswered[action.request], action.request)
         elif isinstance(action, SetTimer):
             assert action.delay_ms >= 0
             self.timers.append((self.now + max(action.delay_ms, self.settings.tick_ms), action.cookie))
@@ -170,41 +172,43 @@
             self.probes.append(action.server)
         elif isinstance(action, Cancel):
             assert self.settings.may_cancel
-            assert action.attempt < len(self.owed[action.request].tries)
+            assert action.attempt < len(self.unanswered[action.request].tries)
 
-    def _answer(self, owed: Owed, request: int) -> None:
-        assert not owed.over, f"request {request} answered after its end"
-        owed.answers += 1
-        owed.over = True
+    def _answer(self, unanswered: Owed, request: int) -> None:
+        assert not unanswered.over, f"request {request} answered after its end"
+        unanswered.answers += 1
+        unanswered.over = True
 
     def _take_send(self, action: Send) -> None:
-        owed = self.owed[action.request]
-        cls = self.settings.classes[owed.class_index]
+        unanswered = self.unanswered[action.request]
+        cls = self.settings.classes[unanswered.class_index]
         entry = self.told.get(action.server)
-        assert not owed.over, "sent for a request that is over"
-        assert (
-            entry is not None and entry.state is ServerState.READY
-        ), "sent to a server that drains or is gone"
-        assert len(owed.tries) < self.settings.max_attempts, "more attempts than allowed"
-        if not self.settings.second_copies:
-            assert all(t.outcome is not None for t in owed.tries), "two attempts at once"
-        ran = [t for t in owed.tries if t.outcome not in UNRUN]
-        if cls.effect is Effect.UNSAFE:
+        assert not unanswered.over, "sent for a request that is over"
+        assert entry is not None and entry.state is ServerState.READY, (
+            "sent to a server that drains or is gone"
+        )
+        assert len(unanswered.tries) < self.settings.max_attempts, "more attempts than allowed"
+        if not self.settings.hedging_allowed:
+            assert all(t.outcome is not None for t in unanswered.tries), "two attempts at once"
+        ran = [t for t in unanswered.tries if t.outcome not in UNRUN]
+        if cls.effect is Effect.NON_IDEMPOTENT:
             assert not ran, "unsafe sent again though it may have run"
-        if cls.effect is Effect.KEYED and ran:
-            assert self.now < ran[0].sent + cls.memory_ms, "keyed sent again after its memory"
-            if cls.group is Group.ZONE:
+        if cls.effect is Effect.IDEMPOTENT_WITH_KEY and ran:
+            assert self.now < ran[0].sent + cls.deduplication_ms, "keyed sent again after its memory"
+            if cls.deduplication_scope is DeduplicationScope.ZONE:
                 assert all(t.zone == entry.zone for t in ran), "keyed sent again outside its zone"
-            if cls.group is Group.CELL:
-                assert all(
-                    (t.zone, t.cell) == (entry.zone, entry.cell) for t in ran
-                ), "keyed outside its cell"
+            if cls.deduplication_scope is DeduplicationScope.CELL:
+                assert all((t.zone, t.cell) == (entry.zone, entry.cell) for t in ran), (
+                    "keyed outside its cell"
+                )
         if self.is_cold(entry):
             self.cold_sends += 1
             # Own bound: the cold servers' fair part of the traffic, cut to their capacity, and a little to
             # begin with.
             assert self.cold_sends <= 4 + 1.1 * self.cold_allowance, "cold server pushed"
         expires = (
-            owed.deadline if action.timeout_ms <= 0 else min(owed.deadline, self.now + action.timeout_ms)
+            unanswered.deadline
+            if action.timeout_ms <= 0
+            else min(unanswered.deadline, self.now + action.timeout_ms)
         )
-        owed.tries.append(Try(entry.server, entry.zone, entry.cell, self.now, expires))
+        unanswered.tries.append(Try(entry.server, entry.zone, entry.cell, self.now, expires))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -13,27 +13,17 @@
 from random import Random
 from typing import Any
 
+from sandhatch.balancing.actions import Action, Fail, Send
 from sandhatch.balancing.endpoint_freshness import COOKIES, Freshness
-from sandhatch.balancing.interface import (
-    Action,
-    AttemptEnded,
-    Effect,
-    Event,
-    Fail,
-    ListUpdate,
-    RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
-    TimerFired,
-)
+from sandhatch.balancing.events import AttemptEnded, Event, ListUpdate, RequestArrived, TimerFired
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.config.platform import decode
 from sandhatch.discovery.client import Discovery
-from sandhatch.dispatch.dispatcher import Decisions, Engine
+from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
 from sandhatch.downstream.listener import Listener
-from sandhatch.platform.program import Single
-from sandhatch.runtime.shared import Shared
-from testkit.callers import Caller, request_bytes
+from sandhatch.platform.program import PlatformProgram
+from sandhatch.runtime.shared import SharedResources
+from testkit.clients import HttpClient, request_bytes
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
 from testkit.servers import Behaviour, FakeUpstream, Talk, entry, serve_ok
@@ -47,7 +37,7 @@
     """
 
     def __init__(self, servers: list[int], timeout_ms: float = 0.0, follows: bool = True) -> None:
-        terms = Settings([RequestClass(1.0, 1.0, Effect.SAFE)], watch_renewed=follows)
+        terms = Settings([RequestClass(1.0, 1.0, Effect.IDEMPOTENT)], one_shot_watches=follows)
         self.freshness = Freshness(terms, Random(1))
         self.servers = servers
         self.timeout_ms = timeout_ms
@@ -87,11 +77,11 @@
 
 @dataclass
 class Running:
-    engine: Engine
+    dispatcher: Dispatcher
     listener: Listener
     discovery: FakeDiscovery
     port: int
-    shared: Shared
+    shared: SharedResources
     watch: Discovery
     errors: list[str] = field(default_factory=list)
 
@@ -125,18 +115,18 @@
     }
     data = config_data(list(entries), discovery.port, settings=settings, **more)
     config = decode(json.dumps(data), {})
-    single = Single(config, asyncio.get_running_loop(), script)
-    engine, listener = single.engine, single.listener
-    engine.upstreams.REST_MS = rest_ms
+    single = PlatformProgram(config, asyncio.get_running_loop(), script)
+    dispatcher, listener = single.dispatcher, single.listener
+    dispatcher.connection_pool.REST_MS = rest_ms
     listener.start()
-    engine.source.start()
+    dispatcher.source.start()
     try:
-        yield Running(engine, listener, discovery, listener.port, single.shared, single.discovery)
+        yield Running(dispatcher, listener, discovery, listener.port, single.shared, single.discovery)
     finally:
-        engine.source.stop()
+        dispatcher.source.stop()
         listener.stop_accepting()
         listener.end_idle()
-        engine.upstreams.close()
+        dispatcher.connection_pool.close()
         discovery.stop()
         await asyncio.sleep(0)
 
@@ -146,9 +136,9 @@
     "SETTINGS",
     "Answer",
     "Behaviour",
-    "Caller",
     "FakeDiscovery",
     "FakeUpstream",
+    "HttpClient",
     "Incoming",
     "Running",
     "Script",
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from sandhatch.balancing.interface import Effect, RequestClass, ServerEntry, Settings
+from sandhatch.balancing.events import ServerEntry
 from sandhatch.balancing.policy.balancer import Server, SlowStart
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from testkit.tier import SimServer, Tier, TierPlan
 
 PLAN = TierPlan(
@@ -128,7 +129,10 @@
     copy draws with each of its calls: what they may send it is its own credit, not what they had left.
     """
     settings = Settings(
-        [RequestClass(1.0, 1.0, Effect.SAFE)], cold_share=0.15, cold_ms=15_000.0, copies=copies
+        [RequestClass(1.0, 1.0, Effect.IDEMPOTENT)],
+        initial_capacity_share=0.15,
+        warm_up_ms=15_000.0,
+        instances=copies,
     )
     rng = Random(copies)
     slow = [SlowStart(settings, rng) for _ in range(copies)]
--- a/tests/fleet/test_lists.py
+++ b/tests/fleet/test_lists.py
@@ -42,7 +42,7 @@
     for number in range(0, 60, 3):
         tier.at(10_000.0 + 100.0 * number, lambda number=number: tier.replace(number))  # type: ignore[misc]
     tier.run(30_000.0)
-    assert len(tier.discovery.told_ms) == copies
+    assert len(tier.discovery.notified_ms) == copies
     for forwarder in tier.forwarders:
         listed = forwarder.balancer.fleet.servers
         assert all(tier.servers[number].up for number in listed) and len(listed) == 60
@@ -70,8 +70,8 @@
     """Overload turns calls away too; the list has nothing to tell of that."""
     tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
     tier.run(20_000.0)
-    refused = [s for f in tier.forwarders for s in f.balancer.fleet.servers.values() if s.ejections]
-    assert len(tier.discovery.calls_ms) - 3 <= 6, refused
+    rejected = [s for f in tier.forwarders for s in f.balancer.fleet.servers.values() if s.ejections]
+    assert len(tier.discovery.calls_ms) - 3 <= 6, rejected
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -85,5 +85,5 @@
     tier.run(30_000.0)
     calls = tier.discovery.calls_ms
     assert most_in_a_second(calls) <= 40  # one a copy
-    assert len(tier.discovery.told_ms) == 40
-    assert max(tier.discovery.told_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.ask_within_ms
+    assert len(tier.discovery.notified_ms) == 40
+    assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.ask_within_ms
--- a/tests/freshness/fleet.py
+++ b/tests/freshness/fleet.py
@@ -9,18 +9,10 @@
 from heapq import heappop, heappush
 from random import Random
 
-from sandhatch.balancing.endpoint_freshness import MOVED_MS, TOLD_MS, Freshness
-from sandhatch.balancing.interface import (
-    NONE_HELD,
-    Action,
-    Effect,
-    ListKind,
-    ListUpdate,
-    RequestClass,
-    SetTimer,
-    Settings,
-    WatchList,
-)
+from sandhatch.balancing.actions import Action, SetTimer, WatchList
+from sandhatch.balancing.endpoint_freshness import MOVED_MS, NOTIFIED_MS, Freshness
+from sandhatch.balancing.events import NO_VERSION, ListKind, ListUpdate
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 
 CONTINUES_MS = 200.0  # a watch goes on if the next call comes so soon after its last answer
 
@@ -39,11 +31,11 @@
 
 @dataclass
 class Change:
-    """`reached_ms`: since when discovery has it and could be reached; `told_ms` later it counts as told."""
+    """`reached_ms`: since when discovery has it and could be reached; `notified_ms` later it counts."""
 
     version: int
     reached_ms: float
-    told_ms: float = TOLD_MS
+    notified_ms: float = NOTIFIED_MS
 
 
 class Fleet:
@@ -63,19 +55,19 @@
     ) -> None:
         self.rng = Random(seed)
         settings = Settings(
-            [RequestClass(1.0, 1.0, Effect.SAFE)],
-            copies=peers or copies,
+            [RequestClass(1.0, 1.0, Effect.IDEMPOTENT)],
+            instances=peers or copies,
             tiers=1 if peers is None else 3,
-            on_request_discovery=not pushed,
+            polled_discovery=not pushed,
             drain_grace_ms=1_000.0 if keeps_ms < 2_000.0 else 2_000.0,
-            watch_renewed=True,
+            one_shot_watches=True,
         )
         self.now = 0.0
         self.version = 1
         self.changes: list[Change] = []
         self.calls_ms: list[float] = []  # that take a turn
         self.renewals_ms: list[float] = []
-        self.refused = 0
+        self.rejected = 0
         self.up, self.mute = True, False
         self._keeps_ms = keeps_ms
         self._turn_ms = 1_000.0 / rate_per_s
@@ -86,7 +78,7 @@
             Copy(number, Freshness(settings, Random(self.rng.getrandbits(64)))) for number in range(copies)
         ]
         for copy in self.copies:
-            self._hear(copy, ListUpdate(ListKind.CACHED, copy.version if known else NONE_HELD))
+            self._hear(copy, ListUpdate(ListKind.CACHED, copy.version if known else NO_VERSION))
 
     # ------------------------------------------------ time
 
@@ -105,9 +97,9 @@
 
     # ------------------------------------------------ what happens to discovery
 
-    def change(self, reached_ms: float | None = None, told_ms: float = TOLD_MS) -> None:
+    def change(self, reached_ms: float | None = None, notified_ms: float = NOTIFIED_MS) -> None:
         self.version += 1
-        self.changes.append(Change(self.version, self.now if reached_ms is None else reached_ms, told_ms))
+        self.changes.append(Change(self.version, self.now if reached_ms is None else reached_ms, notified_ms))
         if not self.mute and self.up:
             for copy in self.copies:
                 if copy.out is not None and copy.out.wait_ms and copy.linked:
@@ -147,9 +139,9 @@
             copy.out, copy.linked = None, False
             self.after(
                 100.0 * self.rng.random(),
-                lambda copy=copy: self._hear(copy, ListUpdate(ListKind.MOVED, NONE_HELD)),  # type: ignore[misc]
+                lambda copy=copy: self._hear(copy, ListUpdate(ListKind.RELOCATED, NO_VERSION)),  # type: ignore[misc]
             )
-        self.change(told_ms=MOVED_MS)
+        self.change(notified_ms=MOVED_MS)
 
     # ------------------------------------------------ calls
 
@@ -174,7 +166,7 @@
     def _call(self, copy: Copy, order: WatchList) -> None:
         copy.out, copy.begun_ms = order, self.now
         self.after(order.patience_ms, lambda: self._fail(copy, order))
-        goes_on = copy.linked and self.now - copy.answered_ms <= CONTINUES_MS and order.after != NONE_HELD
+        goes_on = copy.linked and self.now - copy.answered_ms <= CONTINUES_MS and order.after != NO_VERSION
         (self.renewals_ms if goes_on else self.calls_ms).append(self.now)
         copy.linked = not self.mute
         if not self.up:
@@ -192,7 +184,7 @@
         begin = max(self.now, self._free_ms)
         self._free_ms = begin + self._turn_ms  # a call that is refused costs as much as one that is taken
         if begin - self.now > self._keeps_ms:
-            self.refused += 1
+            self.rejected += 1
             self.after(0.1, lambda: self._fail(copy, order))
             return
         self.at(max(self._free_ms, self.now + order.wait_ms), lambda: self._answer(copy, order))
@@ -201,13 +193,13 @@
         if copy.out is not order or not copy.linked:
             return
         copy.out, copy.answered_ms = None, self.now
-        kind = ListKind.FULL if order.after == NONE_HELD else ListKind.DELTA
+        kind = ListKind.FULL if order.after == NO_VERSION else ListKind.DELTA
         self._hear(copy, ListUpdate(kind, self.version, call=order.call))
 
     def _fail(self, copy: Copy, order: WatchList) -> None:
         if copy.out is order:
             copy.out, copy.linked = None, False
-            held = copy.version if copy.freshness._held != NONE_HELD else NONE_HELD
+            held = copy.version if copy.freshness._held != NO_VERSION else NO_VERSION
             self._hear(copy, ListUpdate(ListKind.FAILED, held, call=order.call))
 
     # ------------------------------------------------ what came of it
@@ -216,7 +208,7 @@
         """The longest that any copy had a change later than it counts as told; less than 0: never later."""
         worst = float("-inf")
         for change in self.changes:
-            told = change.reached_ms + change.told_ms
+            told = change.reached_ms + change.notified_ms
             if told > self.now:
                 continue
             for copy in self.copies:
--- a/tests/freshness/test_bound.py
+++ b/tests/freshness/test_bound.py
@@ -164,7 +164,7 @@
     """The agent's word counts at its return: the shortest grace in use is 0.7 s."""
     fleet = Fleet(1, seed, 100.0, 1_000.0, pushed=True)
     fleet.at(5_000.0, fleet.go_down)
-    fleet.at(6_000.0, lambda: fleet.change(reached_ms=NEVER, told_ms=0.0))
+    fleet.at(6_000.0, lambda: fleet.change(reached_ms=NEVER, notified_ms=0.0))
     fleet.at(9_000.0 + 1_000.0 * fleet.rng.random(), fleet.come_back)
     fleet.run(20_000.0)
     assert fleet.latest_ms() <= 700.0
--- a/tests/freshness/test_settings.py
+++ b/tests/freshness/test_settings.py
@@ -10,8 +10,9 @@
 
 import pytest
 
-from sandhatch.balancing.endpoint_freshness import LEAST_MS, TOLD_MS, Freshness, told_after_ms
-from sandhatch.balancing.interface import ListKind, ListUpdate, SetTimer, WatchList
+from sandhatch.balancing.actions import SetTimer, WatchList
+from sandhatch.balancing.endpoint_freshness import LEAST_MS, NOTIFIED_MS, Freshness, notified_after_ms
+from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
 from sandhatch.runtime.address import ConfigError
 from testkit.platform import SETTINGS, config_data, entry
@@ -71,7 +72,7 @@
     if key == "PeersTotal" and value is not ...:
         value = int(value)
     settings = decode(text_of(settings_with(key, value)), {}).settings
-    assert LEAST_MS <= told_after_ms(settings) <= TOLD_MS
+    assert LEAST_MS <= notified_after_ms(settings) <= NOTIFIED_MS
     freshness = Freshness(settings, Random(1))
     now, calls = 0.0, []
     actions = freshness.heard(ListUpdate(ListKind.CACHED, 1), now)
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -8,17 +8,9 @@
 from typing import Any
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.interface import (
-    Effect,
-    Guidance,
-    GuidanceRefused,
-    Lent,
-    ListKind,
-    ListUpdate,
-    RequestClass,
-    ServerEntry,
-    Settings,
-)
+from sandhatch.balancing.actions import GuidanceRejected
+from sandhatch.balancing.events import Guidance, ListKind, ListUpdate, OwnSharesLeased, ServerEntry
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.forwarder import ForwarderTerms
 from sandhatch.planning.keys import SharedKey
 from sandhatch.planning.link import ForwarderLink, Watcher
@@ -30,8 +22,8 @@
 
 KEY = SharedKey(b"k" * 32)
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
-CLASS = RequestClass(aim_ms=100.0, deadline_ms=1000.0, effect=Effect.SAFE, name="view")
-SETTINGS = Settings(classes=[CLASS], copies=4, ramp_per_s=100.0, tier=1, max_attempts=2)
+CLASS = RequestClass(objective_ms=100.0, deadline_ms=1000.0, effect=Effect.IDEMPOTENT, name="view")
+SETTINGS = Settings(classes=[CLASS], instances=4, ramp_per_s=100.0, tier=1, max_attempts=2)
 TERMS = ForwarderTerms(report_ms=50.0, most_lease_ms=10_000.0, hold_ms=100.0)
 
 
@@ -42,26 +34,26 @@
         self.clock = clock
         self.settings = settings
         self.balancer = Balancer(settings, 1)
-        self.events: list[Guidance | Lent] = []
-        self.refused: list[GuidanceRefused] = []
+        self.events: list[Guidance | OwnSharesLeased] = []
+        self.rejected: list[GuidanceRejected] = []
         self.observer: Watcher | None = None
-        self._told: Callable[[GuidanceRefused], None] = self.refused.append
+        self._told: Callable[[GuidanceRejected], None] = self.rejected.append
         self.update = ListUpdate(ListKind.FULL, 1, [ServerEntry(n) for n in range(4)])
         self.balancer.handle(clock.now_ms(), self.update)
 
-    def refusals_to(self, told: Callable[[GuidanceRefused], None]) -> None:
+    def on_guidance_rejected(self, told: Callable[[GuidanceRejected], None]) -> None:
         self._told = told
 
-    def advise(self, event: Guidance | Lent) -> None:
+    def advise(self, event: Guidance | OwnSharesLeased) -> None:
         self.events.append(event)
         for action in self.balancer.handle(self.clock.now_ms(), event):
-            assert isinstance(action, GuidanceRefused)
-            self.refused.append(action)
+            assert isinstance(action, GuidanceRejected)
+            self.rejected.append(action)
             self._told(action)
 
     def observe(self, observer: Watcher) -> None:
         self.observer = observer
-        observer.hear_list(self.update, ADDRESSES)
+        observer.on_endpoint_list(self.update, ADDRESSES)
 
     @property
     def guidances(self) -> list[Guidance]:
@@ -71,8 +63,8 @@
 class Post:
     """One forwarder."""
 
-    def __init__(self, link: ForwarderLink, engine: FakeEngine, lines: list[str]) -> None:
-        self.link, self.engine, self.lines = link, engine, lines
+    def __init__(self, link: ForwarderLink, dispatcher: FakeEngine, lines: list[str]) -> None:
+        self.link, self.dispatcher, self.lines = link, dispatcher, lines
 
     def side(self, planner: str) -> dict[str, Any]:
         rows: Sequence[dict[str, Any]] = self.link.status()["planners"]
@@ -94,11 +86,11 @@
     lines: list[str] = []
     addresses = {name: ("127.0.0.1", port) for name, port in ports.items()}
     link = ForwarderLink("f0", addresses, KEY, clock, lines.append, terms, 1, quiet_ms)
-    engine = FakeEngine(clock)
-    link.attach("core", engine, SETTINGS)
+    dispatcher = FakeEngine(clock)
+    link.attach("core", dispatcher, SETTINGS)
     link.start()
     try:
-        yield Post(link, engine, lines)
+        yield Post(link, dispatcher, lines)
     finally:
         link.stop()
 
--- a/tests/planning/test_advice.py
+++ b/tests/planning/test_advice.py
@@ -9,36 +9,32 @@
 import pytest
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.guidance import Guide, SharedRamp, Slide, safe_part
-from sandhatch.balancing.interface import (
+from sandhatch.balancing.actions import Fail, GuidanceRejected, Send
+from sandhatch.balancing.errors import SettingsError
+from sandhatch.balancing.events import (
     AttemptEnded,
-    Effect,
-    Fail,
     Guidance,
-    GuidanceRefused,
-    Lent,
     ListKind,
     ListUpdate,
     Outcome,
-    Part,
+    OwnSharesLeased,
+    RampShare,
     RequestArrived,
-    RequestClass,
-    Send,
     ServerEntry,
     ServerState,
-    Settings,
-    SettingsError,
-    Weight,
+    ServerWeight,
 )
+from sandhatch.balancing.guidance import GuidanceState, SharedRamp, Slide, safe_part
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.balancing.state_transfer import inherit
 
-CLASS = RequestClass(aim_ms=100.0, deadline_ms=1000.0, effect=Effect.SAFE, name="view")
+CLASS = RequestClass(objective_ms=100.0, deadline_ms=1000.0, effect=Effect.IDEMPOTENT, name="view")
 SETTINGS = Settings(
     classes=[CLASS],
-    copies=4,
-    me=1,
-    cold_share=0.1,
-    cold_ms=10_000.0,
+    instances=4,
+    instance_index=1,
+    initial_capacity_share=0.1,
+    warm_up_ms=10_000.0,
     ramp_per_s=100.0,
     max_attempts=2,
     tier=1,
@@ -54,16 +50,18 @@
 
 
 def guidance(weights: dict[int, float] | None = None, **other: object) -> Guidance:
-    rows = None if weights is None else [Weight(*item) for item in weights.items()]
+    rows = None if weights is None else [ServerWeight(*item) for item in weights.items()]
     event = Guidance("one", 1_000.0, 3_000.0, rows)
     for name, value in other.items():
         setattr(event, name, value)
     return event
 
 
-def guide_of(servers: int, settings: Settings = SETTINGS) -> tuple[Guide, dict[int, Node], list[int]]:
+def guidance_state_of(
+    servers: int, settings: Settings = SETTINGS
+) -> tuple[GuidanceState, dict[int, Node], list[int]]:
     nodes = {n: Node(n, 0.0) for n in range(servers)}
-    return Guide(settings, Random(1)), nodes, list(nodes)
+    return GuidanceState(settings, Random(1)), nodes, list(nodes)
 
 
 # ------------------------------------------------ slides
@@ -101,9 +99,9 @@
 
 
 def test_a_copy_outside_the_configured_number_and_a_burst_of_no_call_are_refused() -> None:
-    with pytest.raises(SettingsError, match="me: 4 is not below the number of copies, 4"):
-        replace(SETTINGS, me=4)
-    with pytest.raises(SettingsError, match="ramp_burst: 0.5"):
+    with pytest.raises(SettingsError, match="instance_index: 4 is not below the number of instances, 4"):
+        replace(SETTINGS, instance_index=4)
+    with pytest.raises(SettingsError, match=r"ramp_burst: 0\.5"):
         replace(SETTINGS, ramp_burst=0.5)
 
 
@@ -136,7 +134,7 @@
 def test_a_granted_part_counts_while_its_lease_lives_and_none_after_it_until_the_own_is_back() -> None:
     ramp, node = SharedRamp(SETTINGS), Node(7)
     ramp.watch([node], 1_000.0)
-    ramp.grant([Part(7, 1.0, 2.0)], 2_000.0, 4_000.0, 5_000.0, 2_100.0)
+    ramp.grant([RampShare(7, 1.0, 2.0)], 2_000.0, 4_000.0, 5_000.0, 2_100.0)
     assert ramp.part(node, 2_500.0) == (1.0, 2.0)
     assert ramp.part(node, 3_500.0) == (0.5, 2.0)  # fades over the last half
     assert ramp.part(node, 4_000.0) == (0.0, 0.0)
@@ -150,7 +148,7 @@
     ramp, node = SharedRamp(replace(SETTINGS, ramp_per_s=10_000.0, ramp_burst=400.0)), Node(7)
     ramp.watch([node], 1_000.0)
     ramp.grant([], 1_000.0, 3_000.0, 4_000.0, 1_000.0)
-    ramp.grant([Part(7, 1.0, 400.0)], 3_990.0, 5_990.0, 6_990.0, 3_990.0)
+    ramp.grant([RampShare(7, 1.0, 400.0)], 3_990.0, 5_990.0, 6_990.0, 3_990.0)
     assert sent(ramp, node, 3_990, 3_991) == 0
 
 
@@ -158,7 +156,7 @@
     ramp, node = SharedRamp(replace(SETTINGS, ramp_burst=40.0)), Node(7)
     ramp.watch([node], 1_000.0)
     assert ramp.admits(node, 9_000.0)  # full: ten calls
-    ramp.grant([Part(7, 0.1, 1.0)], 9_000.0, 11_000.0, 12_000.0, 9_000.0)
+    ramp.grant([RampShare(7, 0.1, 1.0)], 9_000.0, 11_000.0, 12_000.0, 9_000.0)
     assert sent(ramp, node, 9_000, 9_001) == 1
     assert not ramp.admits(node, 9_001.0)
 
@@ -166,21 +164,21 @@
 def test_credit_of_a_grant_is_gone_at_the_very_moment_of_its_end() -> None:
     ramp, node = SharedRamp(replace(SETTINGS, ramp_per_s=10_000.0)), Node(7)
     ramp.watch([node], 1_000.0)
-    ramp.grant([Part(7, 1.0, 4.0)], 2_000.0, 4_000.0, 5_000.0, 2_000.0)
+    ramp.grant([RampShare(7, 1.0, 4.0)], 2_000.0, 4_000.0, 5_000.0, 2_000.0)
     assert ramp.admits(node, 3_999.0)
     assert not ramp.admits(node, 4_000.0)
 
 
 def test_advice_that_comes_late_leaves_what_is_granted() -> None:
-    guide, nodes, warm = guide_of(4)
+    guidance_state, nodes, warm = guidance_state_of(4)
     nodes[2].started_ms = 900.0
-    part = Part(2, 0.9, 3.0)
-    guide.take(
-        guidance(lent=True, parts=[part], lent_until_ms=9_000.0, until_ms=5_000.0), nodes, warm, 1_000.0
+    part = RampShare(2, 0.9, 3.0)
+    guidance_state.take(
+        guidance(leased=True, parts=[part], leased_until_ms=9_000.0, until_ms=5_000.0), nodes, warm, 1_000.0
     )
-    guide.take(guidance(lent=True, lent_until_ms=9_000.0), nodes, warm, 3_500.0)
-    assert guide.ramp is not None
-    assert guide.ramp.part(nodes[2], 2_000.0) == (0.9, 3.0)
+    guidance_state.take(guidance(leased=True, leased_until_ms=9_000.0), nodes, warm, 3_500.0)
+    assert guidance_state.ramp is not None
+    assert guidance_state.ramp.part(nodes[2], 2_000.0) == (0.9, 3.0)
 
 
 def test_a_new_process_of_a_server_begins_its_ramp_anew() -> None:
@@ -202,51 +200,51 @@
 
 
 def test_weights_slide_in_and_lapse_by_themselves() -> None:
-    guide, nodes, warm = guide_of(4)
-    assert guide.take(guidance({2: 0.2}), nodes, warm, 1_000.0) is None
-    assert guide.weight(2, 1_000.0) == 1.0
-    assert guide.weight(2, 1_200.0) == pytest.approx(0.6)
-    assert guide.weight(2, 2_999.0) == pytest.approx(0.2)
-    assert guide.weight(2, 4_500.0) == pytest.approx(0.6)
-    assert guide.weight(2, 6_000.0) == 1.0
+    guidance_state, nodes, warm = guidance_state_of(4)
+    assert guidance_state.take(guidance({2: 0.2}), nodes, warm, 1_000.0) is None
+    assert guidance_state.weight(2, 1_000.0) == 1.0
+    assert guidance_state.weight(2, 1_200.0) == pytest.approx(0.6)
+    assert guidance_state.weight(2, 2_999.0) == pytest.approx(0.2)
+    assert guidance_state.weight(2, 4_500.0) == pytest.approx(0.6)
+    assert guidance_state.weight(2, 6_000.0) == 1.0
 
 
 def test_a_server_is_passed_over_as_often_as_its_weight_has_it() -> None:
-    guide, nodes, warm = guide_of(4)
-    guide.take(guidance({2: 0.25}, until_ms=10_000.0), nodes, warm, 1_000.0)
-    passed = sum(guide.declines(2, 9_000.0) for _ in range(4_000))
+    guidance_state, nodes, warm = guidance_state_of(4)
+    guidance_state.take(guidance({2: 0.25}, until_ms=10_000.0), nodes, warm, 1_000.0)
+    passed = sum(guidance_state.declines(2, 9_000.0) for _ in range(4_000))
     assert 2_850 < passed < 3_150
-    assert not any(guide.declines(1, 9_000.0) for _ in range(100))
+    assert not any(guidance_state.declines(1, 9_000.0) for _ in range(100))
 
 
 def test_two_planners_of_opposite_opinion_cancel_each_other() -> None:
-    guide, nodes, warm = guide_of(4)
+    guidance_state, nodes, warm = guidance_state_of(4)
     for now in (1_000.0, 5_000.0):
-        guide.take(guidance({0: 0.2, 1: 0.2}, until_ms=9_000.0), nodes, warm, now)
-        guide.take(guidance({2: 0.2, 3: 0.2}, planner="two", until_ms=9_000.0), nodes, warm, now)
-    weights = [guide.weight(n, 8_500.0) for n in range(4)]
+        guidance_state.take(guidance({0: 0.2, 1: 0.2}, until_ms=9_000.0), nodes, warm, now)
+        guidance_state.take(guidance({2: 0.2, 3: 0.2}, planner="two", until_ms=9_000.0), nodes, warm, now)
+    weights = [guidance_state.weight(n, 8_500.0) for n in range(4)]
     assert max(weights) - min(weights) < 1e-9
 
 
 def test_one_of_three_planners_that_is_wrong_changes_nothing() -> None:
-    guide, nodes, warm = guide_of(4)
+    guidance_state, nodes, warm = guidance_state_of(4)
     for planner in ("one", "two"):
-        guide.take(guidance({3: 0.5}, planner=planner, until_ms=9_000.0), nodes, warm, 1_000.0)
-    guide.take(guidance({0: 0.0}, planner="three", until_ms=9_000.0), nodes, warm, 1_000.0)
-    assert [guide.weight(n, 8_000.0) for n in range(4)] == [1.0, 1.0, 1.0, 0.5]
+        guidance_state.take(guidance({3: 0.5}, planner=planner, until_ms=9_000.0), nodes, warm, 1_000.0)
+    guidance_state.take(guidance({0: 0.0}, planner="three", until_ms=9_000.0), nodes, warm, 1_000.0)
+    assert [guidance_state.weight(n, 8_000.0) for n in range(4)] == [1.0, 1.0, 1.0, 0.5]
 
 
 def test_all_servers_slow_says_nothing() -> None:
-    guide, nodes, warm = guide_of(4)
-    assert guide.take(guidance(dict.fromkeys(range(4), 0.05)), nodes, warm, 1_000.0) is None
-    assert [guide.weight(n, 2_900.0) for n in range(4)] == [1.0] * 4
+    guidance_state, nodes, warm = guidance_state_of(4)
+    assert guidance_state.take(guidance(dict.fromkeys(range(4), 0.05)), nodes, warm, 1_000.0) is None
+    assert [guidance_state.weight(n, 2_900.0) for n in range(4)] == [1.0] * 4
 
 
 def test_weights_of_none_let_those_before_live_on() -> None:
-    guide, nodes, warm = guide_of(4)
-    guide.take(guidance({2: 0.5}), nodes, warm, 1_000.0)
-    guide.take(guidance(None, until_ms=20_000.0), nodes, warm, 2_900.0)
-    assert guide.weight(2, 9_000.0) == 0.5
+    guidance_state, nodes, warm = guidance_state_of(4)
+    guidance_state.take(guidance({2: 0.5}), nodes, warm, 1_000.0)
+    guidance_state.take(guidance(None, until_ms=20_000.0), nodes, warm, 2_900.0)
+    assert guidance_state.weight(2, 9_000.0) == 0.5
 
 
 # ------------------------------------------------ bounds
@@ -258,42 +256,42 @@
         (guidance({0: 1.5}), "a weight is not between 0 and 1"),
         (guidance({0: math.nan}), "a weight is not between 0 and 1"),
         (guidance({0: 0.0, 1: 0.0, 2: 0.1}), "only 1 of 4 ready servers keep half"),
-        (guidance(parts=[Part(0, 1.5, 1.0)]), "a part of a ramp is not"),
-        (guidance(parts=[Part(0, 0.5, 5.0)]), "a part of a ramp is not"),
+        (guidance(parts=[RampShare(0, 1.5, 1.0)]), "a part of a ramp is not"),
+        (guidance(parts=[RampShare(0, 0.5, 5.0)]), "a part of a ramp is not"),
         (guidance(own_part=0.1), "the part of what the tier bears is 0.1, not between 0.125 and 1"),
         (guidance(own_part=math.nan), "the part of what the tier bears"),
     ],
 )
 def test_advice_out_of_bounds_is_refused_whole_with_a_reason(event: Guidance, why: str) -> None:
-    guide, nodes, warm = guide_of(4)
-    event.lent = True
-    refused = guide.take(event, nodes, warm, 1_000.0)
-    assert refused is not None and refused.planner == "one" and why in refused.why
-    assert [guide.weight(n, 2_500.0) for n in range(4)] == [1.0] * 4
-    assert guide.own_part(2_500.0) == 0.25
+    guidance_state, nodes, warm = guidance_state_of(4)
+    event.leased = True
+    rejected = guidance_state.take(event, nodes, warm, 1_000.0)
+    assert rejected is not None and rejected.planner == "one" and why in rejected.why
+    assert [guidance_state.weight(n, 2_500.0) for n in range(4)] == [1.0] * 4
+    assert guidance_state.own_part(2_500.0) == 0.25
 
 
 def test_advice_that_comes_after_its_lease_does_not_count() -> None:
-    guide, nodes, warm = guide_of(4)
-    assert guide.take(guidance({2: 0.5}), nodes, warm, 3_000.0) is None
-    assert guide.weight(2, 9_000.0) == 1.0
+    guidance_state, nodes, warm = guidance_state_of(4)
+    assert guidance_state.take(guidance({2: 0.5}), nodes, warm, 3_000.0) is None
+    assert guidance_state.weight(2, 9_000.0) == 1.0
 
 
 def test_the_part_of_what_the_tier_bears_slides_and_comes_back() -> None:
-    guide, nodes, warm = guide_of(4)
-    guide.take(guidance(lent=True, own_part=0.5, until_ms=9_000.0), nodes, warm, 1_000.0)
-    assert guide.own_part(2_500.0) == pytest.approx(0.375)
-    assert guide.own_part(8_999.0) == 0.5
-    assert guide.own_part(10_500.0) == pytest.approx(0.375)
-    assert guide.own_part(12_000.0) == 0.25
+    guidance_state, nodes, warm = guidance_state_of(4)
+    guidance_state.take(guidance(leased=True, own_part=0.5, until_ms=9_000.0), nodes, warm, 1_000.0)
+    assert guidance_state.own_part(2_500.0) == pytest.approx(0.375)
+    assert guidance_state.own_part(8_999.0) == 0.5
+    assert guidance_state.own_part(10_500.0) == pytest.approx(0.375)
+    assert guidance_state.own_part(12_000.0) == 0.25
 
 
 def test_a_part_of_what_the_tier_bears_goes_on_while_its_planner_says_nothing_new_of_it() -> None:
-    guide, nodes, warm = guide_of(4)
-    guide.take(guidance(lent=True, own_part=0.5, until_ms=3_000.0), nodes, warm, 1_000.0)
-    guide.take(guidance(lent=True, until_ms=9_000.0), nodes, warm, 2_900.0)
-    assert guide.own_part(8_900.0) == 0.5
-    assert guide.own_part(12_000.0) == 0.25
+    guidance_state, nodes, warm = guidance_state_of(4)
+    guidance_state.take(guidance(leased=True, own_part=0.5, until_ms=3_000.0), nodes, warm, 1_000.0)
+    guidance_state.take(guidance(leased=True, until_ms=9_000.0), nodes, warm, 2_900.0)
+    assert guidance_state.own_part(8_900.0) == 0.5
+    assert guidance_state.own_part(12_000.0) == 0.25
 
 
 # ------------------------------------------------ in the balancer
@@ -326,7 +324,9 @@
     balancer = Balancer(SETTINGS, 1)
     rows = [*entries(3), ServerEntry(3, ServerState.DRAINING)]
     balancer.handle(1_000.0, ListUpdate(ListKind.FULL, 1, rows))
-    balancer.handle(1_000.0, guidance({0: 0.5}, until_ms=60_000.0, lent=True, parts=[Part(3, 1.0, 4.0)]))
+    balancer.handle(
+        1_000.0, guidance({0: 0.5}, until_ms=60_000.0, leased=True, parts=[RampShare(3, 1.0, 4.0)])
+    )
     assert 3 not in {served(balancer, 10_000.0 + n, n) for n in range(1_000)}
 
 
@@ -343,30 +343,30 @@
     balancer = Balancer(SETTINGS, 1)
     balancer.handle(1_000.0, ListUpdate(ListKind.FULL, 1, entries(4)))
     (action,) = balancer.handle(1_000.0, guidance({0: 2.0}))
-    assert action == GuidanceRefused("one", "a weight is not between 0 and 1")
+    assert action == GuidanceRejected("one", "a weight is not between 0 and 1")
 
 
 def test_a_lent_part_is_not_used_and_a_heir_keeps_to_the_same_bucket() -> None:
-    balancer, heir = Balancer(SETTINGS, 1), Balancer(SETTINGS, 2)
+    balancer, successor = Balancer(SETTINGS, 1), Balancer(SETTINGS, 2)
     update = ListUpdate(ListKind.FULL, 1, entries(1, s0=1_000.0))
     balancer.handle(1_000.0, update)
-    balancer.handle(1_000.0, Lent(9_000.0))
+    balancer.handle(1_000.0, OwnSharesLeased(9_000.0))
     assert served(balancer, 8_999.0, 1) is None
-    heir.handle(9_000.0, update)
-    inherit(heir, balancer)
-    both = [served(b, 9_900.0, n) for n, b in enumerate((balancer, heir), 10)]
+    successor.handle(9_000.0, update)
+    inherit(successor, balancer)
+    both = [served(b, 9_900.0, n) for n, b in enumerate((balancer, successor), 10)]
     assert sorted(both, key=str) == [0, None]
 
 
 def test_advice_never_changes_what_may_be_repeated() -> None:
     """An unsafe call that may have run is failed, whatever is advised meanwhile; a safe one goes on."""
-    for effect, answer in ((Effect.UNSAFE, Fail), (Effect.SAFE, Send)):
+    for effect, answer in ((Effect.NON_IDEMPOTENT, Fail), (Effect.IDEMPOTENT, Send)):
         cls = replace(CLASS, effect=effect)
         balancer = Balancer(replace(SETTINGS, classes=[cls]), 3)
         balancer.handle(1_000.0, ListUpdate(ListKind.FULL, 1, entries(3)))
         (sent,) = balancer.handle(9_000.0, RequestArrived(1, 0, 1_000.0))
         assert isinstance(sent, Send)
-        event = guidance({sent.server: 0.0}, until_ms=60_000.0, lent=True, own_part=0.5)
+        event = guidance({sent.server: 0.0}, until_ms=60_000.0, leased=True, own_part=0.5)
         assert balancer.handle(9_001.0, event) == []
         ended = AttemptEnded(1, 0, sent.server, Outcome.RESET, False, 5.0)
         assert [type(action) for action in balancer.handle(9_005.0, ended)] == [answer]
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -4,22 +4,14 @@
 
 from typing import Any
 
-from sandhatch.balancing.interface import (
-    Effect,
-    Guidance,
-    Lent,
-    ListKind,
-    ListUpdate,
-    RequestClass,
-    ServerEntry,
-    Settings,
-)
+from sandhatch.balancing.events import Guidance, ListKind, ListUpdate, OwnSharesLeased, ServerEntry
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, Note, SendReport
 from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, Report, WeightRow
 from sandhatch.planning.observer import Observer
 
-CLASS = RequestClass(aim_ms=100.0, deadline_ms=1000.0, effect=Effect.SAFE, name="view")
-SETTINGS = Settings(classes=[CLASS], copies=4, me=2, ramp_per_s=10.0)
+CLASS = RequestClass(objective_ms=100.0, deadline_ms=1000.0, effect=Effect.IDEMPOTENT, name="view")
+SETTINGS = Settings(classes=[CLASS], instances=4, instance_index=2, ramp_per_s=10.0)
 
 
 class Desk:
@@ -30,12 +22,12 @@
         self.machine = Forwarder("f2", planners, 0.0, ForwarderTerms(**terms), quiet_ms)
         observer = Observer(["view"], 10_000.0)
         rows = [ServerEntry(n) for n in range(2)]
-        observer.hear_list(ListUpdate(ListKind.FULL, 1, rows), ["10.0.0.1:80", "10.0.0.2:80"])
+        observer.on_endpoint_list(ListUpdate(ListKind.FULL, 1, rows), ["10.0.0.1:80", "10.0.0.2:80"])
         self.versions = dict.fromkeys(planners, 0)
         self.epochs = dict.fromkeys(planners, 0)
         self.reports: dict[str, Report] = {}
         self.guidances: list[Guidance] = []
-        self.lent: list[float] = []
+        self.leased: list[float] = []
         self.drops: list[Drop] = []
         self.notes: list[str] = []
         self.hear(self.machine.add_pool("core", SETTINGS, observer))
@@ -50,8 +42,8 @@
                 self.notes.append(action.text)
             elif isinstance(action, Advise) and isinstance(action.event, Guidance):
                 self.guidances.append(action.event)
-            elif isinstance(action, Advise) and isinstance(action.event, Lent):
-                self.lent.append(action.event.until_ms)
+            elif isinstance(action, Advise) and isinstance(action.event, OwnSharesLeased):
+                self.leased.append(action.event.until_ms)
 
     def connect(self, planner: str, epoch: int = 1) -> None:
         self.epochs[planner] = epoch
@@ -86,7 +78,7 @@
     desk.connect("p0")
     sent = desk.now
     desk.answer("p0", 900.0, pools=[PoolAdvice("core", [WeightRow(0, 0.5)])])
-    assert desk.guidances[0].begun_ms == sent
+    assert desk.guidances[0].report_sent_ms == sent
     assert desk.guidances[0].until_ms == sent + 1_980.0
 
 
@@ -98,10 +90,10 @@
     received = desk.now
     desk.tick(0.0)
     assert desk.reports["p0"].lends and desk.reports["p0"].version == 1
-    assert desk.lent[-1] == received + 3_030.0
-    assert not desk.guidances[0].lent
+    assert desk.leased[-1] == received + 3_030.0
+    assert not desk.guidances[0].leased
     desk.answer("p0", pools=[PoolAdvice("core", None, [PartRow(0, 0.5, 2.0)], 0.3)])
-    assert desk.guidances[-1].lent and desk.guidances[-1].parts[0].rate == 0.5
+    assert desk.guidances[-1].leased and desk.guidances[-1].parts[0].rate == 0.5
 
 
 def test_parts_of_a_planner_that_it_is_not_lent_to_do_not_count() -> None:
@@ -109,9 +101,9 @@
     desk.connect("p0")
     desk.connect("p1")
     desk.rounds(4, "p0", "p1")
-    assert desk.machine.lent_to == "p0"
+    assert desk.machine.leased_to == "p0"
     desk.answer("p1", pools=[PoolAdvice("core", None, [PartRow(0, 1.0, 4.0)], 0.5)])
-    assert not desk.guidances[-1].lent and desk.guidances[-1].own_part is None
+    assert not desk.guidances[-1].leased and desk.guidances[-1].own_part is None
 
 
 def test_a_lost_planner_keeps_the_parts_until_the_bound_is_over_and_the_next_waits_for_it() -> None:
@@ -121,7 +113,7 @@
     desk.rounds(4, "p0", "p1")
     desk.machine.lost("p0")
     bound = desk.machine.bound_ms
-    while desk.machine.lent_to != "p1":
+    while desk.machine.leased_to != "p1":
         desk.rounds(1, "p1")
         assert desk.now < bound + 300.0
     assert desk.now >= bound
@@ -131,12 +123,12 @@
     desk = Desk("p0")
     desk.connect("p0")
     desk.rounds(4, "p0")
-    assert desk.machine.lent_to == "p0"
+    assert desk.machine.leased_to == "p0"
     desk.tick(250.0)  # names the last advice that came
     bound = desk.machine.bound_ms
     for _ in range(20):
         desk.tick(250.0)
-    assert desk.machine.lent_to is None
+    assert desk.machine.leased_to is None
     assert desk.machine.bound_ms == bound  # reports that name no newer advice lend no longer
     assert not desk.reports["p0"].lends
 
@@ -160,19 +152,19 @@
     desk = Desk("p0")
     desk.connect("p0")
     desk.rounds(3, "p0", learning=True, lending=False)
-    assert desk.machine.lent_to is None
+    assert desk.machine.leased_to is None
     desk.rounds(2, "p0", lending=False)
-    assert desk.machine.lent_to == "p0"
+    assert desk.machine.leased_to == "p0"
 
 
 def test_nothing_is_lent_while_an_earlier_life_of_the_forwarder_may_have() -> None:
     desk = Desk("p0", quiet_ms=3_000.0)
-    assert desk.lent == [3_000.0]
+    assert desk.leased == [3_000.0]
     desk.connect("p0")
     desk.rounds(8, "p0", lending=False)
-    assert desk.machine.lent_to is None
+    assert desk.machine.leased_to is None
     desk.rounds(6, "p0", lending=False)
-    assert desk.machine.lent_to == "p0"
+    assert desk.machine.leased_to == "p0"
 
 
 def test_what_it_refuses_and_why() -> None:
@@ -229,7 +221,7 @@
     desk.answer("p0")
     desk.tick(250.0)
     desk.answer("p0")
-    desk.hear(desk.machine.refused("p0", "out of bounds", desk.now))
+    desk.hear(desk.machine.rejected("p0", "out of bounds", desk.now))
     desk.tick(250.0)
     assert desk.reports["p0"].version == 1
 
--- a/tests/planning/test_ledger.py
+++ b/tests/planning/test_ledger.py
@@ -55,14 +55,14 @@
 def test_a_smaller_share_is_free_only_when_the_forwarder_is_known_to_have_taken_it() -> None:
     taken: dict[str, int] = {}
     ledger = Ledger(0, taken)
-    lent = (1.0, 10.0)
-    ledger.grant("a", 1, (1.0, 5.0), lent, 0.0, 2_000.0)
-    ledger.grant("a", 2, (0.2, 1.0), lent, 100.0, 2_100.0)
+    leased = (1.0, 10.0)
+    ledger.grant("a", 1, (1.0, 5.0), leased, 0.0, 2_000.0)
+    ledger.grant("a", 2, (0.2, 1.0), leased, 100.0, 2_100.0)
     assert ledger.held("a", 200.0) == (1.0, 5.0)
-    assert ledger.grant("b", 3, (1.0, 5.0), lent, 200.0, 2_200.0) == (0.0, 0.0)
+    assert ledger.grant("b", 3, (1.0, 5.0), leased, 200.0, 2_200.0) == (0.0, 0.0)
     taken["a"] = 2
     assert ledger.held("a", 200.0) == (0.2, 1.0)  # each looks at its own when it reports
-    assert ledger.grant("b", 4, (1.0, 5.0), lent, 200.0, 2_200.0) == (0.8, 5.0)
+    assert ledger.grant("b", 4, (1.0, 5.0), leased, 200.0, 2_200.0) == (0.8, 5.0)
 
 
 def test_a_forwarder_that_is_silent_holds_its_share_until_its_lease_ends() -> None:
@@ -83,7 +83,7 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from("grant take lend end".split()),
+            st.sampled_from(["grant", "take", "lend", "end"]),
             st.integers(0, 4),
             st.floats(0.0, 1.0),
             st.floats(0.0, 400.0),
@@ -121,6 +121,6 @@
         alive = [row for row in held if row[4] > now]
         rate = sum(max(row[2] for row in alive if row[0] == name) for name in {row[0] for row in alive})
         calls = sum(max(row[3] for row in alive if row[0] == name) for name in {row[0] for row in alive})
-        lent = sum(end > now for end in ends.values())
-        assert rate <= lent / 5.0 + 1e-9
-        assert calls <= lent + 1e-9
+        leased = sum(end > now for end in ends.values())
+        assert rate <= leased / 5.0 + 1e-9
+        assert calls <= leased + 1e-9
