--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
-from sandhatch.balancing.interface import RequestArrived
+from sandhatch.balancing.events import RequestArrived
 from sandhatch.planning.messages import PartRow, PoolAdvice, Report, Row, WeightRow
 from sandhatch.planning.session import SessionError
 from testkit.planners import Seat
@@ -49,12 +49,12 @@
 
     async def work() -> None:
         async with scripted(script) as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: post.engine.guidances)
-            (guidance,) = post.engine.guidances
+            await until(lambda: post.dispatcher.guidances)
+            (guidance,) = post.dispatcher.guidances
             assert guidance.weights is not None
             assert [(w.server, w.weight) for w in guidance.weights] == [(0, 1.0), (1, 0.5)]
-            assert not guidance.lent
-            assert 1_500.0 < guidance.until_ms - guidance.begun_ms < 2_000.0
+            assert not guidance.leased
+            assert 1_500.0 < guidance.until_ms - guidance.report_sent_ms < 2_000.0
             (pool,) = reports[0].pools
             assert (pool.pool, pool.copies, pool.burst, pool.names) == ("core", 4, 4.0, ADDRESSES)
             assert pool.warm == [0, 1, 2, 3] and not pool.cold and not reports[0].lends
@@ -65,9 +65,9 @@
 def test_a_forwarder_lends_to_a_planner_and_uses_what_that_grants() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
             assert post.link.status()["lends_to"] == "p0"
-            assert post.engine.guidances[-1].lent_until_ms > post.engine.clock.now_ms() + 2_000.0
+            assert post.dispatcher.guidances[-1].leased_until_ms > post.dispatcher.clock.now_ms() + 2_000.0
             assert planner.status()["forwarders"][0]["name"] == "f0"
 
     run(work())
@@ -84,7 +84,7 @@
             await until(lambda: post.side("p0")["state"] == "shunned")
             assert planner.connections == TERMS.faults
             assert "can't be opened" in post.side("p0")["last"]
-            assert post.engine.guidances == []
+            assert post.dispatcher.guidances == []
 
     run(work())
 
@@ -137,7 +137,7 @@
         async with scripted(script) as planner, forwarder({"p0": planner.port}) as post:
             await until(lambda: post.side("p0")["state"] == "shunned")
             assert post.side("p0")["last"] == "advice 1 after 1"
-            assert len(post.engine.guidances) == 1
+            assert len(post.dispatcher.guidances) == 1
 
     run(work())
 
@@ -150,7 +150,7 @@
         ):
             await until(lambda: post.side("p0")["state"] == "shunned")
             assert post.side("p0")["last"] == "advice of epoch 3 in a session of epoch 5"
-            assert post.engine.guidances == []
+            assert post.dispatcher.guidances == []
 
     run(work())
 
@@ -161,15 +161,15 @@
             scripted(answering(weighing(1.0, 0.5)), epoch=5) as planner,
             forwarder({"p0": planner.port}, replace(TERMS, faults=100)) as post,
         ):
-            await until(lambda: post.engine.guidances)
-            count = len(post.engine.guidances)
+            await until(lambda: post.dispatcher.guidances)
+            count = len(post.dispatcher.guidances)
             planner.epoch = 4
             for task in list(planner._tasks):
                 task.cancel()
             await until(lambda: "epoch 4 is before 5" in post.side("p0")["last"])
-            post.engine.events = post.engine.events[:count]
+            post.dispatcher.events = post.dispatcher.events[:count]
             await until(lambda: planner.connections >= 4)
-            assert len(post.engine.guidances) <= count
+            assert len(post.dispatcher.guidances) <= count
 
     run(work())
 
@@ -187,7 +187,7 @@
     async def work() -> None:
         async with scripted(script) as planner, forwarder({"p0": planner.port}) as post:
             await until(lambda: post.side("p0")["late"] >= 3)
-            assert post.engine.guidances == []
+            assert post.dispatcher.guidances == []
             assert post.link.status()["lends_to"] is None
             assert post.side("p0")["refused"] == 0  # slow is not wrong
 
@@ -200,10 +200,10 @@
             scripted(answering(weighing(0.1, 0.1, 0.1, 0.1))) as planner,
             forwarder({"p0": planner.port}) as post,
         ):
-            await until(lambda: len(post.engine.guidances) > 3)
-            now = post.engine.clock.now_ms() + 60_000.0
-            assert [post.engine.balancer.guide.weight(n, now) for n in range(4)] == [1.0] * 4
-            assert post.engine.refused == []
+            await until(lambda: len(post.dispatcher.guidances) > 3)
+            now = post.dispatcher.clock.now_ms() + 60_000.0
+            assert [post.dispatcher.balancer.guidance_state.weight(n, now) for n in range(4)] == [1.0] * 4
+            assert post.dispatcher.rejected == []
 
     run(work())
 
@@ -218,8 +218,8 @@
             assert post.side("p0")["refused"] == TERMS.faults
             assert post.side("p0")["last"] == "only 1 of 4 ready servers keep half of the most weight"
             assert [line for line in post.lines if "shunned for" in line]
-            until_ms = post.engine.clock.now_ms() + 5_000.0
-            assert post.engine.balancer.guide.weight(0, until_ms) == 1.0
+            until_ms = post.dispatcher.clock.now_ms() + 5_000.0
+            assert post.dispatcher.balancer.guidance_state.weight(0, until_ms) == 1.0
 
     run(work())
 
@@ -230,10 +230,10 @@
 
     async def work() -> None:
         async with scripted(answering(advice)) as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: post.engine.guidances)
-            weights = post.engine.guidances[0].weights
+            await until(lambda: post.dispatcher.guidances)
+            weights = post.dispatcher.guidances[0].weights
             assert weights is not None and [w.server for w in weights] == [0]
-            assert set(post.engine.balancer.fleet.servers) == {0, 1, 2, 3}
+            assert set(post.dispatcher.balancer.fleet.servers) == {0, 1, 2, 3}
 
     run(work())
 
@@ -246,9 +246,9 @@
             scripted(answering(right), "p1") as other,
             forwarder({"p0": one.port, "p1": other.port}) as post,
         ):
-            slides = post.engine.balancer.guide._slides
+            slides = post.dispatcher.balancer.guidance_state._slides
             await until(lambda: [slides[n].to for n in sorted(slides)] == [0.6] * 4)
-            assert post.engine.refused == []
+            assert post.dispatcher.rejected == []
 
     run(work())
 
@@ -289,13 +289,13 @@
 def test_a_pool_in_a_new_version_goes_on_in_the_same_session() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
-            heir = FakeEngine(post.engine.clock)
-            post.link.attach("core", heir, SETTINGS)
-            assert heir.events  # it hears at once what is lent
-            await until(lambda: len(heir.guidances) > 2)
-            other = replace(SETTINGS, cold_ms=1_000.0)
-            last = FakeEngine(post.engine.clock, other)
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
+            successor = FakeEngine(post.dispatcher.clock)
+            post.link.attach("core", successor, SETTINGS)
+            assert successor.events  # it hears at once what is lent
+            await until(lambda: len(successor.guidances) > 2)
+            other = replace(SETTINGS, warm_up_ms=1_000.0)
+            last = FakeEngine(post.dispatcher.clock, other)
             post.link.attach("core", last, other)
             await until(lambda: len(last.guidances) > 2)
             assert planner.status()["turned_away"] == 0
@@ -315,11 +315,11 @@
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
             await until(lambda: "core" in planner.planner.pools)
             for number in range(1, 9):
-                now = post.engine.clock.now_ms()
+                now = post.dispatcher.clock.now_ms()
                 event = RequestArrived(number, 0, 1_000.0)
-                actions = post.engine.balancer.handle(now, event)
-                assert post.engine.observer is not None
-                post.engine.observer.saw(event, actions)
+                actions = post.dispatcher.balancer.handle(now, event)
+                assert post.dispatcher.observer is not None
+                post.dispatcher.observer.saw(event, actions)
             load = planner.planner.pools["core"].load
             await until(lambda: sum(view.outstanding for view in load.servers.values()) == 8)
             assert load.members["f0"].demand_per_s > 0.0
@@ -330,14 +330,14 @@
 def test_a_forwarder_that_breaks_the_protocol_is_told_why_and_the_others_stay() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
             connection = post.link._connections["p0"]
             connection.session.send(Report(99, 0.0, planner.planner.epoch, 10**9))
             connection.flush()
             await until(lambda: [line for line in post.lines if "which was not given" in line])
             assert planner.status()["turned_away"] == 1
-            count = len(post.engine.guidances)
-            await until(lambda: len(post.engine.guidances) > count)  # it comes back
+            count = len(post.dispatcher.guidances)
+            await until(lambda: len(post.dispatcher.guidances) > count)  # it comes back
 
     run(work())
 
@@ -345,7 +345,7 @@
 def test_garbage_from_anyone_on_a_planners_port_harms_nobody() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
             for data in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\5hello", b"\xff" * 5000, b""):
                 reader, writer = await asyncio.open_connection("127.0.0.1", planner.port)
                 writer.write(data)
@@ -353,8 +353,8 @@
                 async with asyncio.timeout(10.0):
                     await reader.read()
                 writer.close()
-            count = len(post.engine.guidances)
-            await until(lambda: len(post.engine.guidances) > count)
+            count = len(post.dispatcher.guidances)
+            await until(lambda: len(post.dispatcher.guidances) > count)
             assert post.link.status()["lends_to"] == "p0"
 
     run(work())
@@ -369,7 +369,7 @@
     async def work() -> None:
         async with scripted(script) as planner, forwarder({"p0": planner.port}) as post:
             await until(lambda: planner.connections >= 3)
-            assert post.engine.guidances == []
+            assert post.dispatcher.guidances == []
 
     run(work())
 
@@ -386,9 +386,9 @@
 def test_a_second_connection_under_a_name_takes_the_place_of_the_first() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
             async with forwarder({"p0": planner.port}) as twin:
-                await until(lambda: any(g.lent for g in twin.engine.guidances))
+                await until(lambda: any(g.leased for g in twin.dispatcher.guidances))
                 assert any("another connection" in line for line in post.lines)
 
     run(work())
@@ -410,7 +410,7 @@
 def test_rows_for_a_server_never_named_end_the_session() -> None:
     async def work() -> None:
         async with planning() as planner, forwarder({"p0": planner.port}) as post:
-            await until(lambda: any(g.lent for g in post.engine.guidances))
+            await until(lambda: any(g.leased for g in post.dispatcher.guidances))
             pool = post.link.machine.sides["p0"].told["core"]
             report, _ = pool.report("core", 0.0, 10_000)
             report.copies, report.burst, report.rows = 4, 4.0, [Row(77, 1)]
--- a/tests/planning/test_loopback.py
+++ b/tests/planning/test_loopback.py
@@ -16,7 +16,8 @@
 
 import pytest
 
-from sandhatch.balancing.interface import Action, Event, Send
+from sandhatch.balancing.actions import Action, Send
+from sandhatch.balancing.events import Event
 from sandhatch.planning.keys import SharedKey, read_key
 from sandhatch.planning.planner import PlannerTerms
 from sandhatch.planning.server import PlannerServer
@@ -40,8 +41,8 @@
 
     def listen(self, kept: Kept) -> None:
         pool = kept.service.front.current.pools["web"]  # type: ignore[union-attr]
-        engine, book = pool.engine, kept.service.pools.book
-        handle = engine.balancer.handle
+        dispatcher, book = pool.dispatcher, kept.service.pools.book
+        handle = dispatcher.balancer.handle
 
         def heard(now_ms: float, event: Event) -> list[Action]:
             actions = handle(now_ms, event)
@@ -50,7 +51,7 @@
                     self.times.setdefault(book.name(action.server), []).append(now_ms)
             return actions
 
-        engine.balancer.handle = heard  # type: ignore[method-assign]
+        dispatcher.balancer.handle = heard  # type: ignore[method-assign]
 
 
 class Site:
@@ -101,7 +102,7 @@
         self.loads.append(Load(kept.port, self.books, lambda rng: ("look", "/x"), 1, 0.02, len(self.loads)))
 
     @property
-    def lent(self) -> int:
+    def leased(self) -> int:
         return sum(
             status is not None and status["lends_to"] is not None
             for status in (kept.service.forwarding.status() for kept in self.forwarders)
@@ -129,7 +130,7 @@
         for _ in range(forwarders):
             await found.forwarder()
         if planners:
-            await found.until(lambda: found.lent == forwarders)
+            await found.until(lambda: found.leased == forwarders)
         yield found
 
 
@@ -181,7 +182,7 @@
                     planner.stop()
 
             assert await fresh_node(found, lose) > 0
-            await found.until(lambda: found.lent == 0)
+            await found.until(lambda: found.leased == 0)
 
     run(work())
 
--- a/tests/planning/test_observer.py
+++ b/tests/planning/test_observer.py
@@ -4,19 +4,19 @@
 
 from random import Random
 
-from sandhatch.balancing.interface import (
+from sandhatch.balancing.actions import Send
+from sandhatch.balancing.events import (
     AttemptEnded,
     ListKind,
     ListUpdate,
     Outcome,
     RequestArrived,
-    Send,
     ServerEntry,
     ServerState,
 )
 from sandhatch.planning.messages import PoolReport, Report, encode
 from sandhatch.planning.observer import Observer
-from sandhatch.planning.quantile_sketch import BUCKETS, Sketch, bucket_of, merged, value_of
+from sandhatch.planning.quantile_sketch import BUCKETS, QuantileSketch, bucket_of, merged, value_of
 
 COLD_MS = 10_000.0
 
@@ -24,7 +24,7 @@
 def observer(count: int = 3, **started: float) -> Observer:
     found = Observer(["view", "order"], COLD_MS)
     rows = [ServerEntry(n, started_ms=started.get(f"s{n}", 0.0)) for n in range(count)]
-    found.hear_list(ListUpdate(ListKind.FULL, 1, rows), [f"10.0.0.{n}:80" for n in range(count)])
+    found.on_endpoint_list(ListUpdate(ListKind.FULL, 1, rows), [f"10.0.0.{n}:80" for n in range(count)])
     return found
 
 
@@ -43,7 +43,7 @@
     again, _ = told.report("core", 2_100.0, 10_000)
     assert again == PoolReport("core")
     rows = [ServerEntry(0, ServerState.DRAINING), ServerEntry(9)]
-    found.hear_list(ListUpdate(ListKind.DELTA, 2, rows), ["10.0.0.0:80", "10.0.0.9:80"])
+    found.on_endpoint_list(ListUpdate(ListKind.DELTA, 2, rows), ["10.0.0.0:80", "10.0.0.9:80"])
     third, _ = told.report("core", 2_200.0, 10_000)
     assert (third.names, third.left, third.warm) == (["10.0.0.9:80"], [0], [3])
     assert [told.server_of(n) for n in range(5)] == [0, 1, 2, 9, None]
@@ -56,7 +56,9 @@
     other.report("core", 2_000.0, 10_000)
     assert told.report("core", 11_000.0, 10_000)[0].warm == [1]
     assert other.report("core", 11_000.0, 10_000)[0].warm == [1]
-    found.hear_list(ListUpdate(ListKind.DELTA, 2, [ServerEntry(1, started_ms=12_000.0)]), ["10.0.0.1:80"])
+    found.on_endpoint_list(
+        ListUpdate(ListKind.DELTA, 2, [ServerEntry(1, started_ms=12_000.0)]), ["10.0.0.1:80"]
+    )
     assert told.report("core", 12_000.0, 10_000)[0].cold == [1]
 
 
@@ -70,7 +72,7 @@
     call(found, 0, Outcome.CANCELLED)
     call(found, 0, None)
     (row,) = told.report("core", 1.0, 10_000)[0].rows
-    assert (row.outstanding, row.ok, row.failed, row.refused, row.spent_ms) == (1, 1, 1, 1, 10.0)
+    assert (row.outstanding, row.ok, row.failed, row.rejected, row.spent_ms) == (1, 1, 1, 1, 10.0)
     assert row.sketch == [bucket_of(10.0), 1]
     found.saw(AttemptEnded(1, 0, 0, Outcome.OK, True, 30.0), [])
     report, _ = told.report("core", 2.0, 10_000)
@@ -139,7 +141,7 @@
 def test_a_server_that_goes_before_it_was_named_is_not_told() -> None:
     found = observer()
     told = found.tell()
-    found.hear_list(ListUpdate(ListKind.FULL, 2, [ServerEntry(0)]), ["10.0.0.0:80"])
+    found.on_endpoint_list(ListUpdate(ListKind.FULL, 2, [ServerEntry(0)]), ["10.0.0.0:80"])
     report, _ = told.report("core", 0.0, 10_000)
     assert (report.names, report.left) == (["10.0.0.0:80"], [])
     assert not told.relisted
@@ -151,9 +153,11 @@
     told.report("core", 0.0, 10_000)
     call(found, 1, None)
     assert [row.outstanding for row in told.report("core", 1.0, 10_000)[0].rows] == [1]
-    found.hear_list(ListUpdate(ListKind.DELTA, 2, [ServerEntry(1, ServerState.DRAINING)]), ["10.0.0.1:80"])
+    found.on_endpoint_list(
+        ListUpdate(ListKind.DELTA, 2, [ServerEntry(1, ServerState.DRAINING)]), ["10.0.0.1:80"]
+    )
     assert told.report("core", 2.0, 10_000)[0].left == [1]
-    found.hear_list(ListUpdate(ListKind.DELTA, 3, [ServerEntry(1, ServerState.GONE)]), ["10.0.0.1:80"])
+    found.on_endpoint_list(ListUpdate(ListKind.DELTA, 3, [ServerEntry(1, ServerState.GONE)]), ["10.0.0.1:80"])
     report, _ = told.report("core", 3.0, 10_000)
     assert (report.left, report.rows) == ([1], [])
     found.saw(AttemptEnded(1, 0, 1, Outcome.RESET, True, 30.0), [])
@@ -163,7 +167,7 @@
 
 def test_a_sketch_tells_quantiles_within_a_tenth_and_sums_are_sketches() -> None:
     rng = Random(2)
-    one, other, values = Sketch(), Sketch(), []
+    one, other, values = QuantileSketch(), QuantileSketch(), []
     for at in range(4_000):
         value = rng.lognormvariate(3.0, 1.0)
         values.append(value)
@@ -172,11 +176,11 @@
     whole = merged([one, other])
     for part in (0.1, 0.5, 0.9, 0.99):
         assert abs(whole.quantile(part) / values[int(part * 4_000)] - 1.0) < 0.12
-    copy = Sketch()
+    copy = QuantileSketch()
     copy.merge(whole.pairs())
     assert copy.counts == whole.counts
     copy.fade(0.5)
     assert abs(copy.total - whole.total / 2.0) < 1.0
-    assert Sketch().quantile(0.5) == 0.0
+    assert QuantileSketch().quantile(0.5) == 0.0
     assert bucket_of(1e12) == BUCKETS - 1 and bucket_of(0.0) == 0
     assert value_of(bucket_of(50.0)) / 50.0 < 1.11
--- a/tests/planning/test_programs.py
+++ b/tests/planning/test_programs.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from sandhatch.cli.commands import main
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from testkit.ports import free_port
 from testkit.wire import PATIENCE_S
 from tests.service.harness import Farm, run
@@ -80,10 +80,10 @@
                 assert b"planner p0 at 127.0.0.1" in await planner.stderr.readline()
                 while b"lends its parts to planner p0" not in await forwarder.stderr.readline():
                     pass
-            async with Caller(front) as caller:
+            async with HttpClient(front) as client:
                 for _ in range(4):
-                    caller.ask()
-                    assert (await caller.answer()).status == 200
+                    client.ask()
+                    assert (await client.answer()).status == 200
             status = await asked("status", "--control", socket)
             assert status["planning"]["lends_to"] == "p0"
             known = await asked("planner", "status", "--control", control)
--- a/tests/planning/test_ramps.py
+++ b/tests/planning/test_ramps.py
@@ -32,7 +32,7 @@
 def share_used(tier: Tier, server: int = 0) -> float:
     """Checks the ramp of a server that has been restarted; returns the part of it that was used."""
     node = tier.servers[server]
-    burst = tier.plan.ramp_burst or tier.settings.copies
+    burst = tier.plan.ramp_burst or tier.settings.instances
     assert over_ramp(tier.plan, node.started_ms, node.sent_ms) <= burst + 1e-6
     assert not [why for forwarder in tier.forwarders for why in forwarder.refusals]
     return sum(at < node.started_ms + tier.plan.cold_ms for at in node.sent_ms) / AREA
@@ -58,9 +58,9 @@
     """What the other tests would see if each forwarder took the whole ramp for its own."""
     tier = Tier(replace(PLAN, planners=0), 1)
     for forwarder in tier.forwarders:
-        ramp = forwarder.balancer.guide.ramp
+        ramp = forwarder.balancer.guidance_state.ramp
         assert ramp is not None
-        ramp._settings = replace(ramp._settings, copies=1, me=0)
+        ramp._settings = replace(ramp._settings, instances=1, instance_index=0)
     tier.at(FRESH, lambda: tier.restart(0))
     tier.run(FRESH + PLAN.cold_ms)
     node = tier.servers[0]
@@ -71,7 +71,7 @@
 def test_twenty_forwarders_and_a_fresh_node_with_planners(seed: int) -> None:
     tier = played(PLAN, seed)
     assert share_used(tier) > 0.5
-    assert all(f.machine is not None and f.machine.lent_to == "p0" for f in tier.forwarders)
+    assert all(f.machine is not None and f.machine.leased_to == "p0" for f in tier.forwarders)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -85,7 +85,7 @@
     lost = [(half, lambda tier: tier.kill_planner("p0")), (half, lambda tier: tier.kill_planner("p1"))]
     tier = played(PLAN, seed, *lost)
     assert share_used(tier) > 0.3
-    assert all(f.machine is not None and f.machine.lent_to is None for f in tier.forwarders)
+    assert all(f.machine is not None and f.machine.leased_to is None for f in tier.forwarders)
 
 
 @pytest.mark.parametrize("planners", [0, 2])
@@ -132,8 +132,8 @@
     sides: list[set[str | None]] = []
 
     def look(tier: Tier) -> None:
-        lent = [f.machine.lent_to for f in tier.forwarders if f.machine is not None]
-        sides.extend((set(lent[:10]), set(lent[10:])))
+        leased = [f.machine.leased_to for f in tier.forwarders if f.machine is not None]
+        sides.extend((set(leased[:10]), set(leased[10:])))
 
     tier = played(
         plan,
@@ -144,7 +144,7 @@
     )
     share_used(tier)
     assert sides == [{"p1"}, {"p0"}]
-    assert {f.machine.lent_to for f in tier.forwarders if f.machine is not None} == {"p0"}
+    assert {f.machine.leased_to for f in tier.forwarders if f.machine is not None} == {"p0"}
 
 
 def test_a_forwarder_that_died_has_its_share_given_on_only_when_its_lease_has_run_out() -> None:
@@ -178,11 +178,11 @@
     tier.run(FRESH)
     tier.leave(3)
     again = tier.join()
-    again.settings = replace(again.settings, me=3)
+    again.settings = replace(again.settings, instance_index=3)
     tier.restart(0)
     begin = tier.now
     assert again.machine is not None and again.machine.bound_ms >= begin + 3_000.0
-    ramp = again.balancer.guide.ramp
+    ramp = again.balancer.guidance_state.ramp
     assert ramp is not None
     assert ramp.part(again.balancer.fleet.servers[0], begin + 2_000.0) == (0.0, 0.0)
 
--- a/tests/planning/test_service.py
+++ b/tests/planning/test_service.py
@@ -55,7 +55,7 @@
         return tier
 
     steady, restarted = played(False), played(True)
-    weights = [f.balancer.guide.weight(0, restarted.now) for f in restarted.forwarders]
+    weights = [f.balancer.guidance_state.weight(0, restarted.now) for f in restarted.forwarders]
     assert max(weights) < 0.95  # it has learnt again
     # About 45 calls each in 3 s: chance alone moves a share by two hundredths and more.
     assert largest_move(restarted) < largest_move(steady) + 0.03
@@ -74,7 +74,7 @@
     def look() -> None:
         found = []
         for forwarder in tier.forwarders:
-            ramp = forwarder.balancer.guide.ramp
+            ramp = forwarder.balancer.guidance_state.ramp
             assert ramp is not None
             found.append(ramp.part(forwarder.balancer.fleet.servers[0], tier.now)[0])
         parts[tier.now - 1_000_000.0] = found
@@ -129,7 +129,7 @@
 
     true, lied = played(False), played(True)
     assert lied.yielded(10_000.0, 28_000.0) > true.yielded(10_000.0, 28_000.0) - 0.03
-    own = [f.balancer.guide.own_part(lied.now) for f in lied.forwarders]
+    own = [f.balancer.guidance_state.own_part(lied.now) for f in lied.forwarders]
     assert min(own) > 0.6 / 8
 
 
@@ -152,4 +152,4 @@
     good, bad = play(False), play(True)
     assert bad.yielded(8_000.0, 24_000.0) > good.yielded(8_000.0, 24_000.0) - 0.03
     # All lend to the other one.
-    assert {f.machine.lent_to for f in bad.forwarders if f.machine is not None} == {"p1"}
+    assert {f.machine.leased_to for f in bad.forwarders if f.machine is not None} == {"p1"}
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -170,7 +170,7 @@
     assert refusal(Hello([2, 3], "f1", "p1", "shared", share)) == "no version in common: [2, 3] and [1]"
     assert refusal(Hello([1], "f1", "p2", "shared", share)) == "this is planner p1, not p2"
     assert refusal(Hello([1], "f1", "p1", "ed25519", share)) == "keys here are shared, not ed25519"
-    with pytest.raises(SessionError, match="Proof in place of a hello|Report|not a message"):
+    with pytest.raises(SessionError, match=r"Proof in place of a hello|Report|not a message"):
         events(other, b"\0\0\0\5nonsense")
     one, _ = pair()
     with pytest.raises(SessionError, match="Hello in place of a welcome"):
--- a/tests/planning/test_versions.py
+++ b/tests/planning/test_versions.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from sandhatch.config.transactions import State
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from tests.planning.harness import planning, until
 from tests.service.harness import Farm, run, serving
 
@@ -32,12 +32,12 @@
     async def work() -> None:
         farm = await Farm().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
-        async with serving(plain) as kept, Caller(kept.port) as caller:
+        async with serving(plain) as kept, HttpClient(kept.port) as client:
             version = await kept.commit(with_planner(farm, tmp_path / "none", 1))
             assert version.state is State.FAILED
             assert "planning: " in version.why and "No such file or directory" in version.why
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
         farm.close()
 
     run(work())
@@ -49,12 +49,12 @@
     async def work() -> None:
         farm = await Farm().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
-        async with planning() as planner, serving(plain) as kept, Caller(kept.port) as caller:
+        async with planning() as planner, serving(plain) as kept, HttpClient(kept.port) as client:
             forwarding = kept.service.forwarding
 
             async def asked() -> None:
-                caller.ask()
-                assert (await caller.answer()).status == 200
+                client.ask()
+                assert (await client.answer()).status == 200
 
             await asked()
             assert forwarding.status() is None
@@ -76,7 +76,7 @@
             await until(lambda: load.members["forwarder-0"].demand_per_s > 0.0)
             await until(lambda: not planner.planner.pools["orders"].load.members)
             # Its lent parts are known to the link that comes after it.
-            await until(lambda: link.machine.lent_to == "p0")
+            await until(lambda: link.machine.leased_to == "p0")
             bound = link.machine.bound_ms
             await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
             later = forwarding.link
--- a/tests/record/test_tally.py
+++ b/tests/record/test_tally.py
@@ -8,23 +8,19 @@
 
 import pytest
 
-from sandhatch.balancing.interface import (
-    Action,
+from sandhatch.balancing.actions import Action, Fail, Reject, Send, WatchList
+from sandhatch.balancing.events import (
     AttemptEnded,
     Event,
-    Fail,
     ListKind,
     ListUpdate,
     Outcome,
-    Refuse,
     RequestArrived,
-    Send,
     ServerEntry,
     ServerState,
     TimerFired,
-    WatchList,
 )
-from sandhatch.telemetry.event_recorder import ALL, LISTS, MARK, Recorder, asked_for
+from sandhatch.telemetry.event_recorder import ALL, LISTS, MARK, Recorder, requested_record
 from sandhatch.telemetry.fleet_report import counts, main, records, tally
 
 START_MS = 1_700_000_000_000.0
@@ -41,7 +37,7 @@
     def list(self, at_ms: float, kind: ListKind, *rows: tuple[ServerEntry, str]) -> None:
         self.now_ms = START_MS + at_ms
         update = ListUpdate(kind, 1, [entry for entry, _ in rows])
-        self.recorder.hear_list(update, [address for _, address in rows])
+        self.recorder.on_endpoint_list(update, [address for _, address in rows])
         self.recorder.saw(update, [])
 
     def saw(self, at_ms: float, event: Event, *actions: Action) -> None:
@@ -65,7 +61,7 @@
     fresh = ServerEntry(9, ServerState.READY, START_MS + 1_000.0)
     two.list(2000.0, ListKind.DELTA, (fresh, "10.0.0.3:80"))
     two.saw(2100.0, RequestArrived(2, 0, 1000.0), Send(2, 9, 500.0))
-    two.saw(2200.0, RequestArrived(3, 0, 1000.0), Refuse(3, 50.0))
+    two.saw(2200.0, RequestArrived(3, 0, 1000.0), Reject(3, 50.0))
     two.saw(2300.0, AttemptEnded(1, 0, 7, Outcome.TIMEOUT, True, 900.0), Fail(1))
     two.saw(2400.0, TimerFired(4), WatchList(True))
     two.saw(2500.0, TimerFired(5))
@@ -88,7 +84,7 @@
     copy.saw(500.0, TimerFired(4), WatchList(True, 1, 41, 2000.0, 2500.0))
     copy.now_ms = START_MS + 3_000.0
     failed = ListUpdate(ListKind.FAILED, 41, call=1)
-    copy.recorder.hear_list(failed, [], "no answer in 2.5 s")
+    copy.recorder.on_endpoint_list(failed, [], "no answer in 2.5 s")
     copy.recorder.saw(failed, [])
     copy.saw(3_100.0, RequestArrived(1, 0, 1000.0), Send(1, 1, 500.0))
     lines = list(records(copy.lines))
@@ -119,21 +115,21 @@
 @pytest.mark.parametrize(("set_to", "kept"), [("1", ALL), ("lists", LISTS), ("", None), ("yes", None)])
 def test_which_record_is_asked_for(set_to: str, kept: str | None) -> None:
     warnings: list[str] = []
-    assert asked_for({"SANDHATCH_RECORD": set_to}, warnings.append) == kept
-    assert asked_for({}, warnings.append) is None
+    assert requested_record({"SANDHATCH_RECORD": set_to}, warnings.append) == kept
+    assert requested_record({}, warnings.append) is None
     assert warnings == []
 
 
 def test_the_variables_old_name_counts_and_gets_one_warning_line_that_names_the_new_one() -> None:
     warnings: list[str] = []
-    assert asked_for({"LARKWEIR_RECORD": "lists"}, warnings.append) == LISTS
+    assert requested_record({"LARKWEIR_RECORD": "lists"}, warnings.append) == LISTS
     assert warnings == ["LARKWEIR_RECORD is now called SANDHATCH_RECORD; set that one instead"]
 
 
 def test_the_variables_new_name_goes_before_its_old_one() -> None:
     warnings: list[str] = []
     both = {"LARKWEIR_RECORD": "lists", "SANDHATCH_RECORD": "1"}
-    assert asked_for(both, warnings.append) == ALL
+    assert requested_record(both, warnings.append) == ALL
     assert warnings == []
 
 
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -13,7 +13,7 @@
 from sandhatch.config.transactions import State, Version
 from sandhatch.service.service import Service
 from sandhatch.service.versions import RequestRecord
-from sandhatch.upstream.pool import Upstreams
+from sandhatch.upstream.pool import ConnectionPool
 from testkit.books import Books
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
@@ -115,13 +115,13 @@
     checked = check_text(json.dumps(saved.data if saved else data))
     service = Service(checked, asyncio.get_running_loop(), history, saved)
     kept = Kept(service)
-    rest_ms, Upstreams.REST_MS = Upstreams.REST_MS, 0.0  # connections don't rest between calls
+    rest_ms, ConnectionPool.REST_MS = ConnectionPool.REST_MS, 0.0  # connections don't rest between calls
     try:
         await service.start()
         yield kept
     finally:
         await service.close()
-        Upstreams.REST_MS = rest_ms
+        ConnectionPool.REST_MS = rest_ms
 
 
 def run(work: Any) -> None:
--- a/tests/service/test_program.py
+++ b/tests/service/test_program.py
@@ -18,7 +18,7 @@
 
 from sandhatch.config.history import History
 from sandhatch.control.framing import encode
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from testkit.load import Load
 from testkit.ports import free_port
 from testkit.wire import PATIENCE_S
@@ -97,9 +97,9 @@
 
 
 async def serves(port: int) -> bytes:
-    async with Caller(port) as caller:
-        caller.ask()
-        return (await caller.answer()).body
+    async with HttpClient(port) as client:
+        client.ask()
+        return (await client.answer()).body
 
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
@@ -162,7 +162,7 @@
     async def work() -> None:
         async with programmed(tmp_path) as (program, farm, first):
             await program.start()
-            load = Load(program.port, farm.books, lambda rng: ("look", "/"), callers=4, pause_s=0.002)
+            load = Load(program.port, farm.books, lambda rng: ("look", "/"), clients=4, pause_s=0.002)
             assert program.process is not None
             program.file.write_text(json.dumps(first | {"name": "renamed"}))
             await program.call("propose", text=json.dumps(to_b(first, farm)))
--- a/tests/service/test_sources.py
+++ b/tests/service/test_sources.py
@@ -8,7 +8,7 @@
 
 from sandhatch.config.transactions import State
 from sandhatch.service import pools
-from testkit.callers import Caller
+from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from tests.service.harness import Farm, run, serving
 
@@ -23,22 +23,24 @@
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         async with (
             serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept,
-            Caller(kept.port) as caller,
+            HttpClient(kept.port) as client,
         ):
             version = await kept.confirmed(farm.config(found(discovery), farm.pool("o1")))
-            caller.ask()
-            assert (await caller.answer()).body == b"b1"  # the list was there before the version was in force
+            client.ask()
+            assert (await client.answer()).body == b"b1"  # the list was there before the version was in force
             discovery.change(
                 farm.servers["b1"].entry("b1", lifecycle="leaving"), farm.servers["b2"].entry("b2")
             )
             web = kept.service.front.current.pools["web"]  # type: ignore[union-attr]
-            await kept.until(lambda: len(web.ready_numbers) == 1 and len(web.engine.upstreams.table) == 2)
-            caller.ask()
-            assert (await caller.answer()).body == b"b2"
+            await kept.until(
+                lambda: len(web.ready_numbers) == 1 and len(web.dispatcher.connection_pool.table) == 2
+            )
+            client.ask()
+            assert (await client.answer()).body == b"b2"
             # A change of another key of the pool: the new engine follows the same discovery.
             await kept.confirmed(farm.config(found(discovery, max_attempts=3), farm.pool("o1")))
-            caller.ask()
-            assert (await caller.answer()).body == b"b2"
+            client.ask()
+            assert (await client.answer()).body == b"b2"
             assert kept.service.transactions.in_force.number == version.number + 1
         discovery.stop()
         farm.close()
@@ -55,12 +57,12 @@
         silent = {"source": {"discovery": f"127.0.0.1:{discovery.port}"}}
         async with (
             serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept,
-            Caller(kept.port) as caller,
+            HttpClient(kept.port) as client,
         ):
             version = await kept.commit(farm.config(silent, farm.pool("o1")))
             assert version.state is State.FAILED and "pools.web: no list" in version.why
-            caller.ask()
-            assert (await caller.answer()).body == b"a1"
+            client.ask()
+            assert (await client.answer()).body == b"a1"
             assert len(kept.service.pools.alive) == 2
         discovery.stop()
         farm.close()
@@ -75,7 +77,7 @@
         farm = await Farm().start("a1", "b1", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         first = farm.config(farm.pool("a1", drain_grace_ms=500), farm.pool("o1"))
-        async with serving(first) as kept, Caller(kept.port) as caller:
+        async with serving(first) as kept, HttpClient(kept.port) as client:
             old = kept.service.front.current
             assert old is not None
             second = farm.config(found(discovery), farm.pool("o1"))
@@ -83,8 +85,8 @@
             await kept.until(lambda: not old.pools["web"].ready_numbers)
             kept.service.rollback()
             assert len(old.pools["web"].ready_numbers) == 1
-            caller.ask()
-            assert (await caller.answer()).body == b"a1"
+            client.ask()
+            assert (await client.answer()).body == b"a1"
         discovery.stop()
         farm.close()
 
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -12,18 +12,18 @@
 import pytest
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.interface import ServerState
+from sandhatch.balancing.events import ServerState
 from sandhatch.balancing.policy.balancer import SlowStart
 from sandhatch.config.check import CheckError
-from sandhatch.config.transactions import Refusal, RefusedError, State
-from testkit.callers import Caller
+from sandhatch.config.transactions import Refusal, RejectedError, State
+from testkit.clients import HttpClient
 from testkit.load import Load
 from testkit.ports import free_port
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, Kept, run, serving
 
-UNSAFE = frozenset(("order",))
+NON_IDEMPOTENT = frozenset(("order",))
 
 
 def choose(rng: Random) -> tuple[str, str]:
@@ -68,8 +68,8 @@
         try:
             within = 60_000.0 if rng.random() < 0.4 else None
             version = service.commit(kept.propose(rng.choice(choices)), within)
-        except RefusedError as refused:
-            assert refused.why is Refusal.NOTHING
+        except RejectedError as rejected:
+            assert rejected.why is Refusal.NOTHING
             continue
         data_of[version.number] = version.data
         await service.settled(version)
@@ -95,13 +95,13 @@
         farm = await Farm().start("a1", "a2", "b1", "b2", "o1", "o2", "o3")
         choices = variants(farm)
         async with serving(choices[0]) as kept:
-            load = Load(kept.port, farm.books, choose, callers=12)
+            load = Load(kept.port, farm.books, choose, clients=12)
             data_of = await churn(kept, farm, choices, 120, seed=11)
             await load.stop()
             service = kept.service
             await kept.until(lambda: len(kept.records) == len(farm.books.entries))
             check_no_mixture(kept, farm, data_of)
-            assert farm.books.faults(UNSAFE) == []
+            assert farm.books.faults(NON_IDEMPOTENT) == []
             assert set(farm.books.statuses()) == {200}, farm.books.statuses()
             assert len({record.version for record in kept.records}) > 30
             await kept.until(lambda: list(service.running) == [service.transactions.in_force.number])
@@ -115,10 +115,10 @@
     async def work() -> None:
         farm = await Farm().start("a1", "b1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
-        async with serving(first) as kept, Caller(kept.port) as caller:
+        async with serving(first) as kept, HttpClient(kept.port) as client:
             for _ in range(3):
-                caller.ask("order", target="/orders")
-                assert (await caller.answer()).body == b"o1"
+                client.ask("order", target="/orders")
+                assert (await client.answer()).body == b"o1"
             before = kept.service.front.current
             assert before is not None
             orders = before.pools["orders"]
@@ -127,10 +127,10 @@
             assert after is not None and after.pools["orders"] is orders
             assert after.pools["web"] is not before.pools["web"]
             for _ in range(3):
-                caller.ask("order", target="/orders")
-                assert (await caller.answer()).body == b"o1"
-            caller.ask()
-            assert (await caller.answer()).body == b"b1"
+                client.ask("order", target="/orders")
+                assert (await client.answer()).body == b"o1"
+            client.ask()
+            assert (await client.answer()).body == b"b1"
             # One of them is the first start's look whether it is there.
             assert farm.servers["o1"].connections == 2
         farm.close()
@@ -143,25 +143,25 @@
         farm = await Farm().start("a1", "a2", "o1")
         async with (
             serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept,
-            Caller(kept.port) as caller,
+            HttpClient(kept.port) as client,
         ):
-            kept_engine = kept.service.front.current.pools["web"].engine  # type: ignore[union-attr]
+            kept_engine = kept.service.front.current.pools["web"].dispatcher  # type: ignore[union-attr]
             for _ in range(20):
-                caller.ask()
-                await caller.answer()
+                client.ask()
+                await client.answer()
             past = kept_engine.balancer
             assert isinstance(past, Balancer)
             await asyncio.sleep(0.05)  # a connection rests a little after an answer
             before = farm.servers["a1"].connections
             await kept.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
-            heir = kept.service.front.current.pools["web"].engine.balancer  # type: ignore[union-attr]
-            assert isinstance(heir, Balancer) and heir is not past
-            assert heir._latency == past._latency and heir._answers == past._answers
-            caller.ask()
-            assert (await caller.answer()).body == b"a1"
+            successor = kept.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
+            assert isinstance(successor, Balancer) and successor is not past
+            assert successor._latency == past._latency and successor._answers == past._answers
+            client.ask()
+            assert (await client.answer()).body == b"a1"
             # The look whether it is reachable opened one; the request went over the connection kept.
             assert farm.servers["a1"].connections <= before + 1
-            assert kept_engine.upstreams.sockets == 0
+            assert kept_engine.connection_pool.sockets == 0
         farm.close()
 
     run(work())
@@ -193,25 +193,25 @@
 
         farm.behave["b1"] = farm.behave["b2"] = turn_away_first
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
-        async with serving(first) as kept, Caller(kept.port) as caller, Caller(kept.port) as other:
+        async with serving(first) as kept, HttpClient(kept.port) as client, HttpClient(kept.port) as other:
             second = farm.config(farm.pool("b1", "b2", max_attempts=4), farm.pool("o1"))
             version = await kept.commit(second, over=False, confirm_within_ms=60_000.0)
             assert version.state is State.IN_FORCE
-            caller.ask("order", target="/cart", X_Trace_Id="between")
+            client.ask("order", target="/cart", X_Trace_Id="between")
             await turned.wait()
             late = kept.propose(
                 farm.config(farm.pool("b1", "b2", max_attempts=5), farm.pool("o1")), version.number
             )
             kept.service.rollback("test")
-            with pytest.raises(RefusedError) as refused:  # a second change proposed during the rollback
+            with pytest.raises(RejectedError) as rejected:  # a second change proposed during the rollback
                 kept.service.commit(late)
-            assert refused.value.why is Refusal.CONFLICT
-            assert "pools.web.max_attempts" in refused.value.keys
+            assert rejected.value.why is Refusal.CONFLICT
+            assert "pools.web.max_attempts" in rejected.value.keys
             other.ask()
             assert (await other.answer()).body == b"a1"
             assert version.number in kept.service.running
             go.set()
-            assert (await caller.answer()).body == b"second"
+            assert (await client.answer()).body == b"second"
             await kept.until(lambda: version.number not in kept.service.running)
             record = next(record for record in kept.records if record.trace == b"between")
             assert record.version == version.number and len(record.servers) == 2
@@ -232,8 +232,8 @@
 
         farm.behave["o1"] = wait
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
-        async with serving(first) as kept, Caller(kept.port) as caller, Caller(kept.port) as other:
-            caller.ask("order", target="/orders")
+        async with serving(first) as kept, HttpClient(kept.port) as client, HttpClient(kept.port) as other:
+            client.ask("order", target="/orders")
             await farm.servers["o1"].arrived.get()
             without = deepcopy(first)
             del without["pools"]["orders"]
@@ -243,7 +243,7 @@
             assert (await other.answer()).body == b"a1"
             assert set(kept.service.running) == {1, 2}
             go.set()
-            assert (await caller.answer()).body == b"late"
+            assert (await client.answer()).body == b"late"
             await kept.until(lambda: set(kept.service.running) == {2})
             assert [pool.name for pool in kept.service.pools.alive.values()] == ["web"]
         farm.close()
@@ -258,7 +258,7 @@
         with socket.socket() as held:
             held.bind(("127.0.0.1", 0))  # has the port, and does not listen
             dead = {"servers": {"x": {"address": f"127.0.0.1:{held.getsockname()[1]}"}}}
-            async with serving(first) as kept, Caller(kept.port) as caller:
+            async with serving(first) as kept, HttpClient(kept.port) as client:
                 for pool, why in (
                     (dead, "pools.web: no server can be connected to"),
                     ({"servers": {}}, "pools.web: no server is ready"),
@@ -269,13 +269,13 @@
                 ):
                     version = await kept.commit(farm.config(pool, farm.pool("o1")))
                     assert version.state is State.FAILED and why in version.why
-                    caller.ask()
-                    assert (await caller.answer()).body == b"a1"
+                    client.ask()
+                    assert (await client.answer()).body == b"a1"
                     assert set(kept.service.running) == {1} and len(kept.service.pools.alive) == 2
                 forced = farm.config(dead | {"require_reachable": False}, farm.pool("o1"))
                 await kept.confirmed(forced)
-                caller.ask(X_Expires_In_Ms="500")
-                assert (await caller.answer()).status in (502, 503, 504)
+                client.ask(X_Expires_In_Ms="500")
+                assert (await client.answer()).status in (502, 503, 504)
         farm.close()
 
     run(work())
@@ -307,7 +307,7 @@
         port = free_port()
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         first["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
-        async with serving(first) as kept, Caller(port) as before:
+        async with serving(first) as kept, HttpClient(port) as before:
             before.ask()
             assert (await before.answer()).body == b"a1"
             second = deepcopy(first)
@@ -317,7 +317,7 @@
                 await asyncio.open_connection("127.0.0.1", port)
             assert await before.ended() == b""  # an idle connection of a listener that is gone is closed
             kept.service.rollback()
-            async with Caller(port) as after:
+            async with HttpClient(port) as after:
                 after.ask()
                 assert (await after.answer()).body == b"a1"
         farm.close()
@@ -338,20 +338,20 @@
         farm.behave.update(dict.fromkeys(names, wait))
         first = farm.config(farm.pool(*names), farm.pool("o1"), limits={"sockets": 1024, "memory_mb": 64})
         async with serving(first) as kept:
-            callers = [await Caller(kept.port).__aenter__() for _ in range(20)]
-            for caller in callers:
-                caller.ask()
+            clients = [await HttpClient(kept.port).__aenter__() for _ in range(20)]
+            for client in clients:
+                client.ask()
             await kept.until(lambda: sum(len(farm.servers[name].seen) for name in names) == 20)
             small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
             small["pools"]["web"]["max_connections"] = 1
             await kept.confirmed(small)
-            assert kept.service.shared.caller_budget < 20 and kept.service.shared.descriptors.most < 20
+            assert kept.service.shared.client_budget < 20 and kept.service.shared.descriptors.most < 20
             go.set()
-            for caller in callers:
-                answer = await caller.answer()
+            for client in clients:
+                answer = await client.answer()
                 assert (answer.status, answer.body) == (200, b"done")
-                await caller.__aexit__()
-            async with Caller(kept.port) as late:
+                await client.__aexit__()
+            async with HttpClient(kept.port) as late:
                 late.ask()
                 assert (await late.answer()).status == 200
         farm.close()
@@ -372,17 +372,17 @@
             talk.reset()
 
         farm.behave["a1"] = wait
-        async with serving(first) as kept, Caller(kept.port) as caller:
-            caller.ask(X_Trace_Id="held")
+        async with serving(first) as kept, HttpClient(kept.port) as client:
+            client.ask(X_Trace_Id="held")
             await farm.servers["a1"].arrived.get()
             old = kept.service.front.current
             assert old is not None
             await kept.confirmed(farm.config(farm.pool("a2"), farm.pool("o1")))
-            table = old.pools["web"].engine.upstreams.table
+            table = old.pools["web"].dispatcher.connection_pool.table
             assert [item.state for item in table.values()] == [ServerState.READY]
             await kept.until(lambda: [item.state for item in table.values()] == [ServerState.DRAINING])
             hold.set()
-            assert (await caller.answer()).status in (502, 503)
+            assert (await client.answer()).status in (502, 503)
             assert farm.books.entries == {} and len(farm.servers["a1"].seen) == 1
         farm.close()
 
@@ -396,7 +396,7 @@
         async with serving(first) as kept:
             web = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000)
             await kept.confirmed(farm.config(web, farm.pool("o1")))
-            balancer = kept.service.front.current.pools["web"].engine.balancer  # type: ignore[union-attr]
+            balancer = kept.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(balancer, Balancer)
             cold = {
                 kept.server_name(farm, server.id): balancer.slow_start.is_cold(server, balancer.now)
@@ -410,12 +410,12 @@
             past._credit[fresh] = 0.125, past._earned
             web2 = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000, max_attempts=3)
             await kept.confirmed(farm.config(web2, farm.pool("o1")))
-            heir = kept.service.front.current.pools["web"].engine.balancer  # type: ignore[union-attr]
-            assert isinstance(heir, Balancer) and heir is not balancer
-            assert isinstance(heir.slow_start, SlowStart)
-            assert {n: held for n, (held, _) in heir.slow_start._credit.items()} == {fresh: 0.125}
+            successor = kept.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
+            assert isinstance(successor, Balancer) and successor is not balancer
+            assert isinstance(successor.slow_start, SlowStart)
+            assert {n: held for n, (held, _) in successor.slow_start._credit.items()} == {fresh: 0.125}
             started = {s.id: s.started_ms for s in balancer.fleet.servers.values()}
-            assert {s.id: s.started_ms for s in heir.fleet.servers.values()} == started
+            assert {s.id: s.started_ms for s in successor.fleet.servers.values()} == started
         farm.close()
 
     run(work())
@@ -429,7 +429,7 @@
     async def work() -> None:
         farm = await Farm().start("a1", "a2", "a3", "a4", "o1")
         async with serving(farm.config(farm.pool("a1", "a2"), farm.pool("o1"))) as kept:
-            load = Load(kept.port, farm.books, lambda rng: ("look", "/"), callers=6)
+            load = Load(kept.port, farm.books, lambda rng: ("look", "/"), clients=6)
             await kept.until(lambda: len(kept.records) > 200)
             pool = farm.pool("a1", "a2", "a3", "a4", new_servers="cold", cold_ms=600_000)
             await kept.confirmed(farm.config(pool, farm.pool("o1")))
@@ -462,19 +462,19 @@
                 },
             },
         ]
-        async with serving(data) as kept, Caller(kept.port) as caller:
-            caller.send(b"GET /gone?x=1 HTTP/1.1\r\nHost: h\r\n\r\n")
-            gone = await caller.answer()
+        async with serving(data) as kept, HttpClient(kept.port) as client:
+            client.send(b"GET /gone?x=1 HTTP/1.1\r\nHost: h\r\n\r\n")
+            gone = await client.answer()
             assert (gone.status, gone.body, gone.headers["content-type"]) == (410, b"no", "text/plain")
-            caller.send(b"GET /any HTTP/1.1\r\nHost: Orders.example:8080\r\n\r\n")
-            assert (await caller.answer()).body == b"o1"
+            client.send(b"GET /any HTTP/1.1\r\nHost: Orders.example:8080\r\n\r\n")
+            assert (await client.answer()).body == b"o1"
             seen = farm.servers["o1"].seen[0]
             assert len(seen.headers["x-trace-id"]) == 32
-            caller.send(b"BREW / HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert (await caller.answer()).status == 400
-        async with serving(data) as kept, Caller(kept.port) as caller:
-            caller.send(b"OPTIONS /gone HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert (await caller.answer()).status == 405
+            client.send(b"BREW / HTTP/1.1\r\nHost: h\r\n\r\n")
+            assert (await client.answer()).status == 400
+        async with serving(data) as kept, HttpClient(kept.port) as client:
+            client.send(b"OPTIONS /gone HTTP/1.1\r\nHost: h\r\n\r\n")
+            assert (await client.answer()).status == 405
             assert [record.route for record in kept.records] == []
         farm.close()
 
@@ -485,9 +485,9 @@
     async def work() -> None:
         farm = await Farm().start("a1", "o1")
         async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept:
-            with pytest.raises(RefusedError) as refused:
+            with pytest.raises(RejectedError) as rejected:
                 kept.service.propose(json.dumps({"format": 1}).encode(), None)
-            assert refused.value.why is Refusal.INVALID and len(refused.value.problems) == 3
+            assert rejected.value.why is Refusal.INVALID and len(rejected.value.problems) == 3
             assert not kept.service.transactions.proposals
         farm.close()
 
@@ -511,14 +511,14 @@
     async def work() -> None:
         farm = await Farm().start("a1", "a2", "b1", "o1")
 
-        async def refuse(request: Incoming, talk: Talk) -> None:
+        async def reject(request: Incoming, talk: Talk) -> None:
             await talk.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 
-        farm.behave["b1"] = refuse
+        farm.behave["b1"] = reject
         watch = {"window_ms": 20_000, "before_ms": 2_000, "block_ms": 50, "significance": 0.01}
         first = farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=watch)
         async with serving(first) as kept:
-            load = Load(kept.port, farm.books, lambda rng: ("order", "/cart"), callers=4, pause_s=0.004)
+            load = Load(kept.port, farm.books, lambda rng: ("order", "/cart"), clients=4, pause_s=0.004)
             await kept.until(lambda: len(kept.service.watch._before) >= 30)
             bad = deepcopy(first)
             bad["pools"]["web"] = farm.pool("b1")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -10,20 +10,16 @@
 import pytest
 import uvloop
 
-from sandhatch.balancing.interface import (
-    Action,
+from sandhatch.balancing.actions import Action, Cancel, Fail, Probe, Send
+from sandhatch.balancing.events import (
     AttemptEnded,
-    Cancel,
-    ClientGone,
+    ClientDisconnected,
     Event,
-    Fail,
     ListKind,
     ListUpdate,
     Outcome,
-    Probe,
     ProbeEnded,
     RequestArrived,
-    Send,
     ServerEntry,
     ServerState,
 )
@@ -32,8 +28,8 @@
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
-    Caller,
     FakeUpstream,
+    HttpClient,
     Incoming,
     Script,
     Talk,
@@ -90,7 +86,7 @@
     ("503 that proves nothing", sends(status(503)), Outcome.ERROR),
     ("500 can't prove that it never ran", sends(status(500, "X-Never-Ran: 1\r\n")), Outcome.ERROR),
     ("204", sends(b"HTTP/1.1 204 No Content\r\n\r\n"), Outcome.ERROR),
-    ("400", sends(status(400)), Outcome.REJECTED),
+    ("400", sends(status(400)), Outcome.CLIENT_ERROR),
     (
         "a length that is no number",
         sends(b"HTTP/1.1 200 OK\r\nContent-Length: six\r\n\r\nserved"),
@@ -133,9 +129,12 @@
     async def work() -> None:
         upstream = await FakeUpstream(behave).start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask("move", b"x")
-            answer = await caller.answer()
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x")
+            answer = await client.answer()
             event = await script.ended()
         upstream.close()
         assert event.outcome is outcome
@@ -155,10 +154,10 @@
             script = Script([1])
             async with (
                 running(entry("a", unused.getsockname()[1]), script=script) as balancer,
-                Caller(balancer.port) as caller,
+                HttpClient(balancer.port) as client,
             ):
-                caller.ask("move", b"x")
-                assert (await caller.answer()).status == 502
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 502
                 assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
 
     run(work())
@@ -188,10 +187,10 @@
             running(
                 entry("a", listener.getsockname()[1]), script=script, limits={"ConnectTimeoutMs": 100}
             ) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 502
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
         for item in (listener, *fillers):
             item.close()
@@ -215,9 +214,12 @@
 
         upstream = await FakeUpstream(wait).start()
         script = Script([1], timeout_ms=100)
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 502
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
             event = await script.ended()
             assert event.outcome is Outcome.TIMEOUT and event.spent_ms >= 100
             async with asyncio.timeout(PATIENCE_S):
@@ -240,11 +242,11 @@
         script = Script([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
             loop = asyncio.get_running_loop()
             first = asyncio.ensure_future(loop.sock_accept(listener))
-            original = balancer.engine.upstreams._connect
+            original = balancer.dispatcher.connection_pool._connect
 
             # The system's own send buffer is cut as well, before anything is written.
             async def small(call: Any) -> None:
@@ -259,14 +261,14 @@
                 wrapped = _Wrapped(call, cut)
                 await original(wrapped)  # type: ignore[arg-type]
 
-            balancer.engine.upstreams._connect = small  # type: ignore[method-assign]
-            caller.ask("move", b"x" * 60_000)
+            balancer.dispatcher.connection_pool._connect = small  # type: ignore[method-assign]
+            client.ask("move", b"x" * 60_000)
             connection, _ = await first
             head = await loop.sock_recv(connection, 100)
             assert head.startswith(b"POST")
             connection.close()  # with bytes unread: a reset
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
-            assert (await caller.answer()).status == 502
+            assert (await client.answer()).status == 502
         listener.close()
 
     run(work())
@@ -289,15 +291,15 @@
         ups = [await FakeUpstream().start() for _ in range(2)]
         # With the module's own decisions: it must not try the other upstream either.
         entries = [u.entry(f"u{n}") for n, u in enumerate(ups)]
-        async with running(*entries) as balancer, Caller(balancer.port) as caller:
+        async with running(*entries) as balancer, HttpClient(balancer.port) as client:
             while not all(u.seen for u in ups):  # both have a kept connection
-                caller.ask()
-                assert (await caller.answer()).status == 200
+                client.ask()
+                assert (await client.answer()).status == 200
             warm = sum(len(u.seen) for u in ups)
             for item in ups:
                 item.behave = reset
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 502
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
         assert sum(len(u.seen) for u in ups) == warm + 1
         assert [u.connections for u in ups] == [1, 1]
         for item in ups:
@@ -312,19 +314,22 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            pool = balancer.engine.upstreams
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            pool = balancer.dispatcher.connection_pool
             for n, spoil in enumerate((b"HTTP/1.1 408 Request Timeout\r\n\r\n", b"")):
-                caller.ask("move", b"x")
-                assert (await caller.answer()).status == 200
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 200
                 (kept,) = pool._idle[1]
                 raw = upstream.talks[-1].writer.get_extra_info("socket").fileno()
                 with socket.socket(fileno=socket.dup(raw)) as side:
                     side.send(spoil) if spoil else side.shutdown(socket.SHUT_WR)
                 # Asked in the same turn of the loop, before it can have read what came.
                 assert not kept.usable()
-                caller.ask("move", b"y")
-                assert (await caller.answer()).status == 200
+                client.ask("move", b"y")
+                assert (await client.answer()).status == 200
                 assert upstream.connections == n + 2
         upstream.close()
 
@@ -338,11 +343,11 @@
         upstream = await FakeUpstream().start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask()
-            assert (await caller.answer()).status == 200
-            for connection in (*balancer.engine.upstreams._open, *balancer.listener._connections):
+            client.ask()
+            assert (await client.answer()).status == 200
+            for connection in (*balancer.dispatcher.connection_pool._open, *balancer.listener._connections):
                 assert connection._transport is not None
                 fd = connection._transport.get_extra_info("socket").fileno()
                 with socket.socket(fileno=socket.dup(fd)) as raw:
@@ -359,14 +364,14 @@
         upstream = await FakeUpstream().start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask()
-            await caller.answer()
-            (kept,) = balancer.engine.upstreams._idle[1]
+            client.ask()
+            await client.answer()
+            (kept,) = balancer.dispatcher.connection_pool._idle[1]
             kept.idle_since_ms -= 58_000
-            caller.ask()
-            await caller.answer()
+            client.ask()
+            await client.answer()
             assert upstream.connections == 2
         upstream.close()
 
@@ -388,10 +393,10 @@
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script, limits={"ConnIdleMs": 1500}) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask()
-            await caller.answer()
+            client.ask()
+            await client.answer()
             async with asyncio.timeout(PATIENCE_S):
                 await ended.wait()  # closed by the balancer: nothing else ends it
         upstream.close()
@@ -406,10 +411,10 @@
         upstream = await FakeUpstream().start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
             body = bytes(range(256)) * 8
-            caller.ask(
+            client.ask(
                 "post",
                 body,
                 "/api?obj=%2f&x=1",
@@ -418,7 +423,7 @@
                 X_Hop="1",
                 X_Trace_Id="77aa03aa5c7e2d41",
             )
-            assert (await caller.answer()).body == b"served"
+            assert (await client.answer()).body == b"served"
         upstream.close()
         (seen,) = upstream.seen
         assert (seen.method, seen.target, seen.body) == ("POST", "/api?obj=%2f&x=1", body)
@@ -454,22 +459,22 @@
         script.more = both
         async with (
             running(ups[0].entry("a"), ups[1].entry("b"), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask()
+            client.ask()
             for item in ups:
                 await item.arrived.get()
             go[1].set()
-            assert (await caller.answer()).body == b"copy 1"
+            assert (await client.answer()).body == b"copy 1"
             go[0].set()
             ends = [await script.ended(), await script.ended()]
             assert [(e.attempt, e.outcome, e.final) for e in ends] == [
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
-            caller.ask(target="/ready")
-            assert (await caller.answer()).status == 200  # and nothing of the second copy before it
-            assert not balancer.engine._exchanges
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200  # and nothing of the second copy before it
+            assert not balancer.dispatcher._exchanges
         for item in ups:
             item.close()
 
@@ -488,14 +493,17 @@
 
         upstream = await FakeUpstream(wait).start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask()
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
             await upstream.arrived.get()
-            balancer.engine._act(Cancel(1, 0))
+            balancer.dispatcher._act(Cancel(1, 0))
             assert (await script.ended()).outcome is Outcome.CANCELLED
             async with asyncio.timeout(PATIENCE_S):
                 await ended.wait()
-            assert (await caller.answer()).status == 502
+            assert (await client.answer()).status == 502
             assert len(script.ends()) == 1
         upstream.close()
 
@@ -515,16 +523,16 @@
         upstream = await FakeUpstream(wait).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            async with Caller(balancer.port) as caller:
-                caller.ask("move", b"x")
+            async with HttpClient(balancer.port) as client:
+                client.ask("move", b"x")
                 await upstream.arrived.get()
             async with asyncio.timeout(PATIENCE_S):
-                while not isinstance(await script.told.get(), ClientGone):
+                while not isinstance(await script.told.get(), ClientDisconnected):
                     pass
             go.set()
             event = await script.ended()
             assert (event.outcome, event.final) == (Outcome.OK, True)
-            assert not balancer.engine._exchanges
+            assert not balancer.dispatcher._exchanges
         upstream.close()
 
     run(work())
@@ -537,14 +545,17 @@
         upstream = await FakeUpstream(silence).start()
         script = Script([1])
         script.more = lambda event: [] if isinstance(event, AttemptEnded) else None
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask("move", b"x", X_Expires_In_Ms="150")
-            assert (await caller.answer()).status == 504
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x", X_Expires_In_Ms="150")
+            assert (await client.answer()).status == 504
             event = await script.ended()
             assert (event.outcome, event.final) == (Outcome.TIMEOUT, False)
-            caller.ask(target="/ready")
-            assert (await caller.answer()).status == 200
-            assert not balancer.engine._exchanges
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200
+            assert not balancer.dispatcher._exchanges
         upstream.close()
 
     run(work())
@@ -558,17 +569,20 @@
         script = Script([1] * 6)
 
         def more(event: Event) -> list[Action] | None:
-            if isinstance(event, AttemptEnded) and event.outcome is Outcome.MOOT and not event.final:
+            if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
                 return [Fail(event.request), Send(event.request, 1, 0.0)]
             return None
 
         script.more = more
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask()
-            assert (await caller.answer()).status == 502
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            assert (await client.answer()).status == 502
         upstream.close()
         ends = [(e.attempt, e.outcome) for e in script.ends()]
-        assert ends[:5] == [(n, Outcome.RESET) for n in range(4)] + [(4, Outcome.MOOT)]
+        assert ends[:5] == [(n, Outcome.RESET) for n in range(4)] + [(4, Outcome.DISCARDED)]
         assert len(upstream.seen) == 4
 
     run(work())
@@ -581,8 +595,11 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            pool = balancer.engine.upstreams
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            pool = balancer.dispatcher.connection_pool
             pool._grace_ms = 0.0  # so that no test waits for it
             connect, told = pool._connect, asyncio.Event()
 
@@ -591,7 +608,7 @@
                 await connect(call)
 
             pool._connect = late  # type: ignore[method-assign]
-            caller.ask("move", b"x")
+            client.ask("move", b"x")
             while not any(isinstance(e, RequestArrived) for e in script.events):
                 await script.told.get()
             balancer.discovery.change(upstream.entry("a", lifecycle=change))
@@ -599,8 +616,8 @@
                 while not isinstance(await script.told.get(), ListUpdate):
                     pass
             told.set()
-            assert (await script.ended()).outcome is Outcome.MOOT
-            assert (await caller.answer()).status == 502
+            assert (await script.ended()).outcome is Outcome.DISCARDED
+            assert (await client.answer()).status == 502
         upstream.close()
         assert upstream.seen == []
 
@@ -615,15 +632,15 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a"), script=Script([1])) as balancer:
-            engine, clock = balancer.engine, balancer.shared.clock
+            dispatcher, clock = balancer.dispatcher, balancer.shared.clock
             for age_s, late in ((5.0, False), (6.6, True)):  # the grace is 0.5 s, told counts after 6 s
-                engine._listed_ms = clock.now_ms() - 1_000.0 * age_s
+                dispatcher._listed_ms = clock.now_ms() - 1_000.0 * age_s
                 row = ServerEntry(1, ServerState.DRAINING)
                 address = ("127.0.0.1", upstream.port)
-                engine.on_listing(Listing(ListKind.DELTA, 2, (row,), (address,)))
-                assert engine.upstreams.past_grace(engine.upstreams.table[1]) is late
+                dispatcher.on_listing(Listing(ListKind.DELTA, 2, (row,), (address,)))
+                assert dispatcher.connection_pool.grace_expired(dispatcher.connection_pool.table[1]) is late
                 ready = ServerEntry(1, ServerState.READY)
-                engine.on_listing(Listing(ListKind.DELTA, 3, (ready,), (address,)))
+                dispatcher.on_listing(Listing(ListKind.DELTA, 3, (ready,), (address,)))
         upstream.close()
 
     run(work())
@@ -636,15 +653,15 @@
         draining, other = await FakeUpstream().start(), await FakeUpstream().start()
         async with (
             running(draining.entry("a"), other.entry("b")) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
             balancer.discovery.change(draining.entry("a", lifecycle="leaving"))
             async with asyncio.timeout(PATIENCE_S):
-                while not balancer.engine.upstreams.table[1].told_ms:
+                while not balancer.dispatcher.connection_pool.table[1].notified_ms:
                     await asyncio.sleep(0.01)
             for _ in range(20):
-                caller.ask()
-                assert (await caller.answer()).status == 200
+                client.ask()
+                assert (await client.answer()).status == 200
         draining.close()
         other.close()
         assert draining.seen == [] and len(other.seen) == 20
@@ -666,9 +683,9 @@
             for _ in range(12):
                 before = [len(u.seen) for u in north]
                 served_before = len(south.seen)
-                async with Caller(balancer.port) as caller:
-                    caller.ask("post", b"x")
-                    answer = await caller.answer()
+                async with HttpClient(balancer.port) as client:
+                    client.ask("post", b"x")
+                    answer = await client.answer()
                 tried_north = sum(len(u.seen) for u in north) - sum(before)
                 if tried_north:  # it may have run there: not refused, not sent south
                     assert answer.status == 502 and len(south.seen) == served_before
@@ -695,13 +712,13 @@
 
         ups = [await FakeUpstream(fail).start() for _ in range(3)]
         entries = [u.entry(f"n{n}") for n, u in enumerate(ups)]
-        async with running(*entries, categories=classes) as balancer, Caller(balancer.port) as caller:
-            caller.ask("post", b"x")
+        async with running(*entries, categories=classes) as balancer, HttpClient(balancer.port) as client:
+            client.ask("post", b"x")
             await asyncio.wait(
                 [asyncio.ensure_future(u.arrived.get()) for u in ups], return_when=asyncio.FIRST_COMPLETED
             )
-            balancer.engine.clock.after(60.0, late.set)
-            assert (await caller.answer()).status == 502
+            balancer.dispatcher.clock.after(60.0, late.set)
+            assert (await client.answer()).status == 502
             assert sum(len(u.seen) for u in ups) == 1
         for item in ups:
             item.close()
@@ -722,7 +739,7 @@
         stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
         async with running(upstream.entry("a"), silent.entry("b"), script=script, stats=stats) as balancer:
             for server in (1, 2, 77):
-                balancer.engine._act(Probe(server))
+                balancer.dispatcher._act(Probe(server))
             ends = {}
             async with asyncio.timeout(PATIENCE_S):
                 while len(ends) < 3:
@@ -749,8 +766,8 @@
         limits = {"ConnectTimeoutMs": 700}
         async with running(upstream.entry("a"), script=Script([1]), stats=stats, limits=limits) as balancer:
             given: list[float] = []
-            balancer.engine.upstreams.start = lambda call, timeout: given.append(timeout)  # type: ignore[method-assign]
-            balancer.engine._act(Probe(1))
+            balancer.dispatcher.connection_pool.start = lambda call, timeout: given.append(timeout)  # type: ignore[method-assign]
+            balancer.dispatcher._act(Probe(1))
             assert given == [750.0]
         upstream.close()
 
@@ -779,17 +796,17 @@
         upstream = await FakeUpstream(large).start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
             for _ in range(3):
-                caller.ask("move", b"x")
-                answer = await caller.answer()
+                client.ask("move", b"x")
+                answer = await client.answer()
                 assert answer.status == 200 and answer.body == body
-            caller.writer.close()
+            client.writer.close()
             async with asyncio.timeout(PATIENCE_S):
                 while balancer.listener._connections:
                     await asyncio.sleep(0.01)
-            assert balancer.engine.room.used == 0
+            assert balancer.dispatcher.memory_budget.used == 0
         upstream.close()
         assert len(upstream.seen) == 3
 
@@ -809,24 +826,24 @@
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script, rest_ms=60_000.0) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.ask("move", b"x", "/api?1")
-            assert (await caller.answer()).body == b"/api?1"
-            caller.ask("move", b"x", "/api?2")
-            assert (await caller.answer()).body == b"/api?2"
+            client.ask("move", b"x", "/api?1")
+            assert (await client.answer()).body == b"/api?1"
+            client.ask("move", b"x", "/api?2")
+            assert (await client.answer()).body == b"/api?2"
             assert upstream.connections == 2
             (first, second) = upstream.talks
             await first.send(ok(b"/api?1"))
             await second.send(b"\x00noise")
             async with asyncio.timeout(PATIENCE_S):
-                while balancer.engine.upstreams.sockets:
+                while balancer.dispatcher.connection_pool.sockets:
                     await asyncio.sleep(0.01)
-            caller.ask("move", b"x", "/api?3")
-            assert (await caller.answer()).body == b"/api?3"
-            balancer.engine.upstreams.REST_MS = 0.0  # rested: it is used again
-            caller.ask("move", b"x", "/api?4")
-            assert (await caller.answer()).body == b"/api?4"
+            client.ask("move", b"x", "/api?3")
+            assert (await client.answer()).body == b"/api?3"
+            balancer.dispatcher.connection_pool.REST_MS = 0.0  # rested: it is used again
+            client.ask("move", b"x", "/api?4")
+            assert (await client.answer()).body == b"/api?4"
             assert upstream.connections == 3
         upstream.close()
 
@@ -847,14 +864,14 @@
         stats = {"How": "on_probe", "Fields": ["inflight"]}
         async with (
             running(upstream.entry("a"), script=script, stats=stats) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            balancer.engine._act(Probe(1))
+            balancer.dispatcher._act(Probe(1))
             async with asyncio.timeout(PATIENCE_S):
                 while not isinstance(await script.told.get(), ProbeEnded):
                     pass
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 502
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
             assert upstream.connections == 1
         upstream.close()
         (end,) = script.ends()
@@ -876,11 +893,11 @@
         script = Script([1], timeout_ms=1_500.0 if silent else 0.0)
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
             loop = asyncio.get_running_loop()
-            pool = balancer.engine.upstreams
-            caller.ask("move", b"x" * 60_000)
+            pool = balancer.dispatcher.connection_pool
+            client.ask("move", b"x" * 60_000)
             connection, _ = await loop.sock_accept(listener)
             async with asyncio.timeout(PATIENCE_S):
                 while not (pool._open and next(iter(pool._open))._call):
@@ -896,7 +913,7 @@
                 connection.close()
             expected = Outcome.TIMEOUT if silent else Outcome.RESET
             assert (await script.ended()).outcome is expected
-            assert (await caller.answer()).status == 502
+            assert (await client.answer()).status == 502
             connection.close()
         listener.close()
 
@@ -939,12 +956,14 @@
         script = Script([1])
         async with (
             running(entry("a", upstream.port), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            balancer.engine.upstreams.HOLD_MS = 5_000.0  # a loaded machine may take long to see the reset
+            balancer.dispatcher.connection_pool.HOLD_MS = (
+                5_000.0  # a loaded machine may take long to see the reset
+            )
             for _ in range(5):
-                caller.ask("move", b"x")
-                assert (await caller.answer()).status == 200
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 200
         upstream.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK] * 5
         assert (upstream.whole, upstream.connections) == (5, 5)
@@ -960,14 +979,16 @@
         script = Script([1])
         async with (
             running(entry("a", upstream.port), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            balancer.engine.upstreams.HOLD_MS = 5_000.0  # a loaded machine may take long to see the reset
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 200
+            balancer.dispatcher.connection_pool.HOLD_MS = (
+                5_000.0  # a loaded machine may take long to see the reset
+            )
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 200
             upstream.close()
-            caller.ask("move", b"x")
-            assert (await caller.answer()).status == 502
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.CONNECT_FAILED]
 
     run(work())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -8,9 +8,20 @@
 
 import pytest
 
-from sandhatch.balancing.interface import ListKind, ListUpdate, WatchList
+from sandhatch.balancing.actions import WatchList
+from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.discovery.client import DiscoveryError, Names, parse_listing
-from tests.fakes import PATIENCE_S, SETTINGS, Caller, FakeDiscovery, FakeUpstream, Script, entry, ok, running
+from tests.fakes import (
+    PATIENCE_S,
+    SETTINGS,
+    FakeDiscovery,
+    FakeUpstream,
+    HttpClient,
+    Script,
+    entry,
+    ok,
+    running,
+)
 from tests.test_attempts import run
 
 
@@ -65,13 +76,13 @@
     async def work() -> None:
         old, new = await FakeUpstream().start(), await FakeUpstream().start()
         script = Script([1])
-        async with running(old.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask()
-            assert (await caller.answer()).status == 200
+        async with running(old.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
+            client.ask()
+            assert (await client.answer()).status == 200
             balancer.discovery.change(new.entry("a"))
             await updates(script, ListKind.DELTA)
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
             assert len(old.seen) == len(new.seen) == 1
         old.close()
         new.close()
@@ -85,13 +96,16 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask()
-            await caller.answer()
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            await client.answer()
             balancer.discovery.change(upstream.entry("a", startedAtMs=5000))
             await updates(script, ListKind.DELTA)
-            caller.ask()
-            await caller.answer()
+            client.ask()
+            await client.answer()
             assert upstream.connections == 2
         upstream.close()
 
@@ -104,14 +118,14 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(script=script, known={}) as balancer, Caller(balancer.port) as caller:
+        async with running(script=script, known={}) as balancer, HttpClient(balancer.port) as client:
             await updates(script, ListKind.FULL)
-            caller.ask(target="/ready")
-            assert (await caller.answer()).status == 503
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 503
             balancer.discovery.change(upstream.entry("a"))
             await updates(script, ListKind.DELTA)
-            caller.ask(target="/ready")
-            assert (await caller.answer()).status == 200
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200
         upstream.close()
 
     run(work())
@@ -132,7 +146,7 @@
             # The watch that was out answers with changes (none); the next one with the whole list.
             full = await updates(script, ListKind.FULL)
             assert [item.server for item in full.entries] == [2]
-            assert set(balancer.engine.upstreams.table) == {2}
+            assert set(balancer.dispatcher.connection_pool.table) == {2}
         a.close()
         b.close()
 
@@ -163,7 +177,10 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
             await called(balancer, "after=")
             bad_entry = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
             balancer.discovery.garbage += [
@@ -179,8 +196,8 @@
             async with asyncio.timeout(PATIENCE_S):
                 while balancer.discovery.garbage:
                     await asyncio.sleep(0.01)
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
             balancer.discovery.change(entry("b", 9))
             change = await updates(script, ListKind.DELTA)
             assert [item.server for item in change.entries] == [2]  # no number was spent on broken answers
@@ -195,11 +212,14 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
             await called(balancer, "after=")
             balancer.discovery.stop()
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
             balancer.discovery.change(entry("b", 9))
             await balancer.discovery.start()
             change = await updates(script, ListKind.DELTA)
@@ -221,12 +241,12 @@
         async with running(upstream.entry("a"), script=script, base=settings) as balancer:
             await updates(script, ListKind.CACHED)
             assert balancer.discovery.calls.empty()
-            balancer.engine._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
+            balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
             await called(balancer, "after=1")
             balancer.discovery.stop()
             await updates(script, ListKind.FAILED)
             await balancer.discovery.start()
-            balancer.engine._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
+            balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
             await called(balancer, "after=1")
         upstream.close()
 
@@ -242,14 +262,18 @@
         a, b = await FakeUpstream().start(), await FakeUpstream().start()
         new = await FakeDiscovery([b.entry("b")]).start()
         script = Script([1])
-        async with running(a.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
+        async with running(a.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
             await called(balancer, "after=1")
             balancer.discovery.change(entry("late", 9))  # on its way when the move is made
             balancer.watch.move(("127.0.0.1", new.port))
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
             full = await updates(script, ListKind.FULL)
-            assert set(balancer.engine.upstreams.table) == {item.server for item in full.entries} == {2}
+            assert (
+                set(balancer.dispatcher.connection_pool.table)
+                == {item.server for item in full.entries}
+                == {2}
+            )
             async with asyncio.timeout(PATIENCE_S):
                 while balancer.discovery._writers:  # the old connection is closed
                     await asyncio.sleep(0.01)
@@ -331,11 +355,11 @@
             await updates(script, ListKind.CACHED)
             discovery = balancer.discovery
             discovery.silent = True
-            balancer.engine._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
+            balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
             await called(balancer, "after=1")
             discovery.change(entry("b", 9))
             discovery.silent = False
-            balancer.engine._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
+            balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
             told = await updates(script, ListKind.DELTA)
             assert [item.server for item in told.entries] == [2]
             assert not any(
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -18,7 +18,7 @@
 from testkit.ports import free_port
 from tests.crossings.skipping import SkippingLoop
 from tests.crossings.skipping import run as skip
-from tests.fakes import PATIENCE_S, Caller, FakeDiscovery, FakeUpstream, config_data, running
+from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data, running
 from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
@@ -73,7 +73,7 @@
         process = await spawn(path, limit)
         try:
             await ready(port)
-            async with Caller(port) as kept:
+            async with HttpClient(port) as kept:
                 kept.ask()
                 assert (await kept.answer()).status == 200
                 if fault == "down":
@@ -83,11 +83,11 @@
                 else:
                     discovery.silent = True
                 discovery.change(two.entry("b"), one.entry("a", lifecycle="leaving"))
-                async with flooded(port, limit + 100) as peers, Caller(port) as fresh:
+                async with flooded(port, limit + 100) as peers, HttpClient(port) as fresh:
                     await ready(port)
-                    for caller in (kept, fresh):
-                        caller.ask()
-                        assert (await caller.answer()).status == 200
+                    for client in (kept, fresh):
+                        client.ask()
+                        assert (await client.answer()).status == 200
                     # In the same moment that discovery is back, as many come again.
                     discovery.garbage, discovery.silent = [], False
                     if fault == "down":
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -10,24 +10,18 @@
 import pytest
 
 from sandhatch.balancing import Balancer
-from sandhatch.balancing.interface import (
-    Effect,
-    ListKind,
-    ListUpdate,
-    RequestArrived,
-    RequestClass,
-    Send,
-    Settings,
-)
+from sandhatch.balancing.actions import Send
+from sandhatch.balancing.events import ListKind, ListUpdate, RequestArrived
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.client import MAX_LIST, Names, parse_listing
 from sandhatch.http1.framing import ResponseReader
 from testkit.ports import free_port
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
-    Caller,
     FakeDiscovery,
     FakeUpstream,
+    HttpClient,
     config_data,
     entry,
     ok,
@@ -57,7 +51,7 @@
 
 
 def test_every_server_of_a_large_list_is_drawn() -> None:
-    settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.SAFE)], copies=230, tier=1, tiers=2)
+    settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.IDEMPOTENT)], instances=230, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
     data = {"generation": 7, "reset": True, "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVERS)]}
     listing = parse_listing(data, Names((), ()))
@@ -73,18 +67,18 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         listed = rows(SERVERS, upstream.entry("a"))
-        async with running(*listed, known={}) as balancer, Caller(balancer.port) as caller:
-            table = balancer.engine.upstreams.table
+        async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
+            table = balancer.dispatcher.connection_pool.table
             async with asyncio.timeout(PATIENCE_S):
-                while not balancer.engine.ready:
+                while not balancer.dispatcher.ready:
                     await asyncio.sleep(0.01)
             assert len(table) == SERVERS
             balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
             async with asyncio.timeout(PATIENCE_S):
                 while len(table) == SERVERS:
                     await asyncio.sleep(0.01)
-            caller.ask()
-            assert (await caller.answer()).status == 200
+            client.ask()
+            assert (await client.answer()).status == 200
         upstream.close()
 
     run(work())
@@ -114,9 +108,9 @@
             async with asyncio.timeout(PATIENCE_S):
                 while "after=" not in await discovery.calls.get():
                     pass
-            async with Caller(port) as caller:
-                caller.ask()
-                assert (await caller.answer()).status == 200
+            async with HttpClient(port) as client:
+                client.ask()
+                assert (await client.answer()).status == 200
             status = Path(f"/proc/{process.pid}/status").read_text()
             peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
             assert int(peak.split()[1]) / 1024 <= MEMORY_MB, peak
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -9,24 +9,16 @@
 
 import pytest
 
-from sandhatch.balancing.interface import (
-    Action,
-    ClientGone,
-    Event,
-    Fail,
-    Outcome,
-    Refuse,
-    RequestArrived,
-    Send,
-)
+from sandhatch.balancing.actions import Action, Fail, Reject, Send
+from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived
 from sandhatch.dispatch.dispatcher import Exchange
-from sandhatch.downstream.listener import CallerConnection, Listener
+from sandhatch.downstream.listener import ClientConnection, Listener
 from sandhatch.http1.framing import RequestReader, ResponseReader
-from sandhatch.upstream.pool import Call, UpstreamConnection
+from sandhatch.upstream.pool import Attempt, ServerConnection
 from tests.fakes import (
     PATIENCE_S,
-    Caller,
     FakeUpstream,
+    HttpClient,
     Incoming,
     Script,
     Talk,
@@ -110,8 +102,8 @@
         upstream = await FakeUpstream(held).start()
         async with (
             running(upstream.entry("a")) as balancer,
-            Caller(balancer.port) as good,
-            Caller(balancer.port) as bad,
+            HttpClient(balancer.port) as good,
+            HttpClient(balancer.port) as bad,
         ):
             good.ask()
             await upstream.arrived.get()
@@ -131,11 +123,14 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
-            assert (await caller.answer()).status == 200
-            caller.ask(X_Expires_In_Ms="999999999")
-            assert (await caller.answer()).status == 200
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
+            assert (await client.answer()).status == 200
+            client.ask(X_Expires_In_Ms="999999999")
+            assert (await client.answer()).status == 200
         upstream.close()
         lefts = [e.time_left_ms for e in script.events if isinstance(e, RequestArrived)]
         assert lefts == [8000.0, 8000.0]
@@ -151,12 +146,12 @@
             await talk.send(ok(request.target.encode()))
 
         upstream = await FakeUpstream(echo).start()
-        async with running(upstream.entry("a")) as balancer, Caller(balancer.port) as caller:
-            caller.send(b"".join(request_bytes(target=f"/api?n={n}") for n in range(3)) + b"garbage\r\n\r\n")
+        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
+            client.send(b"".join(request_bytes(target=f"/api?n={n}") for n in range(3)) + b"garbage\r\n\r\n")
             for n in range(3):
-                assert (await caller.answer()).body == b"/api?n=%d" % n
-            assert (await caller.answer()).status == 400
-            assert await caller.ended() == b""
+                assert (await client.answer()).body == b"/api?n=%d" % n
+            assert (await client.answer()).status == 400
+            assert await client.ended() == b""
         upstream.close()
 
     run(work())
@@ -167,12 +162,12 @@
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
-        async with running(upstream.entry("a")) as balancer, Caller(balancer.port) as caller:
+        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             head, _, _ = request_bytes("move", b"body", Expect="100-continue").partition(b"\r\n\r\n")
-            caller.send(head + b"\r\n\r\n")
-            assert (await caller.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
-            caller.send(b"body")
-            assert (await caller.answer()).status == 200
+            client.send(head + b"\r\n\r\n")
+            assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
+            client.send(b"body")
+            assert (await client.answer()).status == 200
         upstream.close()
         assert upstream.seen[0].body == b"body"
 
@@ -184,11 +179,11 @@
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
-        async with running(upstream.entry("a")) as balancer, Caller(balancer.port) as caller:
-            caller.ask(Connection="close")
-            answer = await caller.answer()
+        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
+            client.ask(Connection="close")
+            answer = await client.answer()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await caller.ended() == b""
+            assert await client.ended() == b""
         upstream.close()
 
     run(work())
@@ -202,15 +197,18 @@
         script = Script([1])
         waits = [1250.0, 0.0]
 
-        def refuse(event: Event) -> list[Action] | None:
-            return [Refuse(event.request, waits.pop(0))] if isinstance(event, RequestArrived) else None
+        def reject(event: Event) -> list[Action] | None:
+            return [Reject(event.request, waits.pop(0))] if isinstance(event, RequestArrived) else None
 
-        script.more = refuse
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask()
-            first = await caller.answer()
-            caller.ask()
-            second = await caller.answer()
+        script.more = reject
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            first = await client.answer()
+            client.ask()
+            second = await client.answer()
         upstream.close()
         assert (first.status, first.headers.get("retry-after")) == (503, "1.250")
         assert (second.status, second.headers.get("retry-after")) == (503, None)
@@ -231,11 +229,14 @@
             return None
 
         script.more = fault
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as caller:
-            caller.ask("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
-            assert (await caller.answer()).status == 500
-            caller.ask()
-            assert (await caller.answer()).status == 200
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
+            assert (await client.answer()).status == 500
+            client.ask()
+            assert (await client.answer()).status == 200
         upstream.close()
 
     run(work())
@@ -253,7 +254,7 @@
 
         def twice(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived) and event.class_index == 2:
-                return [Send(event.request, 1, 300.0), Fail(event.request), Refuse(event.request)]
+                return [Send(event.request, 1, 300.0), Fail(event.request), Reject(event.request)]
             return None
 
         script.more = twice
@@ -261,10 +262,10 @@
         script.servers = [2]
         async with (
             running(upstream.entry("a"), other.entry("b"), script=script) as balancer,
-            Caller(balancer.port) as caller,
+            HttpClient(balancer.port) as client,
         ):
-            caller.send(request_bytes("move", b"x") + request_bytes())
-            assert [(await caller.answer()).status for _ in range(2)] == [502, 200]
+            client.send(request_bytes("move", b"x") + request_bytes())
+            assert [(await client.answer()).status for _ in range(2)] == [502, 200]
             first = next(e for e in script.events if isinstance(e, RequestArrived))
             while (event := await script.ended()).request != first.request:
                 pass
@@ -282,17 +283,17 @@
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            async with Caller(balancer.port) as caller:
-                caller.send(request_bytes("move", b"whole")[:-1])
-                await caller.writer.drain()
-                caller.writer.write_eof()
-                assert await caller.ended() == b""
-            async with Caller(balancer.port) as caller:
-                caller.ask(target="/ready")
-                assert (await caller.answer()).status == 200
+            async with HttpClient(balancer.port) as client:
+                client.send(request_bytes("move", b"whole")[:-1])
+                await client.writer.drain()
+                client.writer.write_eof()
+                assert await client.ended() == b""
+            async with HttpClient(balancer.port) as client:
+                client.ask(target="/ready")
+                assert (await client.answer()).status == 200
         upstream.close()
         assert upstream.seen == []
-        assert not any(isinstance(e, RequestArrived | ClientGone) for e in script.events)
+        assert not any(isinstance(e, RequestArrived | ClientDisconnected) for e in script.events)
 
     run(work())
 
@@ -309,7 +310,7 @@
             side = socket.socket()
             side.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             side.connect(("127.0.0.1", balancer.port))
-            reader, writer = await asyncio.open_connection(sock=side, limit=1024)
+            _reader, writer = await asyncio.open_connection(sock=side, limit=1024)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             asked = 400
             connection: Any = None
@@ -324,7 +325,7 @@
             assert connection._transport is not None
             assert connection._transport.get_write_buffer_size() < 512 * 1024
             assert len(upstream.seen) < asked
-            async with Caller(balancer.port) as other:
+            async with HttpClient(balancer.port) as other:
                 other.ask()
                 assert (await other.answer()).status == 200
             writer.close()
@@ -342,16 +343,16 @@
         upstream = await FakeUpstream().start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), machine=limits) as balancer:
-            budget = balancer.shared.caller_budget
-            callers = []
+            budget = balancer.shared.client_budget
+            clients = []
             for _ in range(budget + 10):
-                caller = await Caller(balancer.port).__aenter__()
-                callers.append(caller)
-                caller.ask()
-                assert (await caller.answer()).status == 200
+                client = await HttpClient(balancer.port).__aenter__()
+                clients.append(client)
+                client.ask()
+                assert (await client.answer()).status == 200
             assert len(balancer.listener._connections) <= budget + 1
-            for caller in callers:
-                caller.writer.close()
+            for client in clients:
+                client.writer.close()
         upstream.close()
 
     run(work())
@@ -365,18 +366,18 @@
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), machine=limits) as balancer:
             halves = []
-            for _ in range(balancer.shared.caller_budget):
-                caller = await Caller(balancer.port).__aenter__()
-                halves.append(caller)
-                caller.send(request_bytes()[:-2])
+            for _ in range(balancer.shared.client_budget):
+                client = await HttpClient(balancer.port).__aenter__()
+                halves.append(client)
+                client.send(request_bytes()[:-2])
             async with asyncio.timeout(PATIENCE_S):
                 while sum(c.begun for c in balancer.listener._connections) < len(halves):
                     await asyncio.sleep(0.01)
-            async with Caller(balancer.port) as good:
+            async with HttpClient(balancer.port) as good:
                 good.ask()
                 assert (await good.answer()).status == 200
-            for caller in halves:
-                caller.writer.close()
+            for client in halves:
+                client.writer.close()
         upstream.close()
 
     run(work())
@@ -389,20 +390,20 @@
         upstream = await FakeUpstream(silence).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), script=Script([1]), machine=limits) as balancer:
-            pool = balancer.engine.upstreams
+            pool = balancer.dispatcher.connection_pool
             pool._budget = 3
-            callers = []
+            clients = []
             for _ in range(3):
-                caller = await Caller(balancer.port).__aenter__()
-                callers.append(caller)
-                caller.ask("move", b"x")
+                client = await HttpClient(balancer.port).__aenter__()
+                clients.append(client)
+                client.ask("move", b"x")
                 await upstream.arrived.get()
-            async with Caller(balancer.port) as last:
+            async with HttpClient(balancer.port) as last:
                 last.ask("move", b"x")
                 assert (await last.answer()).status == 502
             assert pool.sockets == 3 and upstream.connections == 3
-            for caller in callers:
-                caller.writer.close()
+            for client in clients:
+                client.writer.close()
         upstream.close()
 
     run(work())
@@ -422,25 +423,25 @@
 
         upstream = await FakeUpstream(held).start()
         script = Script([1])
-        async with running(upstream.entry("a"), script=script) as balancer, Caller(balancer.port) as good:
+        async with running(upstream.entry("a"), script=script) as balancer, HttpClient(balancer.port) as good:
             good.ask("move", b"x", X_Trace_Id="aa")
             await upstream.arrived.get()
-            async with Caller(balancer.port) as bad:
+            async with HttpClient(balancer.port) as bad:
                 bad.ask("look", X_Trace_Id="aa")
                 assert (await bad.answer()).status == 409
                 assert await bad.ended() == b""
             go.set()
             assert (await good.answer()).status == 200
-            async with Caller(balancer.port) as bad:
+            async with HttpClient(balancer.port) as bad:
                 bad.ask("move", b"x", X_Trace_Id="aa")
                 assert (await bad.answer()).status == 409
             good.ask("move", b"x", X_Trace_Id="ab")
             assert (await good.answer()).status == 200
-            assert not balancer.shared.traces.open
-            balancer.shared.traces.MOST_PAST = 1
+            assert not balancer.shared.in_flight_ids.open
+            balancer.shared.in_flight_ids.MOST_PAST = 1
             good.ask("move", b"x", X_Trace_Id="ac")
             assert (await good.answer()).status == 200
-            assert list(balancer.shared.traces.past) == [b"ac"]
+            assert list(balancer.shared.in_flight_ids.past) == [b"ac"]
         upstream.close()
         assert [item.headers["x-trace-id"] for item in upstream.seen] == ["aa", "ab", "ac"]
         assert [e.outcome for e in script.ends()] == [Outcome.OK] * 3
@@ -453,13 +454,13 @@
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
-        async with running(upstream.entry("a")) as balancer, Caller(balancer.port) as caller:
+        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             inner = request_bytes("move", b"x")
             outer = b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (len(inner) + 5)
-            caller.send(HEAD + b"X-Trace-Id: 1\r\n" + outer + inner)
-            assert (await caller.answer()).status == 400
-            caller.send(request_bytes("move", b"x"))
-            assert await caller.ended() == b""
+            client.send(HEAD + b"X-Trace-Id: 1\r\n" + outer + inner)
+            assert (await client.answer()).status == 400
+            client.send(request_bytes("move", b"x"))
+            assert await client.ended() == b""
         upstream.close()
         assert upstream.seen == []
 
@@ -482,34 +483,34 @@
 
         upstream = await FakeUpstream(held).start()
 
-        async def trickle(caller: Caller) -> None:
+        async def trickle(client: HttpClient) -> None:
             for byte in request_bytes("move", b"x" * 5000):
-                caller.send(bytes((byte,)))
+                client.send(bytes((byte,)))
                 await asyncio.sleep(0.01)
 
         async with (
             running(upstream.entry("a")) as balancer,
-            Caller(balancer.port) as waiting,
-            Caller(balancer.port) as kept,
+            HttpClient(balancer.port) as waiting,
+            HttpClient(balancer.port) as kept,
         ):
             waiting.ask(target="/api?held")
             kept.ask()
             assert (await kept.answer()).status == 200
             # From here on, so that the requests above have the time they need.
-            monkeypatch.setattr(CallerConnection, "FIRST_MS", 1_000.0)
-            monkeypatch.setattr(CallerConnection, "PART_MS", 1_000.0)
-            silent = await Caller(balancer.port).__aenter__()
-            slow = await Caller(balancer.port).__aenter__()
-            tasks = [asyncio.ensure_future(trickle(caller)) for caller in (slow, kept)]
+            monkeypatch.setattr(ClientConnection, "FIRST_MS", 1_000.0)
+            monkeypatch.setattr(ClientConnection, "PART_MS", 1_000.0)
+            silent = await HttpClient(balancer.port).__aenter__()
+            slow = await HttpClient(balancer.port).__aenter__()
+            tasks = [asyncio.ensure_future(trickle(client)) for client in (slow, kept)]
             assert await silent.ended() == b""
-            for caller in (slow, kept):
-                assert (await caller.answer()).status == 408
+            for client in (slow, kept):
+                assert (await client.answer()).status == 408
             for task in tasks:
                 task.cancel()
             go.set()
             assert (await waiting.answer()).status == 200
-            for caller in (silent, slow):
-                caller.writer.close()
+            for client in (silent, slow):
+                client.writer.close()
         upstream.close()
 
     run(work())
@@ -531,35 +532,35 @@
         upstream = await FakeUpstream(held).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), machine=limits, script=Script([1])) as balancer:
-            listener, budget = balancer.listener, balancer.shared.caller_budget
-            balancer.engine.upstreams._budget = 200
-            kept = await Caller(balancer.port).__aenter__()
+            listener, budget = balancer.listener, balancer.shared.client_budget
+            balancer.dispatcher.connection_pool._budget = 200
+            kept = await HttpClient(balancer.port).__aenter__()
             kept.ask()
             assert (await kept.answer()).status == 200
-            silent = [await Caller(balancer.port).__aenter__() for _ in range(60)]
+            silent = [await HttpClient(balancer.port).__aenter__() for _ in range(60)]
             busy = []
             for n in range(budget - 1):
-                caller = await Caller(balancer.port).__aenter__()
-                busy.append(caller)
-                caller.ask(target="/api?held")
+                client = await HttpClient(balancer.port).__aenter__()
+                busy.append(client)
+                client.ask(target="/api?held")
                 while len(upstream.seen) < n + 2:
                     await upstream.arrived.get()
                 assert len(listener._connections) <= budget
             kept.ask()  # the silent ones were closed, this one was not
             assert (await kept.answer()).status == 200
             kept.ask(target="/api?held")
-            late = [await Caller(balancer.port).__aenter__() for _ in range(5)]
-            for caller in late:
-                caller.ask()
+            late = [await HttpClient(balancer.port).__aenter__() for _ in range(5)]
+            for client in late:
+                client.ask()
             async with asyncio.timeout(PATIENCE_S):
                 while not listener._paused:
                     await asyncio.sleep(0.01)
             assert len(listener._connections) == budget
             go.set()
-            for caller in [*busy, kept, *late]:
-                assert (await caller.answer()).status == 200
-            for caller in [*silent, *busy, kept, *late]:
-                caller.writer.close()
+            for client in [*busy, kept, *late]:
+                assert (await client.answer()).status == 200
+            for client in [*silent, *busy, kept, *late]:
+                client.writer.close()
         upstream.close()
 
     run(work())
@@ -580,13 +581,13 @@
 
         upstream = await FakeUpstream(held).start()
         async with running(upstream.entry("a")) as balancer:
-            room = balancer.engine.room
-            assert room.most == 48 * 1024 * 1024
-            room.most = 100_000
+            memory_budget = balancer.dispatcher.memory_budget
+            assert memory_budget.most == 48 * 1024 * 1024
+            memory_budget.most = 100_000
             async with (
-                Caller(balancer.port) as one,
-                Caller(balancer.port) as two,
-                Caller(balancer.port) as three,
+                HttpClient(balancer.port) as one,
+                HttpClient(balancer.port) as two,
+                HttpClient(balancer.port) as three,
             ):
                 one.ask("move", b"x" * 60_000)
                 await upstream.arrived.get()
@@ -601,7 +602,7 @@
             async with asyncio.timeout(PATIENCE_S):
                 while balancer.listener._connections:
                     await asyncio.sleep(0.01)
-            assert room.used == 0
+            assert memory_budget.used == 0
         upstream.close()
 
     run(work())
@@ -632,16 +633,16 @@
                     HEAD + b"Content-Length: 99999999\r\n\r\n",
                     b"".join(request_bytes() for _ in range(50)),
                 ):
-                    async with Caller(balancer.port) as caller:
-                        caller.send(data)
-                        assert (await caller.answer()).status
-                for connection in list(balancer.engine.upstreams._open):
+                    async with HttpClient(balancer.port) as client:
+                        client.send(data)
+                        assert (await client.answer()).status
+                for connection in list(balancer.dispatcher.connection_pool._open):
                     connection.abort()
                 async with asyncio.timeout(PATIENCE_S):
-                    while balancer.listener._connections or balancer.engine.upstreams._open:
+                    while balancer.listener._connections or balancer.dispatcher.connection_pool._open:
                         await asyncio.sleep(0.01)
                 await asyncio.sleep(0)
-                kinds = (CallerConnection, RequestReader, UpstreamConnection, ResponseReader, Exchange, Call)
+                kinds = (ClientConnection, RequestReader, ServerConnection, ResponseReader, Exchange, Attempt)
                 left = [type(item).__name__ for item in gc.get_objects() if isinstance(item, kinds)]
             finally:
                 gc.enable()
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,36 +8,33 @@
 
 import pytest
 
-from sandhatch.balancing.interface import (
+from sandhatch.balancing.actions import CloseIdle, Fail, Probe, Reject, Send, WatchList
+from sandhatch.balancing.errors import ContractError
+from sandhatch.balancing.events import (
     AnswerStarted,
     AttemptEnded,
-    CloseIdle,
-    ContractError,
-    Effect,
-    Fail,
-    Group,
     ListKind,
     ListUpdate,
     Outcome,
-    Probe,
     ProbeEnded,
-    Refuse,
-    ReportMode,
     RequestArrived,
-    RequestClass,
-    Send,
     ServerEntry,
     ServerState,
+)
+from sandhatch.balancing.policy.balancer import Attempt, Balancer, Legality, Request, Server, Usual
+from sandhatch.balancing.settings import (
+    DeduplicationScope,
+    Effect,
+    ReportMode,
+    RequestClass,
     Settings,
     Tenant,
-    WatchList,
 )
-from sandhatch.balancing.policy.balancer import Attempt, Balancer, Legality, Request, Server, Usual
 from tests.driver import Driver
 
-SAFE = RequestClass(100.0, 400.0, Effect.SAFE)
-UNSAFE = RequestClass(100.0, 400.0, Effect.UNSAFE)
-PLAIN = Settings(classes=(SAFE, UNSAFE), max_attempts=4)
+IDEMPOTENT = RequestClass(100.0, 400.0, Effect.IDEMPOTENT)
+NON_IDEMPOTENT = RequestClass(100.0, 400.0, Effect.NON_IDEMPOTENT)
+PLAIN = Settings(classes=(IDEMPOTENT, NON_IDEMPOTENT), max_attempts=4)
 PROBING = replace(
     PLAIN,
     may_probe=True,
@@ -70,7 +67,7 @@
     bench = driver(replace(PLAIN, tier=1, tiers=2), servers=10, seed=seed)
     for _ in range(4):
         bench.request()  # four tokens are spent and stay so
-    busy = {t.server for o in bench.owed.values() for t in o.tries}
+    busy = {t.server for o in bench.unanswered.values() for t in o.tries}
     counts: Counter[int] = Counter()
     for _ in range(6000):
         (server,) = sends(bench.request())
@@ -97,9 +94,9 @@
     bench.request()
     bench.request()  # one call at each server
     (third,) = sends(bench.request())  # no token: a second call somewhere
-    first = next(r for r, o in bench.owed.items() if o.tries[0].server == third)
+    first = next(r for r, o in bench.unanswered.items() if o.tries[0].server == third)
     bench.end(first, 0, Outcome.OK)  # that server still has the third call
-    other = next(r for r, o in bench.owed.items() if o.tries[0].server != third)
+    other = next(r for r, o in bench.unanswered.items() if o.tries[0].server != third)
     bench.end(other, 0, Outcome.OK)
     (fourth,) = sends(bench.request())
     assert fourth != third
@@ -121,7 +118,7 @@
     bench = driver(replace(PLAIN, tier=1, tiers=2), servers=5)
     for _ in range(10):
         bench.request()
-    load = Counter(t.server for o in bench.owed.values() for t in o.tries)
+    load = Counter(t.server for o in bench.unanswered.values() for t in o.tries)
     assert set(load.values()) == {2}
 
 
@@ -163,7 +160,7 @@
     bench = driver(replace(PROBING, tick_ms=5.0))
     bench.request(left=12.0)
     bench.advance(40.0)
-    assert bench.owed[1].answers == 1
+    assert bench.unanswered[1].answers == 1
 
 
 def test_two_requests_never_settle_on_one_report() -> None:
@@ -180,14 +177,14 @@
         bench.advance(1.0)
         while bench.probes:
             bench.echo((1.0, 1.0))
-    assert bench.owed[1].answers == 1
-    assert not bench.owed[1].tries
-    assert any(isinstance(a, Refuse) for a in bench.actions)
+    assert bench.unanswered[1].answers == 1
+    assert not bench.unanswered[1].tries
+    assert any(isinstance(a, Reject) for a in bench.actions)
 
 
 def test_polls_thin_out_while_next_to_nothing_is_idle() -> None:
     # Guards against a herd on the one server that falls idle, seen by many copies at once.
-    bench = driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.SAFE),)), servers=200)
+    bench = driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=200)
     bench.request()
     counts = []
     for _ in range(4):
@@ -228,15 +225,21 @@
 
 
 def test_a_keyed_call_stays_in_the_zone_of_its_first_server() -> None:
-    keyed = RequestClass(200.0, 400.0, Effect.KEYED, group=Group.ZONE, memory_ms=300.0)
+    keyed = RequestClass(
+        200.0,
+        400.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_ms=300.0,
+    )
     for seed in range(30):
         bench = Driver(replace(PLAIN, classes=(keyed,), zones=3), seed)
         bench.list(ListKind.FULL, tuple(ServerEntry(n, zone=n % 3) for n in range(9)))
         bench.request()
         bench.end(1, 0, Outcome.RESET)
-        zones = {t.zone for t in bench.owed[1].tries}
+        zones = {t.zone for t in bench.unanswered[1].tries}
         assert len(zones) == 1
-        assert len(bench.owed[1].tries) == 2
+        assert len(bench.unanswered[1].tries) == 2
 
 
 def test_nothing_goes_to_a_draining_or_delisted_server() -> None:
@@ -262,23 +265,23 @@
 def test_a_call_waits_for_a_server_and_is_answered_when_none_comes() -> None:
     bench = driver(servers=0)
     bench.request()
-    assert not bench.owed[1].over
+    assert not bench.unanswered[1].over
     bench.list(ListKind.DELTA, (ServerEntry(4),))
     bench.advance(20.0)
-    assert [t.server for t in bench.owed[1].tries] == [4]
+    assert [t.server for t in bench.unanswered[1].tries] == [4]
     empty = driver(servers=0)
     empty.request(1)
     empty.advance(500.0)
-    assert empty.owed[1].answers == 1
+    assert empty.unanswered[1].answers == 1
 
 
 def test_a_streamed_answer_belongs_to_the_client() -> None:
-    bench = driver(replace(PLAIN, classes=(replace(SAFE, streaming=True),)))
+    bench = driver(replace(PLAIN, classes=(replace(IDEMPOTENT, streaming=True),)))
     bench.request()
-    bench.feed(AnswerStarted(1, 0, bench.owed[1].tries[0].server))
-    bench.owed[1].over = True
-    bench.owed[1].tries[0].outcome = Outcome.RESET
-    assert bench.feed(AttemptEnded(1, 0, bench.owed[1].tries[0].server, Outcome.RESET, True)) == []
+    bench.feed(AnswerStarted(1, 0, bench.unanswered[1].tries[0].server))
+    bench.unanswered[1].over = True
+    bench.unanswered[1].tries[0].outcome = Outcome.RESET
+    assert bench.feed(AttemptEnded(1, 0, bench.unanswered[1].tries[0].server, Outcome.RESET, True)) == []
 
 
 # slow start
@@ -287,7 +290,13 @@
 @pytest.mark.parametrize("copies", [1, 40])
 def test_cold_servers_together_stay_within_their_budget(copies: int) -> None:
     settings = replace(
-        PLAIN, tier=1, tiers=2, copies=copies, cold_share=0.1, cold_ms=20_000.0, fall_multiple=3.0
+        PLAIN,
+        tier=1,
+        tiers=2,
+        instances=copies,
+        initial_capacity_share=0.1,
+        warm_up_ms=20_000.0,
+        overload_multiple=3.0,
     )
     fleet = [driver(settings, servers=8, seed=n, started_ms=999.0) for n in range(copies)]
     hits: Counter[int] = Counter()
@@ -302,7 +311,7 @@
 
 
 def test_idle_reports_that_come_together_do_not_overspend_a_cold_servers_credit() -> None:
-    made = Driver(replace(PROBING, cold_ms=3000.0, cold_share=0.2), seed=1)
+    made = Driver(replace(PROBING, warm_up_ms=3000.0, initial_capacity_share=0.2), seed=1)
     made.list(ListKind.DELTA, (ServerEntry(0, started_ms=made.now),))
     for _ in range(12):  # earn 2.4 calls of credit; each that is drawn awaits a report
         made.request()
@@ -314,7 +323,9 @@
 
 
 def test_a_restarted_server_is_cold_again_and_a_warm_one_is_not() -> None:
-    bench = driver(replace(PLAIN, tier=1, tiers=2, cold_share=0.05, cold_ms=50_000.0), servers=2)
+    bench = driver(
+        replace(PLAIN, tier=1, tiers=2, initial_capacity_share=0.05, warm_up_ms=50_000.0), servers=2
+    )
     bench.list(ListKind.DELTA, (ServerEntry(0, started_ms=bench.now),))
     got: Counter[int] = Counter()
     for _ in range(200):
@@ -335,7 +346,7 @@
         bench.request(1)
         bench.advance(5.0)
         for request, attempt in bench.open_tries():
-            server = bench.owed[request].tries[attempt].server
+            server = bench.unanswered[request].tries[attempt].server
             got[server] += 1
             bench.end(request, attempt, Outcome.ERROR if server == 0 else Outcome.OK)
     assert got[0] < 15
@@ -347,9 +358,9 @@
     for _ in range(50):
         bench.request(0)
         number = bench.next_id
-        server = bench.balancer.fleet.servers[bench.owed[number].tries[0].server]
-        bench.end(number, 0, Outcome.REJECTED)
-        assert bench.owed[number].over and len(bench.owed[number].tries) == 1
+        server = bench.balancer.fleet.servers[bench.unanswered[number].tries[0].server]
+        bench.end(number, 0, Outcome.CLIENT_ERROR)
+        assert bench.unanswered[number].over and len(bench.unanswered[number].tries) == 1
         assert (server.strikes, server.outstanding, server.token) == (0, 0, True)
     assert bench.balancer._fail_share <= 0.1 and not bench.balancer.requests
 
@@ -363,14 +374,16 @@
         for request, attempt in bench.open_tries():
             bench.end(request, attempt, Outcome.FULL)
     bench.advance(20_000.0)
-    refused = [action for action in bench.actions if isinstance(action, Refuse)]
-    assert refused and all(10.0 < action.wait_ms <= 2000.0 for action in refused)
+    rejected = [action for action in bench.actions if isinstance(action, Reject)]
+    assert rejected and all(10.0 < action.wait_ms <= 2000.0 for action in rejected)
 
 
 def test_a_refusal_names_a_time_that_still_serves_the_client_or_the_latest() -> None:
     # Guards refused requests: told to come again after their aim, they are lost though places get free.
     settings = replace(
-        PLAIN, max_retry_after_ms=2000.0, classes=(replace(SAFE, aim_ms=600.0, deadline_ms=900.0),)
+        PLAIN,
+        max_retry_after_ms=2000.0,
+        classes=(replace(IDEMPOTENT, objective_ms=600.0, deadline_ms=900.0),),
     )
     bench = driver(settings, servers=2)
     for _ in range(50):
@@ -378,9 +391,9 @@
         bench.advance(40.0)
         bench.end(bench.next_id, 0, Outcome.OK)
     bench.balancer._load = 1000.0  # the servers are full
-    (early,) = [a for a in bench.request(0) if isinstance(a, Refuse)]
+    (early,) = [a for a in bench.request(0) if isinstance(a, Reject)]
     assert 20.0 <= early.wait_ms < 200.0
-    (late,) = [a for a in bench.request(0, left=5.0) if isinstance(a, Refuse)]  # comes too late for its aim
+    (late,) = [a for a in bench.request(0, left=5.0) if isinstance(a, Reject)]  # comes too late for its aim
     assert late.wait_ms == 2000.0
 
 
@@ -389,17 +402,17 @@
     bench = driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     usual = bench.balancer._latency[0]
     bench.request(0, left=0.2 * usual)
-    assert bench.owed[1].over and not bench.owed[1].tries
+    assert bench.unanswered[1].over and not bench.unanswered[1].tries
     bench.request(0, left=0.5 * usual)
-    assert len(bench.owed[2].tries) == 1
+    assert len(bench.unanswered[2].tries) == 1
 
 
 def test_a_full_server_does_not_regain_its_token_at_once() -> None:
     bench = driver(servers=2)
     bench.request(1)
-    full = bench.owed[1].tries[0].server
+    full = bench.unanswered[1].tries[0].server
     bench.end(1, 0, Outcome.FULL)
-    assert [t.server for t in bench.owed[1].tries] == [full, 1 - full]
+    assert [t.server for t in bench.unanswered[1].tries] == [full, 1 - full]
     bench.end(1, 1, Outcome.OK)
     assert set(sends(bench.request(1)) + sends(bench.request(1))) == {1 - full}
 
@@ -423,7 +436,7 @@
         bench.request()
         while bench.open_tries():
             bench.end(*bench.open_tries()[0], Outcome.RESET)
-    attempts = sum(len(o.tries) for o in bench.owed.values())
+    attempts = sum(len(o.tries) for o in bench.unanswered.values())
     assert attempts < 200 * 1.3 + 10
 
 
@@ -434,7 +447,7 @@
     bench = driver()
     (send,) = [a for a in bench.request(1) if isinstance(a, Send)]
     assert 90.0 < send.timeout_ms < 100.0
-    late = driver(replace(PLAIN, classes=(replace(UNSAFE, late_worth=0.5),)))
+    late = driver(replace(PLAIN, classes=(replace(NON_IDEMPOTENT, late_priority_weight=0.5),)))
     (send,) = [a for a in late.request() if isinstance(a, Send)]
     assert send.timeout_ms == 400.0
 
@@ -450,7 +463,7 @@
     (send,) = [a for a in bench.request(1, left=250.0) if isinstance(a, Send)]
     assert send.timeout_ms > 90.0
     late = bench.request(1, left=210.0)  # 190 ms of the deadline are gone already, and the aim with them
-    assert [type(a) for a in late] == [Refuse]
+    assert [type(a) for a in late] == [Reject]
 
 
 def test_usual_needs_a_clear_majority() -> None:
@@ -472,7 +485,7 @@
         bench.advance(1.0)
         tries = bench.open_tries()
         for request, attempt in tries:
-            if bench.now - bench.owed[request].tries[attempt].sent > 10.0 + 2.0 * len(tries):
+            if bench.now - bench.unanswered[request].tries[attempt].sent > 10.0 + 2.0 * len(tries):
                 bench.end(request, attempt, Outcome.OK)
     return served
 
@@ -494,7 +507,7 @@
 
 
 def test_a_copy_subscribes_within_its_duty_and_keeps_calls_apart_after_failures() -> None:
-    settings = replace(PLAIN, on_request_discovery=True, ask_within_ms=8000.0, drain_grace_ms=2000.0)
+    settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, drain_grace_ms=2000.0)
     bench = driver(settings)
     bench.advance(2000.0)
     assert [a for a in bench.actions if isinstance(a, WatchList)] == [WatchList(True)]
@@ -518,7 +531,7 @@
 def test_a_watch_that_breaks_is_opened_anew_at_once_and_within_the_bound_again() -> None:
     # What a broken watch misses counts as told 6 s after discovery has it: the first call comes at once where
     # no other copies call too, and a second one, and a third, in what is left of that.
-    settings = replace(PLAIN, on_request_discovery=True, ask_within_ms=8000.0)
+    settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0)
     for seed in range(20):
         bench = driver(settings, seed=seed)
         bench.advance(2000.0)
@@ -529,7 +542,7 @@
 
 
 def test_fresh_copies_do_not_all_ask_discovery_at_once() -> None:
-    settings = replace(PLAIN, on_request_discovery=True, ask_within_ms=8000.0, copies=40)
+    settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, instances=40)
     asked = []
     for seed in range(40):
         bench = driver(settings, seed=seed)
@@ -544,7 +557,9 @@
     # Guards the first seconds after a restart: servers on the old list are gone, and new ones not on it. Not
     # at once: forty copies that start together would all ask together.
     for seed in range(20):
-        bench = driver(replace(PLAIN, on_request_discovery=True, ask_within_ms=8000.0, copies=40), seed=seed)
+        bench = driver(
+            replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, instances=40), seed=seed
+        )
         for request in range(1, 5):
             bench.request()
             bench.end(request, 0, Outcome.CONNECT_FAILED)
@@ -557,7 +572,7 @@
 def test_a_copy_that_starts_alone_does_not_wait_for_others() -> None:
     # Guards the same: where no other copy starts with it, there is no herd to spread.
     for seed in range(20):
-        bench = driver(replace(PLAIN, on_request_discovery=True, ask_within_ms=8000.0), seed=seed)
+        bench = driver(replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0), seed=seed)
         bench.advance(500.0)
         assert WatchList(True) in bench.actions
 
@@ -602,7 +617,13 @@
 
 
 def test_a_keyed_call_is_not_repeated_after_the_memory_of_its_first_send() -> None:
-    keyed = RequestClass(200.0, 5000.0, Effect.KEYED, group=Group.ALL, memory_ms=300.0)
+    keyed = RequestClass(
+        200.0,
+        5000.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_ms=300.0,
+    )
     legality, request, server = judged(PLAIN, keyed, [Outcome.RESET])
     assert legality.may_send(request, server, 390.0)
     assert not legality.may_send(request, server, 400.0)
@@ -611,30 +632,30 @@
 
 
 def test_no_second_copy_where_none_is_allowed() -> None:
-    legality, request, server = judged(PLAIN, SAFE, [None])
+    legality, request, server = judged(PLAIN, IDEMPOTENT, [None])
     assert not legality.may_send(request, server, 110.0)
-    legality, request, server = judged(replace(PLAIN, second_copies=True), SAFE, [None])
+    legality, request, server = judged(replace(PLAIN, hedging_allowed=True), IDEMPOTENT, [None])
     assert legality.may_send(request, server, 110.0)
 
 
 def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
     for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
-        legality, request, server = judged(replace(PLAIN, second_copies=True), UNSAFE, [outcome])
+        legality, request, server = judged(replace(PLAIN, hedging_allowed=True), NON_IDEMPOTENT, [outcome])
         assert not legality.may_send(request, server, 110.0)
-        assert not legality.may_refuse(request)
-    for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT):
-        legality, request, server = judged(PLAIN, UNSAFE, [outcome])
+        assert not legality.may_reject(request)
+    for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED):
+        legality, request, server = judged(PLAIN, NON_IDEMPOTENT, [outcome])
         assert legality.may_send(request, server, 110.0)
-        assert legality.may_refuse(request)
+        assert legality.may_reject(request)
 
 
 def test_no_more_attempts_than_allowed() -> None:
-    legality, request, server = judged(PLAIN, SAFE, [Outcome.RESET] * 4)
+    legality, request, server = judged(PLAIN, IDEMPOTENT, [Outcome.RESET] * 4)
     assert not legality.may_send(request, server, 110.0)
 
 
 def zones_drawn(price: float, home: Outcome) -> Counter[int]:
-    bench = Driver(replace(PLAIN, zones=2, my_zone=1, price_cross_zone=price, tier=1, tiers=2), 4)
+    bench = Driver(replace(PLAIN, zones=2, own_zone=1, price_cross_zone=price, tier=1, tiers=2), 4)
     bench.list(ListKind.FULL, tuple(ServerEntry(n, zone=n % 2) for n in range(20)))
     drawn: Counter[int] = Counter()
     for n in range(300):
@@ -692,7 +713,7 @@
 
 def test_a_window_below_one_call_lets_a_part_of_the_calls_through() -> None:
     # Guards against hundreds of copies that each may always have some calls out.
-    bench = driver(replace(PLAIN, copies=100), servers=10)
+    bench = driver(replace(PLAIN, instances=100), servers=10)
     served = []
     for _ in range(120):
         served.append(bool(sends(bench.request(1))))
@@ -702,7 +723,7 @@
 
 def test_repeats_of_a_tenant_that_mostly_repeats_are_refused_first() -> None:
     # Guards against clients that repeat at once, whatever they are told.
-    bench = driver(replace(PLAIN, tenants=(Tenant(100.0), Tenant(100.0)), marks_retry=True))
+    bench = driver(replace(PLAIN, tenants=(Tenant(100.0), Tenant(100.0)), clients_mark_retries=True))
     verdicts = {}
     for n in range(200):
         for tenant in (0, 1):
@@ -713,7 +734,7 @@
 
 def test_a_call_that_looks_again_asks_two_servers_not_eight() -> None:
     # Guards against a herd: in a jam the polls of all copies met at each server that fell idle.
-    bench = driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.SAFE),)), servers=100)
+    bench = driver(replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=100)
     rounds = []
     bench.request()
     for _ in range(3):
@@ -734,7 +755,7 @@
             bench.request()
             while bench.open_tries():
                 bench.end(*bench.open_tries()[0], outcome)
-        return sum(len(o.tries) for o in bench.owed.values())
+        return sum(len(o.tries) for o in bench.unanswered.values())
 
     assert attempts(Outcome.CONNECT_FAILED) > 1.4 * attempts(Outcome.RESET)
 
@@ -769,7 +790,7 @@
         actions = bench.request()
         while sends(actions):
             actions = bench.end(
-                bench.next_id, len(bench.owed[bench.next_id].tries) - 1, Outcome.CONNECT_FAILED
+                bench.next_id, len(bench.unanswered[bench.next_id].tries) - 1, Outcome.CONNECT_FAILED
             )
     bench.advance(200.0)
     closed = {a.server for _ in range(8) for a in bench.request() if isinstance(a, CloseIdle)}
@@ -812,7 +833,7 @@
         bench = driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
         for _ in range(3):
             bench.request(class_index=1)
-        withheld = bench.owed[1].tries[0].server
+        withheld = bench.unanswered[1].tries[0].server
         bench.end(1, 0, Outcome.ERROR)
         counts[sends(bench.request()) == [withheld]] += 1
     assert 150 < counts[True] < 250
@@ -828,7 +849,7 @@
     assert sum(s.until_ms > bench.now for s in bench.balancer.fleet.servers.values()) >= 2
     for _ in range(40):
         bench.request(class_index=1)
-    load = Counter(bench.owed[r].tries[0].server for r, _ in bench.open_tries())
+    load = Counter(bench.unanswered[r].tries[0].server for r, _ in bench.open_tries())
     assert max(load.values()) <= 2 * min(load.values()) and len(load) == 4
 
 
@@ -836,14 +857,14 @@
 def test_a_server_that_mostly_fails_is_kept_out_however_many_calls_are_out(cold_ms: float) -> None:
     # Guards against the chance success that clears it, against draws without a token, which would go to the
     # server that failed its calls at once, and against a span that hangs on an unrelated setting.
-    bench = driver(replace(PLAIN, tier=1, tiers=2, cold_ms=cold_ms), servers=4)
+    bench = driver(replace(PLAIN, tier=1, tiers=2, warm_up_ms=cold_ms), servers=4)
     chance = Random(5)
     got: Counter[int] = Counter()
     for _ in range(1500):
         bench.request(1)
         bench.advance(20.0)
         for request, attempt in bench.open_tries():
-            one = bench.owed[request].tries[attempt]
+            one = bench.unanswered[request].tries[attempt]
             if one.server == 0:
                 bench.end(request, attempt, Outcome.OK if chance.random() < 0.1 else Outcome.ERROR)
             elif bench.now - one.sent >= 50.0:
@@ -859,9 +880,9 @@
         for _ in range(4):
             bench.request(1)  # no token is left
         bench.request(1)
-        while len(bench.owed[bench.next_id].tries) < 4:
-            bench.end(bench.next_id, len(bench.owed[bench.next_id].tries) - 1, Outcome.CONNECT_FAILED)
-        tried = [one.server for one in bench.owed[bench.next_id].tries]
+        while len(bench.unanswered[bench.next_id].tries) < 4:
+            bench.end(bench.next_id, len(bench.unanswered[bench.next_id].tries) - 1, Outcome.CONNECT_FAILED)
+        tried = [one.server for one in bench.unanswered[bench.next_id].tries]
         assert len(set(tried)) == 4
 
 
@@ -874,12 +895,12 @@
         while len(bench.open_tries()) > 30:
             bench.end(*bench.open_tries()[0], Outcome.OK)
     for request, attempt in bench.open_tries():
-        if bench.owed[request].tries[attempt].server < 2:
+        if bench.unanswered[request].tries[attempt].server < 2:
             bench.end(request, attempt, Outcome.TIMEOUT)
     before = bench.next_id
     for _ in range(60):
         bench.request(1)
-    load = Counter(bench.owed[n].tries[0].server for n in range(before + 1, bench.next_id + 1))
+    load = Counter(bench.unanswered[n].tries[0].server for n in range(before + 1, bench.next_id + 1))
     assert len(load) == 6
 
 
@@ -892,7 +913,7 @@
         bench.request(1)
         bench.advance(1.0)
         for request, attempt in bench.open_tries():
-            if bench.now - bench.owed[request].tries[attempt].sent >= 45.0:
+            if bench.now - bench.unanswered[request].tries[attempt].sent >= 45.0:
                 bench.end(request, attempt, Outcome.OK)
         if n > 2000:
             outs.append(len(bench.open_tries()))
@@ -906,19 +927,21 @@
         bench.request(1)
         bench.advance(10.0)
         for request, attempt in bench.open_tries():
-            if bench.now - bench.owed[request].tries[attempt].sent >= 40.0:
+            if bench.now - bench.unanswered[request].tries[attempt].sent >= 40.0:
                 bench.end(request, attempt, Outcome.OK)
     bench.balancer._window = 100.0  # latency allows it
     before = bench.next_id
     for _ in range(50):
         bench.request(1)
         bench.advance(1.0)
-    assert all(bench.owed[n].tries for n in range(before + 1, bench.next_id + 1))
+    assert all(bench.unanswered[n].tries for n in range(before + 1, bench.next_id + 1))
 
 
 def test_a_safe_call_without_an_answer_is_repeated_in_time() -> None:
     # Guards against the answer that never comes, on which all of the time would be spent.
-    settings = replace(PLAIN, classes=(replace(SAFE, aim_ms=300.0), replace(UNSAFE, aim_ms=300.0)))
+    settings = replace(
+        PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
+    )
     bench = driver(settings)
     for _ in range(200):
         for at in (0, 1):
@@ -927,15 +950,17 @@
             bench.end(bench.next_id, 0, Outcome.OK)
     bench.request(0)
     bench.advance(150.0)
-    assert [one.outcome for one in bench.owed[bench.next_id].tries] == [Outcome.TIMEOUT, None]
+    assert [one.outcome for one in bench.unanswered[bench.next_id].tries] == [Outcome.TIMEOUT, None]
     bench.request(1)
     bench.advance(150.0)
-    assert [one.outcome for one in bench.owed[bench.next_id].tries] == [None]
+    assert [one.outcome for one in bench.unanswered[bench.next_id].tries] == [None]
 
 
 def test_a_slow_safe_call_is_not_given_up_while_servers_are_full() -> None:
     # Guards against repeats that fill full servers further.
-    settings = replace(PLAIN, classes=(replace(SAFE, aim_ms=300.0), replace(UNSAFE, aim_ms=300.0)))
+    settings = replace(
+        PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
+    )
     bench = driver(settings)
     for _ in range(200):
         bench.request(0)
@@ -951,14 +976,14 @@
 
 def mean_out(copies: int, spent_ms: float) -> float:
     """Calls out on four servers, by a copy that gets two hinted calls a millisecond."""
-    bench = driver(replace(PLAIN, copies=copies), servers=4)
+    bench = driver(replace(PLAIN, instances=copies), servers=4)
     outs = []
     for n in range(2500):
         bench.request(1, hint=25.0)
         bench.request(1, hint=25.0)
         bench.advance(1.0)
         for request, attempt in bench.open_tries():
-            if bench.now - bench.owed[request].tries[attempt].sent >= spent_ms:
+            if bench.now - bench.unanswered[request].tries[attempt].sent >= spent_ms:
                 bench.end(request, attempt, Outcome.OK)
         if n > 1500:
             outs.append(len(bench.open_tries()))
@@ -977,7 +1002,9 @@
 
 def test_a_fresh_copy_learns_the_latency_from_its_first_answers() -> None:
     # Guards the start: what it goes by at first is a guess from the aim, far above what answers take.
-    bench = driver(replace(PLAIN, classes=(SAFE, replace(UNSAFE, aim_ms=3000.0, deadline_ms=9000.0))))
+    bench = driver(
+        replace(PLAIN, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, objective_ms=3000.0, deadline_ms=9000.0)))
+    )
     for _ in range(5):
         bench.request(1)
         bench.advance(100.0)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -19,9 +19,9 @@
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
-    Caller,
     FakeDiscovery,
     FakeUpstream,
+    HttpClient,
     Incoming,
     Talk,
     config_data,
@@ -56,9 +56,9 @@
     async with asyncio.timeout(PATIENCE_S):
         while True:
             try:
-                async with Caller(port) as caller:
-                    caller.ask(target="/ready")
-                    if (await caller.answer()).status == status:
+                async with HttpClient(port) as client:
+                    client.ask(target="/ready")
+                    if (await client.answer()).status == status:
                         return
             except (ConnectionError, AssertionError):
                 pass
@@ -103,9 +103,9 @@
         upstream = await FakeUpstream(held).start()
         async with (
             program(tmp_path, upstream) as (process, port),
-            Caller(port) as out,
-            Caller(port) as kept,
-            Caller(port) as idle,
+            HttpClient(port) as out,
+            HttpClient(port) as kept,
+            HttpClient(port) as idle,
         ):
             kept.ask()
             assert (await kept.answer()).headers.get("connection") != "close"
@@ -117,14 +117,14 @@
             process.send_signal(number)
             async with asyncio.timeout(PATIENCE_S):  # until it has noticed
                 while True:
-                    async with Caller(port) as fresh:
+                    async with HttpClient(port) as fresh:
                         fresh.ask(target="/ready")
                         if (await fresh.answer()).status == 503:
                             break
             kept.ask()
             answer = await kept.answer()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
-            async with Caller(port) as fresh:
+            async with HttpClient(port) as fresh:
                 fresh.ask()
                 answer = await fresh.answer()
                 assert (answer.status, answer.headers.get("connection")) == (200, "close")
@@ -145,13 +145,13 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with program(tmp_path, upstream, descriptors=64, sockets=1024) as (process, port):
-            callers = [await Caller(port).__aenter__() for _ in range(120)]
-            for caller in callers:
-                caller.writer.close()
+            clients = [await HttpClient(port).__aenter__() for _ in range(120)]
+            for client in clients:
+                client.writer.close()
             for _ in range(30):
-                async with Caller(port) as caller:
-                    caller.ask()
-                    assert (await caller.answer()).status == 200
+                async with HttpClient(port) as client:
+                    client.ask()
+                    assert (await client.answer()).status == 200
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
             process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(PATIENCE_S):
@@ -169,27 +169,27 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with program(tmp_path, upstream) as (process, port):
-            async with Caller(port) as caller:
-                caller.ask()
-                assert (await caller.answer()).status == 200
+            async with HttpClient(port) as client:
+                client.ask()
+                assert (await client.answer()).status == 200
             # Descriptors below the highest in use stay usable; new ones fail from here on.
             used = len(os.listdir(f"/proc/{process.pid}/fd"))
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (used + 8, used + 8))
-            idle = [await Caller(port).__aenter__() for _ in range(30)]
-            async with Caller(port) as caller:
-                caller.ask()
-                assert (await caller.answer()).status == 200
+            idle = [await HttpClient(port).__aenter__() for _ in range(30)]
+            async with HttpClient(port) as client:
+                client.ask()
+                assert (await client.answer()).status == 200
             for item in idle:
                 item.writer.close()
             busy = []
             for _ in range(12):  # each sends before the next one comes, so that none is idle
-                item = await Caller(port).__aenter__()
+                item = await HttpClient(port).__aenter__()
                 busy.append(item)
                 item.send(request_bytes()[:-2])
                 await item.writer.drain()
-            async with Caller(port) as caller:
-                caller.ask()
-                assert (await caller.answer()).status == 200
+            async with HttpClient(port) as client:
+                client.ask()
+                assert (await client.answer()).status == 200
             for item in busy:
                 item.writer.close()
             assert process.returncode is None
@@ -224,7 +224,7 @@
         process = await spawn(path, GW_LISTEN=f"127.0.0.1:{port}", GW_DISCOVERY=f"127.0.0.1:{old.port}")
         try:
             await ready(port)
-            async with Caller(port) as out, Caller(port) as caller:
+            async with HttpClient(port) as out, HttpClient(port) as client:
                 out.ask("move", b"x")
                 await one.arrived.get()
                 path.write_text("{")
@@ -239,14 +239,14 @@
                 async with asyncio.timeout(PATIENCE_S):
                     assert await new.calls.get() == "/v1/endpoints"  # the whole list first
                     assert "after=" in await new.calls.get()
-                caller.ask()
-                assert (await caller.answer()).body == b"second"
+                client.ask()
+                assert (await client.answer()).body == b"second"
                 go.set()
                 assert (await out.answer()).body == b"held"
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                caller.ask()
-                assert (await caller.answer()).status == 200
+                client.ask()
+                assert (await client.answer()).status == 200
                 async with asyncio.timeout(PATIENCE_S):
                     assert await process.wait() == 0
         finally:
@@ -269,7 +269,7 @@
     ({"limits": {"sockets": "many"}}, ["limits.sockets", "many"]),
     ({"known": [1]}, ["known", "[1]"]),
     ({"settings": SETTINGS | {"Categories": []}}, ["settings", "classes"]),
-    ({"settings": SETTINGS | {"MyZone": 9}}, ["settings", "my_zone", "9"]),
+    ({"settings": SETTINGS | {"MyZone": 9}}, ["settings", "MyZone", "9"]),
     ({"settings": SETTINGS | {"Guarantees": {"DrainGraceMs": "x"}}}, ["DrainGraceMs", "'x'"]),
     ({"settings": None}, ["settings", "None"]),
 ]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,29 +8,50 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from sandhatch.balancing.interface import (
-    ClientGone,
-    Effect,
-    Group,
+from sandhatch.balancing.events import (
+    ClientDisconnected,
     ListKind,
     Outcome,
     PeerMessage,
-    ReportMode,
-    RequestClass,
     ServerEntry,
     ServerState,
+    TimerFired,
+)
+from sandhatch.balancing.settings import (
+    DeduplicationScope,
+    Effect,
+    ReportMode,
+    RequestClass,
     Settings,
     Tenant,
-    TimerFired,
 )
 from tests.driver import Driver
 
 CLASSES = (
-    RequestClass(100.0, 400.0, Effect.SAFE),
-    RequestClass(100.0, 400.0, Effect.UNSAFE, worth=5.0),
-    RequestClass(100.0, 400.0, Effect.KEYED, group=Group.ALL, memory_ms=150.0),
-    RequestClass(300.0, 900.0, Effect.KEYED, group=Group.ZONE, memory_ms=500.0, late_worth=0.5),
-    RequestClass(300.0, 900.0, Effect.KEYED, group=Group.CELL, memory_ms=2000.0),
+    RequestClass(100.0, 400.0, Effect.IDEMPOTENT),
+    RequestClass(100.0, 400.0, Effect.NON_IDEMPOTENT, priority_weight=5.0),
+    RequestClass(
+        100.0,
+        400.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_ms=150.0,
+    ),
+    RequestClass(
+        300.0,
+        900.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_ms=500.0,
+        late_priority_weight=0.5,
+    ),
+    RequestClass(
+        300.0,
+        900.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_ms=2000.0,
+    ),
 )
 VALUES = st.sampled_from([0.0, 1.0, 3.0, -2.0, 1e30, math.nan, math.inf])
 
@@ -53,18 +74,18 @@
                 classes=CLASSES,
                 tenants=(Tenant(5.0), Tenant(50.0)) if tenants else (),
                 zones=3,
-                my_zone=1,
-                copies=copies,
+                own_zone=1,
+                instances=copies,
                 tier=tier,
                 tick_ms=5.0,
                 tiers=2,
-                on_request_discovery=ask,
-                cold_ms=3000.0,
-                cold_share=0.2,
+                polled_discovery=ask,
+                warm_up_ms=3000.0,
+                initial_capacity_share=0.2,
                 max_attempts=4,
                 may_cancel=True,
                 may_probe=probes,
-                second_copies=second,
+                hedging_allowed=second,
                 report_mode=ReportMode.ON_PROBE,
                 report_fields=("running_and_waiting", "waiting"),
                 price_cross_zone=crossing,
@@ -140,7 +161,7 @@
 
     @rule()
     def list_fails(self) -> None:
-        from sandhatch.balancing.interface import ListUpdate
+        from sandhatch.balancing.events import ListUpdate
 
         self.driver.feed(ListUpdate(ListKind.FAILED))
 
@@ -148,15 +169,15 @@
     def odd_but_legal(self, payload: bytes, cookie: int) -> None:
         self.driver.feed(PeerMessage(3, payload))
         self.driver.feed(TimerFired(cookie))
-        self.driver.feed(ClientGone(10**9))
+        self.driver.feed(ClientDisconnected(10**9))
 
     @rule(pick=st.integers(0, 10**6))
     def client_leaves(self, pick: int) -> None:
-        alive = [r for r, o in self.driver.owed.items() if not o.over]
+        alive = [r for r, o in self.driver.unanswered.items() if not o.over]
         if alive:
             request = alive[pick % len(alive)]
-            self.driver.owed[request].over = True
-            self.driver.feed(ClientGone(request))
+            self.driver.unanswered[request].over = True
+            self.driver.feed(ClientDisconnected(request))
 
     @invariant()
     def answers_are_owed_once(self) -> None:
@@ -166,7 +187,7 @@
     def teardown(self) -> None:
         if hasattr(self, "driver"):
             self.driver.advance(950.0)
-            assert all(o.over for o in self.driver.owed.values())
+            assert all(o.over for o in self.driver.unanswered.values())
             assert not self.driver.balancer.requests, "finished requests are kept"
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,32 +10,34 @@
 
 import pytest
 
-from sandhatch.balancing.interface import (
+from sandhatch.balancing.actions import (
     Action,
-    AnswerStarted,
-    AttemptEnded,
     Cancel,
-    ClientGone,
     CloseIdle,
     Fail,
     FetchList,
+    Log,
+    Probe,
+    Reject,
+    Send,
+    SetTimer,
+    TellPeer,
+    WatchList,
+)
+from sandhatch.balancing.errors import SettingsError
+from sandhatch.balancing.events import (
+    AnswerStarted,
+    AttemptEnded,
+    ClientDisconnected,
     ListKind,
     ListUpdate,
-    Log,
     Outcome,
     PeerMessage,
-    Probe,
     ProbeEnded,
-    Refuse,
     RequestArrived,
-    Send,
     ServerEntry,
     ServerState,
-    SetTimer,
-    SettingsError,
-    TellPeer,
     TimerFired,
-    WatchList,
 )
 from sandhatch.simulator.codec import (
     Decoder,
@@ -59,7 +61,7 @@
 
 EVENTS = [
     ("01 00000003 000000000000004d", 3, TimerFired(77)),
-    ("02 00000005 0e6f2b19", 5, ClientGone(0x0E6F2B19)),
+    ("02 00000005 0e6f2b19", 5, ClientDisconnected(0x0E6F2B19)),
     ("03 00000003 00000001 0004 68692037", 3, PeerMessage(1, b"hi 7")),
     (
         "06 00000003 5d3a91c4 0001 0a124a07 2bc3 4032800000000000",
@@ -109,7 +111,7 @@
     (Log("two servers known"), "09 00000003 0011 74776f2073657276657273206b6e6f776e"),
     (WatchList(True), "0a 00000003 01"),
     (WatchList(False), "0a 00000003 00"),
-    (Refuse(7, 80.0), "0b 00000003 00000007 4054000000000000"),
+    (Reject(7, 80.0), "0b 00000003 00000007 4054000000000000"),
     (Probe(A), "0c 00000003 0a124a07 2bc3"),
 ]
 
@@ -189,9 +191,9 @@
 
 def test_settings_are_read_and_unknown_keys_skipped() -> None:
     settings = decode_settings(json.dumps(FACTS).encode())
-    assert (settings.zones, settings.my_zone, settings.max_attempts) == (2, 1, 6)
-    assert settings.classes[0].memory_ms == 9.0
-    assert not settings.second_copies
+    assert (settings.zones, settings.own_zone, settings.max_attempts) == (2, 1, 6)
+    assert settings.classes[0].deduplication_ms == 9.0
+    assert not settings.hedging_allowed
 
 
 def _set(path: list[Any], value: Any) -> Callable[[dict[str, Any]], None]:
@@ -221,8 +223,8 @@
         (_set(["Categories", 0], 7), r"Categories\[0\].: 7 is not an object"),
         (_set(["PolicyLimits", "MayProbe"], 1), "PolicyLimits.MayProbe: 1"),
         (_set(["PolicyLimits", "SendCap"], 1.5), "PolicyLimits.SendCap: 1.5"),
-        (_set(["Guarantees", "ColdShare"], 7), "cold_share: 7"),
-        (_set(["MyZone"], 2), "my_zone: 2"),
+        (_set(["Guarantees", "ColdShare"], 7), "ColdShare: 7"),
+        (_set(["MyZone"], 2), "MyZone: 2"),
         (_set(["Zones"], "ab"), "Zones: 'ab' is not a list"),
     ],
 )
