--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -38,13 +38,13 @@
 
 def applied(service: Service, at: dict[int, float]) -> None:
     """Note when each version comes into force."""
-    enter = service._enter
+    activate = service.changes.activate
 
     def noted(version: object, first: bool = False) -> None:
-        enter(version, first)  # type: ignore[arg-type]
+        activate(version, first)  # type: ignore[arg-type]
         at[service.front.current.number] = service.now_ms  # type: ignore[union-attr]
 
-    service._enter = noted  # type: ignore[assignment,method-assign]
+    service.changes.activate = noted  # type: ignore[assignment,method-assign]
 
 
 async def under_load(commits: int, seed: int, pause_s: float) -> str:
--- a/sandhatch/cli/commands.py
+++ b/sandhatch/cli/commands.py
@@ -294,10 +294,11 @@
     from sandhatch.control.server import ControlError, ControlServer
     from sandhatch.runtime.logger import report_loop_errors
     from sandhatch.runtime.process import settle_collector, stop_event
-    from sandhatch.service.accesslog import AccessLog
-    from sandhatch.service.pools import StageError
+    from sandhatch.service.access_log import AccessLog
+    from sandhatch.service.errors import StageError
     from sandhatch.service.reload import Reload
-    from sandhatch.service.service import Service, check_data
+    from sandhatch.service.service import Service
+    from sandhatch.service.validation import check_data
 
     loop = asyncio.get_running_loop()
     stopping = stop_event(loop)
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -11,7 +11,8 @@
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import diff
 from sandhatch.config.transactions import Refusal, RejectedError, Version
-from sandhatch.service.service import Service, checked_text
+from sandhatch.service.service import Service
+from sandhatch.service.validation import checked_text
 
 MOST_TEXT = 500  # of a comment or a value shown
 
--- /dev/null
+++ b/sandhatch/service/access_log.py
@@ -0,0 +1,74 @@
+"""The access log: one JSON line per finished request. Writing it never stops a request.
+
+The keys of a line are described on the operators' page of the access log; this module maps
+`RequestRecord` to them.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+from sandhatch.service.request_record import RequestRecord
+from sandhatch.service.service import Service
+
+FLUSH_INTERVAL_MS = 250.0
+
+
+class AccessLog:
+    """Appends to a file. Lines that can't be written are dropped and counted in `dropped`."""
+
+    def __init__(self, path: str, service: Service) -> None:
+        """Open the file for appending and register for the service's finished requests.
+
+        Raises:
+            OSError: The file can't be opened.
+        """
+        self._file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - open for as long as the process
+        self._service = service
+        self.dropped = 0
+        service.record = self._write
+        self._flush()
+
+    def _row(self, record: RequestRecord) -> dict[str, Any]:
+        """The line's keys and values; the keys are part of the log's format."""
+        server_name = self._service.pools.book.name
+        row = {
+            "t": round(record.came_ms, 3),
+            "ms": round(record.answered_ms - record.came_ms, 3),
+            "version": record.version,
+            "route": record.route,
+            "pool": record.pool,
+            "servers": [server_name(number) for number in record.servers],
+            "class": record.request_class,
+            "id": record.trace.decode("latin-1"),
+            "status": record.status,
+        }
+        if record.cut:
+            row["cut"] = record.cut
+        return row
+
+    def _write(self, record: RequestRecord) -> None:
+        row = self._row(record)
+        try:
+            self._file.write(json.dumps(row) + "\n")
+        except (OSError, ValueError):
+            self.dropped += 1
+
+    def _flush(self) -> None:
+        if self._file.closed:
+            return
+        try:
+            self._file.flush()
+        except OSError:
+            self.dropped += 1
+        if not self._service.stopping:
+            self._service.clock.after(FLUSH_INTERVAL_MS, self._flush)
+
+    def close(self) -> None:
+        """Flush what is buffered and close the file."""
+        try:
+            self._file.close()
+        except OSError:
+            self.dropped += 1
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -1,4 +1,4 @@
-"""This process as a forwarder among others: the link to its planners, as the version in force has it.
+"""This process as a forwarder of the planning protocol: its link to the planners of the active version.
 
 Nothing of `sandhatch.planning` is loaded where no planner is configured.
 """
@@ -11,30 +11,38 @@
 from sandhatch.config.model import Configuration, Planning
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared import SharedResources
-from sandhatch.service.pools import RunningPool, StageError
+from sandhatch.service.errors import StageError
+from sandhatch.service.running_pool import RunningPool
 
 if TYPE_CHECKING:
+    from sandhatch.planning.forwarder import ForwarderTerms
     from sandhatch.planning.keys import Identity
     from sandhatch.planning.link import ForwarderLink
 
 
 class Forwarding:
-    """The link, if there is one."""
+    """The link to the planners, if any are configured; replaced when their configuration changes."""
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
+        """Start without a link; `seed` is that of the link's random draws."""
         self._shared = shared
         self._seed = seed
         self._spec: Planning | None = None
-        self._bound_ms: float | None = None  # until when an earlier link's parts may be others'
+        # Until then, leases of an earlier link of this process may be in use elsewhere; Unix milliseconds.
+        self._earlier_leases_until_ms: float | None = None
         self.link: ForwarderLink | None = None
 
     def check(self, model: Configuration) -> None:
-        """That its keys can be had; StageError."""
+        """Check that the keys of a version to come can be read.
+
+        Raises:
+            StageError: They can't; the message says which and why.
+        """
         if model.planning is not None and model.planning.planners:
-            self._identity(model.planning)
+            self._read_identity(model.planning)
 
     @staticmethod
-    def _identity(spec: Planning) -> Identity:
+    def _read_identity(spec: Planning) -> Identity:
         try:
             from sandhatch.planning.keys import BadKeyError, identity
         except ImportError as problem:
@@ -45,11 +53,11 @@
         except BadKeyError as problem:
             raise StageError(f"planning: {problem}") from None
 
-    def enter(self, model: Configuration, pools: dict[str, RunningPool]) -> None:
-        """The version is in force: its planners, its pools."""
+    def activate(self, model: Configuration, pools: dict[str, RunningPool]) -> None:
+        """The version is active: connect to its planners, and attach its planned pools."""
         spec = model.planning if model.planning is not None and model.planning.planners else None
         if spec != self._spec:
-            self._change(spec)
+            self._replace_link(spec)
         if self.link is None:
             return
         planned = {name: pool for name, pool in pools.items() if pool.spec.planned}
@@ -59,49 +67,61 @@
         for name, pool in planned.items():
             self.link.attach(name, pool.dispatcher, pool_settings(model, pool.spec))
 
-    def _change(self, spec: Planning | None) -> None:
-        now = self._shared.clock.now_ms()
+    def _replace_link(self, spec: Planning | None) -> None:
+        now_ms = self._shared.clock.now_ms()
         if self.link is not None:
-            self._bound_ms = self.link.machine.bound_ms
+            self._earlier_leases_until_ms = self.link.machine.bound_ms
             self.link.stop()
             self.link = None
         self._spec = spec
         if spec is None:
             return
-        from sandhatch.planning.forwarder import ForwarderTerms
-        from sandhatch.planning.link import ForwarderLink
-
-        terms = ForwarderTerms(
-            report_ms=spec.report_ms,
-            bytes_per_s=spec.bytes_per_s,
-            most_lease_ms=spec.most_lease_ms,
-            hold_ms=spec.hold_ms,
-            shun_ms=spec.shun_ms,
-        )
-        # An earlier life of this process may have lent its parts; an earlier link of this life surely knows.
-        quiet = None if self._bound_ms is None else max(0.0, self._bound_ms - now)
-        addresses = {name: parse_address(peer.address, "address") for name, peer in spec.planners.items()}
         try:
-            identity = self._identity(spec)
-        except StageError as problem:  # its files were there a moment ago
-            self._shared.logger.line(f"no planner is spoken to: {problem}")
+            identity = self._read_identity(spec)
+        except StageError as problem:  # its files could be read when the version was staged
+            self._shared.logger.line(f"no planner is connected to: {problem}")
             self._spec = None
             return
-        self.link = ForwarderLink(
+        self.link = self._build_link(spec, identity, now_ms)
+        self.link.start()
+
+    def _build_link(self, spec: Planning, identity: Identity, now_ms: float) -> ForwarderLink:
+        from sandhatch.planning.link import ForwarderLink
+
+        # An earlier process may have leased its parts, which this one can't know (None); an earlier link of
+        # this process surely knows.
+        quiet_ms = None
+        if self._earlier_leases_until_ms is not None:
+            quiet_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
+        addresses = {name: parse_address(peer.address, "address") for name, peer in spec.planners.items()}
+        return ForwarderLink(
             spec.forwarder,
             addresses,
             identity,
             self._shared.clock,
             self._shared.logger.line,
-            terms,
+            _link_terms(spec),
             self._seed,
-            quiet,
+            quiet_ms,
         )
-        self.link.start()
 
     def close(self) -> None:
+        """Disconnect from the planners."""
         if self.link is not None:
             self.link.stop()
 
     def status(self) -> dict[str, Any] | None:
+        """The link's part of the status; None if no planner is configured."""
         return self.link.status() if self.link is not None else None
+
+
+def _link_terms(spec: Planning) -> ForwarderTerms:
+    from sandhatch.planning.forwarder import ForwarderTerms
+
+    return ForwarderTerms(
+        report_ms=spec.report_ms,
+        bytes_per_s=spec.bytes_per_s,
+        most_lease_ms=spec.most_lease_ms,
+        hold_ms=spec.hold_ms,
+        shun_ms=spec.shun_ms,
+    )
--- /dev/null
+++ b/sandhatch/service/goodput_monitor.py
@@ -0,0 +1,68 @@
+"""Compares the goodput of a new version with that before it, from the requests of a running service.
+
+What a significant fall is, is decided in `config.goodput_watch`; this module feeds it.
+"""
+
+from __future__ import annotations
+
+from sandhatch.config.check import Checked
+from sandhatch.config.diff import diff
+from sandhatch.config.goodput_watch import Fall, GoodputWatch
+from sandhatch.config.transactions import Version
+from sandhatch.runtime.clock import Clock
+from sandhatch.service.request_record import RequestRecord
+from sandhatch.service.running_version import RunningVersion
+
+OVERLOAD_STATUSES = (429, 503)
+
+
+class GoodputMonitor:
+    """Feeds a `GoodputWatch` with requests.
+
+    Attributes:
+        watch: What is compared; its window and block length are those of the first version.
+    """
+
+    def __init__(self, clock: Clock, first: Checked) -> None:
+        """Begin to count; nothing is compared until `begin`."""
+        self._clock = clock
+        self.watch = GoodputWatch(first.model.watch.block_ms, first.model.watch.before_ms)
+
+    def begin(self, version: Version, confirmed: Version) -> None:
+        """Compare from now on, only in the changed pools if nothing else of the configuration has changed."""
+        spec = version.checked.model.watch
+        changes = diff(confirmed.data, version.data)
+        changed_pools = frozenset(
+            change.key[1] for change in changes if change.key[0] == "pools" and change.key[1:]
+        )
+        only_pools = changed_pools if all(change.key[0] == "pools" for change in changes) else None
+        assert version.watch_until_ms is not None
+        now_ms = self._clock.now_ms()
+        self.watch.begin(
+            now_ms, version.watch_until_ms - now_ms, spec.significance, spec.least_fall, only_pools
+        )
+
+    def request_received(
+        self, received_at_ms: float, class_name: str, pool: str, version: RunningVersion
+    ) -> None:
+        """Count a request that goes to a pool."""
+        self.watch.came(received_at_ms, class_name, pool, version.checked.model.classes[class_name].worth)
+
+    def request_finished(self, record: RequestRecord, version: RunningVersion) -> None:
+        """Count the end of a request, if it went to a pool."""
+        if not record.pool:
+            return
+        request_class = version.checked.model.classes[record.request_class]
+        in_time = record.status == 200 and record.answered_ms <= record.came_ms + request_class.aim_ms
+        self.watch.over(
+            record.came_ms,
+            record.request_class,
+            record.pool,
+            request_class.worth,
+            in_time,
+            record.status in OVERLOAD_STATUSES,
+        )
+
+    def check(self, now_ms: float, longest_aim_ms: float) -> Fall | None:
+        """The fall in goodput that is established by now, if any; called regularly."""
+        return self.watch.close(now_ms, longest_aim_ms)
--- /dev/null
+++ b/sandhatch/service/limits.py
@@ -0,0 +1,32 @@
+"""Limits of the process, from a version's configuration. Source: `limits` and `classes` of the model.
+
+A limit that is lower than what is in use counts from the next connection or body on; nothing that runs is
+aborted for it.
+"""
+
+from __future__ import annotations
+
+from sandhatch.config.check import Checked
+from sandhatch.runtime.process import grant_descriptors
+from sandhatch.runtime.shared import SharedResources
+
+OWN_DESCRIPTORS = 64  # the process's own: listeners, control, discovery, files
+MIN_CONNECTION_DESCRIPTORS = 16
+
+
+def connection_descriptors(checked: Checked) -> int:
+    """The descriptors for clients and servers together, within what the system lets this process have."""
+    return max(MIN_CONNECTION_DESCRIPTORS, grant_descriptors(checked.model.limits.sockets) - OWN_DESCRIPTORS)
+
+
+def request_id_memory_ms(checked: Checked) -> float:
+    """How long the id of a finished request is remembered."""
+    return 2.0 * max(item.deadline_ms for item in checked.model.classes.values())
+
+
+def apply_limits(shared: SharedResources, checked: Checked) -> None:
+    """Set the limits of a version that becomes active. Ids are remembered no shorter than before."""
+    shared.share_descriptors(connection_descriptors(checked))
+    shared.memory_budget.set_limit(checked.model.limits.memory_mb)
+    in_flight_ids = shared.in_flight_ids
+    in_flight_ids.past_ms = max(in_flight_ids.past_ms, request_id_memory_ms(checked))
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -1,20 +1,15 @@
-"""Pools across versions: one engine for each content of a pool, shared by the versions that say the same of
-it.
+"""Pools across versions: one dispatcher per fingerprint, shared by the versions with the same content.
 
-A pool whose keys have not changed keeps its engine, and with it its balancer, tokens and connections. One
-that has changed gets a new engine, which takes over what the old one knows
+A pool whose keys have not changed keeps its dispatcher, and with it its balancer, tokens and connections. One
+that has changed gets a new dispatcher, which takes over the state of the old one
 (`sandhatch.balancing.state_transfer`) and its idle connections; requests of older versions stay with the old
-engine until they have ended. From shortly before the drain's grace is over, what the newer version no longer
-lists gets nothing new from older ones either.
+dispatcher until they have ended. Shortly before the drain's grace is over, older versions stop sending to
+servers that the newer version does not list.
 """
 
 from __future__ import annotations
 
-import asyncio
-import json
 from collections.abc import Callable
-from dataclasses import dataclass
-from hashlib import sha256
 from typing import Any
 
 from sandhatch.balancing import Balancer
@@ -22,246 +17,149 @@
 from sandhatch.balancing.state_transfer import inherit
 from sandhatch.config.check import Checked, pool_settings
 from sandhatch.config.model import Pool
-from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing, Names
+from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
 from sandhatch.discovery.static import StaticServer, StaticSource
 from sandhatch.dispatch.dispatcher import Dispatcher, PoolPlan, Source
-from sandhatch.runtime.address import Address, parse_address
+from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared import SharedResources
+from sandhatch.service.running_pool import RunningPool, pool_fingerprints
+from sandhatch.service.server_registry import ServerRegistry
 
-STAGE_S = 5.0  # for a list to come and a server to be reached
-PROBED = 8  # servers tried at once, in looking for one that can be reached
-WITHDRAW_BEFORE_MS = (
-    500.0  # before the grace is over, older versions stop sending to what is not listed any more
-)
-
-
-class StageError(Exception):
-    """A pool can't be made ready; the message says which and why."""
-
-
-def contents_of(checked: Checked) -> dict[str, str]:
-    """What each pool is run by, as one word: pools of two versions that share it are the same pool."""
-    model = checked.model
-    common = json.dumps(
-        {
-            "classes": [(name, item.model_dump()) for name, item in model.classes.items()],
-            "tenants": [(name, item.model_dump()) for name, item in model.tenants.items()],
-            "seed": model.seed,
-            "place": model.planning.place if model.planning is not None else 0,
-        }
-    )
-    return {
-        name: sha256(json.dumps([common, name, pool.model_dump()]).encode()).hexdigest()
-        for name, pool in model.pools.items()
-    }
-
-
-class Book:
-    """Servers by address: their numbers, and since when the configuration lists them. Both outlast a version,
-    so that a server that goes from pool to pool is neither cold again nor a stranger.
-    """
-
-    def __init__(self) -> None:
-        self.names = Names((), ())
-        self._since: dict[str, float] = {}
-        self._called: dict[int, str] = {}
-
-    def number(self, address: str) -> int:
-        return self.names.server(address)
-
-    def name(self, number: int) -> str:
-        """What a server is called in logs: its address, or discovery's id for it."""
-        name = self._called.get(number)
-        if name is None:
-            self._called = {number: name for name, number in self.names.known()}
-            name = self._called.get(number, str(number))
-        return name
-
-    def since(self, address: str, now_ms: float) -> float:
-        """When it was first listed, in Unix milliseconds; 0 stands for before the process began."""
-        return self._since.setdefault(address, now_ms)
-
-    def keep(self, addresses: set[str]) -> None:
-        """Forget the others: if one of them comes back, it may be another process."""
-        self._since = {address: since for address, since in self._since.items() if address in addresses}
-
-
-@dataclass(eq=False)
-class RunningPool:
-    """One engine and the versions that hold it."""
-
-    name: str
-    content: str
-    spec: Pool
-    dispatcher: Dispatcher
-    holders: int = 0
-    started: bool = False
-    withdraw_at_ms: float | None = None
-
-    @property
-    def ready_numbers(self) -> frozenset[int]:
-        table = self.dispatcher.connection_pool.table
-        return frozenset(n for n, upstream in table.items() if upstream.state is ServerState.READY)
+WITHDRAW_BEFORE_GRACE_END_MS = 500.0
 
 
 class Pools:
-    """The pools of all versions that are alive."""
+    """The pools of all versions that still have requests or may become active."""
 
     def __init__(self, shared: SharedResources) -> None:
+        """Start without any pool."""
         self._shared = shared
-        self.book = Book()
-        self.alive: dict[str, RunningPool] = {}  # by content
+        self.book = ServerRegistry()
+        self.alive: dict[str, RunningPool] = {}  # by fingerprint
 
     def stage(self, checked: Checked) -> dict[str, RunningPool]:
-        """The version's pools, those that there are already and new ones. Each is held once."""
+        """The version's pools by name, existing and new ones, each counted as used once more."""
         pools = {}
-        for name, content in contents_of(checked).items():
-            pool = self.alive.get(content)
+        for name, fingerprint in pool_fingerprints(checked).items():
+            pool = self.alive.get(fingerprint)
             if pool is None:
-                pool = self.alive[content] = self._make(name, content, checked)
-            pool.holders += 1
+                pool = self._build(name, fingerprint, checked)
+                self.alive[fingerprint] = pool
+            pool.version_count += 1
             pools[name] = pool
         return pools
 
-    def _make(self, name: str, content: str, checked: Checked) -> RunningPool:
+    def _build(self, name: str, fingerprint: str, checked: Checked) -> RunningPool:
         spec = checked.model.pools[name]
-        # Made of the configured seed too, and differs from pool to pool, so that draws do not go in step.
-        seed = int(content[:15], 16)
+        # Derived from the configured seed too, and different in each pool, so that draws are independent.
+        seed = int(fingerprint[:15], 16)
         plan = PoolPlan(pool_settings(checked.model, spec), seed, spec.max_connections, spec.drain_grace_ms)
 
-        def source(tell: Callable[[Listing], None], log: Callable[[str], None]) -> Source:
-            if spec.source is not None:
-                address = parse_address(spec.source.discovery, "discovery")
-                found = DiscoveryPlan(address)
-                return Discovery(found, tell, lambda text: log(f"pool {name}: {text}"), self.book.names)
-            return StaticSource((), tell)
-
-        return RunningPool(name, content, spec, Dispatcher(plan, self._shared, source))
-
-    async def warm(self, pool: RunningPool) -> None:
-        """Wait for its list, and see that a server can be connected to; StageError says why not."""
-        try:
-            async with asyncio.timeout(STAGE_S):
-                if pool.spec.source is not None:
-                    await self._listed(pool)
-                    targets = [
-                        upstream.address for upstream in pool.dispatcher.connection_pool.table.values()
-                    ]
-                else:
-                    targets = [
-                        parse_address(server.address, "address")
-                        for server in (pool.spec.servers or {}).values()
-                        if server.state == "ready"
-                    ]
-                if not pool.spec.require_reachable:
-                    return
-                if not targets:
-                    raise StageError(f"pools.{pool.name}: no server is ready")
-                await self._reach(pool.name, targets)
-        except TimeoutError:
-            raise StageError(f"pools.{pool.name}: no list or no connection within {STAGE_S:g} s") from None
+        def build_source(notify: Callable[[Listing], None], log: Callable[[str], None]) -> Source:
+            if spec.source is None:
+                return StaticSource((), notify)
+            discovery_plan = DiscoveryPlan(parse_address(spec.source.discovery, "discovery"))
+            return Discovery(
+                discovery_plan, notify, lambda text: log(f"pool {name}: {text}"), self.book.names
+            )
+
+        return RunningPool(name, fingerprint, spec, Dispatcher(plan, self._shared, build_source))
+
+    def activate(
+        self,
+        pools: dict[str, RunningPool],
+        previous_pools: dict[str, RunningPool],
+        now_ms: float,
+        first: bool,
+    ) -> None:
+        """Make the pools the active ones in place of the previous ones.
 
-    async def _listed(self, pool: RunningPool) -> None:
-        if not pool.started:
-            pool.started = True
-            pool.dispatcher.source.start()
-            if pool.spec.source is not None and pool.spec.source.ask:
-                pool.dispatcher.source.fetch()
-        while not pool.dispatcher.ready:
-            await asyncio.sleep(0.01)
+        A pool that is new takes over the state of the previous one of its name; one that becomes active again
+        after a rollback uses all of its servers again.
 
-    @staticmethod
-    async def _reach(name: str, targets: list[Address]) -> None:
-        """One connection to any of the servers, closed at once: nothing is sent on it."""
-        problem = "no server"
-        for at in range(0, len(targets), PROBED):
-            tries = [asyncio.create_task(_connects(target)) for target in targets[at : at + PROBED]]
-            try:
-                for done in asyncio.as_completed(tries):
-                    failure = await done
-                    if failure is None:
-                        return
-                    problem = failure
-            finally:
-                for task in tries:
-                    task.cancel()
-        raise StageError(f"pools.{name}: no server can be connected to; {problem}")
-
-    def enter(
-        self, pools: dict[str, RunningPool], before: dict[str, RunningPool], now_ms: float, first: bool
-    ) -> None:
-        """The pools are in force from now, in place of those before. One that is new takes over from the one
-        of its name; one that leads back counts in full again.
+        Args:
+            pools: Pools of the version that becomes active, by name.
+            previous_pools: Pools of the version that was active, by name.
+            now_ms: Unix milliseconds.
+            first: Whether this is the first version of the process; its servers don't warm up.
         """
         for name, pool in pools.items():
-            pool.withdraw_at_ms = None
-            past = before.get(name)
+            pool.superseded_at_ms = None
+            previous = previous_pools.get(name)
             self._start(pool, now_ms, first)
-            if past is not pool:
+            if previous is not pool:
                 pool.dispatcher.restore()
-                if past is not None:
-                    self._succeed(pool, past)
-        for name, past in before.items():
-            if pools.get(name) is not past:
-                past.withdraw_at_ms = now_ms
+                if previous is not None:
+                    self._transfer_state(previous, pool)
+        for name, previous in previous_pools.items():
+            if pools.get(name) is not previous:
+                previous.superseded_at_ms = now_ms
 
     def _start(self, pool: RunningPool, now_ms: float, first: bool) -> None:
         if pool.started:
             return
         pool.started = True
         if isinstance(pool.dispatcher.source, StaticSource):
-            pool.dispatcher.source.servers = tuple(self._servers(pool.spec, now_ms, first))
+            pool.dispatcher.source.servers = tuple(self._static_servers(pool.spec, now_ms, first))
         pool.dispatcher.source.start()
 
-    def _servers(self, spec: Pool, now_ms: float, first: bool) -> list[StaticServer]:
-        rows = []
+    def _static_servers(self, spec: Pool, now_ms: float, first: bool) -> list[StaticServer]:
+        warms_up = not first and spec.new_servers == "cold"
+        servers = []
         for server in (spec.servers or {}).values():
-            cold = not first and spec.new_servers == "cold"
-            since = self.book.since(server.address, now_ms if cold else 0.0)
+            since_ms = self.book.listed_since_ms(server.address, now_ms if warms_up else 0.0)
             state = ServerState.READY if server.state == "ready" else ServerState.DRAINING
             address = parse_address(server.address, "address")
-            rows.append(StaticServer(self.book.number(server.address), address, state, server.weight, since))
-        return rows
+            number = self.book.number(server.address)
+            servers.append(StaticServer(number, address, state, server.weight, since_ms))
+        return servers
 
     @staticmethod
-    def _succeed(pool: RunningPool, past: RunningPool) -> None:
-        given = past.dispatcher.connection_pool.hand_over(pool.dispatcher.connection_pool)
-        successor, known = pool.dispatcher.balancer, past.dispatcher.balancer
-        if isinstance(successor, Balancer) and isinstance(known, Balancer):
-            inherit(successor, known, frozenset(given))
-
-    def narrow(self, in_force: dict[str, RunningPool], now_ms: float) -> None:
-        """Called now and then: pools of older versions stop sending to what is not listed any more."""
+    def _transfer_state(previous: RunningPool, successor: RunningPool) -> None:
+        moved_servers = previous.dispatcher.connection_pool.hand_over(successor.dispatcher.connection_pool)
+        previous_balancer = previous.dispatcher.balancer
+        balancer = successor.dispatcher.balancer
+        if isinstance(balancer, Balancer) and isinstance(previous_balancer, Balancer):
+            inherit(balancer, previous_balancer, frozenset(moved_servers))
+
+    def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
+        """Stop superseded pools from sending to servers that their successors don't list."""
         for pool in self.alive.values():
-            at = pool.withdraw_at_ms
-            if at is None or now_ms < at + max(0.0, pool.spec.drain_grace_ms - WITHDRAW_BEFORE_MS):
+            superseded_at_ms = pool.superseded_at_ms
+            if superseded_at_ms is None:
                 continue
-            successor = in_force.get(pool.name)
-            pool.dispatcher.withdraw(successor.ready_numbers if successor is not None else frozenset(), at)
+            grace_ms = max(0.0, pool.spec.drain_grace_ms - WITHDRAW_BEFORE_GRACE_END_MS)
+            if now_ms < superseded_at_ms + grace_ms:
+                continue
+            successor = active_pools.get(pool.name)
+            listed = successor.ready_numbers if successor is not None else frozenset()
+            pool.dispatcher.withdraw(listed, superseded_at_ms)
 
     def release(self, pools: dict[str, RunningPool]) -> None:
-        """A version has let them go; one that no version holds ends."""
+        """A version no longer uses these pools; one that no version uses ends."""
         for pool in pools.values():
-            pool.holders -= 1
-            if pool.holders == 0:
-                del self.alive[pool.content]
-                pool.dispatcher.source.stop()
-                pool.dispatcher.connection_pool.close()
-        self.book.keep(
+            pool.version_count -= 1
+            if pool.version_count == 0:
+                del self.alive[pool.fingerprint]
+                _stop(pool)
+        self.book.retain(
             {server.address for pool in self.alive.values() for server in (pool.spec.servers or {}).values()}
         )
 
     def close(self) -> None:
+        """Stop following endpoint lists and close all connections to servers."""
         for pool in self.alive.values():
-            pool.dispatcher.source.stop()
-            pool.dispatcher.connection_pool.close()
+            _stop(pool)
 
     def status(self) -> dict[str, Any]:
-        """For people: each pool's servers and connections."""
+        """Each pool's servers and connections, by the first digits of its fingerprint.
+
+        The keys are part of the control protocol's status.
+        """
         return {
-            pool.content[:8]: {
+            pool.fingerprint[:8]: {
                 "pool": pool.name,
-                "versions": pool.holders,
+                "versions": pool.version_count,
                 "ready": len(pool.ready_numbers),
                 "servers": len(pool.dispatcher.connection_pool.table),
                 "connections": pool.dispatcher.connection_pool.sockets,
@@ -271,11 +169,6 @@
         }
 
 
-async def _connects(target: Address) -> str | None:
-    """Why it can't be connected to, None if it can."""
-    try:
-        _, writer = await asyncio.open_connection(*target)
-    except OSError as problem:
-        return f"{target[0]}:{target[1]}: {problem.strerror or problem}"
-    writer.transport.abort()
-    return None
+def _stop(pool: RunningPool) -> None:
+    pool.dispatcher.source.stop()
+    pool.dispatcher.connection_pool.close()
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -1,5 +1,7 @@
-"""SIGHUP under an own configuration: the file is read again, proposed against what is in force, and
-committed.
+"""Reload by SIGHUP under a configuration of its own.
+
+The file is read again, proposed against the active version, and committed. A file with errors, or a change
+that is in progress already, leaves everything as it is; the log says so.
 """
 
 from __future__ import annotations
@@ -12,31 +14,33 @@
 from sandhatch.runtime.coalescing_runner import CoalescingRunner
 from sandhatch.service.service import Service
 
+MAX_LOGGED_PROBLEMS = 5
+AUTHOR = "SIGHUP"
+
 
 class Reload:
-    """A file with errors, or a change that is on its way already, leaves everything as it is and says so in
-    the log.
-    """
+    """Reads the configuration file again whenever `ask` is called; calls meanwhile cause one more run."""
 
     def __init__(self, service: Service, path: str) -> None:
+        """Reload the file at `path` into the service."""
         self._service = service
         self._path = path
-        self.ask = CoalescingRunner(self._read).trigger
+        self.ask = CoalescingRunner(self._reload).trigger
 
-    async def _read(self) -> None:
+    async def _reload(self) -> None:
         logger = self._service.logger
         try:
             # On a thread: requests don't wait for a disk or for a long file to be checked.
             checked = await asyncio.to_thread(check_file, self._path)
             self._commit(checked)
         except CheckError as failure:
-            for problem in failure.problems[:5]:
+            for problem in failure.problems[:MAX_LOGGED_PROBLEMS]:
                 logger.line(f"reload: {problem}")
         except RejectedError as rejected:
             logger.line(f"reload: {rejected.why.value}: {rejected.text}")
 
     def _commit(self, checked: Checked) -> None:
-        proposal = self._service.propose_checked(checked, None, "SIGHUP", f"reload of {self._path}")
+        proposal = self._service.propose_checked(checked, None, AUTHOR, f"reload of {self._path}")
         try:
             version = self._service.commit(proposal.number)
         except RejectedError:
--- /dev/null
+++ b/sandhatch/service/request_handler.py
@@ -0,0 +1,192 @@
+"""The request handler of every listener: sends each request to a pool of the active version.
+
+A request belongs to the version that was active when it was received completely, until its answer is sent and
+its last attempt has ended: its route, pool, servers, limits and classes are that version's.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from random import Random
+from uuid import uuid4
+
+from sandhatch.balancing.events import RequestArrived
+from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, reject_known
+from sandhatch.http1.message import FramingError, Message
+from sandhatch.routing.table import Answer, Query, Split, Target
+from sandhatch.runtime.shared import SharedResources
+from sandhatch.service.request_record import RequestRecord
+from sandhatch.service.running_pool import RunningPool
+from sandhatch.service.running_version import RunningVersion
+from sandhatch.streaming.flow import StreamTerms
+
+
+class RequestHandler:
+    """Routes requests. `current` changes between two requests, never within one.
+
+    Attributes:
+        current: The active version; None until the first one is activated.
+        on_version_freed: Called with a retired version once its last request has ended.
+        on_request_received: Called with the time, class name, pool name and version of each request.
+        on_request_finished: Called with each finished request and its version.
+    """
+
+    def __init__(self, shared: SharedResources, seed: int) -> None:
+        """Start without a version; `seed` is that of the draws among the targets of a split."""
+        self._shared = shared
+        self._rng = Random(seed)
+        self.current: RunningVersion | None = None
+        self.on_version_freed: Callable[[RunningVersion], None] = lambda _version: None
+        self.on_request_received: Callable[[float, str, str, RunningVersion], None] = lambda *_request: None
+        self.on_request_finished: Callable[[RequestRecord, RunningVersion], None] = lambda *_request: None
+
+    @property
+    def ready(self) -> bool:
+        """Whether there is an active version whose pools can serve."""
+        return self.current is not None and self.current.ready
+
+    def terms(self, client: ClientConnection, message: Message) -> StreamTerms | None:
+        """Limits of the request's body, by its head.
+
+        A body that won't be forwarded is rejected before it arrives. The version that the request belongs to
+        is determined later, in `begin`.
+
+        Raises:
+            FramingError: The request is rejected; the error has the status.
+        """
+        version = self.current
+        if version is None:
+            raise FramingError(503, "not ready")
+        if message.method not in METHODS:
+            allowed = ", ".join(sorted(method.decode() for method in METHODS))
+            raise FramingError(405, f"not one of {allowed}")
+        query = version.query(client.listener_name, message)
+        route = version.checked.table.match(query)
+        target: Target = version.checked.table.default if route is None else route.target
+        if isinstance(target, Answer):
+            raise FramingError(target.status, target.body.decode("utf-8", "replace"))
+        event, _, trace = self._read(version, message)
+        reject_known(self._shared.in_flight_ids, trace)
+        return version.terms[event.class_index]
+
+    @staticmethod
+    def _read(version: RunningVersion, message: Message) -> tuple[RequestArrived, float, bytes]:
+        requests = version.requests
+        assert requests is not None  # there is a pool, so there are settings
+        if not message.values(b"x-trace-id"):
+            # Servers and logs tell requests apart by it; a client that sends none can't repeat it either.
+            message.add(b"X-Trace-Id", uuid4().hex.encode())
+        return requests.read(message)
+
+    def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
+        """Answer or dispatch a request; what to call if the client disconnects, None if it is answered.
+
+        Raises:
+            FramingError: The request is rejected; the error has the status.
+        """
+        version = self.current
+        if version is None:
+            raise FramingError(503, "not ready")
+        if message.method not in METHODS:
+            client.answer(405, ALLOW, b"")
+            return None
+        query = version.query(client.listener_name, message)
+        table = version.checked.table
+        route = table.match(query)
+        target: Target = table.default if route is None else route.target
+        route_name = "default" if route is None else route.name
+        if isinstance(target, Answer):
+            self._answer(client, message, target, version, route_name, query)
+            return None
+        if isinstance(target, Split):
+            target = target.choose(message.headers, self._rng.random)
+        return self._dispatch(client, message, version, route_name, version.pools[target])
+
+    def _answer(
+        self,
+        client: ClientConnection,
+        message: Message,
+        answer: Answer,
+        version: RunningVersion,
+        route: str,
+        query: Query,
+    ) -> None:
+        now_ms = self._shared.clock.now_ms()
+        client.answer(answer.status, [(b"Content-Type", answer.content_type)], answer.body)
+        trace = message.values(b"x-trace-id")
+        record = RequestRecord(
+            version=version.number,
+            route=route,
+            pool="",
+            servers=(),
+            trace=trace[0] if trace else b"",
+            request_class=query.request_class,
+            status=answer.status,
+            came_ms=now_ms,
+            answered_ms=now_ms,
+        )
+        self.on_request_finished(record, version)
+
+    def _dispatch(
+        self,
+        client: ClientConnection,
+        message: Message,
+        version: RunningVersion,
+        route: str,
+        pool: RunningPool,
+    ) -> DisconnectCallback:
+        event, time_left_ms, trace = self._read(version, message)
+        reject_known(self._shared.in_flight_ids, trace)
+        terms = version.terms[event.class_index]
+        message.terms = terms
+        if message.flow is not None:
+            # The class's deadline is for its servers' work; a streamed body has its own.
+            expires_in = message.value(b"x-expires-in-ms")
+            time_left_ms = terms.total_ms if expires_in is None else min(terms.total_ms, float(expires_in))
+            event.time_left_ms = time_left_ms
+        received_at_ms = self._shared.clock.now_ms()
+        class_name = version.class_names[event.class_index]
+        version.open += 1
+        self.on_request_received(received_at_ms, class_name, pool.name, version)
+        finish = partial(self._finish, version, route, pool.name, class_name, received_at_ms)
+        exchange = pool.dispatcher.arrive(client, message, time_left_ms, trace, event, finish)
+        return partial(pool.dispatcher.client_disconnected, exchange)
+
+    def _finish(
+        self,
+        version: RunningVersion,
+        route: str,
+        pool: str,
+        request_class: str,
+        received_at_ms: float,
+        exchange: Exchange,
+    ) -> None:
+        record = RequestRecord(
+            version.number,
+            route,
+            pool,
+            tuple(exchange.servers),
+            exchange.trace,
+            request_class,
+            exchange.status,
+            received_at_ms,
+            exchange.answered_ms,
+            exchange.cut,
+        )
+        version.open -= 1
+        try:
+            self.on_request_finished(record, version)
+        finally:
+            self._free_if_unused(version)
+
+    def retire(self, version: RunningVersion) -> None:
+        """Neither new requests nor a rollback need the version; free it once its requests have ended."""
+        version.retired = True
+        self._free_if_unused(version)
+
+    def _free_if_unused(self, version: RunningVersion) -> None:
+        if version.retired and not version.open:
+            self.on_version_freed(version)
--- /dev/null
+++ b/sandhatch/service/validation.py
@@ -0,0 +1,40 @@
+"""Checks configurations that reach a running service. No I/O; the rules are those of `config.check`."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+
+from sandhatch.config.check import Checked, check, check_text
+from sandhatch.config.document import CheckError, Document
+from sandhatch.config.transactions import Refusal, RejectedError
+
+
+def check_data(data: dict[str, Any]) -> Checked:
+    """Check data that did not come from a file.
+
+    Raises:
+        CheckError: The data has errors.
+    """
+    return check(Document("configuration", data))
+
+
+@contextmanager
+def reject_invalid() -> Iterator[None]:
+    """Turn a `CheckError` into a `RejectedError` of the call, with every problem."""
+    try:
+        yield
+    except CheckError as failure:
+        errors = [str(problem) for problem in failure.problems]
+        raise RejectedError(Refusal.INVALID, f"{len(errors)} problems", problems=errors) from None
+
+
+def checked_text(text: bytes) -> Checked:
+    """Check text in full.
+
+    Raises:
+        RejectedError: The text has errors.
+    """
+    with reject_invalid():
+        return check_text(text)
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -11,8 +11,8 @@
 from sandhatch.config.check import check_text
 from sandhatch.config.history import History
 from sandhatch.config.transactions import State, Version
+from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.service import Service
-from sandhatch.service.versions import RequestRecord
 from sandhatch.upstream.pool import ConnectionPool
 from testkit.books import Books
 from testkit.servers import FakeUpstream, Talk
--- a/tests/service/test_sources.py
+++ b/tests/service/test_sources.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sandhatch.config.transactions import State
-from sandhatch.service import pools
+from sandhatch.service import readiness
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from tests.service.harness import Farm, run, serving
@@ -49,7 +49,7 @@
 
 
 def test_a_pool_whose_discovery_does_not_answer_is_not_applied(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pools, "STAGE_S", 0.3)
+    monkeypatch.setattr(readiness, "STAGE_TIMEOUT_S", 0.3)
 
     async def work() -> None:
         farm = await Farm().start("a1", "o1")
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -519,7 +519,7 @@
         first = farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=watch)
         async with serving(first) as kept:
             load = Load(kept.port, farm.books, lambda rng: ("order", "/cart"), clients=4, pause_s=0.004)
-            await kept.until(lambda: len(kept.service.watch._before) >= 30)
+            await kept.until(lambda: len(kept.service.goodput.watch._before) >= 30)
             bad = deepcopy(first)
             bad["pools"]["web"] = farm.pool("b1")
             version = await kept.commit(bad)
