--- a/sandhatch/cli/commands.py
+++ b/sandhatch/cli/commands.py
@@ -21,7 +21,8 @@
 from sandhatch.cli.planner import add_planner_verbs, run_planner_verb
 from sandhatch.config.check import Checked, check_file, check_text
 from sandhatch.config.document import CheckError, Problem, read_bytes
-from sandhatch.control.client import Client, UnreachableError
+from sandhatch.control.client import Client
+from sandhatch.control.errors import UnreachableError
 from sandhatch.runtime.environment import renamed_variable
 from sandhatch.runtime.text_table import table
 
@@ -291,7 +292,8 @@
 async def _serve(args: argparse.Namespace, checked: Checked, err: TextIO) -> int:
     from sandhatch.config.history import History, HistoryError
     from sandhatch.control.calls import Calls
-    from sandhatch.control.server import ControlError, ControlServer
+    from sandhatch.control.errors import ControlError
+    from sandhatch.control.server import ControlServer
     from sandhatch.runtime.logger import report_loop_errors
     from sandhatch.runtime.process import settle_collector, stop_event
     from sandhatch.service.access_log import AccessLog
--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -127,7 +127,8 @@
 
 
 async def _run(config: PlannerConfig, control_path: str, err: TextIO) -> int:
-    from sandhatch.control.server import ControlError, ControlServer
+    from sandhatch.control.errors import ControlError
+    from sandhatch.control.server import ControlServer
     from sandhatch.planning.keys import BadKeyError, identity
     from sandhatch.planning.planner import PlannerTerms
     from sandhatch.planning.server import PlannerServer
--- /dev/null
+++ b/sandhatch/control/status_calls.py
@@ -0,0 +1,69 @@
+"""Calls that only read: status, history and show."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import yaml
+
+from sandhatch.control.call import Call
+from sandhatch.control.version_row import version_row
+from sandhatch.service.service import Service
+
+
+class StatusCalls:
+    """Each method answers one operation, or raises RejectedError. Keys are part of the control protocol."""
+
+    def __init__(self, service: Service) -> None:
+        """Answer calls on the service."""
+        self._service = service
+
+    async def status(self, _call: Call) -> dict[str, Any]:
+        """The state of the process: versions, pools, listeners, proposals, planners and memory."""
+        service = self._service
+        transactions = service.transactions
+        pending = transactions.pending
+        return {
+            "name": service.shared.name,
+            "in_force": transactions.in_force.number,
+            "confirmed": transactions.confirmed.number,
+            "pending": version_row(pending, service.now_ms) if pending else None,
+            "ready": service.front.ready,
+            "versions": {str(number): version.open for number, version in service.running.items()},
+            "pools": service.pools.status(),
+            "bodies": service.shared.flows.told(),
+            "listeners": self._listener_rows(),
+            "proposals": self._proposal_rows(),
+            "planning": service.forwarding.status(),
+            "memory": {
+                "held_bytes": service.shared.memory_budget.used,
+                "most_bytes": service.shared.memory_budget.most,
+            },
+        }
+
+    def _listener_rows(self) -> list[dict[str, Any]]:
+        return [
+            {"name": listener.name, "address": key, "connections": listener.connections}
+            for key, listener in self._service.listeners.items()
+        ]
+
+    def _proposal_rows(self) -> list[dict[str, Any]]:
+        return [
+            {
+                "proposal": proposal.number,
+                "base": proposal.base,
+                "author": proposal.author,
+                "comment": proposal.comment,
+            }
+            for proposal in self._service.transactions.proposals.values()
+        ]
+
+    async def history(self, _call: Call) -> dict[str, Any]:
+        """The versions there were, oldest first."""
+        return {"versions": self._service.rows()}
+
+    async def show(self, call: Call) -> dict[str, Any]:
+        """A version's configuration as YAML; the active version's if none is named."""
+        number = call.integer("version", self._service.transactions.in_force.number)
+        data = self._service.version_data(number)
+        return {"version": number, "text": yaml.safe_dump(data, sort_keys=False)}
--- /dev/null
+++ b/sandhatch/control/version_row.py
@@ -0,0 +1,26 @@
+"""A version as the control protocol shows it. No I/O."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from sandhatch.config.transactions import State, Version
+
+
+def version_row(version: Version, now_ms: float) -> dict[str, Any]:
+    """The version's row; its keys are part of the control protocol. Remaining times are milliseconds."""
+    row: dict[str, Any] = {
+        "version": version.number,
+        "base": version.base,
+        "state": version.state.value,
+        "author": version.author,
+        "comment": version.comment,
+        "changes": version.changes,
+        "why": version.why,
+    }
+    if version.state is State.IN_FORCE:
+        if version.confirm_by_ms is not None:
+            row["confirm_in_ms"] = max(0, round(version.confirm_by_ms - now_ms))
+        if version.watch_until_ms is not None:
+            row["watch_ends_in_ms"] = max(0, round(version.watch_until_ms - now_ms))
+    return row
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -239,6 +239,17 @@
         """Discard a proposal by its number."""
         self.transactions.discard(proposal)
 
+    def version_data(self, number: int) -> dict[str, Any]:
+        """The configuration of a version.
+
+        Raises:
+            RejectedError: There is no such version in memory.
+        """
+        version = self.transactions.versions.get(number)
+        if version is None:
+            raise RejectedError(Refusal.UNKNOWN, f"there is no version {number}")
+        return version.data
+
     def rows(self) -> list[dict[str, Any]]:
         """The history of versions, oldest first."""
         return self._store.rows()
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -20,8 +20,9 @@
 from sandhatch.cli import commands as cli
 from sandhatch.config.transactions import State
 from sandhatch.control.calls import Calls
-from sandhatch.control.framing import CallError, LineReader, encode
-from sandhatch.control.server import ControlError, ControlServer
+from sandhatch.control.errors import CallError, ControlError
+from sandhatch.control.framing import LineReader, encode
+from sandhatch.control.server import ControlServer
 from testkit.clients import HttpClient
 from tests.service.harness import Farm, Kept, run, serving
 
@@ -170,7 +171,7 @@
     with pytest.raises(CallError, match="more than 1000 bytes"):
         for _ in range(20):
             reader.feed(b"x" * 100)
-    assert reader.held == 0
+    assert reader.buffered_bytes == 0
     assert LineReader().feed(b'{"a":1}\n{"b":2}\n{"c"') == [{"a": 1}, {"b": 2}]
 
 
