--- a/sandhatch/__main__.py
+++ b/sandhatch/__main__.py
@@ -1,4 +1,7 @@
-"""Start, signals and exit code of one real balancer; with a verb, the command line of `sandhatch.cli`."""
+"""Start, signals and exit code of the platform's program; with a verb, the command line of `sandhatch.cli`.
+
+Without a verb, none of the optional packages is imported.
+"""
 
 from __future__ import annotations
 
@@ -9,67 +12,49 @@
 import uvloop
 
 from sandhatch.config.platform import Config, load
-from sandhatch.platform.graceful_shutdown import drain
 from sandhatch.platform.program import PlatformProgram
-from sandhatch.runtime.address import ConfigError
-from sandhatch.runtime.coalescing_runner import CoalescingRunner
+from sandhatch.platform.reload import DiscoveryReload
+from sandhatch.runtime.address import spell
+from sandhatch.runtime.errors import ConfigError
 from sandhatch.runtime.process import settle_collector, stop_event
 
-
-class Reload:
-    """SIGHUP: the file is read again, and discovery is followed to the address that it names. The other keys
-    count from the next start.
-    """
-
-    def __init__(self, single: PlatformProgram) -> None:
-        self._logger = single.shared.logger
-        self._discovery = single.discovery
-        self.ask = CoalescingRunner(self._read).trigger
-
-    async def _read(self) -> None:
-        try:
-            # On a thread: requests don't wait for a disk or for a long file to be checked.
-            config = await asyncio.to_thread(load, again=True)
-        except ConfigError as problem:
-            self._logger.line(f"reload: {problem}; what was read before stays")
-            return
-        self._logger.line(f"reload: discovery is {config.discovery[0]}:{config.discovery[1]}")
-        self._discovery.move(config.discovery)
+EXIT_OK = 0
+EXIT_BAD_CONFIGURATION = 2  # the file, a value in it, or the address to listen on
 
 
 async def serve(config: Config) -> int:
+    """Run the platform's program until SIGTERM or SIGINT; the exit code."""
     loop = asyncio.get_running_loop()
     stopping = stop_event(loop)
-    single = PlatformProgram(config, loop)
-    loop.add_signal_handler(signal.SIGHUP, Reload(single).ask)
+    program = PlatformProgram(config, loop)
+    reload = DiscoveryReload(program.discovery, program.shared.logger)
+    loop.add_signal_handler(signal.SIGHUP, reload.trigger)
     try:
-        single.listener.start()
+        program.listener.start()
     except OSError as problem:
-        print(f"sandhatch: listen: {config.listen[0]}:{config.listen[1]}: {problem}", file=sys.stderr)
-        return 2
-    single.dispatcher.source.start()
+        print(f"sandhatch: listen: {spell(config.listen)}: {problem}", file=sys.stderr)
+        return EXIT_BAD_CONFIGURATION
+    program.discovery.start()
     settle_collector()
     await stopping.wait()
-    longest_ms = max(item.deadline_ms for item in config.settings.classes)
-    single.last_call.begin(longest_ms)
-    await drain(single.shared.clock, [single.listener], lambda: single.dispatcher.unanswered, longest_ms)
-    single.dispatcher.source.stop()
-    single.dispatcher.connection_pool.close()
-    return 0
+    await program.drain()
+    return EXIT_OK
 
 
 def main() -> int:
-    if len(sys.argv) > 1:  # a verb; what it needs beyond the platform's program is loaded only then
-        from sandhatch.cli.commands import main as command
+    """Run the program that the command line asks for; the exit code."""
+    if len(sys.argv) > 1:
+        # Imported here: a verb may need the optional packages.
+        from sandhatch.cli.commands import main as run_verb
 
-        return command(sys.argv[1:])
-    # Until there is something to tell of a new configuration: the default would end the process.
+        return run_verb(sys.argv[1:])
+    # Until the program can reload: the default action of SIGHUP would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load()
     except ConfigError as problem:
         print(f"sandhatch: {problem}", file=sys.stderr)
-        return 2
+        return EXIT_BAD_CONFIGURATION
     return uvloop.run(serve(config))
 
 
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -11,7 +11,8 @@
 
 from sandhatch.balancing.errors import SettingsError
 from sandhatch.balancing.settings import Settings
-from sandhatch.runtime.address import Address, ConfigError, parse_address
+from sandhatch.runtime.address import Address, parse_address
+from sandhatch.runtime.errors import ConfigError
 from sandhatch.runtime.process import grant_descriptors
 from sandhatch.simulator.codec import decode_settings
 
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -31,7 +31,7 @@
             "ready": service.front.ready,
             "versions": {str(number): version.open for number, version in service.running.items()},
             "pools": service.pools.status(),
-            "bodies": service.shared.flows.told(),
+            "bodies": service.shared.flows.snapshot(),
             "listeners": self._listener_rows(),
             "proposals": self._proposal_rows(),
             "planning": service.forwarding.status(),
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -12,7 +12,8 @@
 from sandhatch.balancing.events import NO_VERSION, ListKind, ServerEntry, ServerState
 from sandhatch.http1.framing import ResponseReader, encode_request
 from sandhatch.http1.message import Message
-from sandhatch.runtime.address import Address, ConfigError, label_of, parse_address, spell
+from sandhatch.runtime.address import Address, label_of, parse_address, spell
+from sandhatch.runtime.errors import ConfigError
 
 MAX_LIST = 4 * 1024 * 1024
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -50,7 +50,7 @@
 from sandhatch.http1.message import Message
 from sandhatch.runtime.address import spell
 from sandhatch.runtime.clock import Timer
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow, Side, Sink
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.pool import LOAD_HEADER, Attempt, ConnectionPool, report_of
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -21,7 +21,7 @@
 )
 from sandhatch.http1.message import Fault, FramingError, Message
 from sandhatch.runtime.address import Address
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow, StreamTerms
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.progress import ProgressMonitor
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -7,7 +7,7 @@
 from sandhatch.balancing.events import RequestArrived
 from sandhatch.balancing.settings import Effect, Settings
 from sandhatch.http1.message import FramingError, Message
-from sandhatch.runtime.shared import InFlightIds
+from sandhatch.runtime.in_flight_ids import InFlightIds
 from sandhatch.streaming.headers import Headers
 
 MAX_TRACE = 128  # bytes of a request's id
--- a/sandhatch/platform/graceful_shutdown.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -1,5 +1,7 @@
-"""The end of a process: accept while connections still come, serve what was taken, and end as soon as
-nothing is owed.
+"""Graceful shutdown: accept while connections still arrive, answer what was received, then end.
+
+It ends as soon as no request is unanswered. Source: the platform's pages PROTOCOL and DEPLOY, for the times
+around SIGTERM and SIGKILL.
 """
 
 from __future__ import annotations
@@ -11,47 +13,67 @@
 from sandhatch.downstream.listener import Listener
 from sandhatch.runtime.clock import Clock
 
-ACCEPT_MS = 550.0  # new connections go on coming for up to 400 ms after SIGTERM
-LAST_MS = 100.0  # past the longest deadline, for the last answers to be read
-STEP_S = 0.01
-# SIGKILL comes no sooner than the longest deadline, counted as LONGEST_MS where it is longer, and LATE_MS
-# more after SIGTERM; it is excused for requests that came before LATE_MS. Source: the protocol's figures.
-LATE_MS = 700.0
-LONGEST_MS = 3_000.0
+ACCEPT_MS = 550.0  # new connections go on arriving for up to 400 ms after SIGTERM
+ANSWER_READ_MS = 100.0  # after the longest deadline, for the last answers to be read
+POLL_INTERVAL_S = 0.01
+# SIGKILL follows SIGTERM no sooner than the longest deadline, at most MAX_COUNTED_DEADLINE_MS of it, and
+# LATE_ARRIVAL_MS more. Requests that arrive after LATE_ARRIVAL_MS are not excused by it.
+LATE_ARRIVAL_MS = 700.0
+MAX_COUNTED_DEADLINE_MS = 3_000.0
 
 
-class LastCall:
-    """How long a request may take that comes while the process ends."""
+class ShutdownDeadline:
+    """Limits the time left of requests that arrive late in a shutdown, so that they are answered in time."""
 
     def __init__(self, clock: Clock) -> None:
+        """No limit until `begin`."""
         self._clock = clock
-        self._late_ms = self._last_ms = math.inf
+        self._late_from_ms = math.inf  # Unix milliseconds
+        self._answered_by_ms = math.inf  # Unix milliseconds
+
+    def begin(self, longest_deadline_ms: float) -> None:
+        """SIGTERM has been received.
 
-    def begin(self, longest_ms: float) -> None:
-        """SIGTERM has come."""
-        self._late_ms = self._clock.now_ms() + LATE_MS
-        self._last_ms = self._late_ms + min(longest_ms, LONGEST_MS) - LAST_MS
+        Args:
+            longest_deadline_ms: The longest deadline of any request class.
+        """
+        self._late_from_ms = self._clock.now_ms() + LATE_ARRIVAL_MS
+        counted_deadline_ms = min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS)
+        self._answered_by_ms = self._late_from_ms + counted_deadline_ms - ANSWER_READ_MS
 
-    def left(self, left_ms: float) -> float:
-        """Of the time that a request comes with: one that comes late is answered before SIGKILL may come."""
-        now = self._clock.now_ms()
-        return left_ms if now < self._late_ms else max(0.0, min(left_ms, self._last_ms - now))
+    def limit(self, time_left_ms: float) -> float:
+        """The time that a request which arrives now may take, out of the time left that it states."""
+        now_ms = self._clock.now_ms()
+        if now_ms < self._late_from_ms:
+            return time_left_ms
+        return max(0.0, min(time_left_ms, self._answered_by_ms - now_ms))
 
 
 async def drain(
-    clock: Clock, listeners: Sequence[Listener], unanswered: Callable[[], object], longest_ms: float
+    clock: Clock,
+    listeners: Sequence[Listener],
+    has_unanswered: Callable[[], object],
+    longest_deadline_ms: float,
 ) -> None:
-    """`unanswered`: whether requests still wait for their end; `longest_ms`: the longest deadline of any."""
-    last = clock.now_ms() + ACCEPT_MS + LAST_MS + longest_ms
+    """Shut down the listeners; returns once everything is answered, or the longest deadline has passed.
+
+    Args:
+        clock: The process's clock.
+        listeners: They accept for `ACCEPT_MS` more; every answer is the last of its connection.
+        has_unanswered: Whether requests are unanswered.
+        longest_deadline_ms: The longest that any request may take.
+    """
+    give_up_at_ms = clock.now_ms() + ACCEPT_MS + ANSWER_READ_MS + longest_deadline_ms
     for listener in listeners:
         listener.closing = True
     await asyncio.sleep(ACCEPT_MS / 1000.0)
     for listener in listeners:
         listener.stop_accepting()
-    while clock.now_ms() < last:
+    while clock.now_ms() < give_up_at_ms:
         for listener in listeners:
-            # What it leaves open is owed something: a request that the system holds unread counts as taken.
+            # A connection that this leaves open has an unanswered request; one that is unread in the system's
+            # buffers counts as received.
             listener.end_idle()
-        if not unanswered() and not any(listener.taking for listener in listeners):
+        if not has_unanswered() and not any(listener.taking for listener in listeners):
             break
-        await asyncio.sleep(STEP_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -1,91 +1,90 @@
-"""The platform's program: one listener, one pool, everything as the platform tells it."""
+"""Assembly of the platform's program: one listener, one pool, configured by the platform.
+
+It starts nothing; `sandhatch.__main__` does.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import os
-from collections.abc import Callable
 from functools import partial
 
 from sandhatch.config.platform import Config
-from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
 from sandhatch.dispatch.dispatcher import Decisions, Dispatcher, PoolPlan
-from sandhatch.downstream.listener import ClientConnection, DisconnectCallback, Listener
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
-from sandhatch.http1.message import Message
-from sandhatch.platform.graceful_shutdown import LastCall
+from sandhatch.downstream.listener import Listener
+from sandhatch.platform.graceful_shutdown import ShutdownDeadline, drain
+from sandhatch.platform.request_handler import PlatformRequestHandler
 from sandhatch.runtime.logger import report_loop_errors
-from sandhatch.runtime.shared import SharedResources
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.telemetry.event_recorder import Recorder, requested_record
 
-OWN_DESCRIPTORS = 24  # what the process itself needs
-
-
-class PlatformRequestHandler:
-    """Every request under `/api` goes to the one pool."""
-
-    def __init__(
-        self, config: Config, dispatcher: Dispatcher, shared: SharedResources, last_call: LastCall
-    ) -> None:
-        self._dispatcher = dispatcher
-        self._shared = shared
-        self._last_call = last_call
-        self._requests = Requests(config.settings)
-
-    @property
-    def ready(self) -> bool:
-        return self._dispatcher.ready
-
-    def terms(self, client: ClientConnection, message: Message) -> StreamTerms | None:
-        return None  # the platform's bodies are small, and begin at their last byte
-
-    def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
-        if message.target.partition(b"?")[0] != b"/api":
-            client.answer(404, [], b"")
-            return None
-        if message.method not in METHODS:
-            client.answer(405, ALLOW, b"")
-            return None
-        event, left, trace = self._requests.read(message)
-        reject_known(self._shared.in_flight_ids, trace)
-        left = event.time_left_ms = self._last_call.left(left)
-        return partial(
-            self._dispatcher.client_disconnected, self._dispatcher.arrive(client, message, left, trace, event)
-        )
+OWN_DESCRIPTORS = 24  # the process's own: listener, discovery, files
+MIN_CONNECTION_DESCRIPTORS = 8
 
 
 class PlatformProgram:
-    """The parts of the platform's program, put together."""
+    """The parts of the platform's program, put together.
+
+    Attributes:
+        shared: Clock, logger, budgets and in-flight ids.
+        dispatcher: The one pool.
+        discovery: Where its endpoint list comes from.
+        listener: Where clients connect.
+    """
 
     def __init__(
         self, config: Config, loop: asyncio.AbstractEventLoop, decisions: Decisions | None = None
     ) -> None:
-        # Of the descriptors, what the process itself needs goes first; callers and upstreams share the rest.
-        spare = max(8, config.sockets - OWN_DESCRIPTORS)
+        """Assemble the program.
+
+        Args:
+            config: The platform's configuration.
+            loop: The event loop that runs everything.
+            decisions: What decides in place of the balancer, for tests.
+        """
         settings = config.settings
-        past_ms = 2.0 * max(item.deadline_ms for item in settings.classes)
-        self.shared = SharedResources(loop, config.name, config.memory_mb, past_ms, spare)
+        self._longest_deadline_ms = max(item.deadline_ms for item in settings.classes)
+        # Clients and servers share the descriptors that the process does not need itself.
+        connection_descriptors = max(MIN_CONNECTION_DESCRIPTORS, config.sockets - OWN_DESCRIPTORS)
+        self.shared = SharedResources(
+            loop,
+            config.name,
+            config.memory_mb,
+            2.0 * self._longest_deadline_ms,
+            connection_descriptors,
+        )
         report_loop_errors(loop, self.shared.logger)
-        plan = PoolPlan(settings, config.seed, spare // 2, config.drain_grace_ms, config.report_names)
-        found = DiscoveryPlan(
-            config.discovery,
-            config.zones,
-            config.kinds,
-            config.known,
+        pool_plan = PoolPlan(
+            settings, config.seed, connection_descriptors // 2, config.drain_grace_ms, config.report_names
         )
-        made: list[Discovery] = []
-
-        def source(tell: Callable[[Listing], None], log: Callable[[str], None]) -> Discovery:
-            made.append(Discovery(found, tell, log))
-            return made[0]
+        discovery_plan = DiscoveryPlan(config.discovery, config.zones, config.kinds, config.known)
+        self.dispatcher = Dispatcher(pool_plan, self.shared, partial(Discovery, discovery_plan), decisions)
+        source = self.dispatcher.source
+        assert isinstance(source, Discovery)
+        self.discovery = source
+        self._record_events(config)
+        self._shutdown_deadline = ShutdownDeadline(self.shared.clock)
+        request_handler = PlatformRequestHandler(
+            settings, self.dispatcher, self.shared, self._shutdown_deadline
+        )
+        self.listener = Listener(config.listen, self.shared, request_handler)
 
-        self.dispatcher = Dispatcher(plan, self.shared, source, decisions)
-        self.discovery = made[0]
+    def _record_events(self, config: Config) -> None:
         record = requested_record(os.environ, self.shared.logger.line)
-        if record is not None:
-            clock = self.shared.clock
-            self.dispatcher.observe(Recorder(config.name, settings.tier, clock.now_ms, what=record))
-        self.last_call = LastCall(self.shared.clock)
-        front = PlatformRequestHandler(config, self.dispatcher, self.shared, self.last_call)
-        self.listener = Listener(config.listen, self.shared, front)
+        if record is None:
+            return
+        clock = self.shared.clock
+        self.dispatcher.observe(Recorder(config.name, config.settings.tier, clock.now_ms, what=record))
+
+    async def drain(self) -> None:
+        """Shut down gracefully: accept for a while, answer what was received, then close."""
+        self._shutdown_deadline.begin(self._longest_deadline_ms)
+        await drain(
+            self.shared.clock,
+            [self.listener],
+            lambda: self.dispatcher.unanswered,
+            self._longest_deadline_ms,
+        )
+        self.dispatcher.source.stop()
+        self.dispatcher.connection_pool.close()
--- /dev/null
+++ b/sandhatch/platform/request_handler.py
@@ -0,0 +1,64 @@
+"""The request handler of the platform's program: every request under `/api` goes to the one pool.
+
+Source: the platform's page PROTOCOL.
+"""
+
+from __future__ import annotations
+
+from functools import partial
+
+from sandhatch.balancing.settings import Settings
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
+from sandhatch.http1.message import Message
+from sandhatch.platform.graceful_shutdown import ShutdownDeadline
+from sandhatch.runtime.shared_resources import SharedResources
+from sandhatch.streaming.flow import StreamTerms
+
+API_PATH = b"/api"
+
+
+class PlatformRequestHandler:
+    """Rejects what is not a request to the pool, and dispatches the rest."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        dispatcher: Dispatcher,
+        shared: SharedResources,
+        shutdown_deadline: ShutdownDeadline,
+    ) -> None:
+        """Handle requests of classes in `settings` with the dispatcher of the pool."""
+        self._dispatcher = dispatcher
+        self._in_flight_ids = shared.in_flight_ids
+        self._shutdown_deadline = shutdown_deadline
+        self._requests = Requests(settings)
+
+    @property
+    def ready(self) -> bool:
+        """Whether the pool can serve."""
+        return self._dispatcher.ready
+
+    def terms(self, _client: ClientConnection, _message: Message) -> StreamTerms | None:
+        """None: the platform's bodies are small, so a request begins when its last byte is received."""
+        return None
+
+    def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
+        """Answer or dispatch a request; what to call if the client disconnects, None if it is answered.
+
+        Raises:
+            FramingError: The request is rejected; the error has the status.
+        """
+        if message.target.partition(b"?")[0] != API_PATH:
+            client.answer(404, [], b"")
+            return None
+        if message.method not in METHODS:
+            client.answer(405, ALLOW, b"")
+            return None
+        event, stated_time_left_ms, trace = self._requests.read(message)
+        reject_known(self._in_flight_ids, trace)
+        time_left_ms = self._shutdown_deadline.limit(stated_time_left_ms)
+        event.time_left_ms = time_left_ms
+        exchange = self._dispatcher.arrive(client, message, time_left_ms, trace, event)
+        return partial(self._dispatcher.client_disconnected, exchange)
--- a/sandhatch/runtime/__init__.py
+++ b/sandhatch/runtime/__init__.py
@@ -1,1 +1,4 @@
-"""What every protocol and every pool shares: time, log lines, memory, addresses. It decides nothing."""
+"""What every protocol and every pool shares: time, logging, memory, descriptors, addresses.
+
+It decides nothing, and knows no protocol, pool or configuration.
+"""
--- a/sandhatch/runtime/address.py
+++ b/sandhatch/runtime/address.py
@@ -1,31 +1,40 @@
-"""Addresses as text and as what the sockets take. Numbers only: nothing here looks a name up."""
+"""Addresses as text and as sockets take them. Numeric only: nothing here resolves a name."""
 
 from __future__ import annotations
 
 from ipaddress import AddressValueError, IPv4Address
 from zlib import crc32
 
-Address = tuple[str, int]
+from sandhatch.runtime.errors import ConfigError
 
+Address = tuple[str, int]  # IPv4 address and port, as the socket module takes it
 
-class ConfigError(ValueError):
-    """A value is missing or makes no sense; the message is one line that names key and value."""
+MAX_PORT = 65535
+MAX_PORT_DIGITS = 5
 
 
 def read_address(text: str) -> Address:
-    """`address:port`, as numbers: there is no DNS. ValueError says what would be right."""
+    """Parse `address:port`.
+
+    Raises:
+        ValueError: It is not that; the message says what is expected.
+    """
     host, _, port = text.rpartition(":")
     try:
         IPv4Address(host)
     except AddressValueError:
         raise ValueError("an IPv4 address and port is wanted, as 127.0.0.1:8080") from None
-    if not port.isascii() or not port.isdigit() or len(port) > 5 or int(port) > 65535:
+    if not port.isascii() or not port.isdigit() or len(port) > MAX_PORT_DIGITS or int(port) > MAX_PORT:
         raise ValueError("a port from 0 to 65535 is wanted after the colon")
     return host, int(port)
 
 
 def parse_address(text: object, key: str) -> Address:
-    """As `read_address`, of whatever stands at a key; ConfigError names the key and the value."""
+    """As `read_address`, of the value at a configuration key.
+
+    Raises:
+        ConfigError: It is not an address; the message names the key and the value.
+    """
     try:
         return read_address(text if isinstance(text, str) else "")
     except ValueError:
@@ -33,9 +42,10 @@
 
 
 def spell(address: Address) -> str:
+    """The address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def label_of(address: str) -> int:
-    """The number of a server, by its address as `host:port`, that all copies and planners agree on."""
+    """A number of the server at `host:port` on which all instances and planners agree."""
     return crc32(address.encode())
--- a/sandhatch/runtime/clock.py
+++ b/sandhatch/runtime/clock.py
@@ -1,4 +1,4 @@
-"""The process's time and its timers: one clock for all, so that what is compared was read from the same one.
+"""The process's time and its timers: one clock for all, so that times that are compared have the same source.
 
 It never turns back and never reads anything but the system's clocks.
 """
@@ -11,65 +11,87 @@
 from heapq import heapify, heappop, heappush
 from math import ceil
 
+MIN_COMPACT_SIZE = 1024  # timers in the heap before cancelled ones are looked for
+
 
 class Timer:
+    """A call at a time.
+
+    Attributes:
+        due_ms: When, in Unix milliseconds.
+        call: What is called; None once it has been called or cancelled.
+    """
+
     __slots__ = ("call", "due_ms")
 
     def __init__(self, due_ms: float, call: Callable[[], None]) -> None:
+        """A timer that has not fired."""
         self.due_ms = due_ms
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
+        """Don't call; nothing happens if it has been called."""
         self.call = None
 
 
 class Clock:
-    """Unix milliseconds, taken once and carried on by the monotonic clock: a step of the system's time can't
-    turn it back. Its timers fire at their time or after, never before, in the order of their times.
+    """Unix milliseconds, read once and carried on by the monotonic clock.
+
+    A step of the system's time can't turn it back. Timers fire at their time or after, never before, in the
+    order of their times.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        """Read the time; timers fire on `loop`."""
         self._loop = loop
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
-        self._heap: list[tuple[float, int, Timer]] = []
+        self._heap: list[tuple[float, int, Timer]] = []  # due time, serial number that breaks ties, timer
         self._serial = 0
-        self._armed: asyncio.TimerHandle | None = None
-        self._armed_ms = 0.0
-        self._compact_at = 1024
+        self._wakeup: asyncio.TimerHandle | None = None
+        self._wakeup_ms = 0.0
+        self._compact_at = MIN_COMPACT_SIZE
 
     def now_ms(self) -> float:
+        """Unix milliseconds."""
         return self._offset_ms + time.monotonic() * 1000.0
 
     def after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
+        """Call once, `delay_ms` from now."""
         timer = Timer(self.now_ms() + delay_ms, call)
         self._serial += 1
         heappush(self._heap, (timer.due_ms, self._serial, timer))
-        if len(self._heap) > self._compact_at:  # guards against a heap of cancelled timers
-            self._heap = [item for item in self._heap if item[2].call is not None]
-            heapify(self._heap)
-            self._compact_at = max(1024, 2 * len(self._heap))
-        self._arm()
+        if len(self._heap) > self._compact_at:
+            self._compact()
+        self._schedule_wakeup()
         return timer
 
-    def _arm(self) -> None:
+    def _compact(self) -> None:
+        """Remove cancelled timers: they must not fill the heap."""
+        self._heap = [entry for entry in self._heap if entry[2].call is not None]
+        heapify(self._heap)
+        self._compact_at = max(MIN_COMPACT_SIZE, 2 * len(self._heap))
+
+    def _schedule_wakeup(self) -> None:
         if not self._heap:
             return
-        due = self._heap[0][0]
-        if self._armed is not None:
-            if self._armed_ms <= due:
+        due_ms = self._heap[0][0]
+        if self._wakeup is not None:
+            if self._wakeup_ms <= due_ms:
                 return
-            self._armed.cancel()
-        self._armed_ms = due
-        # The loop counts whole milliseconds.
-        self._armed = self._loop.call_later(max(0, ceil(due - self.now_ms())) / 1000.0, self._fire)
+            self._wakeup.cancel()
+        self._wakeup_ms = due_ms
+        # The loop counts in whole milliseconds.
+        delay_s = max(0, ceil(due_ms - self.now_ms())) / 1000.0
+        self._wakeup = self._loop.call_later(delay_s, self._fire_due)
 
-    def _fire(self) -> None:
-        self._armed = None
+    def _fire_due(self) -> None:
+        self._wakeup = None
         try:
             while self._heap and self._heap[0][0] <= self.now_ms():
                 timer = heappop(self._heap)[2]
-                call, timer.call = timer.call, None
+                call = timer.call
+                timer.call = None
                 if call is not None:
                     call()
         finally:
-            self._arm()
+            self._schedule_wakeup()
--- a/sandhatch/runtime/coalescing_runner.py
+++ b/sandhatch/runtime/coalescing_runner.py
@@ -1,4 +1,4 @@
-"""Work that is asked for by a signal: one run at a time, and once more if it was asked for meanwhile."""
+"""Runs work that is requested by signals: one run at a time, requests meanwhile coalesced into one more."""
 
 from __future__ import annotations
 
@@ -7,19 +7,25 @@
 
 
 class CoalescingRunner:
-    """Of calls in a row, what the last one finds counts."""
+    """Runs an asynchronous function; the last run begins no earlier than the last request."""
 
     def __init__(self, work: Callable[[], Awaitable[None]]) -> None:
+        """Nothing runs until `trigger` is called."""
         self._work = work
-        self._asked = False
+        self._requested = False
         self._task: asyncio.Task[None] | None = None
 
     def trigger(self) -> None:
-        self._asked = True
+        """Request a run and return at once.
+
+        If none is in progress, one is started on the running event loop. If one is, exactly one more follows
+        it, however often this is called meanwhile: it reads what the last caller wanted to be read.
+        """
+        self._requested = True
         if self._task is None or self._task.done():
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        while self._asked:
-            self._asked = False
+        while self._requested:
+            self._requested = False
             await self._work()
--- a/sandhatch/runtime/environment.py
+++ b/sandhatch/runtime/environment.py
@@ -1,6 +1,6 @@
-"""Environment variables that had another name in versions before the package was called sandhatch.
+"""Environment variables whose names changed when the package was renamed to sandhatch.
 
-It reads nothing itself: the environment is handed in.
+It reads nothing itself: the environment is passed in.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 def renamed_variable(env: Mapping[str, str], name: str, warn: Callable[[str], None]) -> str | None:
     """The value of `SANDHATCH_` + `name`, None if it is not set.
 
-    The former name, `LARKWEIR_` + `name`, still counts where the new one is not set; `warn` is then given one
-    line that names the new one.
+    The former name, `LARKWEIR_` + `name`, still counts where the new one is not set; `warn` is then called
+    with one line that names the new one.
     """
-    current, former = PREFIX + name, FORMER_PREFIX + name
+    current = PREFIX + name
+    former = FORMER_PREFIX + name
     if current in env or former not in env:
         return env.get(current)
     warn(f"{former} is now called {current}; set that one instead")
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -1,21 +1,38 @@
-"""Counts over all flows of a process, for status and measurements."""
+"""Counts over all flows of a process, for the status and for measurements. Nothing is sampled."""
 
 from __future__ import annotations
 
 
 class FlowStatistics:
-    """The account of all flows of a process: nothing is sampled, each change is entered."""
+    """Counters that every flow updates.
+
+    Attributes:
+        open: Flows that have not ended.
+        most_open: The most that were open at a time.
+        opened: Flows since the start.
+        bytes: Bytes forwarded, in both directions.
+        peak_bytes: The most bytes that one flow buffered.
+        over: How often a flow buffered more than its ceiling.
+    """
 
     __slots__ = ("bytes", "most_open", "open", "opened", "over", "peak_bytes")
 
     def __init__(self) -> None:
+        """All counts are 0."""
         self.open = 0
         self.most_open = 0
         self.opened = 0
-        self.bytes = 0  # passed on, in both directions
-        self.peak_bytes = 0  # the most that one flow held
-        self.over = 0  # times that a flow held more than its ceiling
+        self.bytes = 0
+        self.peak_bytes = 0
+        self.over = 0
 
-    def told(self) -> dict[str, int]:
-        """For status and measurements."""
-        return {name: getattr(self, name) for name in self.__slots__}
+    def snapshot(self) -> dict[str, int]:
+        """The counts by the keys that they have in the status ("bodies" on the operators' page)."""
+        return {
+            "bytes": self.bytes,
+            "most_open": self.most_open,
+            "open": self.open,
+            "opened": self.opened,
+            "over": self.over,
+            "peak_bytes": self.peak_bytes,
+        }
--- /dev/null
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -0,0 +1,50 @@
+"""Ids of requests that are in flight in any pool, or have finished lately. It reads no clock.
+
+A request's id is new with every request, so a duplicate that arrives just after the answer must not run
+either, whichever pool it would go to.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+
+class InFlightIds:
+    """The ids of one process. `id in ids` says whether a request with it must be rejected.
+
+    Attributes:
+        open: Ids in flight.
+        past: Ids of finished requests, and when each finished, in Unix milliseconds.
+        past_ms: How long an id is remembered after its request has finished.
+    """
+
+    MOST_PAST = 4096  # ids of finished requests
+
+    def __init__(self, past_ms: float) -> None:
+        """No ids yet."""
+        self.open: set[bytes] = set()
+        self.past: dict[bytes, float] = {}
+        # The same, oldest first: a dict that loses its first keys finds its first key ever more slowly.
+        self._oldest_first: deque[tuple[float, bytes]] = deque()
+        self.past_ms = past_ms
+
+    def __contains__(self, trace: bytes) -> bool:
+        """Whether a request with this id is in flight or has finished lately."""
+        return trace in self.open or trace in self.past
+
+    def begin(self, trace: bytes) -> None:
+        """A request with this id is in flight."""
+        self.open.add(trace)
+
+    def end(self, trace: bytes, now_ms: float) -> None:
+        """The request has finished; ids that finished too long ago are forgotten."""
+        self.open.discard(trace)
+        self.past[trace] = now_ms
+        oldest_first = self._oldest_first
+        oldest_first.append((now_ms, trace))
+        while oldest_first and (
+            len(oldest_first) > self.MOST_PAST or oldest_first[0][0] <= now_ms - self.past_ms
+        ):
+            ended_ms, oldest = oldest_first.popleft()
+            if self.past.get(oldest) == ended_ms:  # else it has been in flight again since
+                del self.past[oldest]
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -1,81 +1,122 @@
-"""The memory that all connections share: bodies, heads and answers are booked here while they are held."""
+"""The memory budget that all connections share: buffered bodies, heads and answers are counted here.
+
+It allocates nothing and does no I/O: it counts bytes and queues those who wait for some.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+BYTES_PER_MB = 1024 * 1024
+
 
 class MemoryBudget:
-    """Bytes that connections may hold together. Guards the process's memory limit, which bounds for each
-    connection alone would not: there are hundreds of them.
+    """Bytes that connections may buffer together.
+
+    Guards the process's memory limit, which a bound for each connection alone would not: there are hundreds
+    of them.
+
+    Attributes:
+        used: Bytes that are counted now; may exceed `most`, see `book`.
+        most: Bytes that may be reserved.
     """
 
-    SHARE = 0.25  # of the memory limit; the rest is the program, its tables, and what the system keeps aside
+    SHARE = 0.25  # of the memory limit; the rest is for the program, its tables, and the system's reserves
 
     def __init__(self, memory_mb: float) -> None:
+        """An empty budget; `memory_mb` is the memory limit of the process."""
         self.used = 0
-        self._queue: dict[MemoryWaiter, None] = {}  # who waits, the first to come first
-        self._serving = False
+        self._waiters: dict[MemoryWaiter, None] = {}  # in the order of their requests
+        self._granting = False
         self.set_limit(memory_mb)
 
     def set_limit(self, memory_mb: float) -> None:
-        """What is held over a lower limit stays; no more is let in until it fits."""
-        self.most = int(memory_mb * 1024 * 1024 * self.SHARE)
-        self._serve()
+        """Change the process's memory limit.
+
+        Bytes counted over a lower limit stay; nothing more is granted until it fits.
+        """
+        self.most = int(memory_mb * BYTES_PER_MB * self.SHARE)
+        self._grant_waiters()
 
     @property
     def free(self) -> int:
-        """Bytes that may still be held; 0 while someone waits for some."""
-        return 0 if self._queue else max(0, self.most - self.used)
+        """Bytes that may still be used; 0 while there are waiters."""
+        return 0 if self._waiters else max(0, self.most - self.used)
 
     def book(self, before: int, now: int) -> bool:
-        """One holder's change, booked in any case; whether it may hold that much more."""
+        """Count a change in the bytes that one holder buffers.
+
+        The change is counted in any case, because the bytes are in memory already. Bytes that become free are
+        granted to waiters.
+
+        Args:
+            before: The holder's bytes that are counted so far.
+            now: Its bytes from now on.
+
+        Returns:
+            Whether the holder may keep that much; False if it has grown and the budget is exceeded.
+        """
         self.used += now - before
-        if now < before and self._queue:
-            self._serve()
+        if now < before and self._waiters:
+            self._grant_waiters()
         return now <= before or self.used <= self.most
 
     def reserve(self, size: int, granted: Callable[[], None]) -> MemoryWaiter | None:
-        """Book so many bytes if they are free and nobody waits; None then, and `granted` is not called. Else
-        a place in the queue: `granted` is called once they are booked, in the order of coming.
+        """Count `size` bytes before they are buffered, now or as soon as they are free.
+
+        Args:
+            size: Bytes.
+            granted: Called once they are counted, if they are not at once. Waiters are granted strictly in
+                the order of their requests: a small one does not overtake a large one.
+
+        Returns:
+            None if the bytes were free and are counted now; `granted` is not called then. Otherwise a waiter,
+            which can leave.
         """
-        if not self._queue and self.used + size <= self.most:
+        if not self._waiters and self.used + size <= self.most:
             self.used += size
             return None
-        place = MemoryWaiter(self, size, granted)
-        self._queue[place] = None
-        return place
+        waiter = MemoryWaiter(self, size, granted)
+        self._waiters[waiter] = None
+        return waiter
 
-    def leave(self, place: MemoryWaiter) -> None:
-        """Wait no longer; nothing happens to one that has been served."""
-        if self._queue.pop(place, 0) is None:
-            self._serve()
+    def leave(self, waiter: MemoryWaiter) -> None:
+        """Stop waiting; nothing happens if the waiter's bytes have been granted."""
+        if self._waiters.pop(waiter, 0) is None:
+            self._grant_waiters()
 
-    def _serve(self) -> None:
-        if self._serving:
+    def _grant_waiters(self) -> None:
+        if self._granting:  # a `granted` call that frees bytes: the loop below goes on with them
             return
-        self._serving = True
+        self._granting = True
         try:
-            while self._queue:
-                place = next(iter(self._queue))
-                if self.used + place.size > self.most:
+            while self._waiters:
+                waiter = next(iter(self._waiters))
+                if self.used + waiter.size > self.most:
                     break
-                del self._queue[place]
-                self.used += place.size
-                place.granted()
+                del self._waiters[waiter]
+                self.used += waiter.size
+                waiter.granted()
         finally:
-            self._serving = False
+            self._granting = False
 
 
 class MemoryWaiter:
-    """One who waits for room."""
+    """A request for bytes that has not been granted.
+
+    Attributes:
+        size: Bytes.
+        granted: Called once they are counted.
+    """
 
     __slots__ = ("_memory_budget", "granted", "size")
 
     def __init__(self, memory_budget: MemoryBudget, size: int, granted: Callable[[], None]) -> None:
+        """Made by `MemoryBudget.reserve` alone."""
         self._memory_budget = memory_budget
         self.size = size
         self.granted = granted
 
     def leave(self) -> None:
+        """Stop waiting; nothing happens if the bytes have been granted."""
         self._memory_budget.leave(self)
--- a/sandhatch/runtime/process.py
+++ b/sandhatch/runtime/process.py
@@ -1,4 +1,4 @@
-"""What every long-running form of the program asks of its process: descriptors, signals, collector pauses."""
+"""Set-up that every long-running form of the program needs: descriptor limit, signals, garbage collector."""
 
 from __future__ import annotations
 
@@ -7,18 +7,27 @@
 import resource
 import signal
 
+# Net allocations before a collection of the youngest generation, then its collections before one of the next
+# generation, and so on. Well above Python's defaults: objects made after the start are short-lived and form
+# few cycles.
+GC_THRESHOLDS = (20_000, 20, 100)
+
 
 def grant_descriptors(wanted: int) -> int:
-    """Raise the soft limit towards `wanted` as far as the hard one lets it; how many may be held now."""
-    soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft != resource.RLIM_INFINITY and soft < wanted:
-        soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    return wanted if soft == resource.RLIM_INFINITY else min(wanted, soft)
+    """Raise the soft limit of open descriptors to `wanted`, as far as the hard limit allows.
+
+    Returns:
+        How many descriptors may be open, at most `wanted`.
+    """
+    soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft_limit != resource.RLIM_INFINITY and soft_limit < wanted:
+        soft_limit = wanted if hard_limit == resource.RLIM_INFINITY else min(wanted, hard_limit)
+        resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
+    return wanted if soft_limit == resource.RLIM_INFINITY else min(wanted, soft_limit)
 
 
 def stop_event(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
-    """Set by SIGTERM and by SIGINT."""
+    """An event that SIGTERM and SIGINT set from now on."""
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stopping.set)
@@ -26,7 +35,10 @@
 
 
 def settle_collector() -> None:
-    """Guards against collection pauses: what lives from here on is short-lived and holds few cycles."""
+    """Keep garbage collections short and rare; called once the program is assembled.
+
+    What exists now lives as long as the process and is never looked at again by the collector.
+    """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(20_000, 20, 100)
+    gc.set_threshold(*GC_THRESHOLDS)
--- a/sandhatch/runtime/text_table.py
+++ b/sandhatch/runtime/text_table.py
@@ -1,16 +1,23 @@
-"""Rows for people at a terminal."""
+"""Rows as aligned text columns, for people at a terminal."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import Any
 
+COLUMN_GAP = "  "
+
 
 def table(rows: list[dict[str, Any]], columns: Sequence[str]) -> str:
-    """Plain columns, as wide as what stands in them."""
-    cells = [list(columns), *([str(row.get(column, "")) for column in columns] for row in rows)]
-    widths = [max(len(line[n]) for line in cells) for n in range(len(columns))]
+    """A header line and one line per row, each column as wide as its widest cell.
+
+    Args:
+        rows: Values by column; a missing one is left empty.
+        columns: Names of the columns to show, in order.
+    """
+    lines = [list(columns), *([str(row.get(column, "")) for column in columns] for row in rows)]
+    widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
     return "\n".join(
-        "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
-        for line in cells
+        COLUMN_GAP.join(text.ljust(width) for text, width in zip(line, widths, strict=True)).rstrip()
+        for line in lines
     )
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -10,7 +10,7 @@
 from sandhatch.config.check import pool_settings
 from sandhatch.config.model import Configuration, Planning
 from sandhatch.runtime.address import parse_address
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.running_pool import RunningPool
 
--- a/sandhatch/service/limits.py
+++ b/sandhatch/service/limits.py
@@ -8,7 +8,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.runtime.process import grant_descriptors
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 
 OWN_DESCRIPTORS = 64  # the process's own: listeners, control, discovery, files
 MIN_CONNECTION_DESCRIPTORS = 16
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -9,7 +9,7 @@
 from sandhatch.config.transactions import Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.runtime.address import parse_address
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.request_handler import RequestHandler
 
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -21,7 +21,7 @@
 from sandhatch.discovery.static import StaticServer, StaticSource
 from sandhatch.dispatch.dispatcher import Dispatcher, PoolPlan, Source
 from sandhatch.runtime.address import parse_address
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.running_pool import RunningPool, pool_fingerprints
 from sandhatch.service.server_registry import ServerRegistry
 
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -17,7 +17,7 @@
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, reject_known
 from sandhatch.http1.message import FramingError, Message
 from sandhatch.routing.table import Answer, Query, Split, Target
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_pool import RunningPool
 from sandhatch.service.running_version import RunningVersion
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -16,7 +16,7 @@
 from sandhatch.config.transactions import Refusal, RejectedError, State, Transactions, Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.forwarding import Forwarding
 from sandhatch.service.goodput_monitor import GoodputMonitor
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -13,7 +13,7 @@
 
 from sandhatch.config import transactions as tx
 from sandhatch.config.transactions import State, Transactions, Version
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.forwarding import Forwarding
 from sandhatch.service.goodput_monitor import GoodputMonitor
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -15,7 +15,7 @@
 from sandhatch.config import transactions as tx
 from sandhatch.config.history import History, Saved
 from sandhatch.config.transactions import Transactions, Version
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -19,8 +19,8 @@
 from sandhatch.http1.message import FramingError, Message
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock, Timer
+from sandhatch.runtime.descriptor_budget import Descriptors
 from sandhatch.runtime.memory_budget import MemoryBudget
-from sandhatch.runtime.shared import Descriptors
 from sandhatch.streaming.flow import Flow, StreamTerms
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sandhatch.platform import graceful_shutdown as draining
-from sandhatch.platform.program import PlatformRequestHandler
+from sandhatch.platform.request_handler import PlatformRequestHandler
 from tests.crossings.harness import dial, holds, until, until_unread
 from tests.fakes import (
     PATIENCE_S,
@@ -153,7 +153,7 @@
             client.sendall(b"noise")
             ending = asyncio.create_task(drained(balancer))
             for _ in range(5):
-                await asyncio.sleep(draining.STEP_S)
+                await asyncio.sleep(draining.POLL_INTERVAL_S)
             assert not ending.done()
             assert (await said(client)).startswith(b"HTTP/1.1 200")
             async with asyncio.timeout(PATIENCE_S):
@@ -172,14 +172,14 @@
         async def hangs(request: Incoming, talk: Talk) -> None:
             await talk.ended()
 
-        monkeypatch.setattr(draining, "LATE_MS", 0.0)
-        monkeypatch.setattr(draining, "LONGEST_MS", 600.0)
+        monkeypatch.setattr(draining, "LATE_ARRIVAL_MS", 0.0)
+        monkeypatch.setattr(draining, "MAX_COUNTED_DEADLINE_MS", 600.0)
         upstream = await FakeUpstream(hangs).start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             front = balancer.listener.request_handler
             assert isinstance(front, PlatformRequestHandler)
             begun = balancer.shared.clock.now_ms()
-            front._last_call.begin(8_000.0)
+            front._shutdown_deadline.begin(8_000.0)
             client.ask("move", b"x")
             assert (await client.answer()).status in (502, 504)
             assert balancer.shared.clock.now_ms() - begun < 8_000.0
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -22,7 +22,7 @@
 from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.program import PlatformProgram
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from testkit.clients import HttpClient, request_bytes
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
--- a/tests/freshness/test_settings.py
+++ b/tests/freshness/test_settings.py
@@ -14,7 +14,7 @@
 from sandhatch.balancing.endpoint_freshness import LEAST_MS, NOTIFIED_MS, Freshness, notified_after_ms
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
-from sandhatch.runtime.address import ConfigError
+from sandhatch.runtime.errors import ConfigError
 from testkit.platform import SETTINGS, config_data, entry
 
 KEYS = ["DrainGraceMs", "AskWithinMs", "ColdMs", "FallMs", "PeersTotal"]
