--- /dev/null
+++ b/tests/platform/harness.py
@@ -0,0 +1,79 @@
+"""The platform's program as a process of its own, for tests of start, signals and exit codes."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import resource
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+
+from testkit.ports import free_port
+from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data
+
+ROOT = Path(__file__).parent.parent.parent
+
+
+async def spawn(path: Path, descriptors: int | None = None, **more: str) -> asyncio.subprocess.Process:
+    """Start the program.
+
+    Args:
+        path: Its configuration file.
+        descriptors: Limit of its open descriptors, None for this process's.
+        more: Further environment variables.
+    """
+
+    def limit_descriptors() -> None:
+        assert descriptors is not None
+        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
+
+    environment = {key: value for key, value in os.environ.items() if not key.startswith("GW_")}
+    environment |= {"GW_CONFIG": str(path)} | more
+    return await asyncio.create_subprocess_exec(
+        sys.executable,
+        "-m",
+        "sandhatch",
+        cwd=ROOT,
+        env=environment,
+        stderr=asyncio.subprocess.PIPE,
+        preexec_fn=limit_descriptors if descriptors else None,
+    )
+
+
+async def ready(port: int, status: int = 200) -> None:
+    """Wait until `/ready` answers with this status."""
+    async with asyncio.timeout(PATIENCE_S):
+        while True:
+            try:
+                async with HttpClient(port) as client:
+                    client.ask(target="/ready")
+                    if (await client.answer()).status == status:
+                        return
+            except (ConnectionError, AssertionError):
+                pass
+            await asyncio.sleep(0.02)
+
+
+@asynccontextmanager
+async def running_program(
+    directory: Path, upstream: FakeUpstream, descriptors: int | None = None, sockets: int = 256
+) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
+    """The program in front of one server, once it is ready: its process and its port."""
+    discovery = await FakeDiscovery([upstream.entry("a")]).start()
+    port = free_port()
+    data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
+    data["limits"]["sockets"] = sockets
+    path = directory / "config.json"
+    path.write_text(json.dumps(data))
+    process = await spawn(path, descriptors)
+    try:
+        await ready(port)
+        yield process, port
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+        discovery.stop()
--- a/tests/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process: bad configuration, signals under traffic, the descriptor limit."""
+"""The platform's program as a process: bad configuration, signals under traffic, the descriptor limit."""
 
 from __future__ import annotations
 
@@ -8,8 +8,6 @@
 import resource
 import signal
 import sys
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
@@ -28,110 +26,56 @@
     ok,
     request_bytes,
 )
+from tests.platform.harness import ROOT, ready, running_program, spawn
 from tests.test_attempts import run
 
-ROOT = Path(__file__).parent.parent
-
-
-async def spawn(path: Path, descriptors: int | None = None, **more: str) -> asyncio.subprocess.Process:
-    def limit() -> None:
-        assert descriptors is not None
-        resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
-
-    env = {k: v for k, v in os.environ.items() if not k.startswith("GW_")} | {"GW_CONFIG": str(path)}
-    env |= more
-    return await asyncio.create_subprocess_exec(
-        sys.executable,
-        "-m",
-        "sandhatch",
-        cwd=ROOT,
-        env=env,
-        stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit if descriptors else None,
-    )
-
-
-async def ready(port: int, status: int = 200) -> None:
-    """Until `/ready` answers so."""
-    async with asyncio.timeout(PATIENCE_S):
-        while True:
-            try:
-                async with HttpClient(port) as client:
-                    client.ask(target="/ready")
-                    if (await client.answer()).status == status:
-                        return
-            except (ConnectionError, AssertionError):
-                pass
-            await asyncio.sleep(0.02)
-
-
-@asynccontextmanager
-async def program(
-    tmp: Path, upstream: FakeUpstream, descriptors: int | None = None, sockets: int = 256
-) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    discovery = await FakeDiscovery([upstream.entry("a")]).start()
-    port = free_port()
-    data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
-    data["limits"]["sockets"] = sockets
-    path = tmp / "config.json"
-    path.write_text(json.dumps(data))
-    process = await spawn(path, descriptors)
-    try:
-        await ready(port)
-        yield process, port
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-        discovery.stop()
-
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_signal_under_traffic_loses_nothing(tmp_path: Path, number: signal.Signals) -> None:
-    """Guards the planned restart: what is out, what comes on kept and on new connections is all served, each
+def test_a_shutdown_signal_under_traffic_loses_no_request(tmp_path: Path, number: signal.Signals) -> None:
+    """Guards the planned restart: requests in flight, on reused and on new connections are all answered, each
     with `Connection: close`, and then the exit code is 0.
     """
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
-            if request.target == "/api?held":
-                await go.wait()
+        async def serve(request: Incoming, talk: Talk) -> None:
+            if request.target == "/api?slow":
+                await released.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(serve).start()
         async with (
-            program(tmp_path, upstream) as (process, port),
-            HttpClient(port) as out,
-            HttpClient(port) as kept,
+            running_program(tmp_path, upstream) as (process, port),
+            HttpClient(port) as in_flight,
+            HttpClient(port) as reused,
             HttpClient(port) as idle,
         ):
-            kept.ask()
-            assert (await kept.answer()).headers.get("connection") != "close"
+            reused.ask()
+            assert (await reused.answer()).headers.get("connection") != "close"
             idle.ask(target="/ready")
             assert (await idle.answer()).status == 200
-            out.ask("move", b"x", "/api?held")
-            while (await upstream.arrived.get()).target != "/api?held":
+            in_flight.ask("move", b"x", "/api?slow")
+            while (await upstream.arrived.get()).target != "/api?slow":
                 pass
             process.send_signal(number)
-            async with asyncio.timeout(PATIENCE_S):  # until it has noticed
+            async with asyncio.timeout(PATIENCE_S):  # until the program has received the signal
                 while True:
                     async with HttpClient(port) as fresh:
                         fresh.ask(target="/ready")
                         if (await fresh.answer()).status == 503:
                             break
-            kept.ask()
-            answer = await kept.answer()
+            reused.ask()
+            answer = await reused.answer()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
             async with HttpClient(port) as fresh:
                 fresh.ask()
                 answer = await fresh.answer()
                 assert (answer.status, answer.headers.get("connection")) == (200, "close")
             assert await idle.ended() == b""
-            assert process.returncode is None  # it still owes an answer
-            go.set()
-            assert (await out.answer()).status == 200
+            assert process.returncode is None  # a request is unanswered
+            released.set()
+            assert (await in_flight.answer()).status == 200
             async with asyncio.timeout(PATIENCE_S):
                 assert await process.wait() == 0
         upstream.close()
@@ -139,12 +83,12 @@
     run(work())
 
 
-def test_the_descriptor_limit_holds_under_many_callers(tmp_path: Path) -> None:
-    """Guards against EMFILE: with far more callers than descriptors it goes on serving, and new ones too."""
+def test_the_descriptor_limit_is_kept_with_more_clients_than_descriptors(tmp_path: Path) -> None:
+    """Guards against EMFILE: it goes on serving, new clients too."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
-        async with program(tmp_path, upstream, descriptors=64, sockets=1024) as (process, port):
+        async with running_program(tmp_path, upstream, descriptors=64, sockets=1024) as (process, port):
             clients = [await HttpClient(port).__aenter__() for _ in range(120)]
             for client in clients:
                 client.writer.close()
@@ -161,37 +105,39 @@
     run(work())
 
 
-def test_a_failed_accept_is_survived(tmp_path: Path) -> None:
-    """Guards the listener against EMFILE itself, where the system gives fewer descriptors than were stated:
-    idle callers give way, and so do those with half a request.
+def test_the_program_goes_on_serving_after_a_failed_accept(tmp_path: Path) -> None:
+    """Guards against EMFILE itself, where the system allows fewer descriptors than configured: connections of
+    idle clients are closed, and of those with an incomplete request.
     """
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
-        async with program(tmp_path, upstream) as (process, port):
+        async with running_program(tmp_path, upstream) as (process, port):
             async with HttpClient(port) as client:
                 client.ask()
                 assert (await client.answer()).status == 200
             # Descriptors below the highest in use stay usable; new ones fail from here on.
-            used = len(os.listdir(f"/proc/{process.pid}/fd"))
-            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (used + 8, used + 8))
+            used_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+            resource.prlimit(
+                process.pid, resource.RLIMIT_NOFILE, (used_descriptors + 8, used_descriptors + 8)
+            )
             idle = [await HttpClient(port).__aenter__() for _ in range(30)]
             async with HttpClient(port) as client:
                 client.ask()
                 assert (await client.answer()).status == 200
-            for item in idle:
-                item.writer.close()
+            for client in idle:
+                client.writer.close()
             busy = []
-            for _ in range(12):  # each sends before the next one comes, so that none is idle
-                item = await HttpClient(port).__aenter__()
-                busy.append(item)
-                item.send(request_bytes()[:-2])
-                await item.writer.drain()
+            for _ in range(12):  # each sends before the next one connects, so that none is idle
+                client = await HttpClient(port).__aenter__()
+                busy.append(client)
+                client.send(request_bytes()[:-2])
+                await client.writer.drain()
             async with HttpClient(port) as client:
                 client.ask()
                 assert (await client.answer()).status == 200
-            for item in busy:
-                item.writer.close()
+            for client in busy:
+                client.writer.close()
             assert process.returncode is None
         upstream.close()
 
@@ -199,34 +145,36 @@
 
 
 def test_sighup_follows_discovery_to_the_address_in_the_file(tmp_path: Path) -> None:
-    """Guards new configurations in service: the process lives, the file's discovery goes before the
-    environment's, the new list counts, a bad file is one line and changes nothing, signals in a row and one
-    in the drain do no harm, and what is out meanwhile is answered.
+    """Guards reloads: the file's discovery takes precedence over the environment's, and its list counts.
+
+    A bad file is one line and changes nothing, signals in a row and one during a shutdown do no harm, and the
+    request in flight meanwhile is answered.
     """
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
-            await go.wait()
-            await talk.send(ok(b"held"))
+        async def serve_when_released(request: Incoming, talk: Talk) -> None:
+            await released.wait()
+            await talk.send(ok(b"first"))
 
-        async def second(request: Incoming, talk: Talk) -> None:
+        async def serve_second(request: Incoming, talk: Talk) -> None:
             await talk.send(ok(b"second"))
 
-        one, two = await FakeUpstream(held).start(), await FakeUpstream(second).start()
-        old = await FakeDiscovery([one.entry("a")]).start()
-        new = await FakeDiscovery([two.entry("b")]).start()
+        first_server = await FakeUpstream(serve_when_released).start()
+        second_server = await FakeUpstream(serve_second).start()
+        old = await FakeDiscovery([first_server.entry("a")]).start()
+        new = await FakeDiscovery([second_server.entry("b")]).start()
         port = free_port()
         path = tmp_path / "config.json"
-        data = config_data([one.entry("a")], old.port, listen=f"127.0.0.1:{port}")
+        data = config_data([first_server.entry("a")], old.port, listen=f"127.0.0.1:{port}")
         path.write_text(json.dumps(data))
         process = await spawn(path, GW_LISTEN=f"127.0.0.1:{port}", GW_DISCOVERY=f"127.0.0.1:{old.port}")
         try:
             await ready(port)
-            async with HttpClient(port) as out, HttpClient(port) as client:
-                out.ask("move", b"x")
-                await one.arrived.get()
+            async with HttpClient(port) as in_flight, HttpClient(port) as client:
+                in_flight.ask("move", b"x")
+                await first_server.arrived.get()
                 path.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 assert process.stderr is not None
@@ -237,12 +185,12 @@
                 for _ in range(5):
                     process.send_signal(signal.SIGHUP)
                 async with asyncio.timeout(PATIENCE_S):
-                    assert await new.calls.get() == "/v1/endpoints"  # the whole list first
+                    assert await new.calls.get() == "/v1/endpoints"  # the complete list first
                     assert "after=" in await new.calls.get()
                 client.ask()
                 assert (await client.answer()).body == b"second"
-                go.set()
-                assert (await out.answer()).body == b"held"
+                released.set()
+                assert (await in_flight.answer()).body == b"first"
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 client.ask()
@@ -255,13 +203,13 @@
                 await process.wait()
         old.stop()
         new.stop()
-        one.close()
-        two.close()
+        first_server.close()
+        second_server.close()
 
     run(work())
 
 
-BAD = [
+BAD_VALUES = [
     ({"listen": "localhost"}, ["listen", "localhost"]),
     ({"listen": "127.0.0.1:99999"}, ["listen", "127.0.0.1:99999"]),
     ({"discovery": 7}, ["discovery", "7"]),
@@ -275,11 +223,13 @@
 ]
 
 
-@pytest.mark.parametrize(("change", "words"), BAD, ids=[row[1][0] + "-" + row[1][1] for row in BAD])
-def test_bad_configuration_is_one_line_and_exit_2(
+@pytest.mark.parametrize(
+    ("change", "words"), BAD_VALUES, ids=["-".join(words[:2]) for _, words in BAD_VALUES]
+)
+def test_a_bad_value_is_reported_in_one_line_and_exit_code_2(
     tmp_path: Path, change: dict[str, Any], words: list[str]
 ) -> None:
-    """Guards operators: a start that can't work says which key and value, and ends."""
+    """The line names the key and the value."""
 
     async def work() -> None:
         path = tmp_path / "config.json"
@@ -295,8 +245,10 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_a_file_that_is_missing_or_no_object_is_named(tmp_path: Path, text: str | None) -> None:
-    """Guards the same for the file itself."""
+def test_a_missing_or_malformed_file_is_reported_in_one_line_and_exit_code_2(
+    tmp_path: Path, text: str | None
+) -> None:
+    """The line names the variable that names the file."""
 
     async def work() -> None:
         path = tmp_path / "config.json"
@@ -309,3 +261,21 @@
         assert "GW_CONFIG" in line
 
     run(work())
+
+
+def test_without_a_verb_no_optional_package_is_imported() -> None:
+    """Guards the platform's start: its program must run where only requirements.txt is installed."""
+
+    async def work() -> None:
+        code = (
+            "import sys; import sandhatch.__main__; "
+            "optional = ('pydantic', 'yaml', 're2', 'msgspec', 'cryptography'); "
+            "print([name for name in optional if name in sys.modules])"
+        )
+        process = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE
+        )
+        output, _ = await process.communicate()
+        assert output == b"[]\n"
+
+    run(work())
--- a/tests/crossings/skipping.py
+++ b/tests/race_conditions/skipping_clock.py
@@ -1,6 +1,6 @@
-"""An event loop whose clock skips what nobody waits through: real connections, hours in seconds.
+"""An event loop whose clock skips waits: real connections, hours in seconds.
 
-While bytes move, time stands as the system has it; once nothing comes and only a timer is left, the clock
+While bytes move, time passes as the system has it; once nothing arrives and only a timer is left, the clock
 jumps to that timer. The program's own clock reads the same time.
 """
 
@@ -34,6 +34,8 @@
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
+    """An event loop on a selector that skips."""
+
     def __init__(self) -> None:
         self._skipping = _SkippingSelector()
         super().__init__(self._skipping)
@@ -46,18 +48,18 @@
     """Run a test under the skipping clock; the program's clock is the same."""
     loop = SkippingLoop()
 
-    class Times:
+    class SkippingTime:
         time = staticmethod(time.time)
         monotonic = staticmethod(loop.time)
 
-    monkeypatch.setattr(clock, "time", Times)
+    monkeypatch.setattr(clock, "time", SkippingTime)
     try:
         loop.run_until_complete(work(loop))
     finally:
-        left = asyncio.all_tasks(loop)  # of stand-ins that a fault keeps waiting
-        for task in left:
+        unfinished = asyncio.all_tasks(loop)  # of fakes that a fault keeps waiting
+        for task in unfinished:
             task.cancel()
-        if left:
-            loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        if unfinished:
+            loop.run_until_complete(asyncio.gather(*unfinished, return_exceptions=True))
         loop.run_until_complete(loop.shutdown_asyncgens())
         loop.close()
--- /dev/null
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -0,0 +1,334 @@
+"""Calls to discovery race with each other, with the change of its address, and with the end of connections.
+
+The test writes each answer itself, so that it gives the order.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import socket
+import struct
+from collections.abc import AsyncIterator, Callable
+from contextlib import asynccontextmanager
+from typing import Any
+
+import pytest
+
+from sandhatch.balancing.actions import WatchList
+from sandhatch.balancing.events import NO_VERSION, ListKind, ServerState
+from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
+from testkit.servers import entry
+from testkit.wire import PATIENCE_S, ok, read_head
+from tests.test_attempts import run
+
+
+class ManualDiscovery:
+    """Discovery whose calls the test answers one by one."""
+
+    def __init__(self) -> None:
+        self.calls: asyncio.Queue[tuple[str, asyncio.StreamWriter]] = asyncio.Queue()
+        self._writers: list[asyncio.StreamWriter] = []
+
+    async def start(self) -> ManualDiscovery:
+        self._server = await asyncio.start_server(self._talk, "127.0.0.1", 0)
+        self.port = int(self._server.sockets[0].getsockname()[1])
+        return self
+
+    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._writers.append(writer)
+        while (head := await read_head(reader)) is not None:
+            self.calls.put_nowait((head[0].split()[1], writer))
+
+    async def call(self) -> tuple[str, asyncio.StreamWriter]:
+        async with asyncio.timeout(PATIENCE_S):
+            return await self.calls.get()
+
+    def close(self) -> None:
+        self._server.close()
+        for writer in self._writers:
+            writer.transport.abort()
+
+
+def watch_call(
+    number: int = 1, after: int = 41, wait_ms: float = 60_000.0, patience_ms: float = 60_000.0
+) -> WatchList:
+    """A watch call; by default it does not time out within the test."""
+    return WatchList(True, number, after, wait_ms, patience_ms)
+
+
+def answer_list(writer: asyncio.StreamWriter, version: int, complete: bool, **states: str) -> None:
+    rows = [entry(name, 9, lifecycle=state) for name, state in states.items()]
+    writer.write(ok(json.dumps({"generation": version, "reset": complete, "instances": rows}).encode()))
+
+
+class ReceivedListings:
+    """The listings that the source has published, and the state of each server by them."""
+
+    def __init__(self) -> None:
+        self.listings: asyncio.Queue[Listing] = asyncio.Queue()
+        self.states: dict[int, ServerState] = {}
+        self.version = 0
+
+    def __call__(self, listing: Listing) -> None:
+        if listing.kind in (ListKind.FULL, ListKind.CACHED):
+            self.states = {}
+        for row in listing.entries:
+            self.states[row.server] = row.state
+        self.version = listing.version
+        self.listings.put_nowait(listing)
+
+    async def next(self) -> Listing:
+        async with asyncio.timeout(PATIENCE_S):
+            return await self.listings.get()
+
+
+@asynccontextmanager
+async def following_discovery() -> AsyncIterator[tuple[Discovery, ManualDiscovery, ReceivedListings]]:
+    discovery = await ManualDiscovery().start()
+    received = ReceivedListings()
+    known = {"generation": 41, "reset": True, "instances": [entry("a", 9), entry("b", 9)]}
+    plan = DiscoveryPlan(("127.0.0.1", discovery.port), known=known)
+    source = Discovery(plan, received, lambda text: None)
+    source.start()
+    assert (await received.next()).kind is ListKind.CACHED
+    try:
+        yield source, discovery, received
+    finally:
+        source.stop()
+        discovery.close()
+
+
+def test_a_complete_list_older_than_the_watch_events_received_does_not_count() -> None:
+    """Guards the drain: the complete list was made before a server drained, and arrives after that event."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call())
+            _, watch = await discovery.call()
+            source.fetch()
+            target, fetch = await discovery.call()
+            assert "after" not in target
+            answer_list(watch, 43, False, a="leaving")
+            await received.next()
+            answer_list(fetch, 42, True, a="active", b="active")
+            answer = await received.next()  # each call is answered once
+            assert (answer.kind, answer.version, answer.entries) == (ListKind.DELTA, 43, ())
+            assert received.states[1] is ServerState.DRAINING
+
+    run(work())
+
+
+def test_a_watch_event_older_than_the_complete_list_received_since_does_not_count() -> None:
+    """The same the other way round: the watch is answered after a newer complete list."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call())
+            _, watch = await discovery.call()
+            source.fetch()
+            _, fetch = await discovery.call()
+            answer_list(fetch, 45, True, b="active")  # a is no longer listed
+            await received.next()
+            answer_list(watch, 43, False, a="leaving")
+            await received.next()
+            assert list(received.states) == [2] and received.version == 45
+
+    run(work())
+
+
+def test_a_lower_version_counts_if_discovery_was_restarted() -> None:
+    """A lower version with nothing received meanwhile is not an old answer."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.fetch()
+            _, fetch = await discovery.call()
+            answer_list(fetch, 2, True, b="leaving")
+            listing = await received.next()
+            assert (listing.kind, listing.version) == (ListKind.FULL, 2)
+            assert received.states == {2: ServerState.DRAINING}
+
+    run(work())
+
+
+def test_a_call_on_a_connection_that_is_reset_while_connecting_fails_at_once() -> None:
+    """Guards against waiting out a watch's time on a connection that ended before its call was written."""
+
+    async def work() -> None:
+        listener = socket.create_server(("127.0.0.1", 0))
+        connection = _Connection()
+        await asyncio.get_running_loop().create_connection(lambda: connection, *listener.getsockname())
+        accepted, _ = listener.accept()
+        accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        accepted.close()
+        async with asyncio.timeout(PATIENCE_S):
+            while connection.open:
+                await asyncio.sleep(0.001)
+        with pytest.raises(DiscoveryError, match="the connection ended"):
+            async with asyncio.timeout(PATIENCE_S):
+                await connection.get(b"/v1/endpoints", b"d")
+        listener.close()
+
+    run(work())
+
+
+def test_a_watch_whose_connection_is_never_established_fails_long_before_its_wait(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards the bound on the list's age: an address that never answered took all of the wait."""
+
+    async def work() -> None:
+        monkeypatch.setattr(Discovery, "CONNECT_S", 0.05)
+        full = socket.socket()
+        full.bind(("127.0.0.1", 0))
+        full.listen(0)
+        waiting = [socket.socket() for _ in range(4)]
+        for client in waiting:  # the backlog is full: further connections get no answer
+            client.setblocking(False)
+            client.connect_ex(full.getsockname())
+        received = ReceivedListings()
+        known = {"generation": 41, "reset": True, "instances": [entry("a", 9)]}
+        source = Discovery(DiscoveryPlan(full.getsockname(), known=known), received, lambda text: None)
+        source.start()
+        await received.next()
+        source.watch(watch_call())
+        assert (await received.next()).kind is ListKind.FAILED  # PATIENCE_S is less than a watch's wait
+        source.stop()
+        for opened in (*waiting, full):
+            opened.close()
+
+    run(work())
+
+
+@pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty answer"])
+def test_a_watch_without_answer_times_out(silence: str) -> None:
+    """Wherever discovery stops answering, the watch fails by its number, and its connection is closed."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call(1, patience_ms=200.0))
+            _, first = await discovery.call()
+            number = 1
+            if silence == "in the body":
+                first.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
+            elif silence == "after an empty answer":
+                answer_list(first, 41, False)
+                assert (await received.next()).kind is ListKind.DELTA
+                number = 2
+                source.watch(watch_call(2, patience_ms=200.0))
+                _, second_call = await discovery.call()
+                assert second_call is first  # the next watch is on the same connection
+            failed = await received.next()
+            assert (failed.kind, failed.call, failed.why) == (ListKind.FAILED, number, "no answer in 0.2 s")
+            source.watch(watch_call(3))
+            target, second = await discovery.call()
+            assert "after=41" in target and second is not first
+
+    run(work())
+
+
+def test_a_listing_names_the_call_that_it_answers() -> None:
+    """Guards the list's age: the complete list polled during a watch does not answer the watch."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call(7))
+            _, watch = await discovery.call()
+            source.fetch()
+            _, fetch = await discovery.call()
+            answer_list(fetch, 42, True, a="active", b="active")
+            assert (await received.next()).call == 0
+            answer_list(watch, 43, False, a="leaving")
+            assert (await received.next()).call == 7
+
+    run(work())
+
+
+@pytest.mark.parametrize("version", [3, 40])
+def test_events_for_another_list_than_the_cached_one_count_as_a_failed_call(version: int) -> None:
+    """They can't be applied: no server changes, and the next call is for the complete list."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call())
+            _, watch = await discovery.call()
+            answer_list(watch, version, False, a="leaving")
+            failed = await received.next()
+            assert (failed.kind, failed.version) == (ListKind.FAILED, NO_VERSION)
+            assert received.states[1] is ServerState.READY
+            source.watch(watch_call(2, NO_VERSION))
+            target, _ = await discovery.call()
+            assert target == "/v1/endpoints"
+
+    run(work())
+
+
+@pytest.mark.parametrize("watching", [True, False])
+def test_a_change_of_address_is_published_and_answers_of_the_old_one_do_not_count(watching: bool) -> None:
+    """SIGHUP while a call is in flight, or while none is: the new address is called."""
+
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            new_discovery = await ManualDiscovery().start()
+            if watching:
+                source.watch(watch_call())
+                _, late = await discovery.call()
+            source.move(("127.0.0.1", new_discovery.port))
+            assert (await received.next()).kind is ListKind.RELOCATED
+            source.watch(watch_call(2, NO_VERSION))
+            target, writer = await new_discovery.call()
+            assert "after" not in target  # its versions are its own
+            if watching:
+                answer_list(late, 99, False, a="left")
+            answer_list(writer, 3, True, a="active")
+            listing = await received.next()
+            assert (listing.kind, listing.version) == (ListKind.FULL, 3)
+            new_discovery.close()
+
+    run(work())
+
+
+Form = Callable[[bytes], list[bytes]]
+FORMS: list[tuple[str, Form]] = [
+    ("single bytes", lambda data: [bytes([byte]) for byte in ok(data)]),
+    (
+        "chunks",
+        lambda data: [
+            b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
+            *(b"1\r\n%c\r\n" % byte for byte in data),
+            b"0\r\n\r\n",
+        ],
+    ),
+]
+
+
+@pytest.mark.parametrize("form", [form for _, form in FORMS], ids=[name for name, _ in FORMS])
+def test_an_indented_list_that_arrives_in_pieces_is_read(form: Form) -> None:
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call())
+            _, watch = await discovery.call()
+            rows: list[dict[str, Any]] = [entry("a", 9, lifecycle="leaving")]
+            text = json.dumps({"generation": 42, "reset": False, "instances": rows}, indent=4)
+            for piece in form(text.encode()):
+                watch.write(piece)
+                await watch.drain()
+            await received.next()
+            assert received.states[1] is ServerState.DRAINING
+
+    run(work())
+
+
+def test_a_list_with_one_invalid_row_changes_nothing() -> None:
+    async def work() -> None:
+        async with following_discovery() as (source, discovery, received):
+            source.watch(watch_call())
+            _, watch = await discovery.call()
+            rows = [entry("a", 9, lifecycle="left"), entry("b", 9, lifecycle="asleep")]
+            text = json.dumps({"generation": 42, "reset": False, "instances": rows})
+            watch.write(ok(text.encode()))
+            assert (await received.next()).kind is ListKind.FAILED
+            assert received.states == {1: ServerState.READY, 2: ServerState.READY}
+
+    run(work())
--- a/tests/crossings/test_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -1,5 +1,7 @@
-"""What a copy sends to a server that is leaving while discovery fails it, on real connections, under a clock
-that skips: the case that was followed from the full fleet, and others by which a list could grow old.
+"""What an instance sends to a draining server while discovery fails; real connections, skipping clock.
+
+The first test is a case seen in the simulation of a whole fleet; the others are further faults by which an
+endpoint list could grow old.
 """
 
 from __future__ import annotations
@@ -12,21 +14,24 @@
 import pytest
 
 from testkit.wire import ok, read_head
-from tests.crossings.skipping import SkippingLoop, run
 from tests.fakes import SETTINGS, FakeUpstream, HttpClient, running
+from tests.race_conditions.skipping_clock import SkippingLoop, run
 
-TOLD_S, GRACE_S = 6.0, 2.0  # the protocol's bound, and the settings' grace of this deployment
-ASKED = SETTINGS | {
+MAX_LIST_AGE_S = 6.0  # the protocol's bound
+DRAIN_GRACE_S = 2.0  # of these settings
+ON_REQUEST_SETTINGS = SETTINGS | {
     "Discovery": "on_request",
-    "Guarantees": SETTINGS["Guarantees"] | {"DrainGraceMs": 2000.0},
+    "Guarantees": SETTINGS["Guarantees"] | {"DrainGraceMs": 1000.0 * DRAIN_GRACE_S},
 }
 
-Fault = Callable[["Scripted", asyncio.StreamWriter], Awaitable[bool]]
+Fault = Callable[["FaultyDiscovery", asyncio.StreamWriter], Awaitable[bool]]
+
 
+class FaultyDiscovery:
+    """Discovery of two servers, `a` and `b`; `a` begins to drain at `drain_a`.
 
-class Scripted:
-    """Discovery of two servers, `a` and `b`; `a` leaves at `leave`. Each call is met by a fault as long as
-    `faulty`, and answered truly after that. A fault returns whether the call is over.
+    While `faulty`, each call meets the fault; otherwise it is answered correctly. A fault returns whether the
+    call is over.
     """
 
     def __init__(self, fault: Fault, rows: list[dict[str, Any]]) -> None:
@@ -35,16 +40,16 @@
         self.rows = rows
         self.generation = 1
         self.calls = 0
-        self.watching = 0  # calls that wait
+        self.watching = 0  # calls that wait for a change
         self._changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
 
-    async def start(self) -> Scripted:
+    async def start(self) -> FaultyDiscovery:
         self._server = await asyncio.start_server(self._talk, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self
 
-    def leave(self) -> None:
+    def drain_a(self) -> None:
         self.generation += 1
         self.rows[0] = self.rows[0] | {"lifecycle": "leaving"}
         self._changed.set()
@@ -67,7 +72,7 @@
                         pass
                     finally:
                         self.watching -= 1
-                    if self.faulty:  # it fell silent under the watch
+                    if self.faulty:  # it stopped answering during the watch
                         await asyncio.Event().wait()
                 rows = self.rows if after < self.generation else []
                 data = {"generation": self.generation, "reset": after < 0, "instances": rows}
@@ -84,18 +89,18 @@
             writer.transport.abort()
 
 
-async def silent(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def silent(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     await asyncio.Event().wait()
     return True
 
 
-async def silent_in_the_body(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def silent_in_the_body(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.write(b'HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{"generation":')
     await asyncio.Event().wait()
     return True
 
 
-async def an_empty_answer_then_silent(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def an_empty_answer_then_silent(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     data = {"generation": 1, "reset": False, "instances": []}
     if discovery.calls % 2:
         await asyncio.Event().wait()
@@ -103,27 +108,27 @@
     return True
 
 
-async def busy(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def busy(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
     return True
 
 
-async def reset(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def reset(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.transport.abort()
     return True
 
 
-async def an_older_list(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def an_older_list(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.write(ok(b'{"generation":0,"reset":false,"instances":[]}'))
     return True
 
 
-async def malformed(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def malformed(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.write(ok(b'{"generation":9,"reset":false,"instances":[{"instanceId":"a"}]}'))
     return True
 
 
-async def endless(discovery: Scripted, writer: asyncio.StreamWriter) -> bool:
+async def endless(discovery: FaultyDiscovery, writer: asyncio.StreamWriter) -> bool:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     while not writer.transport.is_closing():
         writer.write(b"10\r\n" + b" " * 16 + b"\r\n")
@@ -131,7 +136,7 @@
     return True
 
 
-async def sends_to_a(client: HttpClient, a: FakeUpstream, number: int = 12) -> int:
+async def count_requests_to_a(client: HttpClient, a: FakeUpstream, number: int = 12) -> int:
     before = len(a.seen)
     for _ in range(number):
         client.ask()
@@ -139,30 +144,30 @@
     return len(a.seen) - before
 
 
-async def _played(fault: Fault, at_start: bool, faulty_s: float) -> None:
-    """Discovery turns faulty, at the start or under an open watch; `a` is announced as leaving right then,
-    and from `faulty_s` on calls are answered.
+async def _check_no_request_reaches_a(fault: Fault, at_start: bool, faulty_s: float) -> None:
+    """Discovery becomes faulty, at the start or during a watch, `a` begins to drain at that moment, and
+    after `faulty_s` calls are answered: `a` gets no request once the list's bound and the grace are over.
     """
     loop = asyncio.get_running_loop()
     a, b = await FakeUpstream().start(), await FakeUpstream().start()
-    discovery = await Scripted(fault, [a.entry("a"), b.entry("b")]).start()
+    discovery = await FaultyDiscovery(fault, [a.entry("a"), b.entry("b")]).start()
     discovery.faulty = at_start
     async with running(
-        a.entry("a"), b.entry("b"), base=ASKED, discovery=f"127.0.0.1:{discovery.port}"
+        a.entry("a"), b.entry("b"), base=ON_REQUEST_SETTINGS, discovery=f"127.0.0.1:{discovery.port}"
     ) as balancer:
         while not (discovery.calls if at_start else discovery.watching):
             await asyncio.sleep(0.01)
         announced = loop.time()
         discovery.faulty = True
-        discovery.leave()
+        discovery.drain_a()
         async with HttpClient(balancer.port) as client:
-            assert await sends_to_a(client, a) > 0  # what the list held says: the test can see such sends
+            assert await count_requests_to_a(client, a) > 0  # by the old list: the test can see such requests
         await asyncio.sleep(announced + faulty_s - loop.time())
         discovery.faulty = False
-        # Discovery can be reached from here on at the latest, and what it has counts as told so much later.
-        await asyncio.sleep(announced + TOLD_S + GRACE_S - loop.time())
+        # Discovery can be reached from here on at the latest.
+        await asyncio.sleep(announced + MAX_LIST_AGE_S + DRAIN_GRACE_S - loop.time())
         async with HttpClient(balancer.port) as client:
-            assert await sends_to_a(client, a) == 0
+            assert await count_requests_to_a(client, a) == 0
             assert len(b.seen) >= 12
     discovery.close()
     a.close()
@@ -181,26 +186,26 @@
 ]
 
 
-def test_a_first_watch_that_falls_silent_hides_a_drain_for_no_longer_than_the_bound(
+def test_a_first_watch_without_answer_hides_a_drain_for_no_longer_than_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The case followed: the copy's first watch fell silent, the server left, and the next call, which would
-    have been answered, came some 23 s later.
+    """The first watch got no answer, the server began to drain, and the next call, which would have been
+    answered, came some 23 s later.
     """
 
     async def work(loop: SkippingLoop) -> None:
-        await _played(silent, at_start=True, faulty_s=0.5)
+        await _check_no_request_reaches_a(silent, at_start=True, faulty_s=0.5)
 
     run(monkeypatch, work)
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.__name__ for fault in FAULTS])
-def test_no_fault_of_discovery_keeps_a_drain_from_counting(
+def test_no_fault_of_discovery_hides_a_drain_for_longer_than_the_bound(
     fault: Fault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """An open watch and the call behind it fail by the same fault; then discovery answers."""
+    """A watch and the call after it fail by the same fault; then discovery answers."""
 
     async def work(loop: SkippingLoop) -> None:
-        await _played(fault, at_start=False, faulty_s=3.0)
+        await _check_no_request_reaches_a(fault, at_start=False, faulty_s=3.0)
 
     run(monkeypatch, work)
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -1,4 +1,4 @@
-"""What comes late on a kept connection crosses the next request on it."""
+"""What arrives late on a reused connection to a server races with the next request on it."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.upstream.pool import ServerConnection
-from tests.crossings.harness import accepted, holds, until, until_unread
 from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
+from tests.race_conditions.harness import accept_request, block_until_readable, serves_when, wait_until
 from tests.test_attempts import run
 
 
-def own_end(connection: ServerConnection) -> int:
-    """The balancer's end of a connection to a server."""
+def balancer_descriptor(connection: ServerConnection) -> int:
+    """The descriptor of the balancer's end of a connection to a server."""
     assert connection._transport is not None
     return int(connection._transport.get_extra_info("socket").fileno())
 
 
-async def name(request: Incoming, talk: Talk) -> None:
+async def answer_target(request: Incoming, talk: Talk) -> None:
     await talk.send(ok(request.target.encode()))
 
 
-def test_a_second_answer_while_the_last_byte_is_held_back_answers_no_other_request() -> None:
-    """Guards a caller against another's answer, which came after the connection was found quiet and before
-    its request was written whole.
+def test_a_second_answer_before_the_last_byte_is_written_answers_no_other_request() -> None:
+    """Guards a client against another's answer, which arrived after the connection was found quiet and before
+    the request was written completely.
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream(name).start()
+        upstream = await FakeUpstream(answer_target).start()
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
@@ -38,41 +38,41 @@
         ):
             client.ask("move", b"x", "/api?1")
             assert (await client.answer()).body == b"/api?1"
-            held: list[Callable[[], None]] = []
-            balancer.dispatcher.connection_pool.later = held.append  # type: ignore[method-assign]
+            deferred_calls: list[Callable[[], None]] = []
+            balancer.dispatcher.connection_pool.later = deferred_calls.append  # type: ignore[method-assign]
             client.ask("move", b"x", "/api?2")
-            await until(lambda: held)
+            await wait_until(lambda: deferred_calls)
             await upstream.talks[0].send(ok(b"/api?1"))
             assert (await client.answer()).body == b"/api?2"
-            held[0]()  # its moment comes, and finds nothing to write
+            deferred_calls[0]()  # there is nothing left to write
             await script.ended()
         upstream.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
-        assert [item.target for item in upstream.seen] == ["/api?1", "/api?2"]
+        assert [request.target for request in upstream.seen] == ["/api?1", "/api?2"]
         assert upstream.connections == 2
 
     run(work())
 
 
-def test_a_connection_to_the_process_before_a_restart_is_not_kept() -> None:
-    """A server restarts under its id and address while a call is out to the process before."""
+def test_a_connection_to_a_server_process_that_was_restarted_is_not_reused() -> None:
+    """A server restarts under its id and address while an attempt to the earlier process is in flight."""
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        upstream = await FakeUpstream(holds(go)).start()
+        upstream = await FakeUpstream(serves_when(released)).start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
             HttpClient(balancer.port) as client,
         ):
             client.ask("move", b"x")
-            await until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.seen)
             balancer.discovery.change(upstream.entry("a", startedAtMs=1_000))
             table = balancer.dispatcher.connection_pool.table
-            await until(lambda: table[1].started_ms == 1_000)
-            go.set()
+            await wait_until(lambda: table[1].started_ms == 1_000)
+            released.set()
             assert (await client.answer()).status == 200
-            await until(lambda: not balancer.dispatcher.connection_pool.sockets)
+            await wait_until(lambda: not balancer.dispatcher.connection_pool.sockets)
             client.ask("move", b"x")
             assert (await client.answer()).status == 200
             assert upstream.connections == 2
@@ -81,9 +81,9 @@
     run(work())
 
 
-def test_a_connection_that_ends_while_the_last_byte_is_held_back_is_left() -> None:
-    """Guards unsafe requests: the end waits in the system, unread, as the moment of the last byte comes.
-    Written then, the request may have run, and nobody may repeat it.
+def test_a_connection_that_ends_before_the_last_byte_is_written_is_not_used() -> None:
+    """Guards non-idempotent requests: the end of stream is in the system, unread, when the last byte is due.
+    Written then, the request may have run, and nobody may retry it.
     """
 
     async def work() -> None:
@@ -96,18 +96,18 @@
         ):
             pool = balancer.dispatcher.connection_pool
             client.ask("move", b"x", "/api?1")
-            first, _ = await accepted(listener)
+            first, _ = await accept_request(listener)
             first.sendall(ok())
             assert (await client.answer()).status == 200
-            held: list[Callable[[], None]] = []
-            pool.later = held.append  # type: ignore[method-assign]
+            deferred_calls: list[Callable[[], None]] = []
+            pool.later = deferred_calls.append  # type: ignore[method-assign]
             client.ask("move", b"x", "/api?2")
-            await until(lambda: held)
-            (kept,) = pool._open
+            await wait_until(lambda: deferred_calls)
+            (connection,) = pool._open
             first.close()
-            until_unread(own_end(kept))
-            held[0]()
-            second, request = await accepted(listener)
+            block_until_readable(balancer_descriptor(connection))
+            deferred_calls[0]()
+            second, request = await accept_request(listener)
             assert b"/api?2" in request
             second.sendall(ok())
             assert (await client.answer()).status == 200
@@ -118,8 +118,8 @@
     run(work())
 
 
-def test_an_answer_and_a_reset_that_come_together_are_an_answer() -> None:
-    """Both wait in the system as the loop looks: the answer is whole, and its request is served."""
+def test_an_answer_and_a_reset_that_arrive_together_are_an_answer() -> None:
+    """The system holds both when the loop reads: the answer is complete, and its request is served."""
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -130,10 +130,10 @@
             HttpClient(balancer.port) as client,
         ):
             client.ask("move", b"x")
-            served, _ = await accepted(listener)
-            served.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            served.sendall(ok())  # no await between the two: the loop reads neither before the other
-            served.close()
+            server_side, _ = await accept_request(listener)
+            server_side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            server_side.sendall(ok())  # no await between the two: the loop reads neither before the other
+            server_side.close()
             assert (await client.answer()).status == 200
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK]
@@ -141,8 +141,8 @@
     run(work())
 
 
-def test_a_time_out_that_goes_before_an_answer_unread_is_final() -> None:
-    """An unsafe call times out as its answer waits in the system: it has failed, once, and nobody gets it."""
+def test_a_timeout_before_an_unread_answer_is_final() -> None:
+    """A non-idempotent attempt times out while the system holds its answer: it fails, once."""
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -153,16 +153,16 @@
             HttpClient(balancer.port) as client,
         ):
             client.ask("move", b"x")
-            served, _ = await accepted(listener)
+            server_side, _ = await accept_request(listener)
             (connection,) = balancer.dispatcher.connection_pool._open
-            call = connection._call
-            assert call is not None
-            served.sendall(ok())
-            until_unread(own_end(connection))
-            call.time_out()
+            attempt = connection._call
+            assert attempt is not None
+            server_side.sendall(ok())
+            block_until_readable(balancer_descriptor(connection))
+            attempt.time_out()
             assert (await client.answer()).status == 502
-            await until(lambda: not balancer.dispatcher.connection_pool.sockets)
-            served.close()
+            await wait_until(lambda: not balancer.dispatcher.connection_pool.sockets)
+            server_side.close()
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.TIMEOUT]
 
--- a/tests/crossings/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -1,5 +1,7 @@
-"""The end of a process crosses what callers do: each test puts the two events in the bad order, by a seam at
-the event or by bytes that the system holds and the program has not read.
+"""Shutdown races with what clients do.
+
+Each test forces the two events into the bad order, by a hook at the event or by bytes that the system holds
+and the program has not read.
 """
 
 from __future__ import annotations
@@ -9,9 +11,8 @@
 
 import pytest
 
-from sandhatch.platform import graceful_shutdown as draining
+from sandhatch.platform import graceful_shutdown
 from sandhatch.platform.request_handler import PlatformRequestHandler
-from tests.crossings.harness import dial, holds, until, until_unread
 from tests.fakes import (
     PATIENCE_S,
     FakeUpstream,
@@ -23,27 +24,28 @@
     request_bytes,
     running,
 )
+from tests.race_conditions.harness import block_until_readable, connect_client, serves_when, wait_until
 from tests.test_attempts import run
 
 
-async def said(client: socket.socket) -> bytes:
-    """All that comes until the balancer closes; a reset ends it too."""
+async def read_until_close(client: socket.socket) -> bytes:
+    """All bytes until the balancer closes the connection; a reset ends it too."""
     client.setblocking(False)
     loop = asyncio.get_running_loop()
-    came = b""
+    received = b""
     async with asyncio.timeout(PATIENCE_S):
         try:
             while part := await loop.sock_recv(client, 65536):
-                came += part
+                received += part
         except ConnectionResetError:
             pass
     client.close()
-    return came
+    return received
 
 
-async def drained(balancer: Running) -> None:
-    """As at SIGTERM, up to the moment at which the process would end."""
-    await draining.drain(
+async def drain(balancer: Running) -> None:
+    """Shut down as at SIGTERM, up to the moment at which the process would end."""
+    await graceful_shutdown.drain(
         balancer.shared.clock,
         [balancer.listener],
         lambda: balancer.dispatcher.unanswered,
@@ -52,62 +54,62 @@
 
 
 @pytest.fixture(autouse=True)
-def no_newcomers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(draining, "ACCEPT_MS", 0.0)
+def accept_no_new_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_MS", 0.0)
 
 
-def test_a_request_that_comes_as_its_idle_connection_is_looked_at_is_answered(
+def test_a_request_that_arrives_while_idle_connections_are_closed_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the taken request: its bytes were in the system, unread, when nothing else was owed, and the
-    process ended with them.
+    """Guards the received request: its bytes were in the system, unread, when nothing else was unanswered,
+    and the process ended with them.
     """
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a")) as balancer:
-            client = dial(balancer.port)
-            await until(lambda: balancer.listener.connections)
-            await until(lambda: next(iter(balancer.listener._connections))._transport is not None)
+            client = connect_client(balancer.port)
+            await wait_until(lambda: balancer.listener.connections)
+            await wait_until(lambda: next(iter(balancer.listener._connections))._transport is not None)
             (connection,) = balancer.listener._connections
-            look = balancer.listener.end_idle
+            end_idle = balancer.listener.end_idle
 
-            def crossed() -> None:
-                monkeypatch.setattr(balancer.listener, "end_idle", look)
+            def end_idle_as_a_request_arrives() -> None:
+                monkeypatch.setattr(balancer.listener, "end_idle", end_idle)
                 client.sendall(request_bytes("move", b"x"))
-                until_unread(connection._descriptor)
-                look()
+                block_until_readable(connection._descriptor)
+                end_idle()
 
-            monkeypatch.setattr(balancer.listener, "end_idle", crossed)
-            await drained(balancer)
+            monkeypatch.setattr(balancer.listener, "end_idle", end_idle_as_a_request_arrives)
+            await drain(balancer)
             assert len(upstream.seen) == 1  # before the process may end
-            answer = await said(client)
+            answer = await read_until_close(client)
             assert answer.startswith(b"HTTP/1.1 200") and b"Connection: close" in answer
         upstream.close()
 
     run(work())
 
 
-def test_callers_that_the_system_accepted_while_every_place_was_taken_are_served() -> None:
-    """Guards the taken request: it waited in the system for a place when accepting stopped."""
+def test_clients_that_wait_in_the_backlog_when_accepting_stops_are_served() -> None:
+    """Guards the received request: its connection waited for a slot when accepting stopped."""
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        upstream = await FakeUpstream(holds(go)).start()
+        upstream = await FakeUpstream(serves_when(released)).start()
         async with running(upstream.entry("a")) as balancer:
             balancer.shared.client_budget = 2
-            clients = [dial(balancer.port) for _ in range(6)]
+            clients = [connect_client(balancer.port) for _ in range(6)]
             for client in clients:
                 client.sendall(request_bytes())
             for _ in range(2):
                 async with asyncio.timeout(PATIENCE_S):
                     await upstream.arrived.get()
-            ending = asyncio.create_task(drained(balancer))
+            ending = asyncio.create_task(drain(balancer))
             await asyncio.sleep(0)
-            await until(lambda: balancer.listener._stopping)
-            go.set()
-            answers = [await said(client) for client in clients]
+            await wait_until(lambda: balancer.listener._stopping)
+            released.set()
+            answers = [await read_until_close(client) for client in clients]
             assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
             async with asyncio.timeout(PATIENCE_S):
                 await ending
@@ -117,22 +119,20 @@
     run(work())
 
 
-def test_a_request_behind_the_close_of_its_idle_connection_is_never_read() -> None:
-    """Guards against losing it: what was read is the balancer's to answer, what was not is the caller's to
-    send again.
-    """
+def test_a_request_that_arrives_after_its_idle_connection_is_closed_is_never_read() -> None:
+    """Guards against losing it: the balancer answers what it has read; the client may retry the rest."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a")) as balancer:
-            client = dial(balancer.port)
+            client = connect_client(balancer.port)
             client.sendall(request_bytes())
-            await until(lambda: balancer.listener._idle)
+            await wait_until(lambda: balancer.listener._idle)
             (connection,) = balancer.listener._connections
             balancer.listener.stop_accepting()
             balancer.listener.end_idle()
             client.sendall(request_bytes("move", b"x"))
-            answer = await said(client)
+            answer = await read_until_close(client)
             assert answer.count(b"HTTP/1.1 200") == 1
             assert connection._dropped == 0 and len(upstream.seen) == 1
             assert not balancer.listener.taking
@@ -141,21 +141,21 @@
     run(work())
 
 
-def test_the_process_ends_no_sooner_than_its_last_answer_was_read() -> None:
-    """Guards the answer on its way: the end of a process with bytes unread resets the connection."""
+def test_the_process_ends_no_sooner_than_its_last_answer_is_read() -> None:
+    """Guards the answer in transit: a process that ends with bytes unread resets the connection."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a")) as balancer:
-            client = dial(balancer.port)
+            client = connect_client(balancer.port)
             client.sendall(request_bytes(Connection="close"))
-            await until(lambda: balancer.listener._leaving)
+            await wait_until(lambda: balancer.listener._leaving)
             client.sendall(b"noise")
-            ending = asyncio.create_task(drained(balancer))
+            ending = asyncio.create_task(drain(balancer))
             for _ in range(5):
-                await asyncio.sleep(draining.POLL_INTERVAL_S)
+                await asyncio.sleep(graceful_shutdown.POLL_INTERVAL_S)
             assert not ending.done()
-            assert (await said(client)).startswith(b"HTTP/1.1 200")
+            assert (await read_until_close(client)).startswith(b"HTTP/1.1 200")
             async with asyncio.timeout(PATIENCE_S):
                 await ending
         upstream.close()
@@ -163,34 +163,34 @@
     run(work())
 
 
-def test_a_request_that_comes_late_is_answered_before_it_could_be_killed(
+def test_a_request_that_arrives_late_is_answered_before_sigkill_may_come(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the taken request with the longest deadline still to run: SIGKILL does not wait for it."""
+    """Guards the received request whose deadline is the longest: SIGKILL does not wait for it."""
 
     async def work() -> None:
         async def hangs(request: Incoming, talk: Talk) -> None:
             await talk.ended()
 
-        monkeypatch.setattr(draining, "LATE_ARRIVAL_MS", 0.0)
-        monkeypatch.setattr(draining, "MAX_COUNTED_DEADLINE_MS", 600.0)
+        monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
+        monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE_MS", 600.0)
         upstream = await FakeUpstream(hangs).start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
-            front = balancer.listener.request_handler
-            assert isinstance(front, PlatformRequestHandler)
-            begun = balancer.shared.clock.now_ms()
-            front._shutdown_deadline.begin(8_000.0)
+            request_handler = balancer.listener.request_handler
+            assert isinstance(request_handler, PlatformRequestHandler)
+            started_ms = balancer.shared.clock.now_ms()
+            request_handler._shutdown_deadline.begin(8_000.0)
             client.ask("move", b"x")
             assert (await client.answer()).status in (502, 504)
-            assert balancer.shared.clock.now_ms() - begun < 8_000.0
+            assert balancer.shared.clock.now_ms() - started_ms < 8_000.0
             assert int(upstream.seen[0].headers["x-expires-in-ms"]) <= 500
         upstream.close()
 
     run(work())
 
 
-def test_making_room_cuts_off_no_answer_that_has_not_left() -> None:
-    """Guards the last answer of a connection: it is in no table of requests, and not with its caller."""
+def test_closing_connections_for_new_ones_aborts_no_undelivered_answer() -> None:
+    """Guards the last answer of a connection: its request has ended, and the client does not have it yet."""
 
     async def work() -> None:
         body = b"x" * 1_000_000
@@ -204,35 +204,37 @@
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.settimeout(PATIENCE_S)
             client.connect(("127.0.0.1", balancer.port))
-            await until(lambda: any(item._transport for item in balancer.listener._connections))
+            await wait_until(
+                lambda: any(connection._transport for connection in balancer.listener._connections)
+            )
             (accepted,) = balancer.listener._connections
             assert accepted._transport is not None
             accepted._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client.sendall(request_bytes(Connection="close"))
-            await until(lambda: balancer.listener._leaving)
+            await wait_until(lambda: balancer.listener._leaving)
             (connection,) = balancer.listener._leaving
             assert connection.undelivered
             assert not balancer.listener._make_room()
-            assert (await said(client)).endswith(body)
+            assert (await read_until_close(client)).endswith(body)
         upstream.close()
 
     run(work())
 
 
-def test_an_idle_connection_is_not_closed_for_its_age_with_a_request_unread() -> None:
-    """Guards the request that comes as the time of its connection is over."""
+def test_an_idle_connection_with_an_unread_request_is_not_closed_for_its_age() -> None:
+    """Guards the request that arrives as the idle time-out of its connection ends."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a")) as balancer:
-            client = dial(balancer.port)
+            client = connect_client(balancer.port)
             client.sendall(request_bytes())
-            await until(lambda: balancer.listener._idle)
+            await wait_until(lambda: balancer.listener._idle)
             (connection,) = balancer.listener._connections
             client.sendall(request_bytes("move", b"x", Connection="close"))
-            until_unread(connection._descriptor)
+            block_until_readable(connection._descriptor)
             connection.check(connection.since_ms + 2.0 * connection.IDLE_MS)
-            assert (await said(client)).count(b"HTTP/1.1 200") == 2
+            assert (await read_until_close(client)).count(b"HTTP/1.1 200") == 2
         upstream.close()
 
     run(work())
--- a/tests/crossings/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals to the real process, in orders that a start, a list call and each other make bad."""
+"""Signals to the real process race with its start, its calls to discovery, and each other."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from typing import Any
 
 from testkit.ports import free_port
-from tests.crossings.harness import holds
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
+from tests.platform.harness import ready, spawn
+from tests.race_conditions.harness import serves_when
 from tests.test_attempts import run
-from tests.test_process import ready, spawn
 
 
 @asynccontextmanager
@@ -29,8 +29,8 @@
             await process.wait()
 
 
-def test_sigterm_before_it_is_ready(tmp_path: Path) -> None:
-    """It listens, knows no server, and its call for the list is out: nothing is owed, and it ends."""
+def test_sigterm_before_the_program_is_ready_ends_it(tmp_path: Path) -> None:
+    """It listens, and a call for its first endpoint list is in flight: nothing is unanswered."""
 
     async def work() -> None:
         discovery = await FakeDiscovery([]).start()
@@ -48,25 +48,25 @@
     run(work())
 
 
-def test_sigterm_twice_and_beside_sighup_with_a_request_out(tmp_path: Path) -> None:
-    """A second signal neither ends it sooner nor starts the end anew; what is out is answered."""
+def test_repeated_sigterm_and_sighup_neither_end_a_shutdown_sooner_nor_restart_it(tmp_path: Path) -> None:
+    """The request in flight is answered."""
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
-        upstream = await FakeUpstream(holds(go)).start()
+        upstream = await FakeUpstream(serves_when(released)).start()
         discovery = await FakeDiscovery([upstream.entry("a")]).start()
         port = free_port()
         data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
-        async with started(tmp_path / "config.json", data) as process, PatientClient(port) as out:
-            out.ask("move", b"x")
+        async with started(tmp_path / "config.json", data) as process, PatientClient(port) as in_flight:
+            in_flight.ask("move", b"x")
             await upstream.arrived.get()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(number)
             await ready(port, 503)
             process.send_signal(signal.SIGTERM)
-            go.set()
-            answer = await out.answer()
+            released.set()
+            answer = await in_flight.answer()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
             async with asyncio.timeout(PATIENCE_S):
                 assert await process.wait() == 0
@@ -78,45 +78,48 @@
 
 
 class PatientClient(HttpClient):
-    """A caller that waits until the program serves."""
+    """A client that waits until the program serves."""
 
     async def __aenter__(self) -> HttpClient:
         await ready(self._port)
         return await super().__aenter__()
 
 
-def test_the_list_goes_on_being_followed_in_a_shutdown(tmp_path: Path) -> None:
-    """A server drains after SIGTERM: what still comes goes to the other one."""
+def test_the_endpoint_list_is_followed_during_a_shutdown(tmp_path: Path) -> None:
+    """A server begins to drain after SIGTERM: requests that still arrive go to the other one."""
 
     async def work() -> None:
-        go = asyncio.Event()
+        released = asyncio.Event()
 
         async def serves(request: Incoming, talk: Talk) -> None:
             await talk.send(ok(b"new"))
 
-        old, new = await FakeUpstream(holds(go, b"old")).start(), await FakeUpstream(serves).start()
+        old, new = (
+            await FakeUpstream(serves_when(released, b"old")).start(),
+            await FakeUpstream(serves).start(),
+        )
         discovery = await FakeDiscovery([old.entry("a")]).start()
         port = free_port()
         data = config_data([old.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
         async with (
             started(tmp_path / "config.json", data) as process,
-            PatientClient(port) as out,
-            HttpClient(port) as kept,
+            PatientClient(port) as in_flight,
+            HttpClient(port) as client,
         ):
-            kept.ask(target="/ready")
-            assert (await kept.answer()).status == 200
-            out.ask("move", b"x")
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200
+            in_flight.ask("move", b"x")
             await old.arrived.get()
             process.send_signal(signal.SIGTERM)
             await ready(port, 503)
             discovery.change(old.entry("a", lifecycle="leaving"), new.entry("b"))
             async with asyncio.timeout(PATIENCE_S):
                 while f"after={discovery.generation}&" not in await discovery.calls.get():
-                    pass  # the call after the change says that it was taken over
-            kept.ask("move", b"x")
-            assert (await kept.answer()).body == b"new"
-            go.set()
-            assert (await out.answer()).body == b"old"
+                    pass  # the call after the change acknowledges it
+            client.ask("move", b"x")
+            assert (await client.answer()).body == b"new"
+            released.set()
+            assert (await in_flight.answer()).body == b"old"
             async with asyncio.timeout(PATIENCE_S):
                 assert await process.wait() == 0
         old.close()
@@ -126,22 +129,21 @@
     run(work())
 
 
-def test_sighup_to_a_dead_address_and_then_to_a_live_one_that_counts_lower(tmp_path: Path) -> None:
-    """The list that is held serves meanwhile, and the next signal is not held up by calls that fail."""
+def test_sighup_to_a_dead_address_does_not_delay_the_next_to_a_live_one(tmp_path: Path) -> None:
+    """The endpoint list in use serves meanwhile. The live discovery's versions are lower than the first's."""
 
     async def work() -> None:
         async def second(request: Incoming, talk: Talk) -> None:
             await talk.send(ok(b"second"))
 
-        one, two = await FakeUpstream().start(), await FakeUpstream(second).start()
-        old, new = (
-            await FakeDiscovery([one.entry("a")]).start(),
-            await FakeDiscovery([two.entry("b")]).start(),
-        )
+        first_server = await FakeUpstream().start()
+        second_server = await FakeUpstream(second).start()
+        old = await FakeDiscovery([first_server.entry("a")]).start()
+        new = await FakeDiscovery([second_server.entry("b")]).start()
         old.generation = 41
         port = free_port()
-        known = {"generation": 41, "reset": True, "instances": [one.entry("a")]}
-        data = config_data([one.entry("a")], old.port, listen=f"127.0.0.1:{port}", known=known)
+        known = {"generation": 41, "reset": True, "instances": [first_server.entry("a")]}
+        data = config_data([first_server.entry("a")], old.port, listen=f"127.0.0.1:{port}", known=known)
         path = tmp_path / "config.json"
         async with started(path, data) as process, PatientClient(port) as client:
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{free_port()}"}))
@@ -159,8 +161,8 @@
                     pass
             client.ask()
             assert (await client.answer()).body == b"second"
-        for item in (one, two):
-            item.close()
+        first_server.close()
+        second_server.close()
         old.stop()
         new.stop()
 
--- a/tests/service/test_program.py
+++ b/tests/service/test_serve_process.py
@@ -198,20 +198,3 @@
             assert (await program.call("history"))["versions"][-1]["author"] == "SIGHUP"
 
     run(work())
-
-
-def test_without_a_verb_nothing_of_the_extras_is_loaded() -> None:
-    """Guards the platform's start: its program must run where only requirements.txt is installed."""
-
-    async def work() -> None:
-        code = (
-            "import sys; import sandhatch.__main__; "
-            "print([m for m in ('pydantic', 'yaml', 're2') if m in sys.modules])"
-        )
-        process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", code, cwd=ROOT, stdout=asyncio.subprocess.PIPE
-        )
-        out, _ = await process.communicate()
-        assert out == b"[]\n"
-
-    run(work())
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -16,11 +16,11 @@
 from sandhatch.runtime.process import grant_descriptors
 from testkit.platform import SETTINGS
 from testkit.ports import free_port
-from tests.crossings.skipping import SkippingLoop
-from tests.crossings.skipping import run as skip
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data, running
+from tests.platform.harness import ready, spawn
+from tests.race_conditions.skipping_clock import SkippingLoop
+from tests.race_conditions.skipping_clock import run as skip
 from tests.test_attempts import run
-from tests.test_process import ready, spawn
 
 ASKED = SETTINGS | {"Discovery": "on_request"}
 OWED_S = 3.0  # in which a peer that says nothing has an error or a close
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -27,8 +27,8 @@
     ok,
     running,
 )
+from tests.platform.harness import ready, spawn
 from tests.test_attempts import run
-from tests.test_process import ready, spawn
 
 SERVERS = 1_500
 MEMORY_MB = 64
