--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -22,7 +22,7 @@
 from sandhatch.service.service import Service
 from testkit.load import Load
 from tests.service.harness import Farm, Kept, serving
-from tests.service.test_versions import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
+from tests.service.version_churn import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
 
 QUIET_S = 5.0
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,6 +1,4 @@
-"""The control socket: calls, garbage, stalled peers, crowds; and what the command line makes of the
-answers.
-"""
+"""The control socket: calls, malformed calls, stalled and many peers, and the command line as its client."""
 
 from __future__ import annotations
 
@@ -53,14 +51,14 @@
 
 
 @asynccontextmanager
-async def controlled(tmp: Path, call_s: float = 10.0) -> AsyncIterator[tuple[Kept, Farm, str]]:
+async def controlled(tmp: Path, call_timeout_s: float = 10.0) -> AsyncIterator[tuple[Kept, Farm, str]]:
     farm = await Farm().start("a1", "b1", "o1")
-    async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept:
+    async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
         path = str(tmp / "c.sock")
-        server = ControlServer(Calls(kept.service), kept.service.logger, path, call_s)
+        server = ControlServer(Calls(running.service), running.service.logger, path, call_timeout_s)
         await server.start()
         try:
-            yield kept, farm, path
+            yield running, farm, path
         finally:
             await server.stop()
     farm.close()
@@ -70,12 +68,12 @@
     return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
 
 
-def test_a_change_by_the_socket(tmp_path: Path) -> None:
+def test_a_change_is_proposed_committed_and_rolled_back_by_calls(tmp_path: Path) -> None:
     async def work() -> None:
         async with (
-            controlled(tmp_path) as (kept, farm, path),
+            controlled(tmp_path) as (running, farm, path),
             Peer(path) as peer,
-            HttpClient(kept.port) as client,
+            HttpClient(running.port) as client,
         ):
             assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
             proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
@@ -126,25 +124,27 @@
         {"op": "check", "text": "x"},
     ],
 )
-def test_calls_that_cannot_be_carried_out_are_told_why(tmp_path: Path, call: dict[str, Any]) -> None:
+def test_a_call_that_cannot_be_carried_out_is_rejected_with_the_reason(
+    tmp_path: Path, call: dict[str, Any]
+) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (kept, _, path), Peer(path) as peer:
+        async with controlled(tmp_path) as (running, _, path), Peer(path) as peer:
             peer.writer.write(encode(call))
             answer = await peer.answer()
             assert answer["ok"] is False and answer["text"] and answer["why"] != "internal"
             assert (await peer.call("status"))["ok"]  # the connection goes on
-            assert kept.service.transactions.in_force.number == 1
+            assert running.service.transactions.in_force.number == 1
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    "garbage", [b"GET / HTTP/1.1\r\n\r\n", b"\x00\xff\n", b"[1]\n", b"5\n", b"[" * 9999 + b"\n"]
+    "malformed", [b"GET / HTTP/1.1\r\n\r\n", b"\x00\xff\n", b"[1]\n", b"5\n", b"[" * 9999 + b"\n"]
 )
-def test_garbage_is_answered_and_the_peer_let_go(tmp_path: Path, garbage: bytes) -> None:
+def test_malformed_input_is_answered_and_the_connection_closed(tmp_path: Path, malformed: bytes) -> None:
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path), Peer(path) as peer:
-            peer.writer.write(garbage)
+            peer.writer.write(malformed)
             answer = await peer.answer()
             assert answer["ok"] is False and answer["why"] == "invalid"
             assert await peer.reader.read() == b""
@@ -152,10 +152,10 @@
     run(work())
 
 
-def test_a_stalled_peer_is_let_go_and_holds_nobody_up(tmp_path: Path) -> None:
+def test_a_stalled_peer_is_disconnected_and_delays_no_other(tmp_path: Path) -> None:
     async def work() -> None:
         async with (
-            controlled(tmp_path, call_s=0.2) as (_, _, path),
+            controlled(tmp_path, call_timeout_s=0.2) as (_, _, path),
             Peer(path) as stalled,
             Peer(path) as peer,
         ):
@@ -166,7 +166,7 @@
     run(work())
 
 
-def test_a_call_that_is_too_long_is_refused_without_being_held() -> None:
+def test_a_call_that_is_too_long_is_rejected_and_not_buffered() -> None:
     reader = LineReader(1000)
     with pytest.raises(CallError, match="more than 1000 bytes"):
         for _ in range(20):
@@ -175,38 +175,39 @@
     assert LineReader().feed(b'{"a":1}\n{"b":2}\n{"c"') == [{"a": 1}, {"b": 2}]
 
 
-def test_two_hundred_clients_at_once_have_one_winner(tmp_path: Path) -> None:
+def test_of_two_hundred_simultaneous_commits_exactly_one_succeeds(tmp_path: Path) -> None:
     """Each on a connection of its own proposes another value for one key and commits at once."""
 
     async def work() -> None:
-        async with controlled(tmp_path) as (kept, farm, path):
+        async with controlled(tmp_path) as (running, farm, path):
 
-            async def one(n: int) -> dict[str, Any]:
+            async def propose_and_commit(number: int) -> dict[str, Any]:
                 async with Peer(path) as peer:
-                    proposed = await peer.call("propose", text=change(farm, max_connections=50 + n), base=1)
+                    text = change(farm, max_connections=50 + number)
+                    proposed = await peer.call("propose", text=text, base=1)
                     if not proposed["ok"]:
                         return proposed
                     return await peer.call("commit", proposal=proposed["proposal"], wait=True)
 
-            answers = await asyncio.gather(*(one(n) for n in range(200)))
-            won = [n for n, answer in enumerate(answers) if answer["ok"]]
-            assert len(won) == 1 and answers[won[0]]["state"] == "confirmed"
+            answers = await asyncio.gather(*(propose_and_commit(number) for number in range(200)))
+            succeeded = [number for number, answer in enumerate(answers) if answer["ok"]]
+            assert len(succeeded) == 1 and answers[succeeded[0]]["state"] == "confirmed"
             for answer in answers:
                 if not answer["ok"]:
                     assert answer["why"] == "conflict"
                     assert "pools.web.max_connections" in answer["keys"]
-            data = kept.service.transactions.in_force.data
-            assert data["pools"]["web"]["max_connections"] == 50 + won[0]
-            assert kept.service.transactions.in_force.number == 2
+            data = running.service.transactions.in_force.data
+            assert data["pools"]["web"]["max_connections"] == 50 + succeeded[0]
+            assert running.service.transactions.in_force.number == 2
 
     run(work())
 
 
-def test_ten_thousand_routes_are_proposed_and_committed_while_others_are_answered(tmp_path: Path) -> None:
-    """The check of a long file is not done between requests: other calls are answered while it goes on."""
+def test_other_calls_are_answered_while_ten_thousand_routes_are_checked(tmp_path: Path) -> None:
+    """A long configuration is checked on a thread, and then committed."""
 
     async def work() -> None:
-        async with controlled(tmp_path) as (kept, farm, path), Peer(path) as peer, Peer(path) as other:
+        async with controlled(tmp_path) as (running, farm, path), Peer(path) as peer, Peer(path) as other:
             data = json.loads(change(farm))
             data["routes"] += [
                 {"name": f"r{n}", "match": {"path": {"exact": f"/p/{n}"}}, "to": {"pool": "orders"}}
@@ -221,19 +222,19 @@
             assert (await peer.call("commit", proposal=proposed["proposal"], wait=True))[
                 "state"
             ] == "confirmed"
-            async with HttpClient(kept.port) as client:
+            async with HttpClient(running.port) as client:
                 client.ask(target="/p/9999")
                 assert (await client.answer()).body == b"o1"
 
     run(work())
 
 
-def test_a_peer_of_another_user_is_turned_away(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path):
             monkeypatch.setattr("sandhatch.control.server.peer_user", lambda sock: os.geteuid() + 4711)
             async with Peer(path) as peer:
-                assert await peer.reader.read() == b""  # closed unheard
+                assert await peer.reader.read() == b""  # closed without an answer
             monkeypatch.undo()
             async with Peer(path) as peer:
                 assert (await peer.call("status"))["ok"]
@@ -241,14 +242,16 @@
     run(work())
 
 
-def test_a_socket_in_use_or_another_file_is_left_alone(tmp_path: Path) -> None:
+def test_a_socket_in_use_or_another_file_is_not_replaced(tmp_path: Path) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (kept, _, path):
+        async with controlled(tmp_path) as (running, _, path):
             with pytest.raises(ControlError, match="another process listens"):
-                await ControlServer(Calls(kept.service), kept.service.logger, path).start()
+                await ControlServer(Calls(running.service), running.service.logger, path).start()
             (tmp_path / "file").write_text("mine")
             with pytest.raises(ControlError, match="another file"):
-                await ControlServer(Calls(kept.service), kept.service.logger, str(tmp_path / "file")).start()
+                await ControlServer(
+                    Calls(running.service), running.service.logger, str(tmp_path / "file")
+                ).start()
             assert (tmp_path / "file").read_text() == "mine"
         assert not os.path.exists(path)
 
@@ -264,7 +267,7 @@
     return code, out.getvalue(), err.getvalue()
 
 
-def test_check_tells_every_problem_and_its_exit_code(tmp_path: Path) -> None:
+def test_check_reports_every_problem_and_its_exit_code(tmp_path: Path) -> None:
     good = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
     assert command("check", str(good))[0] == 0
     bad = tmp_path / "bad.yaml"
@@ -278,7 +281,7 @@
     assert command("status", "--control", str(tmp_path / "no.sock"))[0] == 3
 
 
-def test_a_file_in_another_coding_is_refused_without_a_traceback(tmp_path: Path) -> None:
+def test_a_file_in_another_encoding_is_rejected_without_a_traceback(tmp_path: Path) -> None:
     path = tmp_path / "wide.yaml"
     example = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
     path.write_text(example.read_text(), encoding="utf-16")
@@ -286,32 +289,33 @@
     assert code == 1 and f"{path}: not UTF-8" in err
 
 
-def test_the_verbs_and_their_exit_codes(tmp_path: Path) -> None:
+def test_the_verbs_make_their_calls_and_return_their_exit_codes(tmp_path: Path) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (kept, farm, path):
+        async with controlled(tmp_path) as (running, farm, path):
 
-            async def do(*arguments: str) -> tuple[int, str, str]:
+            async def run_verb(*arguments: str) -> tuple[int, str, str]:
                 verb, *rest = arguments
                 return await asyncio.to_thread(command, verb, "--control", path, *rest)
 
-            one, two = tmp_path / "one.yaml", tmp_path / "two.yaml"
-            one.write_text(change(farm, max_attempts=3))
-            two.write_text(change(farm, max_attempts=4))
-            assert (await do("propose", str(one), "--base", "1"))[1].startswith("proposal 1: 3 keys")
-            assert (await do("propose", str(two), "--base", "1"))[0] == 0
-            assert "max_attempts" in (await do("diff", "--proposal", "1"))[1]
-            code, out, _ = await do("commit", "1", "--confirm-within", "60")
+            first = tmp_path / "first.yaml"
+            second = tmp_path / "second.yaml"
+            first.write_text(change(farm, max_attempts=3))
+            second.write_text(change(farm, max_attempts=4))
+            assert (await run_verb("propose", str(first), "--base", "1"))[1].startswith("proposal 1: 3 keys")
+            assert (await run_verb("propose", str(second), "--base", "1"))[0] == 0
+            assert "max_attempts" in (await run_verb("diff", "--proposal", "1"))[1]
+            code, out, _ = await run_verb("commit", "1", "--confirm-within", "60")
             assert code == 0 and "version 2: in force" in out and "taken back unless confirmed" in out
-            code, _, err = await do("commit", "2")
+            code, _, err = await run_verb("commit", "2")
             assert code == 4 and "pools.web.max_attempts" in err
-            assert (await do("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
-            assert (await do("confirm"))[:2] == (0, "version 2: confirmed\n")
-            assert (await do("rollback"))[0] == 0
-            await kept.until(lambda: kept.service.transactions.in_force.number == 3)
-            assert "confirmed" in (await do("history"))[1]
-            assert json.loads((await do("status", "--json"))[1])["in_force"] == 3
-            assert (await do("abort", "2"))[0] == 0 and (await do("abort", "2"))[0] == 1
-            assert "web:" in (await do("show"))[1]
-            assert kept.service.transactions.versions[3].state is State.CONFIRMED
+            assert (await run_verb("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
+            assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
+            assert (await run_verb("rollback"))[0] == 0
+            await running.until(lambda: running.service.transactions.in_force.number == 3)
+            assert "confirmed" in (await run_verb("history"))[1]
+            assert json.loads((await run_verb("status", "--json"))[1])["in_force"] == 3
+            assert (await run_verb("abort", "2"))[0] == 0 and (await run_verb("abort", "2"))[0] == 1
+            assert "web:" in (await run_verb("show"))[1]
+            assert running.service.transactions.versions[3].state is State.CONFIRMED
 
     run(work())
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -1,4 +1,4 @@
-"""A service between stand-ins, with the books of what every request met."""
+"""A service between fake servers and clients, with a record of what happened to every request."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Farm:
-    """Servers by name; each books what it has run and says its name in the answer."""
+    """Fake servers by name; each records the requests that it runs and answers with its name."""
 
     def __init__(self) -> None:
         self.books = Books()
@@ -28,6 +28,7 @@
         self.behave: dict[str, Callable[[Incoming, Talk], Awaitable[None]]] = {}
 
     async def start(self, *names: str) -> Farm:
+        """Start a server for each name."""
         for name in names:
             self.servers[name] = await FakeUpstream(self._behaviour(name)).start()
         return self
@@ -35,23 +36,25 @@
     def _behaviour(self, name: str) -> Callable[[Incoming, Talk], Awaitable[None]]:
         async def serve(request: Incoming, talk: Talk) -> None:
             self.books.ran(request.headers["x-trace-id"], name)
-            other = self.behave.get(name)
-            if other is not None:
-                await other(request, talk)
+            behaviour = self.behave.get(name)
+            if behaviour is not None:
+                await behaviour(request, talk)
             else:
                 await talk.send(ok(name.encode()))
 
         return serve
 
     def address(self, name: str) -> str:
+        """A server's `host:port`."""
         return f"127.0.0.1:{self.servers[name].port}"
 
     def pool(self, *names: str, **more: Any) -> dict[str, Any]:
+        """Configuration of a pool of the named servers; `more` adds or replaces keys."""
         servers = {name: {"address": self.address(name)} for name in names}
         return {"servers": servers, "idle_ms": 30_000, "new_servers": "warm"} | more
 
     def config(self, web: Any, orders: Any, **more: Any) -> dict[str, Any]:
-        """Two pools; `/orders` leads to one, everything else to the other."""
+        """Configuration of two pools; `/orders` is routed to one, everything else to the other."""
         return {
             "format": 1,
             "listeners": {"front": {"address": "127.0.0.1:0"}},
@@ -69,12 +72,13 @@
         } | more
 
     def close(self) -> None:
+        """Stop the servers."""
         for server in self.servers.values():
             server.close()
 
 
 class Kept:
-    """A service and the records of its requests."""
+    """A running service and the records of its requests."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
@@ -83,49 +87,55 @@
 
     @property
     def port(self) -> int:
+        """The first listener's port."""
         return next(iter(self.service.listeners.values())).port
 
     def propose(self, data: dict[str, Any], base: int | None = None, **more: Any) -> int:
+        """Propose a configuration; the proposal's number."""
         return self.service.propose(json.dumps(data).encode(), base, **more).number
 
     async def commit(self, data: dict[str, Any], over: bool = True, **more: Any) -> Version:
-        """Commit against what is in force, and wait until it is decided."""
+        """Commit a change of the active version, and wait until it is decided (with `over`) or active."""
         version = self.service.commit(self.propose(data), **more)
         async with asyncio.timeout(PATIENCE_S):
             return await self.service.settled(version, over=over)
 
     async def confirmed(self, data: dict[str, Any]) -> Version:
+        """Commit a change that must succeed."""
         version = await self.commit(data)
         assert version.state is State.CONFIRMED, version.why
         return version
 
     async def until(self, holds: Callable[[], bool]) -> None:
+        """Wait until the condition holds."""
         async with asyncio.timeout(PATIENCE_S):
             while not holds():
                 await asyncio.sleep(0.005)
 
     def server_name(self, farm: Farm, number: int) -> str:
+        """The name of the fake server that has this number in the service."""
         address = self.service.pools.book.name(number)
         return next(name for name in farm.servers if farm.address(name) == address)
 
 
 @asynccontextmanager
 async def serving(data: dict[str, Any], history: History | None = None) -> AsyncIterator[Kept]:
+    """A service that runs the configuration, or what `history` has saved."""
     saved = history.load() if history else None
     checked = check_text(json.dumps(saved.data if saved else data))
     service = Service(checked, asyncio.get_running_loop(), history, saved)
-    kept = Kept(service)
-    rest_ms, ConnectionPool.REST_MS = ConnectionPool.REST_MS, 0.0  # connections don't rest between calls
+    running = Kept(service)
+    rest_ms, ConnectionPool.REST_MS = ConnectionPool.REST_MS, 0.0  # connections are reused at once
     try:
         await service.start()
-        yield kept
+        yield running
     finally:
         await service.close()
         ConnectionPool.REST_MS = rest_ms
 
 
 def run(work: Any) -> None:
-    """A test's work, bounded in time."""
+    """Run a test's work, bounded in time."""
 
     async def bounded() -> None:
         async with asyncio.timeout(90.0):
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -1,4 +1,4 @@
-"""A pool whose list comes from the platform's discovery, under a configuration of its own."""
+"""Pools whose endpoint lists come from the platform's discovery, under a configuration of its own."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.service.harness import Farm, run, serving
 
 
-def found(discovery: FakeDiscovery, **more: Any) -> dict[str, Any]:
+def discovered_pool(discovery: FakeDiscovery, **more: Any) -> dict[str, Any]:
     return {"source": {"discovery": f"127.0.0.1:{discovery.port}"}, "drain_grace_ms": 500} | more
 
 
@@ -22,26 +22,26 @@
         farm = await Farm().start("a1", "b1", "b2", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         async with (
-            serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept,
-            HttpClient(kept.port) as client,
+            serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running,
+            HttpClient(running.port) as client,
         ):
-            version = await kept.confirmed(farm.config(found(discovery), farm.pool("o1")))
+            version = await running.confirmed(farm.config(discovered_pool(discovery), farm.pool("o1")))
             client.ask()
-            assert (await client.answer()).body == b"b1"  # the list was there before the version was in force
+            assert (await client.answer()).body == b"b1"  # the list was there before the version was active
             discovery.change(
                 farm.servers["b1"].entry("b1", lifecycle="leaving"), farm.servers["b2"].entry("b2")
             )
-            web = kept.service.front.current.pools["web"]  # type: ignore[union-attr]
-            await kept.until(
+            web = running.service.front.current.pools["web"]  # type: ignore[union-attr]
+            await running.until(
                 lambda: len(web.ready_numbers) == 1 and len(web.dispatcher.connection_pool.table) == 2
             )
             client.ask()
             assert (await client.answer()).body == b"b2"
-            # A change of another key of the pool: the new engine follows the same discovery.
-            await kept.confirmed(farm.config(found(discovery, max_attempts=3), farm.pool("o1")))
+            # After a change of another key, the pool's new dispatcher follows the same discovery.
+            await running.confirmed(farm.config(discovered_pool(discovery, max_attempts=3), farm.pool("o1")))
             client.ask()
             assert (await client.answer()).body == b"b2"
-            assert kept.service.transactions.in_force.number == version.number + 1
+            assert running.service.transactions.in_force.number == version.number + 1
         discovery.stop()
         farm.close()
 
@@ -54,36 +54,36 @@
     async def work() -> None:
         farm = await Farm().start("a1", "o1")
         discovery = await FakeDiscovery([]).start()
-        silent = {"source": {"discovery": f"127.0.0.1:{discovery.port}"}}
+        unreachable = {"source": {"discovery": f"127.0.0.1:{discovery.port}"}}
         async with (
-            serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as kept,
-            HttpClient(kept.port) as client,
+            serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running,
+            HttpClient(running.port) as client,
         ):
-            version = await kept.commit(farm.config(silent, farm.pool("o1")))
+            version = await running.commit(farm.config(unreachable, farm.pool("o1")))
             assert version.state is State.FAILED and "pools.web: no list" in version.why
             client.ask()
             assert (await client.answer()).body == b"a1"
-            assert len(kept.service.pools.alive) == 2
+            assert len(running.service.pools.alive) == 2
         discovery.stop()
         farm.close()
 
     run(work())
 
 
-def test_a_rollback_from_discovery_to_a_list_widens_what_was_narrowed() -> None:
-    """The list before is narrowed once its grace is over; taken back, it counts in full again."""
+def test_a_rollback_from_discovery_to_listed_servers_uses_them_all_again() -> None:
+    """The earlier version's servers are withdrawn once the grace is over, and used after a rollback."""
 
     async def work() -> None:
         farm = await Farm().start("a1", "b1", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         first = farm.config(farm.pool("a1", drain_grace_ms=500), farm.pool("o1"))
-        async with serving(first) as kept, HttpClient(kept.port) as client:
-            old = kept.service.front.current
+        async with serving(first) as running, HttpClient(running.port) as client:
+            old = running.service.front.current
             assert old is not None
-            second = farm.config(found(discovery), farm.pool("o1"))
-            await kept.commit(second, over=False, confirm_within_ms=60_000.0)
-            await kept.until(lambda: not old.pools["web"].ready_numbers)
-            kept.service.rollback()
+            second = farm.config(discovered_pool(discovery), farm.pool("o1"))
+            await running.commit(second, over=False, confirm_within_ms=60_000.0)
+            await running.until(lambda: not old.pools["web"].ready_numbers)
+            running.service.rollback()
             assert len(old.pools["web"].ready_numbers) == 1
             client.ask()
             assert (await client.answer()).body == b"a1"
--- /dev/null
+++ b/tests/service/test_listener_changes.py
@@ -0,0 +1,94 @@
+"""Listeners and limits across versions."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from copy import deepcopy
+
+import pytest
+
+from sandhatch.config.transactions import State
+from testkit.clients import HttpClient
+from testkit.ports import free_port
+from testkit.servers import Talk
+from testkit.wire import Incoming, ok
+from tests.service.harness import Farm, run, serving
+
+
+def test_a_change_with_a_listener_whose_address_is_taken_is_not_applied() -> None:
+    async def work() -> None:
+        farm = await Farm().start("a1", "o1")
+        first = farm.config(farm.pool("a1"), farm.pool("o1"))
+        with socket.socket() as taken:
+            taken.bind(("127.0.0.1", 0))
+            taken.listen()
+            async with serving(first) as running:
+                second = deepcopy(first)
+                second["listeners"]["extra"] = {"address": "127.0.0.1:0"}
+                second["listeners"]["back"] = {"address": f"127.0.0.1:{taken.getsockname()[1]}"}
+                version = await running.commit(second)
+                assert version.state is State.FAILED
+                assert "listeners.back.address" in version.why and "in use" in version.why
+                assert len(running.service.listeners) == 1 and set(running.service.running) == {1}
+        farm.close()
+
+    run(work())
+
+
+def test_listeners_close_with_a_change_and_reopen_with_a_rollback() -> None:
+    async def work() -> None:
+        farm = await Farm().start("a1", "o1")
+        port = free_port()
+        first = farm.config(farm.pool("a1"), farm.pool("o1"))
+        first["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
+        async with serving(first) as running, HttpClient(port) as before:
+            before.ask()
+            assert (await before.answer()).body == b"a1"
+            second = deepcopy(first)
+            del second["listeners"]["back"]
+            await running.commit(second, over=False, confirm_within_ms=60_000.0)
+            with pytest.raises(OSError):
+                await asyncio.open_connection("127.0.0.1", port)
+            assert await before.ended() == b""  # the closed listener closes idle connections
+            running.service.rollback()
+            async with HttpClient(port) as after:
+                after.ask()
+                assert (await after.answer()).body == b"a1"
+        farm.close()
+
+    run(work())
+
+
+def test_limits_below_what_is_in_use_abort_nothing() -> None:
+    async def work() -> None:
+        names = ("a1", "a2", "a3", "a4")
+        farm = await Farm().start(*names, "o1")
+        released = asyncio.Event()
+
+        async def wait(request: Incoming, talk: Talk) -> None:
+            await released.wait()
+            await talk.send(ok(b"done"))
+
+        farm.behave.update(dict.fromkeys(names, wait))
+        first = farm.config(farm.pool(*names), farm.pool("o1"), limits={"sockets": 1024, "memory_mb": 64})
+        async with serving(first) as running:
+            clients = [await HttpClient(running.port).__aenter__() for _ in range(20)]
+            for client in clients:
+                client.ask()
+            await running.until(lambda: sum(len(farm.servers[name].seen) for name in names) == 20)
+            small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
+            small["pools"]["web"]["max_connections"] = 1
+            await running.confirmed(small)
+            assert running.service.shared.client_budget < 20 and running.service.shared.descriptors.most < 20
+            released.set()
+            for client in clients:
+                answer = await client.answer()
+                assert (answer.status, answer.body) == (200, b"done")
+                await client.__aexit__()
+            async with HttpClient(running.port) as late:
+                late.ask()
+                assert (await late.answer()).status == 200
+        farm.close()
+
+    run(work())
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -1,6 +1,4 @@
-"""`sandhatch serve` as a process: killed at every step of a change, and SIGHUP, SIGTERM and a commit at
-once.
-"""
+"""`sandhatch serve` as a process: killed at every step of a change; SIGHUP, SIGTERM and a commit at once."""
 
 from __future__ import annotations
 
@@ -27,7 +25,9 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
-class Program:
+class ServeProcess:
+    """One state directory, configuration file and control socket, and the process that uses them."""
+
     def __init__(self, tmp: Path, port: int) -> None:
         self.tmp = tmp
         self.port = port
@@ -77,12 +77,12 @@
 
 
 @asynccontextmanager
-async def programmed(tmp: Path) -> AsyncIterator[tuple[Program, Farm, dict[str, Any]]]:
+async def serve_process(tmp: Path) -> AsyncIterator[tuple[ServeProcess, Farm, dict[str, Any]]]:
     farm = await Farm().start("a1", "b1", "o1")
     port = free_port()
     first = farm.config(farm.pool("a1"), farm.pool("o1"))
     first["listeners"]["front"]["address"] = f"127.0.0.1:{port}"
-    program = Program(tmp, port)
+    program = ServeProcess(tmp, port)
     program.file.write_text(json.dumps(first))
     try:
         yield program, farm, first
@@ -96,30 +96,32 @@
     return first | {"pools": {"web": farm.pool("b1"), "orders": farm.pool("o1")}}
 
 
-async def serves(port: int) -> bytes:
+async def serving_pool(port: int) -> bytes:
     async with HttpClient(port) as client:
         client.ask()
         return (await client.answer()).body
 
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
-def test_a_kill_at_every_step_leaves_one_whole_version_in_force(tmp_path: Path, step: str) -> None:
-    """SIGKILL right behind each call; what serves after the restart is the version that was confirmed."""
+def test_after_a_kill_at_any_step_of_a_change_the_confirmed_version_is_active(
+    tmp_path: Path, step: str
+) -> None:
+    """SIGKILL right after each call; after the restart the version that was confirmed serves."""
 
     async def work() -> None:
-        async with programmed(tmp_path) as (program, farm, first):
+        async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
-            assert await serves(program.port) == b"a1"
+            assert await serving_pool(program.port) == b"a1"
             proposed = await program.call("propose", text=json.dumps(to_b(first, farm)))
             expected = {b"a1"}
-            if step == "commit":  # at whatever point staging, saving and applying have reached by then
+            if step == "commit":  # wherever staging, saving and applying have got to by then
                 call = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
                 await asyncio.sleep(0.005)
                 await program.kill()
                 await asyncio.gather(call, return_exceptions=True)
             elif step != "propose":
                 done = await program.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
-                assert done["state"] == "in force" and await serves(program.port) == b"b1"
+                assert done["state"] == "in force" and await serving_pool(program.port) == b"b1"
                 if step == "confirm":
                     assert (await program.call("confirm"))["state"] == "confirmed"
                     expected = {b"b1"}
@@ -127,7 +129,7 @@
                     assert (await program.call("rollback"))["state"] == "taken back"
             await program.kill()
             await program.start()
-            assert {await serves(program.port) for _ in range(5)} == expected
+            assert {await serving_pool(program.port) for _ in range(5)} == expected
             history = (await program.call("history"))["versions"]
             if step == "in force":
                 assert history[-1]["state"] == "lost"
@@ -139,7 +141,7 @@
 
 def test_a_version_that_crashed_the_process_is_not_used_at_the_next_start(tmp_path: Path) -> None:
     async def work() -> None:
-        async with programmed(tmp_path) as (program, farm, first):
+        async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
             await program.call("propose", text=json.dumps(to_b(first, farm)))
             await program.call("commit", proposal=1, confirm_within_ms=60_000)
@@ -149,18 +151,18 @@
             history.close()
             assert saved is not None and (saved.confirmed, saved.lost) == (1, 2)
             await program.start()
-            # Its number is not given to another.
+            # Its number is not used again.
             await program.call("propose", text=json.dumps(to_b(first, farm)))
             assert (await program.call("commit", proposal=1))["version"] == 3
 
     run(work())
 
 
-def test_sighup_sigterm_and_a_commit_at_once(tmp_path: Path) -> None:
-    """Under load: whatever is taken is answered, and the process ends by itself with 0."""
+def test_sighup_sigterm_and_a_commit_at_once_lose_no_request(tmp_path: Path) -> None:
+    """Under load: every request received is answered, and the process ends by itself with 0."""
 
     async def work() -> None:
-        async with programmed(tmp_path) as (program, farm, first):
+        async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
             load = Load(program.port, farm.books, lambda rng: ("look", "/"), clients=4, pause_s=0.002)
             assert program.process is not None
@@ -175,24 +177,24 @@
             load._stopping.set()
             await asyncio.gather(*load._tasks, commit, return_exceptions=True)
             assert set(farm.books.statuses()) == {200}
-            taken = [entry for entry in farm.books.entries.values() if entry.ran]
-            assert taken and all(len(entry.answers) == 1 for entry in taken)
+            ran = [entry for entry in farm.books.entries.values() if entry.ran]
+            assert ran and all(len(entry.answers) == 1 for entry in ran)
 
     run(work())
 
 
-def test_sighup_applies_the_file_and_a_broken_one_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_applies_the_file_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        async with programmed(tmp_path) as (program, farm, first):
+        async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
             assert program.process is not None
             program.file.write_text("format: [")
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.1)
-            assert await serves(program.port) == b"a1"
+            assert await serving_pool(program.port) == b"a1"
             program.file.write_text(json.dumps(to_b(first, farm)))
             async with asyncio.timeout(PATIENCE_S):
-                while await serves(program.port) != b"b1":
+                while await serving_pool(program.port) != b"b1":
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.05)
             assert (await program.call("history"))["versions"][-1]["author"] == "SIGHUP"
--- /dev/null
+++ b/tests/service/version_churn.py
@@ -0,0 +1,75 @@
+"""Random changes of the configuration, and the check that no request sees a mixture of versions."""
+
+from __future__ import annotations
+
+import asyncio
+from copy import deepcopy
+from random import Random
+from typing import Any
+
+from sandhatch.config.transactions import Refusal, RejectedError, State
+from tests.service.harness import Farm, Kept
+
+NON_IDEMPOTENT = frozenset(("order",))
+
+
+def choose(rng: Random) -> tuple[str, str]:
+    """A request's class and target."""
+    return ("order", "/orders/new") if rng.random() < 0.4 else ("look", "/pages")
+
+
+def variants(farm: Farm) -> list[dict[str, Any]]:
+    """Configurations among which a test changes. The servers of each pool tell them apart."""
+    first = farm.config(farm.pool("a1", "a2"), farm.pool("o1", "o2"))
+    replaced_pool = farm.config(farm.pool("b1", "b2"), farm.pool("o1", "o2"))
+    replaced_server = farm.config(farm.pool("a1", "a2"), farm.pool("o2", "o3"))
+    moved_servers = farm.config(farm.pool("o1", "a1"), farm.pool("a2", "o2"))
+    exchanged_routes = deepcopy(first)
+    exchanged_routes["routes"] = [
+        {"name": "orders", "match": {"path": {"prefix": "/orders"}}, "to": {"pool": "web"}}
+    ]
+    exchanged_routes["default"] = {"pool": "orders"}
+    changed_settings = farm.config(
+        farm.pool("a1", "a2", max_attempts=3, max_connections=64), farm.pool("o1", "o2", copies=2)
+    )
+    return [first, replaced_pool, replaced_server, moved_servers, exchanged_routes, changed_settings]
+
+
+def check_no_mixture(running: Kept, farm: Farm, data_of: dict[int, dict[str, Any]]) -> None:
+    """Every record's route, pool and servers are those of its version alone."""
+    for record in running.records:
+        data = data_of[record.version]
+        to = data["default"] if record.route == "default" else data["routes"][0]["to"]
+        assert record.pool == to["pool"], record
+        allowed = {server["address"] for server in data["pools"][record.pool]["servers"].values()}
+        for number in record.servers:
+            assert running.service.pools.book.name(number) in allowed, record
+
+
+async def churn(
+    running: Kept, farm: Farm, choices: list[dict[str, Any]], commits: int, seed: int, pause_s: float = 0.0
+) -> dict[int, Any]:
+    """Random commits, confirmations and rollbacks; each version's configuration."""
+    rng = Random(seed)
+    service = running.service
+    data_of = {1: service.transactions.in_force.data}
+    for _ in range(commits):
+        await asyncio.sleep(pause_s)
+        try:
+            within = 60_000.0 if rng.random() < 0.4 else None
+            version = service.commit(running.propose(rng.choice(choices)), within)
+        except RejectedError as rejected:
+            assert rejected.why is Refusal.NOTHING
+            continue
+        data_of[version.number] = version.data
+        await service.settled(version)
+        assert version.state is not State.FAILED, version.why
+        if rng.random() < 0.5:
+            await asyncio.sleep(rng.random() * 0.02)
+        if version.state is State.IN_FORCE:
+            if rng.random() < 0.6:
+                service.rollback("test")
+            else:
+                service.confirm()
+        await service.settled(version, over=True)
+    return data_of
