--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -15,6 +15,7 @@
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline, drain
 from sandhatch.platform.request_handler import PlatformRequestHandler
+from sandhatch.runtime.in_flight_ids import retention_ms
 from sandhatch.runtime.logger import report_loop_errors
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.telemetry.event_recorder import Recorder, requested_record
@@ -51,7 +52,7 @@
             loop,
             config.name,
             config.memory_mb,
-            2.0 * self._longest_deadline_ms,
+            retention_ms(self._longest_deadline_ms),
             connection_descriptors,
         )
         report_loop_errors(loop, self.shared.logger)
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -8,6 +8,13 @@
 
 from collections import deque
 
+RETENTION_DEADLINES = 2.0  # how long a finished request's id is remembered, in longest deadlines
+
+
+def retention_ms(longest_deadline_ms: float) -> float:
+    """How long ids are remembered where no request's deadline is longer than this."""
+    return RETENTION_DEADLINES * longest_deadline_ms
+
 
 class InFlightIds:
     """The ids of one process. `id in ids` says whether a request with it must be rejected.
@@ -15,18 +22,18 @@
     Attributes:
         open: Ids in flight.
         past: Ids of finished requests, and when each finished, in Unix milliseconds.
-        past_ms: How long an id is remembered after its request has finished.
+        retention_ms: How long an id is remembered after its request has finished.
     """
 
     MOST_PAST = 4096  # ids of finished requests
 
-    def __init__(self, past_ms: float) -> None:
+    def __init__(self, retention_ms: float) -> None:
         """No ids yet."""
         self.open: set[bytes] = set()
         self.past: dict[bytes, float] = {}
         # The same, oldest first: a dict that loses its first keys finds its first key ever more slowly.
         self._oldest_first: deque[tuple[float, bytes]] = deque()
-        self.past_ms = past_ms
+        self.retention_ms = retention_ms
 
     def __contains__(self, trace: bytes) -> bool:
         """Whether a request with this id is in flight or has finished lately."""
@@ -43,7 +50,7 @@
         oldest_first = self._oldest_first
         oldest_first.append((now_ms, trace))
         while oldest_first and (
-            len(oldest_first) > self.MOST_PAST or oldest_first[0][0] <= now_ms - self.past_ms
+            len(oldest_first) > self.MOST_PAST or oldest_first[0][0] <= now_ms - self.retention_ms
         ):
             ended_ms, oldest = oldest_first.popleft()
             if self.past.get(oldest) == ended_ms:  # else it has been in flight again since
--- a/sandhatch/runtime/shared_resources.py
+++ b/sandhatch/runtime/shared_resources.py
@@ -36,7 +36,7 @@
         loop: asyncio.AbstractEventLoop,
         name: str,
         memory_mb: float,
-        past_ms: float,
+        id_retention_ms: float,
         connection_descriptors: int,
     ) -> None:
         """Make the resources of a process.
@@ -45,7 +45,7 @@
             loop: The event loop that runs everything.
             name: The instance's name, for the log.
             memory_mb: Memory limit of the process.
-            past_ms: How long the id of a finished request is remembered.
+            id_retention_ms: How long the id of a finished request is remembered.
             connection_descriptors: Descriptors for clients and servers together.
         """
         self.loop = loop
@@ -55,7 +55,7 @@
         self.logger = Logger(name)
         self.memory_budget = MemoryBudget(memory_mb)
         self.flows = FlowStatistics()
-        self.in_flight_ids = InFlightIds(past_ms)
+        self.in_flight_ids = InFlightIds(id_retention_ms)
         self.descriptors = Descriptors()
         self.share_descriptors(connection_descriptors)
 
--- a/sandhatch/service/limits.py
+++ b/sandhatch/service/limits.py
@@ -6,7 +6,10 @@
 
 from __future__ import annotations
 
+import asyncio
+
 from sandhatch.config.check import Checked
+from sandhatch.runtime.in_flight_ids import retention_ms
 from sandhatch.runtime.process import grant_descriptors
 from sandhatch.runtime.shared_resources import SharedResources
 
@@ -19,9 +22,20 @@
     return max(MIN_CONNECTION_DESCRIPTORS, grant_descriptors(checked.model.limits.sockets) - OWN_DESCRIPTORS)
 
 
-def request_id_memory_ms(checked: Checked) -> float:
+def id_retention_ms(checked: Checked) -> float:
     """How long the id of a finished request is remembered."""
-    return 2.0 * max(item.deadline_ms for item in checked.model.classes.values())
+    return retention_ms(max(item.deadline_ms for item in checked.model.classes.values()))
+
+
+def build_shared_resources(loop: asyncio.AbstractEventLoop, checked: Checked) -> SharedResources:
+    """The resources of a process that starts with this configuration."""
+    return SharedResources(
+        loop,
+        checked.model.name,
+        checked.model.limits.memory_mb,
+        id_retention_ms(checked),
+        connection_descriptors(checked),
+    )
 
 
 def apply_limits(shared: SharedResources, checked: Checked) -> None:
@@ -29,4 +43,4 @@
     shared.share_descriptors(connection_descriptors(checked))
     shared.memory_budget.set_limit(checked.model.limits.memory_mb)
     in_flight_ids = shared.in_flight_ids
-    in_flight_ids.past_ms = max(in_flight_ids.past_ms, request_id_memory_ms(checked))
+    in_flight_ids.retention_ms = max(in_flight_ids.retention_ms, id_retention_ms(checked))
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -180,7 +180,8 @@
         try:
             self.on_request_finished(record, version)
         finally:
-            self._free_if_unused(version)
+            if version.retired:
+                self._free_if_unused(version)
 
     def retire(self, version: RunningVersion) -> None:
         """Neither new requests nor a rollback need the version; free it once its requests have ended."""
@@ -188,5 +189,5 @@
         self._free_if_unused(version)
 
     def _free_if_unused(self, version: RunningVersion) -> None:
-        if version.retired and not version.open:
+        if not version.open:
             self.on_version_freed(version)
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -16,11 +16,10 @@
 from sandhatch.config.transactions import Refusal, RejectedError, State, Transactions, Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
-from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.forwarding import Forwarding
 from sandhatch.service.goodput_monitor import GoodputMonitor
-from sandhatch.service.limits import connection_descriptors, request_id_memory_ms
+from sandhatch.service.limits import build_shared_resources
 from sandhatch.service.listeners import ListenerSet
 from sandhatch.service.pools import Pools
 from sandhatch.service.readiness import wait_until_ready
@@ -64,22 +63,14 @@
             history: The state directory; None if versions are not saved.
             saved: What the state directory held, None if nothing.
         """
-        model = first.model
-        self.shared = SharedResources(
-            loop,
-            model.name,
-            model.limits.memory_mb,
-            request_id_memory_ms(first),
-            connection_descriptors(first),
-        )
+        seed = first.model.seed
+        self.shared = build_shared_resources(loop, first)
         self.clock = self.shared.clock
         self.logger = self.shared.logger
-        number = saved.confirmed if saved else 1
-        version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
-        self.transactions = Transactions(version, check_data, saved.next_number if saved else 0)
-        self.front = RequestHandler(self.shared, model.seed)
+        self.transactions = self._first_transactions(first, saved)
+        self.front = RequestHandler(self.shared, seed)
         self.pools = Pools(self.shared)
-        self.forwarding = Forwarding(self.shared, model.seed)
+        self.forwarding = Forwarding(self.shared, seed)
         self.goodput = GoodputMonitor(self.clock, first)
         self._listener_set = ListenerSet(self.shared, self.front)
         self._store = VersionStore(self.shared, self.transactions, history, saved)
@@ -98,6 +89,12 @@
         self.record: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
+    def _first_transactions(self, first: Checked, saved: Saved | None) -> Transactions:
+        """The first version has the number of the saved one that it continues, if there is one."""
+        number = saved.confirmed if saved else 1
+        version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
+        return Transactions(version, check_data, saved.next_number if saved else 0)
+
     @property
     def running(self) -> dict[int, RunningVersion]:
         """Versions that are staged, active or still have requests, by number."""
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -10,6 +10,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
+from typing import Any
 
 from testkit.ports import free_port
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data
@@ -57,6 +58,27 @@
             await asyncio.sleep(0.02)
 
 
+@asynccontextmanager
+async def started(
+    path: Path, data: dict[str, Any], descriptors: int | None = None, **more: str
+) -> AsyncIterator[asyncio.subprocess.Process]:
+    """The program with a configuration that is written to the path; killed at the end if it still runs."""
+    path.write_text(json.dumps(data))
+    process = await spawn(path, descriptors, **more)
+    try:
+        yield process
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+
+
+async def exit_code(process: asyncio.subprocess.Process) -> int:
+    """Wait until the program has ended by itself."""
+    async with asyncio.timeout(PATIENCE_S):
+        return await process.wait()
+
+
 @asynccontextmanager
 async def running_program(
     directory: Path, upstream: FakeUpstream, descriptors: int | None = None, sockets: int = 256
@@ -66,14 +88,9 @@
     port = free_port()
     data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
     data["limits"]["sockets"] = sockets
-    path = directory / "config.json"
-    path.write_text(json.dumps(data))
-    process = await spawn(path, descriptors)
     try:
-        await ready(port)
-        yield process, port
+        async with started(directory / "config.json", data, descriptors) as process:
+            await ready(port)
+            yield process, port
     finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
         discovery.stop()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -26,10 +26,23 @@
     ok,
     request_bytes,
 )
-from tests.platform.harness import ROOT, ready, running_program, spawn
+from tests.platform.harness import ROOT, exit_code, ready, running_program, spawn, started
 from tests.test_attempts import run
 
 
+async def check_served(port: int) -> None:
+    """A request on a new connection is answered 200."""
+    async with HttpClient(port) as client:
+        client.ask()
+        assert (await client.answer()).status == 200
+
+
+async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
+    assert process.stderr is not None
+    async with asyncio.timeout(PATIENCE_S):
+        return await process.stderr.readline()
+
+
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
 def test_a_shutdown_signal_under_traffic_loses_no_request(tmp_path: Path, number: signal.Signals) -> None:
     """Guards the planned restart: requests in flight, on reused and on new connections are all answered, each
@@ -76,8 +89,7 @@
             assert process.returncode is None  # a request is unanswered
             released.set()
             assert (await in_flight.answer()).status == 200
-            async with asyncio.timeout(PATIENCE_S):
-                assert await process.wait() == 0
+            assert await exit_code(process) == 0
         upstream.close()
 
     run(work())
@@ -93,13 +105,10 @@
             for client in clients:
                 client.writer.close()
             for _ in range(30):
-                async with HttpClient(port) as client:
-                    client.ask()
-                    assert (await client.answer()).status == 200
+                await check_served(port)
             assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
             process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE_S):
-                assert await process.wait() == 0
+            assert await exit_code(process) == 0
         upstream.close()
 
     run(work())
@@ -113,18 +122,14 @@
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running_program(tmp_path, upstream) as (process, port):
-            async with HttpClient(port) as client:
-                client.ask()
-                assert (await client.answer()).status == 200
+            await check_served(port)
             # Descriptors below the highest in use stay usable; new ones fail from here on.
             used_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
             resource.prlimit(
                 process.pid, resource.RLIMIT_NOFILE, (used_descriptors + 8, used_descriptors + 8)
             )
             idle = [await HttpClient(port).__aenter__() for _ in range(30)]
-            async with HttpClient(port) as client:
-                client.ask()
-                assert (await client.answer()).status == 200
+            await check_served(port)
             for client in idle:
                 client.writer.close()
             busy = []
@@ -133,9 +138,7 @@
                 busy.append(client)
                 client.send(request_bytes()[:-2])
                 await client.writer.drain()
-            async with HttpClient(port) as client:
-                client.ask()
-                assert (await client.answer()).status == 200
+            await check_served(port)
             for client in busy:
                 client.writer.close()
             assert process.returncode is None
@@ -168,18 +171,15 @@
         port = free_port()
         path = tmp_path / "config.json"
         data = config_data([first_server.entry("a")], old.port, listen=f"127.0.0.1:{port}")
-        path.write_text(json.dumps(data))
-        process = await spawn(path, GW_LISTEN=f"127.0.0.1:{port}", GW_DISCOVERY=f"127.0.0.1:{old.port}")
-        try:
+        environment = {"GW_LISTEN": f"127.0.0.1:{port}", "GW_DISCOVERY": f"127.0.0.1:{old.port}"}
+        async with started(path, data, **environment) as process:
             await ready(port)
             async with HttpClient(port) as in_flight, HttpClient(port) as client:
                 in_flight.ask("move", b"x")
                 await first_server.arrived.get()
                 path.write_text("{")
                 process.send_signal(signal.SIGHUP)
-                assert process.stderr is not None
-                async with asyncio.timeout(PATIENCE_S):
-                    line = await process.stderr.readline()
+                line = await next_log_line(process)
                 assert b"reload" in line and b"GW_CONFIG" in line
                 path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
                 for _ in range(5):
@@ -195,12 +195,7 @@
                 process.send_signal(signal.SIGHUP)
                 client.ask()
                 assert (await client.answer()).status == 200
-                async with asyncio.timeout(PATIENCE_S):
-                    assert await process.wait() == 0
-        finally:
-            if process.returncode is None:
-                process.kill()
-                await process.wait()
+                assert await exit_code(process) == 0
         old.stop()
         new.stop()
         first_server.close()
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -5,30 +5,15 @@
 import asyncio
 import json
 import signal
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
 
 from testkit.ports import free_port
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
-from tests.platform.harness import ready, spawn
+from tests.platform.harness import exit_code, ready, started
 from tests.race_conditions.harness import serves_when
 from tests.test_attempts import run
 
 
-@asynccontextmanager
-async def started(path: Path, data: dict[str, Any]) -> AsyncIterator[asyncio.subprocess.Process]:
-    path.write_text(json.dumps(data))
-    process = await spawn(path)
-    try:
-        yield process
-    finally:
-        if process.returncode is None:
-            process.kill()
-            await process.wait()
-
-
 def test_sigterm_before_the_program_is_ready_ends_it(tmp_path: Path) -> None:
     """It listens, and a call for its first endpoint list is in flight: nothing is unanswered."""
 
@@ -41,8 +26,7 @@
             await ready(port, 503)
             await discovery.calls.get()
             process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE_S):
-                assert await process.wait() == 0
+            assert await exit_code(process) == 0
         discovery.stop()
 
     run(work())
@@ -68,8 +52,7 @@
             released.set()
             answer = await in_flight.answer()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
-            async with asyncio.timeout(PATIENCE_S):
-                assert await process.wait() == 0
+            assert await exit_code(process) == 0
         assert len(upstream.seen) == 1
         upstream.close()
         discovery.stop()
@@ -120,8 +103,7 @@
             assert (await client.answer()).body == b"new"
             released.set()
             assert (await in_flight.answer()).body == b"old"
-            async with asyncio.timeout(PATIENCE_S):
-                assert await process.wait() == 0
+            assert await exit_code(process) == 0
         old.close()
         new.close()
         discovery.stop()
