--- a/sandhatch/runtime/coalescing_runner.py
+++ b/sandhatch/runtime/coalescing_runner.py
@@ -19,7 +19,7 @@
         """Request a run and return at once.
 
         If none is in progress, one is started on the running event loop. If one is, exactly one more follows
-        it, however often this is called meanwhile: it reads what the last caller wanted to be read.
+        it, however often this is called meanwhile. A run that follows the last call thus always takes place.
         """
         self._requested = True
         if self._task is None or self._task.done():
--- /dev/null
+++ b/tests/runtime/test_budgets.py
@@ -0,0 +1,77 @@
+"""In-flight ids and the descriptor budget. The memory budget's tests are in `tests/bodies`."""
+
+from __future__ import annotations
+
+from sandhatch.runtime.descriptor_budget import Descriptors
+from sandhatch.runtime.in_flight_ids import InFlightIds
+
+
+class ScriptedHolder:
+    """A pool with some connections, of which the idle ones can be closed."""
+
+    def __init__(self, sockets: int, idle: int) -> None:
+        self.sockets = sockets
+        self.idle = idle
+
+    def close_oldest(self) -> bool:
+        if not self.idle:
+            return False
+        self.idle -= 1
+        self.sockets -= 1
+        return True
+
+
+def budget(most: int, *holders: ScriptedHolder) -> Descriptors:
+    descriptors = Descriptors()
+    descriptors.most = most
+    for holder in holders:
+        descriptors.holders[holder] = None
+    return descriptors
+
+
+def test_a_free_descriptor_closes_no_connection() -> None:
+    holder = ScriptedHolder(sockets=2, idle=2)
+    assert budget(3, holder).make_room()
+    assert holder.idle == 2
+
+
+def test_without_a_free_descriptor_one_idle_connection_of_any_pool_is_closed() -> None:
+    busy = ScriptedHolder(sockets=2, idle=0)
+    idle = ScriptedHolder(sockets=2, idle=2)
+    descriptors = budget(4, busy, idle)
+    assert descriptors.make_room()
+    assert (busy.sockets, idle.sockets, descriptors.used) == (2, 1, 3)
+
+
+def test_no_descriptor_is_granted_where_all_connections_are_busy() -> None:
+    assert not budget(2, ScriptedHolder(sockets=2, idle=0)).make_room()
+
+
+def test_an_id_is_known_while_in_flight_and_for_its_retention() -> None:
+    ids = InFlightIds(retention_ms=100.0)
+    ids.begin(b"a")
+    assert b"a" in ids
+    ids.end(b"a", 1_000.0)
+    ids.end(b"b", 1_099.0)
+    assert b"a" in ids
+    ids.end(b"c", 1_100.0)
+    assert b"a" not in ids and b"b" in ids and b"c" in ids
+
+
+def test_an_id_that_was_used_again_is_remembered_from_its_last_end() -> None:
+    ids = InFlightIds(retention_ms=100.0)
+    ids.end(b"a", 0.0)
+    ids.begin(b"a")
+    ids.end(b"a", 50.0)
+    ids.end(b"b", 120.0)  # the first end of `a` is forgotten
+    assert b"a" in ids
+    ids.end(b"c", 150.0)
+    assert b"a" not in ids
+
+
+def test_no_more_ids_than_the_limit_are_remembered() -> None:
+    ids = InFlightIds(retention_ms=1e9)
+    for number in range(ids.MOST_PAST + 1):
+        ids.end(b"%d" % number, 0.0)
+    assert len(ids.past) == ids.MOST_PAST
+    assert b"0" not in ids and b"1" in ids
