--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from sandhatch.balancing import Balancer
@@ -54,16 +55,16 @@
         # Derived from the configured seed too, and different in each pool, so that draws are independent.
         seed = int(fingerprint[:15], 16)
         plan = PoolPlan(pool_settings(checked.model, spec), seed, spec.max_connections, spec.drain_grace_ms)
-
-        def build_source(notify: Callable[[Listing], None], log: Callable[[str], None]) -> Source:
-            if spec.source is None:
-                return StaticSource((), notify)
-            discovery_plan = DiscoveryPlan(parse_address(spec.source.discovery, "discovery"))
-            return Discovery(
-                discovery_plan, notify, lambda text: log(f"pool {name}: {text}"), self.book.names
-            )
-
-        return RunningPool(name, fingerprint, spec, Dispatcher(plan, self._shared, build_source))
+        dispatcher = Dispatcher(plan, self._shared, partial(self._build_source, name, spec))
+        return RunningPool(name, fingerprint, spec, dispatcher)
+
+    def _build_source(
+        self, name: str, spec: Pool, notify: Callable[[Listing], None], log: Callable[[str], None]
+    ) -> Source:
+        if spec.source is None:
+            return StaticSource((), notify)
+        plan = DiscoveryPlan(parse_address(spec.source.discovery, "discovery"))
+        return Discovery(plan, notify, lambda text: log(f"pool {name}: {text}"), self.book.names)
 
     def activate(
         self,
