--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -22,7 +22,7 @@
 from sandhatch.service.service import Service
 from testkit.load import Load
 from tests.service.harness import Farm, Kept, serving
-from tests.service.test_versions import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
+from tests.service.version_churn import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
 
 QUIET_S = 5.0
 
@@ -38,13 +38,13 @@
 
 def applied(service: Service, at: dict[int, float]) -> None:
     """Note when each version comes into force."""
-    enter = service._enter
+    activate = service.changes.activate
 
     def noted(version: object, first: bool = False) -> None:
-        enter(version, first)  # type: ignore[arg-type]
+        activate(version, first)  # type: ignore[arg-type]
         at[service.front.current.number] = service.now_ms  # type: ignore[union-attr]
 
-    service._enter = noted  # type: ignore[assignment,method-assign]
+    service.changes.activate = noted  # type: ignore[assignment,method-assign]
 
 
 async def under_load(commits: int, seed: int, pause_s: float) -> str:
