--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -18,7 +18,7 @@
 import time
 from itertools import pairwise
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from sandhatch.service.service import Service
 from testkit.load import Load
 from tests.service.harness import Farm, Kept, serving
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -17,7 +17,7 @@
 from random import Random
 from typing import Any
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from testkit.load import Load
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
--- a/sandhatch/cli/commands.py
+++ b/sandhatch/cli/commands.py
@@ -20,7 +20,8 @@
 from sandhatch.cli.messages import warn
 from sandhatch.cli.planner import add_planner_verbs, run_planner_verb
 from sandhatch.config.check import Checked, check_file, check_text
-from sandhatch.config.document import CheckError, Problem, read_bytes
+from sandhatch.config.document import read_bytes
+from sandhatch.config.errors import CheckError, Problem
 from sandhatch.control.client import Client, UnreachableError
 from sandhatch.runtime.environment import renamed_variable
 from sandhatch.runtime.text_table import table
@@ -289,7 +290,8 @@
 
 
 async def _serve(args: argparse.Namespace, checked: Checked, err: TextIO) -> int:
-    from sandhatch.config.history import History, HistoryError
+    from sandhatch.config.errors import HistoryError
+    from sandhatch.config.history import History
     from sandhatch.control.calls import Calls
     from sandhatch.control.server import ControlError, ControlServer
     from sandhatch.runtime.logger import report_loop_errors
--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any, TextIO
 
 from sandhatch.cli.messages import warn
-from sandhatch.config.document import CheckError
+from sandhatch.config.errors import CheckError
 from sandhatch.control.client import Client
 from sandhatch.control.framing import fault
 from sandhatch.runtime.environment import renamed_variable
--- a/sandhatch/config/check.py
+++ b/sandhatch/config/check.py
@@ -16,7 +16,8 @@
 from pydantic_core import ErrorDetails
 
 from sandhatch.balancing.settings import Effect, RequestClass, Settings, Tenant
-from sandhatch.config.document import CheckError, Document, Path, Problem, parse, read
+from sandhatch.config.document import Document, Path, parse, read
+from sandhatch.config.errors import CheckError, Problem
 from sandhatch.config.model import Class, Configuration, HeaderMatch, Match, Pool, Target, Weighted
 from sandhatch.config.model import Route as RouteModel
 from sandhatch.routing.table import Answer, HeaderTest, Route, RouteTable, Split, Test, unreachable
--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from sandhatch.config.document import dotted
+from sandhatch.config.errors import MergeError
 
 Key = tuple[str, ...]
 ORDER = "(order)"
@@ -113,14 +114,6 @@
     return [dotted(key) for key in sorted(found)]
 
 
-class MergeError(ValueError):
-    """Two changes of one base do not fit together; `keys` are those that both touch."""
-
-    def __init__(self, keys: list[str]) -> None:
-        super().__init__(f"both changes touch {', '.join(keys[:5])}")
-        self.keys = keys
-
-
 def merge(base: Any, mine: Any, theirs: Any) -> Any:
     """`theirs` with what `mine` changed from `base`; MergeError where both changed the same. The order of a
     named list is theirs, with what is new in mine behind the one it stood behind there.
--- a/sandhatch/config/document.py
+++ b/sandhatch/config/document.py
@@ -14,6 +14,8 @@
 
 import yaml
 
+from sandhatch.config.errors import DocumentError, Problem
+
 MAX_BYTES = 16 * 1024 * 1024
 MAX_DEPTH = 32
 CORE = "tag:yaml.org,2002:"
@@ -29,38 +31,6 @@
 }
 
 
-@dataclass(slots=True, frozen=True)
-class Problem:
-    """One thing that is wrong, or worth a warning. `line` counts from 1; 0 where it is not known."""
-
-    file: str
-    line: int
-    key: str
-    text: str
-    warning: bool = False
-
-    def __str__(self) -> str:
-        place = f"{self.file}:{self.line}" if self.line else self.file
-        kind = "warning: " if self.warning else ""
-        return f"{place}: {kind}{self.key + ': ' if self.key else ''}{self.text}"
-
-
-class CheckError(ValueError):
-    """The configuration has errors; `problems` are all of them, warnings included, in the file's order."""
-
-    def __init__(self, problems: list[Problem]) -> None:
-        super().__init__("; ".join(map(str, problems[:3])))
-        self.problems = problems
-
-
-class DocumentError(CheckError):
-    """The text is no document. `problem` says where and why."""
-
-    def __init__(self, problem: Problem) -> None:
-        super().__init__([problem])
-        self.problem = problem
-
-
 @dataclass(slots=True)
 class Document:
     """`data` of mappings, lists and scalars; `lines` by the path of each key or item."""
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -20,11 +20,9 @@
 from pathlib import Path
 from typing import Any
 
-FORMAT = 1
-
+from sandhatch.config.errors import HistoryError
 
-class HistoryError(Exception):
-    """The directory can't be used, or holds no whole state though it has one."""
+FORMAT = 1
 
 
 @dataclass(slots=True)
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -9,7 +9,8 @@
 from pydantic import Field, ValidationError, model_validator
 
 from sandhatch.config.check import in_order, model_problems
-from sandhatch.config.document import CheckError, Document, read
+from sandhatch.config.document import Document, read
+from sandhatch.config.errors import CheckError
 from sandhatch.config.model import AddressText, KeyText, Model, Name
 
 
--- /dev/null
+++ b/sandhatch/config/rebase.py
@@ -0,0 +1,58 @@
+"""A proposal brought onto the version that is active now.
+
+If its base is the active version, it stands as it is; else it is merged with what became active since, and
+the result is checked in full. It decides nothing on the state of a version. Source: `transactions`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from sandhatch.config.check import Checked
+from sandhatch.config.diff import merge
+from sandhatch.config.errors import MergeError, Refusal, RejectedError
+from sandhatch.config.proposals import Proposal
+from sandhatch.config.version import Version
+
+MOST_KEYS_IN_TEXT = 8
+
+CheckFunction = Callable[[dict[str, Any]], Checked]
+
+
+def rebase(proposal: Proposal, base: Version, active: Version, check: CheckFunction) -> Checked:
+    """Return the configuration that the proposal would activate now.
+
+    Args:
+        proposal: The change.
+        base: The version that it was made from.
+        active: The version that is active now.
+        check: Checks merged data in full; raises ValueError.
+
+    Raises:
+        RejectedError: CONFLICT, if both change the same keys, if the proposal does not ask to be merged, or
+            if the result of the merge has errors.
+    """
+    if base is active:
+        return proposal.checked
+    try:
+        data = merge(base.data, proposal.checked.data, active.data)
+    except MergeError as problem:
+        raise conflict(proposal, active, problem.keys) from None
+    if not proposal.merge:
+        raise conflict(proposal, active, [])
+    try:
+        return check(data)
+    except ValueError as problem:
+        lines = [str(line) for line in getattr(problem, "problems", [problem])]
+        raise RejectedError(
+            Refusal.CONFLICT, f"merged with version {active.number} it has errors", problems=lines
+        ) from None
+
+
+def conflict(proposal: Proposal, other: Version, keys: list[str]) -> RejectedError:
+    """Return the error for a proposal that conflicts with another version in these keys, if in any."""
+    shown = ", ".join(keys[:MOST_KEYS_IN_TEXT])
+    advice = f"both touch {shown}" if keys else "it can be merged"
+    text = f"made from version {proposal.base}, but version {other.number} is {other.state.value}; {advice}"
+    return RejectedError(Refusal.CONFLICT, text, keys)
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -1,196 +1,53 @@
-"""Versions of the configuration and the way of a change: proposed, staged, saved, in force, confirmed or
-taken back. Pure: calls and times in, actions out; whoever owns it carries them out and tells how they ended.
+"""The transactions of one process: proposals, the version in progress, its confirmation and its rollback.
+
+A state machine without I/O or clock: calls and times go in, actions come out. The owner carries the actions
+out and reports how they ended.
 
     propose -> commit -> STAGING -> SAVING -> IN_FORCE -> CONFIRMING -> CONFIRMED
                             |          |          |            |
                           FAILED     FAILED   TAKEN_BACK   TAKEN_BACK
 
-The rules (after NETCONF's candidate and confirmed commit, RFC 6241 section 8.4; Envoy's versions that are
-acknowledged or refused; HAProxy's transactions, which name the version that they start from):
-
-- A proposal names its base. Where another version is in force by then, it is refused with the keys that both
-  touch, or merged if it asks for that and they touch none in common. Whatever is merged is checked in full.
-- One change at a time is on its way; a second commit meanwhile is refused, with the keys in common if there
-  are.
-- What is on disk changes before what is in force does on the way up, and after it on the way back: a process
-  that ends at any step finds one whole version, the last confirmed one, at its next start.
-- Until a version is confirmed the one before stays at hand, so that going back needs no staging.
+Source: NETCONF's candidate configuration and confirmed commit (RFC 6241, section 8.4), Envoy's versions that
+are acknowledged or rejected, and HAProxy's transactions, which name the version that they start from. The
+rules:
+
+- A proposal names its base. If another version is active by then, the proposal is rejected with the keys
+  that both change; or it is merged, if it asks for that and no key is in conflict. The result of a merge is
+  checked in full.
+- One change is in progress at a time. Another commit meanwhile is rejected, with the keys in conflict if
+  there are any.
+- On activation the disk changes first, on rollback last. A process that ends at any step finds one complete
+  version at its next start: the last confirmed one.
+- Until a version is confirmed the one before it stays built, so that a rollback needs no staging.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
-from enum import Enum
 from typing import Any
 
+from sandhatch.config.actions import Action, Apply, Retire, Save, Say, Stage, Unstage, Unwatch, Watch
 from sandhatch.config.check import Checked
-from sandhatch.config.diff import Change, MergeError, diff, merge, overlap
-
-MOST_PROPOSALS = 256
-MOST_PROPOSED_BYTES = 64 * 1024 * 1024
-PROPOSAL_MS = 3_600_000.0
-MOST_RECORDS = 100  # versions told of in the history, and that may be a base
-
-
-class State(Enum):
-    """Where a version is on its way."""
-
-    STAGING = "staging"
-    SAVING = "saving"
-    IN_FORCE = "in force"  # and may yet be taken back
-    CONFIRMING = "confirming"
-    CONFIRMED = "confirmed"
-    FAILED = "failed"
-    TAKEN_BACK = "taken back"
-    LOST = "lost"  # the process ended before it was confirmed
-
-
-WAYS: Mapping[State, frozenset[State]] = {
-    State.STAGING: frozenset((State.SAVING, State.FAILED)),
-    State.SAVING: frozenset((State.IN_FORCE, State.FAILED)),
-    State.IN_FORCE: frozenset((State.CONFIRMING, State.TAKEN_BACK, State.LOST)),
-    State.CONFIRMING: frozenset((State.CONFIRMED, State.TAKEN_BACK, State.LOST)),
-    State.CONFIRMED: frozenset(),
-    State.FAILED: frozenset(),
-    State.TAKEN_BACK: frozenset(),
-    State.LOST: frozenset(),
-}
-OVER = frozenset(state for state, ways in WAYS.items() if not ways)
-RUNNING = frozenset((State.IN_FORCE, State.CONFIRMING))
-
-
-class Refusal(Enum):
-    """Why a call was refused; the value is the command line's word for it."""
-
-    INVALID = "invalid"  # the configuration has errors
-    CONFLICT = "conflict"  # made from a base that is not in force any more
-    BUSY = "busy"  # another change is on its way
-    UNKNOWN = "unknown"  # no such proposal or version
-    NOTHING = "nothing to do"
-    FULL = "too many proposals"
-    STOPPING = "stopping"
-
-
-class RejectedError(Exception):
-    """A call that changed nothing. `keys`: what conflicts; `problems`: what is wrong, one line each."""
-
-    def __init__(
-        self, why: Refusal, text: str, keys: list[str] | None = None, problems: list[str] | None = None
-    ) -> None:
-        super().__init__(text)
-        self.why = why
-        self.text = text
-        self.keys = keys or []
-        self.problems = problems or []
-
-
-@dataclass(slots=True)
-class Version:
-    """One version. `why` says what ended it, if it failed or was taken back."""
-
-    number: int
-    base: int
-    checked: Checked
-    state: State
-    author: str = ""
-    comment: str = ""
-    made_ms: float = 0.0
-    changes: int = 0
-    why: str = ""
-    confirm_by_ms: float | None = None  # by hand until then, else it is taken back
-    watch_until_ms: float | None = None  # confirmed then, if no fall was seen
-
-    @property
-    def data(self) -> dict[str, Any]:
-        return self.checked.data
-
-    def move(self, to: State, why: str = "") -> None:
-        if to not in WAYS[self.state]:
-            raise AssertionError(f"version {self.number}: {self.state.value} -> {to.value}")
-        self.state = to
-        self.why = why or self.why
-
-
-@dataclass(slots=True)
-class Proposal:
-    number: int
-    base: int
-    checked: Checked
-    author: str
-    comment: str
-    merge: bool
-    made_ms: float
-    size: int
-    restores: int = 0  # the version whose content it brings back, if so
-
-
-# ------------------------------------------------ actions
-
-
-@dataclass(slots=True, frozen=True)
-class Stage:
-    """Build what the version needs beside what runs; `staged` or `failed` is to be told."""
-
-    version: Version
-
+from sandhatch.config.diff import Change, diff, overlap
+from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.proposals import Proposal, ProposalStore
+from sandhatch.config.rebase import CheckFunction, conflict, rebase
+from sandhatch.config.version import RUNNING, State, Version
 
-@dataclass(slots=True, frozen=True)
-class Unstage:
-    """Let go what was built for a version that will not be in force."""
-
-    version: Version
-
-
-@dataclass(slots=True, frozen=True)
-class Save:
-    """Write to disk what `record` gives now; `saved` or `save_failed` is to be told with `step`."""
-
-    step: int
-    version: Version | None
-
-
-@dataclass(slots=True, frozen=True)
-class Apply:
-    """From now on every new request belongs to this version. `back`: it was in force before."""
-
-    version: Version
-    back: bool = False
-
-
-@dataclass(slots=True, frozen=True)
-class Retire:
-    """Neither new requests nor a way back need the version any more; its own end as they please."""
-
-    version: Version
-
-
-@dataclass(slots=True, frozen=True)
-class Watch:
-    """Compare the service yielded from now on with that before; `fell` is to be told."""
-
-    version: Version
-
-
-@dataclass(slots=True, frozen=True)
-class Unwatch:
-    version: Version
-
-
-@dataclass(slots=True, frozen=True)
-class Say:
-    """A line for the log."""
-
-    text: str
-
-
-Action = Stage | Unstage | Save | Apply | Retire | Watch | Unwatch | Say
+MOST_RECORDS = 100  # versions that the history shows and that may be a base
 
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What must last: the confirmed version, the one that may yet be taken back, and the next number."""
+    """What is saved to disk.
+
+    Attributes:
+        confirmed: The number of the version to use at the next start.
+        pending: The number of the version that is not confirmed yet; 0 for none.
+        next_number: The number of the next version.
+        versions: The rows of the history, oldest first; see `Version.row`.
+    """
 
     confirmed: int
     pending: int
@@ -199,52 +56,60 @@
 
 
 class Transactions:
-    """The versions of one process."""
-
-    def __init__(
-        self, first: Version, check: Callable[[dict[str, Any]], Checked], next_number: int = 0
-    ) -> None:
-        """`check` checks merged data in full and raises CheckError."""
+    """The versions of one process.
+
+    Attributes:
+        versions: The last versions by number, oldest first.
+        in_force: The active version; every new request belongs to it.
+        confirmed: The version that a rollback or a restart goes back to.
+        pending: The version in progress, from STAGING to its final state; None if there is none.
+        actions: What the owner has not taken yet.
+    """
+
+    def __init__(self, first: Version, check: CheckFunction, next_number: int = 0) -> None:
+        """Start with a confirmed version.
+
+        Args:
+            first: The version that is active from the start.
+            check: Checks merged data in full; raises CheckError.
+            next_number: The number of the next version, as far as the history knows; 0 where it doesn't.
+        """
         first.state = State.CONFIRMED
         self._check = check
         self.versions: OrderedDict[int, Version] = OrderedDict({first.number: first})
         self.in_force = first
         self.confirmed = first
-        self.pending: Version | None = None  # on its way, from STAGING to its end
-        self.proposals: OrderedDict[int, Proposal] = OrderedDict()
+        self.pending: Version | None = None
         self.actions: list[Action] = []
-        self._bytes = 0
-        self._next = max(next_number, first.number + 1)
-        self._next_proposal = 1
-        self._step = 0
+        self._proposals = ProposalStore()
+        self._next_number = max(next_number, first.number + 1)
+        self._last_save = 0
         self._stopping = False
 
+    @property
+    def proposals(self) -> OrderedDict[int, Proposal]:
+        """The waiting proposals by number, oldest first."""
+        return self._proposals.by_number
+
     def take(self) -> list[Action]:
-        """The actions since the last call, to be carried out in their order."""
-        actions, self.actions = self.actions, []
+        """Return the actions since the last call, to be carried out in their order."""
+        actions = self.actions
+        self.actions = []
         return actions
 
     def record(self) -> Record:
-        pending = self.pending
-        lasting = pending is not None and pending.state in (State.SAVING, State.IN_FORCE)
-        # What is being confirmed counts as confirmed on disk first: once that is written it is so for good.
-        confirming = pending is not None and pending.state is State.CONFIRMING
-        rows = tuple(
-            {
-                "version": version.number,
-                "base": version.base,
-                "state": version.state.value,
-                "author": version.author,
-                "comment": version.comment,
-                "made_ms": version.made_ms,
-                "changes": version.changes,
-                "why": version.why,
-            }
-            for version in self.versions.values()
-        )
-        number = pending.number if lasting and pending is not None else 0
-        confirmed = pending if confirming and pending is not None else self.confirmed
-        return Record(confirmed.number, number, self._next, rows)
+        """Return what must be on disk now."""
+        rows = tuple(version.row() for version in self.versions.values())
+        confirmed = self.confirmed.number
+        pending = 0
+        if self.pending is not None:
+            match self.pending.state:
+                case State.SAVING | State.IN_FORCE:
+                    pending = self.pending.number
+                case State.CONFIRMING:
+                    # Counts as confirmed on disk first: once that is written it is final.
+                    confirmed = self.pending.number
+        return Record(confirmed, pending, self._next_number, rows)
 
     # -------------------------------------------- proposing
 
@@ -256,32 +121,38 @@
         author: str = "",
         comment: str = "",
         merged: bool = False,
-        size: int = 0,
+        size_bytes: int = 0,
     ) -> Proposal:
-        """Keep a checked change of version `base`; RefusedError if that is not in force and does not
-        merge.
+        """Store a checked change of version `base`.
+
+        Args:
+            now_ms: The time.
+            base: The version that the change was made from.
+            checked: The configuration as it would be.
+            author: Who proposes it.
+            comment: Free text of the author.
+            merged: Whether it may be merged with what became active since `base`.
+            size_bytes: The length of its text.
+
+        Raises:
+            RejectedError: The base is not active and the change can't be merged, there are too many
+                proposals, or the process is stopping.
         """
-        if self._stopping:
-            raise RejectedError(Refusal.STOPPING, "the process is ending")
-        self._expire(now_ms)
-        if len(self.proposals) >= MOST_PROPOSALS or self._bytes + size > MOST_PROPOSED_BYTES:
-            raise RejectedError(Refusal.FULL, f"{len(self.proposals)} proposals wait; abort some")
-        proposal = Proposal(self._next_proposal, base, checked, author, comment, merged, now_ms, size)
-        self._current(proposal)
-        self._next_proposal += 1
-        self._bytes += size
-        self.proposals[proposal.number] = proposal
+        self._reject_if_stopping()
+        self._proposals.check_capacity(now_ms, size_bytes)
+        number = self._proposals.next_number
+        proposal = Proposal(number, base, checked, author, comment, merged, now_ms, size_bytes)
+        self._rebase(proposal)
+        self._proposals.add(proposal)
         return proposal
 
     def discard(self, number: int) -> None:
-        proposal = self.proposals.pop(number, None)
-        if proposal is None:
-            raise RejectedError(Refusal.UNKNOWN, f"there is no proposal {number}")
-        self._bytes -= proposal.size
+        """Forget a proposal; RejectedError if there is none of that number."""
+        self._proposals.remove(number)
 
-    def _expire(self, now_ms: float) -> None:
-        for number in [n for n, p in self.proposals.items() if p.made_ms < now_ms - PROPOSAL_MS]:
-            self.discard(number)
+    def _reject_if_stopping(self) -> None:
+        if self._stopping:
+            raise RejectedError(Refusal.STOPPING, "the process is ending")
 
     def _base(self, number: int) -> Version:
         version = self.versions.get(number)
@@ -289,67 +160,47 @@
             raise RejectedError(Refusal.UNKNOWN, f"there is no version {number} to start from")
         return version
 
-    def _current(self, proposal: Proposal) -> Checked:
-        """What the proposal would bring in force now: itself, or merged with what came since its base."""
-        base = self._base(proposal.base)
-        if base is self.in_force:
-            return proposal.checked
-        return self._merged(proposal, base, self.in_force)
-
-    def _merged(self, proposal: Proposal, base: Version, there: Version) -> Checked:
-        try:
-            data = merge(base.data, proposal.checked.data, there.data)
-        except MergeError as problem:
-            raise self._conflict(proposal, there, problem.keys) from None
-        if not proposal.merge:
-            raise self._conflict(proposal, there, [])
-        try:
-            return self._check(data)
-        except ValueError as problem:
-            lines = [str(line) for line in getattr(problem, "problems", [problem])]
-            raise RejectedError(
-                Refusal.CONFLICT, f"merged with version {there.number} it has errors", problems=lines
-            ) from None
-
-    @staticmethod
-    def _conflict(proposal: Proposal, there: Version, keys: list[str]) -> RejectedError:
-        touched = f"; both touch {', '.join(keys[:8])}" if keys else "; it can be merged"
-        text = (
-            f"made from version {proposal.base}, but version {there.number} is {there.state.value}{touched}"
-        )
-        return RejectedError(Refusal.CONFLICT, text, keys)
+    def _rebase(self, proposal: Proposal) -> Checked:
+        """Return what the proposal would activate now: itself, or merged with what came since its base."""
+        return rebase(proposal, self._base(proposal.base), self.in_force, self._check)
 
     # -------------------------------------------- committing
 
     def commit(
         self, now_ms: float, number: int, confirm_within_ms: float | None = None, watched: bool = True
     ) -> Version:
-        """Set a proposal on its way; what becomes of it is seen in the version's state."""
-        if self._stopping:
-            raise RejectedError(Refusal.STOPPING, "the process is ending")
-        proposal = self.proposals.get(number)
-        if proposal is None:
-            raise RejectedError(Refusal.UNKNOWN, f"there is no proposal {number}")
-        self._not_busy(proposal)
-        checked = self._current(proposal)
+        """Turn a proposal into a version and start to stage it; its state shows what becomes of it.
+
+        Args:
+            now_ms: The time.
+            number: The proposal's number.
+            confirm_within_ms: If given, it must be confirmed by hand within that time of its activation.
+            watched: Whether its goodput is watched, where its own configuration allows that.
+
+        Raises:
+            RejectedError: There is no such proposal, another change is in progress, keys are in conflict,
+                or nothing differs from the active version.
+        """
+        self._reject_if_stopping()
+        proposal = self._proposals.get(number)
+        self._reject_if_busy(proposal)
+        checked = self._rebase(proposal)
         changes = diff(self.in_force.data, checked.data)
+        self.discard(number)
         if not changes:
-            self.discard(number)
             raise RejectedError(Refusal.NOTHING, f"version {self.in_force.number} says the same already")
-        self.discard(number)
         return self._begin(now_ms, proposal, checked, changes, confirm_within_ms, watched)
 
-    def _not_busy(self, proposal: Proposal) -> None:
+    def _reject_if_busy(self, proposal: Proposal) -> None:
         pending = self.pending
         if pending is None:
             return
         base = self._base(proposal.base)
         keys = overlap(diff(base.data, proposal.checked.data), diff(base.data, pending.data))
         if keys:
-            raise self._conflict(proposal, pending, keys)
-        until = pending.confirm_by_ms or pending.watch_until_ms
-        rest = " and is watched or waits to be confirmed" if until else ""
-        raise RejectedError(Refusal.BUSY, f"version {pending.number} is {pending.state.value}{rest}")
+            raise conflict(proposal, pending, keys)
+        waits = " and is watched or waits to be confirmed" if pending.awaits_confirmation else ""
+        raise RejectedError(Refusal.BUSY, f"version {pending.number} is {pending.state.value}{waits}")
 
     def _begin(
         self,
@@ -360,20 +211,20 @@
         confirm_within_ms: float | None,
         watched: bool,
     ) -> Version:
+        watch = checked.model.watch
         version = Version(
-            self._next,
-            self.in_force.number,
-            checked,
-            State.STAGING,
-            proposal.author,
-            proposal.comment,
-            now_ms,
-            len(changes),
-            confirm_by_ms=confirm_within_ms,  # a duration until it is in force
+            number=self._next_number,
+            base=self.in_force.number,
+            checked=checked,
+            state=State.STAGING,
+            author=proposal.author,
+            comment=proposal.comment,
+            made_ms=now_ms,
+            changes=len(changes),
+            confirm_within_ms=confirm_within_ms,
+            watch_window_ms=watch.window_ms if watched and watch.enabled else None,
         )
-        watch = checked.model.watch
-        version.watch_until_ms = watch.window_ms if watched and watch.enabled else None
-        self._next += 1
+        self._next_number += 1
         self.versions[version.number] = version
         self.pending = version
         self._trim()
@@ -381,144 +232,171 @@
         return version
 
     def _trim(self) -> None:
-        kept = {self.in_force.number, self.confirmed.number}
+        """Forget the oldest versions beyond MOST_RECORDS, except those still needed."""
+        needed = {self.in_force.number, self.confirmed.number}
         for number in list(self.versions):
             if len(self.versions) <= MOST_RECORDS:
                 break
-            if number not in kept and self.versions[number] is not self.pending:
+            if number not in needed and self.versions[number] is not self.pending:
                 del self.versions[number]
 
     def staged(self, version: Version) -> None:
+        """Report that `Stage` succeeded."""
         if version is not self.pending or version.state is not State.STAGING:
-            self.actions.append(Unstage(version))  # given up meanwhile
+            self.actions.append(Unstage(version))  # rolled back meanwhile
             return
-        version.move(State.SAVING)
+        version.transition(State.SAVING)
         self._save(version)
 
     def failed(self, version: Version, why: str) -> None:
-        """It could not be staged; nothing has changed."""
+        """Report that a version could not be staged; nothing has changed."""
         if version is self.pending and version.state in (State.STAGING, State.SAVING):
-            version.move(State.FAILED, why)
+            version.transition(State.FAILED, why)
             self.pending = None
             self.actions += [Unstage(version), Say(f"version {version.number} not applied: {why}")]
 
     def _save(self, version: Version | None) -> None:
-        self._step += 1
-        self.actions.append(Save(self._step, version))
+        self._last_save += 1
+        self.actions.append(Save(self._last_save, version))
 
     def saved(self, now_ms: float, step: int) -> None:
-        """The last `Save` is on disk. An older one's end says nothing."""
+        """Report that `Save` number `step` is on disk; any but the last one changes nothing."""
         version = self.pending
-        if step != self._step or version is None:
+        if step != self._last_save or version is None:
             return
         if version.state is State.SAVING:
-            self._enter(now_ms, version)
+            self._activate(now_ms, version)
         elif version.state is State.CONFIRMING:
-            self._confirmed(version)
+            self._finish_confirmation(version)
 
-    def save_failed(self, now_ms: float, step: int, why: str) -> None:
+    def save_failed(self, now_ms: float, step: int, why: str) -> None:  # noqa: ARG002 - as `saved`
+        """Report that `Save` number `step` failed; any but the last one changes nothing."""
         version = self.pending
-        if step != self._step or version is None:
+        if step != self._last_save or version is None:
             return
         if version.state is State.SAVING:
             self.failed(version, f"it can't be saved: {why}")
         elif version.state is State.CONFIRMING:
-            self._take_back(version, f"its confirmation can't be saved: {why}")
+            self._roll_back(version, f"its confirmation can't be saved: {why}")
 
-    def _enter(self, now_ms: float, version: Version) -> None:
-        version.move(State.IN_FORCE)
+    def _activate(self, now_ms: float, version: Version) -> None:
+        version.transition(State.IN_FORCE)
         self.in_force = version
         self.actions += [Apply(version), Say(f"version {version.number} is in force")]
-        if version.confirm_by_ms is not None:
-            version.confirm_by_ms += now_ms
-        if version.watch_until_ms is not None:
-            version.watch_until_ms += now_ms
+        if version.confirm_within_ms is not None:
+            version.confirm_by_ms = version.confirm_within_ms + now_ms
+        if version.watch_window_ms is not None:
+            version.watch_until_ms = version.watch_window_ms + now_ms
             self.actions.append(Watch(version))
         if version.confirm_by_ms is None and version.watch_until_ms is None:
-            self._confirm(version)
+            self._begin_confirmation(version)
 
-    # -------------------------------------------- confirming and taking back
+    # -------------------------------------------- confirming and rolling back
 
     def tick(self, now_ms: float) -> None:
-        """Time has passed: a watch may be over, or the time to confirm."""
+        """Confirm or roll back the active version if its watch or its time to be confirmed is over."""
         version = self.pending
         if version is None or version.state is not State.IN_FORCE:
             return
         if version.confirm_by_ms is not None:
             if now_ms >= version.confirm_by_ms:
-                self._take_back(version, "it was not confirmed in time")
+                self._roll_back(version, "it was not confirmed in time")
         elif version.watch_until_ms is not None and now_ms >= version.watch_until_ms:
-            self._confirm(version)
+            self._begin_confirmation(version)
 
-    def _running(self, number: int | None) -> Version:
+    def _unconfirmed(self, number: int | None) -> Version:
+        """Return the pending version, which must be active and have that number if one is given."""
         version = self.pending
         if version is None or (number is not None and version.number != number):
             raise RejectedError(Refusal.NOTHING, "no such version waits to be confirmed")
+        if version.state is not State.IN_FORCE:
+            raise RejectedError(Refusal.BUSY, f"version {version.number} is {version.state.value}")
         return version
 
     def confirm(self, number: int | None = None) -> Version:
-        """By hand; a watch that still runs ends with it."""
-        version = self._running(number)
-        if version.state is not State.IN_FORCE:
-            raise RejectedError(Refusal.BUSY, f"version {version.number} is {version.state.value}")
-        self._confirm(version)
+        """Confirm the pending version by hand; a watch that still runs ends with it.
+
+        Raises:
+            RejectedError: No such version waits to be confirmed, or it is not active.
+        """
+        version = self._unconfirmed(number)
+        self._begin_confirmation(version)
         return version
 
     def extend(self, now_ms: float, within_ms: float, number: int | None = None) -> Version:
-        """Put off the time to confirm, or ask for a confirmation by hand where there was only a watch."""
-        version = self._running(number)
-        if version.state is not State.IN_FORCE:
-            raise RejectedError(Refusal.BUSY, f"version {version.number} is {version.state.value}")
+        """Move the time by which to confirm by hand, or require it where there was only a watch.
+
+        Raises:
+            RejectedError: No such version waits to be confirmed, or it is not active.
+        """
+        version = self._unconfirmed(number)
         version.confirm_by_ms = now_ms + within_ms
         return version
 
-    def _confirm(self, version: Version) -> None:
+    def _begin_confirmation(self, version: Version) -> None:
         if version.watch_until_ms is not None:
             self.actions.append(Unwatch(version))
-        version.move(State.CONFIRMING)
+        version.transition(State.CONFIRMING)
         self._save(version)
 
-    def _confirmed(self, version: Version) -> None:
-        version.move(State.CONFIRMED)
-        before, self.confirmed, self.pending = self.confirmed, version, None
-        self.actions += [Retire(before), Say(f"version {version.number} is confirmed")]
+    def _finish_confirmation(self, version: Version) -> None:
+        version.transition(State.CONFIRMED)
+        predecessor = self.confirmed
+        self.confirmed = version
+        self.pending = None
+        self.actions += [Retire(predecessor), Say(f"version {version.number} is confirmed")]
         self._trim()
 
     def fell(self, version: Version, why: str) -> None:
-        """The watch has seen the service fall."""
+        """Report that the watch has seen the goodput fall."""
         if version is self.pending and version.state is State.IN_FORCE:
-            self._take_back(version, why)
+            self._roll_back(version, why)
 
     def rollback(self, now_ms: float, author: str = "", to: int | None = None) -> Version | Proposal:
-        """Take back what is on its way, at once. With nothing on its way, or with `to` naming a version: a
-        proposal with that content, the last one confirmed before if none is named.
+        """Roll back the change in progress at once, or propose to return to an earlier version.
+
+        Args:
+            now_ms: The time.
+            author: Who asks for it.
+            to: The version to go back to; by default the one that a rollback of the change in progress
+                leads to, or else the last one confirmed before the active one.
+
+        Returns:
+            The version that was rolled back; or, with no change in progress or with `to` naming another
+            version, a proposal with that version's content.
+
+        Raises:
+            RejectedError: There is no such confirmed version, or the process is stopping.
         """
-        if self._stopping:
-            raise RejectedError(Refusal.STOPPING, "the process is ending")
+        self._reject_if_stopping()
         pending = self.pending
         if pending is not None and to in (None, self.confirmed.number):
+            signature = f", {author}" if author else ""
             if pending.state in RUNNING:
-                self._take_back(pending, f"by hand{f', {author}' if author else ''}")
+                self._roll_back(pending, f"by hand{signature}")
             else:
-                self.failed(pending, f"given up by hand{f', {author}' if author else ''}")
+                self.failed(pending, f"given up by hand{signature}")
             return pending
-        target = self._before() if to is None else self.versions.get(to)
+        target = self._confirmed_before() if to is None else self.versions.get(to)
         if target is None or target.state is not State.CONFIRMED:
             raise RejectedError(Refusal.UNKNOWN, "there is no such confirmed version to go back to")
-        proposal = self.propose(
-            now_ms, self.in_force.number, target.checked, author, f"back to version {target.number}"
-        )
+        comment = f"back to version {target.number}"
+        proposal = self.propose(now_ms, self.in_force.number, target.checked, author, comment)
         proposal.restores = target.number
         return proposal
 
-    def _before(self) -> Version | None:
-        older = [v for v in self.versions.values() if v.state is State.CONFIRMED and v is not self.confirmed]
-        return max(older, key=lambda version: version.number) if older else None
+    def _confirmed_before(self) -> Version | None:
+        older = [
+            version
+            for version in self.versions.values()
+            if version.state is State.CONFIRMED and version is not self.confirmed
+        ]
+        return max(older, key=lambda version: version.number, default=None)
 
-    def _take_back(self, version: Version, why: str) -> None:
+    def _roll_back(self, version: Version, why: str) -> None:
         if version.watch_until_ms is not None and version.state is State.IN_FORCE:
             self.actions.append(Unwatch(version))
-        version.move(State.TAKEN_BACK, why)
+        version.transition(State.TAKEN_BACK, why)
         self.in_force = self.confirmed
         self.pending = None
         self.actions += [
@@ -529,7 +407,7 @@
         self._save(None)
 
     def stop(self) -> None:
-        """The process ends: nothing more is taken, and what was not confirmed is not used again."""
+        """Reject further changes; a version that is not active yet fails."""
         self._stopping = True
         pending = self.pending
         if pending is not None and pending.state in (State.STAGING, State.SAVING):
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -10,7 +10,8 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import diff
-from sandhatch.config.transactions import Refusal, RejectedError, Version
+from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.version import Version
 from sandhatch.service.service import Service, checked_text
 
 MOST_TEXT = 500  # of a comment or a value shown
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -7,8 +7,7 @@
 import asyncio
 
 from sandhatch.config.check import Checked, check_file
-from sandhatch.config.document import CheckError
-from sandhatch.config.transactions import RejectedError
+from sandhatch.config.errors import CheckError, RejectedError
 from sandhatch.runtime.coalescing_runner import CoalescingRunner
 from sandhatch.service.service import Service
 
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -13,13 +13,16 @@
 from contextlib import contextmanager
 from typing import Any
 
-from sandhatch.config import transactions as tx
+from sandhatch.config.actions import Action, Apply, Retire, Save, Stage, Unstage, Unwatch, Watch
 from sandhatch.config.check import Checked, check, check_text
 from sandhatch.config.diff import diff
-from sandhatch.config.document import CheckError, Document
+from sandhatch.config.document import Document
+from sandhatch.config.errors import CheckError, Refusal, RejectedError
 from sandhatch.config.goodput_watch import GoodputWatch
 from sandhatch.config.history import History, Saved
-from sandhatch.config.transactions import Refusal, RejectedError, State, Transactions, Version
+from sandhatch.config.proposals import Proposal
+from sandhatch.config.transactions import MOST_RECORDS, Record, Transactions
+from sandhatch.config.version import OVER, RUNNING, State, Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
 from sandhatch.runtime.address import parse_address
@@ -89,7 +92,7 @@
         self._leaving: list[Listener] = []
         self._history = history
         self._rows_before = saved.rows if saved else []
-        self._saves: deque[tuple[int, Version | None, tx.Record, dict[int, Any]]] = deque()
+        self._saves: deque[tuple[int, Version | None, Record, dict[int, Any]]] = deque()
         self._saver: asyncio.Task[None] | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._acting = False
@@ -161,7 +164,7 @@
 
     def propose(
         self, text: bytes, base: int | None, author: str = "", comment: str = "", merge: bool = False
-    ) -> tx.Proposal:
+    ) -> Proposal:
         """Check text in full and keep it; RefusedError with every problem where it has errors."""
         return self.propose_checked(checked_text(text), base, author, comment, merge, len(text))
 
@@ -173,7 +176,7 @@
         comment: str = "",
         merge: bool = False,
         size: int = 0,
-    ) -> tx.Proposal:
+    ) -> Proposal:
         number = self.transactions.in_force.number if base is None else base
         return self.transactions.propose(self.now_ms, number, checked, author, comment, merge, size)
 
@@ -195,12 +198,12 @@
         if to is not None and to not in self.transactions.versions:
             return self.commit(self._proposed_from_disk(to, author).number)
         found = self.transactions.rollback(self.now_ms, author, to)
-        if isinstance(found, tx.Proposal):
+        if isinstance(found, Proposal):
             return self.commit(found.number)
         self._carry_out()
         return found
 
-    def _proposed_from_disk(self, to: int, author: str) -> tx.Proposal:
+    def _proposed_from_disk(self, to: int, author: str) -> Proposal:
         confirmed = any(row["version"] == to and row["state"] == "confirmed" for row in self._rows_before)
         data = self._history.content(to) if self._history is not None and confirmed else None
         if data is None:
@@ -217,11 +220,11 @@
         rows = list(self.transactions.record().versions)
         numbers = {row["version"] for row in rows}
         before = [row for row in self._rows_before if row["version"] not in numbers]
-        return sorted([*before, *rows], key=lambda row: int(row["version"]))[-tx.MOST_RECORDS :]
+        return sorted([*before, *rows], key=lambda row: int(row["version"]))[-MOST_RECORDS:]
 
     async def settled(self, version: Version, over: bool = False) -> Version:
         """Wait until a version is in force or has ended; with `over`, until it has ended."""
-        while version.state not in tx.OVER and (over or version.state not in tx.RUNNING):
+        while version.state not in OVER and (over or version.state not in RUNNING):
             await self.changed.wait()
         return version
 
@@ -241,22 +244,22 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def _act(self, action: tx.Action) -> None:
-        if isinstance(action, tx.Stage):
+    def _act(self, action: Action) -> None:
+        if isinstance(action, Stage):
             self._spawn(self._stage(action.version))
-        elif isinstance(action, tx.Unstage):
+        elif isinstance(action, Unstage):
             self._unstage(action.version)
-        elif isinstance(action, tx.Save):
+        elif isinstance(action, Save):
             self._queue_save(action.step, action.version)
-        elif isinstance(action, tx.Apply):
+        elif isinstance(action, Apply):
             self._enter(action.version)
-        elif isinstance(action, tx.Retire):
+        elif isinstance(action, Retire):
             running = self.running.get(action.version.number)
             if running is not None:
                 self.front.retire(running)
-        elif isinstance(action, tx.Watch):
+        elif isinstance(action, Watch):
             self._begin_watch(action.version)
-        elif isinstance(action, tx.Unwatch):
+        elif isinstance(action, Unwatch):
             if action.version.state is State.TAKEN_BACK:
                 self.watch.forget()
             else:
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -7,8 +7,9 @@
 
 import pytest
 
-from sandhatch.config.check import CheckError, check, check_text, pool_settings
+from sandhatch.config.check import check, check_text, pool_settings
 from sandhatch.config.document import read
+from sandhatch.config.errors import CheckError
 from tests.config.samples import checked, sample
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/config/test_diff.py
+++ b/tests/config/test_diff.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from sandhatch.config.diff import MergeError, diff, merge, overlap
+from sandhatch.config.diff import diff, merge, overlap
+from sandhatch.config.errors import MergeError
 from tests.config.samples import BASE, sample
 
 
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from sandhatch.config.document import MAX_BYTES, DocumentError, parse, read
+from sandhatch.config.document import MAX_BYTES, parse, read
+from sandhatch.config.errors import DocumentError
 
 
 def test_scalars_follow_the_core_schema() -> None:
--- a/tests/config/test_planning.py
+++ b/tests/config/test_planning.py
@@ -9,7 +9,7 @@
 import pytest
 
 from sandhatch.config.check import check_text, pool_settings
-from sandhatch.config.document import CheckError
+from sandhatch.config.errors import CheckError
 from tests.config.samples import sample
 
 PEER = {"address": "127.0.0.1:7000"}
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -13,10 +13,13 @@
 
 import pytest
 
-from sandhatch.config import transactions as tx
+from sandhatch.config.actions import Apply, Retire, Save, Say, Stage, Unstage, Watch
 from sandhatch.config.check import Checked, check_text
-from sandhatch.config.history import History, HistoryError, seal, unseal
-from sandhatch.config.transactions import OVER, WAYS, Refusal, RejectedError, State, Transactions, Version
+from sandhatch.config.errors import HistoryError, Refusal, RejectedError
+from sandhatch.config.history import History, seal, unseal
+from sandhatch.config.proposals import MOST_PROPOSALS, MOST_PROPOSED_BYTES, PROPOSAL_MS, Proposal
+from sandhatch.config.transactions import MOST_RECORDS, Transactions
+from sandhatch.config.version import OVER, RUNNING, TRANSITIONS, State, Version
 from tests.config.samples import BASE, checked, sample
 
 
@@ -41,21 +44,21 @@
 
     def act(self) -> None:
         for action in self.machine.take():
-            if isinstance(action, tx.Stage):
+            if isinstance(action, Stage):
                 self.staging.append(action.version)
-            elif isinstance(action, tx.Save):
+            elif isinstance(action, Save):
                 record = self.machine.record()
                 self.saves.append(action.step)
                 self.disk = (record.confirmed, record.pending)
-            elif isinstance(action, tx.Apply):
+            elif isinstance(action, Apply):
                 self.in_force = action.version
-            elif isinstance(action, tx.Retire):
+            elif isinstance(action, Retire):
                 self.retired.append(action.version.number)
-            elif isinstance(action, tx.Unstage):
+            elif isinstance(action, Unstage):
                 self.unstaged.append(action.version.number)
-            elif isinstance(action, tx.Watch):
+            elif isinstance(action, Watch):
                 self.watched.append(action.version.number)
-            elif isinstance(action, tx.Say):
+            elif isinstance(action, Say):
                 self.said.append(action.text)
         assert self.in_force is self.machine.in_force
 
@@ -258,7 +261,7 @@
     owner.confirmed_with(WEB3)
     owner.confirmed_with(WEB4, 2)
     proposal = owner.machine.rollback(owner.now)
-    assert isinstance(proposal, tx.Proposal) and proposal.restores == 2
+    assert isinstance(proposal, Proposal) and proposal.restores == 2
     version = owner.machine.commit(owner.now, proposal.number)
     assert version.number == 4 and version.data == WEB3
 
@@ -288,21 +291,21 @@
         owner.stage()
         owner.save()
         owner.save()
-    assert len(owner.machine.versions) <= tx.MOST_RECORDS and not owner.machine.proposals
+    assert len(owner.machine.versions) <= MOST_RECORDS and not owner.machine.proposals
     assert owner.in_force.number == 10_001
 
 
 def test_proposals_are_bounded_and_age() -> None:
     owner = Owner()
-    for _ in range(tx.MOST_PROPOSALS):
+    for _ in range(MOST_PROPOSALS):
         owner.propose(WEB3)
     with rejected(Refusal.FULL):
         owner.propose(WEB3)
-    owner.now += tx.PROPOSAL_MS + 1.0
+    owner.now += PROPOSAL_MS + 1.0
     owner.propose(WEB3)
     assert len(owner.machine.proposals) == 1
     with rejected(Refusal.FULL):
-        owner.machine.propose(owner.now, 1, checked(WEB3), size=tx.MOST_PROPOSED_BYTES + 1)
+        owner.machine.propose(owner.now, 1, checked(WEB3), size_bytes=MOST_PROPOSED_BYTES + 1)
 
 
 def test_the_table_of_states_has_an_end_for_each() -> None:
@@ -311,7 +314,7 @@
         while todo:
             at = todo.pop()
             seen.add(at)
-            todo += [to for to in WAYS[at] if to not in seen]
+            todo += [to for to in TRANSITIONS[at] if to not in seen]
         assert seen & OVER
 
 
@@ -337,7 +340,7 @@
             assert machine.in_force in (machine.confirmed, pending), where
             assert machine.confirmed.state is State.CONFIRMED, where
             if machine.in_force is not machine.confirmed:
-                assert pending is not None and pending.state in tx.RUNNING, where
+                assert pending is not None and pending.state in RUNNING, where
                 assert owner.disk in ((machine.confirmed.number, pending.number), (pending.number, 0)), where
             moving = [v for v in machine.versions.values() if v.state not in OVER]
             assert moving == ([pending] if pending else []), where
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -18,7 +18,7 @@
 import yaml
 
 from sandhatch.cli import commands as cli
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from sandhatch.control.calls import Calls
 from sandhatch.control.framing import CallError, LineReader, encode
 from sandhatch.control.server import ControlError, ControlServer
--- a/tests/planning/test_versions.py
+++ b/tests/planning/test_versions.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from tests.planning.harness import planning, until
 from tests.service.harness import Farm, run, serving
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -10,7 +10,7 @@
 
 from sandhatch.config.check import check_text
 from sandhatch.config.history import History
-from sandhatch.config.transactions import State, Version
+from sandhatch.config.version import State, Version
 from sandhatch.service.service import Service
 from sandhatch.service.versions import RequestRecord
 from sandhatch.upstream.pool import ConnectionPool
--- a/tests/service/test_sources.py
+++ b/tests/service/test_sources.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from sandhatch.service import pools
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -14,8 +14,8 @@
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
 from sandhatch.balancing.policy.balancer import SlowStart
-from sandhatch.config.check import CheckError
-from sandhatch.config.transactions import Refusal, RejectedError, State
+from sandhatch.config.errors import CheckError, Refusal, RejectedError
+from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.load import Load
 from testkit.ports import free_port
