--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -1,12 +1,14 @@
-"""Versions on a disk that lasts: written whole or not at all, checked when read.
+"""The state directory: versions that outlast the process.
 
-A directory holds `state.json`, the copy before it (`state.json.old`), and one `NUMBER.json` a version. A
-file is written beside its place, flushed to the disk and renamed over it; each holds a checksum of its
-content. The content of a version is there before a state names it. So a kill at any byte leaves a state that
-is whole and versions that it can use; a torn or damaged file is told from a good one and never used.
+A file is complete or not there, and is checked when it is read. The directory holds `state.json`, the state
+before it (`state.json.old`) and one `NUMBER.json` a version. Each file starts with a checksum of its content;
+it is written beside its final name, flushed to the disk and renamed. A version's content is there before a
+state names it. So a kill at any byte leaves an intact state and the versions that it needs, and a truncated
+or damaged file is recognised and never used.
 
-A version that was pending when the process ended was never confirmed: it is told as lost, and the confirmed
-one is used. It decides nothing else.
+A version that was pending when the process ended was never confirmed: it is reported as lost, and the
+confirmed one is used. This module decides nothing else. The keys and the layout are those of stored data and
+must not change; `tests/config/fixtures` holds a directory that an earlier version of the program wrote.
 """
 
 from __future__ import annotations
@@ -23,11 +25,28 @@
 from sandhatch.config.errors import HistoryError
 
 FORMAT = 1
+STATE_FILE = "state.json"
+PREVIOUS_STATE_FILE = "state.json.old"
+SPARE_FILE = "state.json.spare"  # a second link to the state, before it becomes the previous one
+LOCK_FILE = "lock"
+DIRECTORY_MODE = 0o700
+FILE_MODE = 0o600
+LOST_STATE = "lost"  # `version.State.LOST` as it is stored
+LOST_REASON = "the process ended before it was confirmed"
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, frozen=True)
 class Saved:
-    """What was found: the confirmed version and its content, what was lost, and the rows of the history."""
+    """What the directory holds.
+
+    Attributes:
+        confirmed: The number of the last confirmed version, which is to be used.
+        data: Its content.
+        next_number: The number of the next version.
+        lost: The number of the version that was never confirmed; 0 for none.
+        rows: The rows of the history, oldest first; see `Version.row`.
+        notes: Warnings about damaged files that were not used.
+    """
 
     confirmed: int
     data: dict[str, Any]
@@ -38,29 +57,42 @@
 
 
 def seal(content: Any) -> bytes:
+    """Return a file's bytes: the checksum in one line, the content as JSON in the next."""
     body = json.dumps(content, sort_keys=True, separators=(",", ":")).encode()
     return sha256(body).hexdigest().encode() + b"\n" + body + b"\n"
 
 
 def unseal(data: bytes) -> Any:
-    """The content; ValueError if it is not whole."""
+    """Return the content of a file's bytes; ValueError if they are truncated or damaged."""
     digest, _, body = data.partition(b"\n")
     if not body.endswith(b"\n") or sha256(body[:-1]).hexdigest().encode() != digest:
         raise ValueError("the checksum does not fit")
     return json.loads(body)
 
 
+def _no_step(name: str) -> None:
+    """Do nothing before a step."""
+
+
 class History:
-    """One process's directory; a second process is refused it. `step` is called before each write and rename:
-    tests end the process there.
-    """
+    """The state directory of one process, locked against a second one."""
+
+    def __init__(self, directory: str | Path, step: Callable[[str], None] = _no_step) -> None:
+        """Create the directory if it isn't there, and lock it.
+
+        Args:
+            directory: Its path.
+            step: Called with a name before each write, rename and flush; tests end the process there.
 
-    def __init__(self, directory: str, step: Callable[[str], None] = lambda name: None) -> None:
+        Raises:
+            HistoryError: The directory can't be used, or another process uses it.
+        """
         self._directory = Path(directory)
         self._step = step
         try:
-            self._directory.mkdir(mode=0o700, parents=True, exist_ok=True)
-            self._lock = os.open(self._directory / "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600)
+            self._directory.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
+            flags = os.O_CREAT | os.O_RDWR | os.O_CLOEXEC
+            self._lock = os.open(self._directory / LOCK_FILE, flags, FILE_MODE)
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(self._lock)
@@ -69,54 +101,63 @@
             raise HistoryError(f"{directory}: {problem.strerror}") from None
 
     def close(self) -> None:
+        """Release the lock."""
         os.close(self._lock)
 
+    # -------------------------------------------- reading
+
     def load(self) -> Saved | None:
-        """What is to be used now; None where nothing was saved yet."""
-        notes = []
-        found = False
-        for name in ("state.json", "state.json.old"):
+        """Return what is to be used at this start; None where nothing was saved yet.
+
+        Raises:
+            HistoryError: There are states, but none of them is intact.
+        """
+        notes: list[str] = []
+        for name in (STATE_FILE, PREVIOUS_STATE_FILE):
             path = self._directory / name
             if not path.exists():
                 continue
-            found = True
             try:
-                state = unseal(path.read_bytes())
-                saved = self._saved(state)
+                return self._read(path, notes)
             except (OSError, ValueError, KeyError, TypeError) as problem:
                 notes.append(f"{path}: not used: {problem}")
-                continue
-            saved.notes = notes
-            return saved
-        if found:
+        if notes:
             raise HistoryError("; ".join(notes))
         return None
 
-    def _saved(self, state: dict[str, Any]) -> Saved:
+    def _read(self, path: Path, notes: list[str]) -> Saved:
+        """Read a state and the content of its confirmed version."""
+        state = unseal(path.read_bytes())
         if state["format"] != FORMAT:
             raise ValueError(f"format {state['format']!r} is not {FORMAT}")
         number = int(state["confirmed"])
-        data = self._content(number)
+        data = self._read_content(number)
         if not isinstance(data, dict):
             raise ValueError(f"version {number} holds no mapping")
         rows = list(state["versions"])
         pending = int(state["pending"])
         for row in rows:
             if row["version"] == pending:
-                row["state"], row["why"] = "lost", "the process ended before it was confirmed"
-        return Saved(number, data, int(state["next"]), pending, rows)
+                row["state"] = LOST_STATE
+                row["why"] = LOST_REASON
+        return Saved(number, data, int(state["next"]), pending, rows, notes)
 
-    def _content(self, number: int) -> Any:
-        return unseal((self._directory / f"{number}.json").read_bytes())
+    def _read_content(self, number: int) -> Any:
+        return unseal(self._content_path(number).read_bytes())
+
+    def _content_path(self, number: int) -> Path:
+        return self._directory / f"{number}.json"
 
     def content(self, number: int) -> dict[str, Any] | None:
-        """A version's content, None if it is not there or not whole."""
+        """Return a version's content; None if it is not there or damaged."""
         try:
-            data = self._content(number)
+            data = self._read_content(number)
         except (OSError, ValueError):
             return None
         return data if isinstance(data, dict) else None
 
+    # -------------------------------------------- writing
+
     def save(
         self,
         confirmed: int,
@@ -125,9 +166,20 @@
         rows: list[dict[str, Any]],
         contents: dict[int, dict[str, Any]],
     ) -> None:
-        """Contents first, then the state that names them; then what no state names any more goes."""
+        """Write contents first, then the state that names them; then remove what no state names any more.
+
+        Args:
+            confirmed: The number of the version to use at the next start.
+            pending: The number of the version that is not confirmed yet; 0 for none.
+            next_number: The number of the next version.
+            rows: The rows of the history, oldest first; see `Version.row`.
+            contents: The content of versions by number; those already there are not written a second time.
+
+        Raises:
+            OSError: The disk can't be written.
+        """
         for number, data in contents.items():
-            path = self._directory / f"{number}.json"
+            path = self._content_path(number)
             if not path.exists():
                 self._write(path, seal(data))
         state = {
@@ -137,39 +189,40 @@
             "next": next_number,
             "versions": rows,
         }
-        path = self._directory / "state.json"
-        before = self._named(path)
-        self._keep_old(path)
+        path = self._directory / STATE_FILE
+        needed_before = self._named_versions(path)
+        self._keep_previous(path)
         self._write(path, seal(state))
-        self._sweep(before | self._named(path))
+        self._remove_contents_except(needed_before | self._named_versions(path))
 
     @staticmethod
-    def _named(path: Path) -> set[int]:
-        """The versions whose content a state may need."""
+    def _named_versions(path: Path) -> set[int]:
+        """Return the versions whose content a state may need."""
         try:
             state = unseal(path.read_bytes())
         except (OSError, ValueError):
             return set()
         return {int(row["version"]) for row in state["versions"]} | {state["confirmed"], state["pending"]}
 
-    def _keep_old(self, path: Path) -> None:
-        old = path.with_name("state.json.old")
+    def _keep_previous(self, path: Path) -> None:
+        """Make the state the previous one as well, without a moment at which neither is there."""
         if path.exists():
             self._step("link")
-            spare = path.with_name("state.json.spare")
+            spare = path.with_name(SPARE_FILE)
             spare.unlink(missing_ok=True)
-            os.link(path, spare)
-            spare.replace(old)
+            spare.hardlink_to(path)
+            spare.replace(path.with_name(PREVIOUS_STATE_FILE))
 
     def _write(self, path: Path, data: bytes) -> None:
+        """Write beside the final name, flush to the disk, rename, and flush the directory."""
         part = path.with_name(path.name + ".part")
         self._step(f"write {path.name}")
-        with open(os.open(part, os.O_CREAT | os.O_WRONLY | os.O_TRUNC, 0o600), "wb") as file:
-            half = len(data) // 2
-            file.write(data[:half])
+        with os.fdopen(os.open(part, os.O_CREAT | os.O_WRONLY | os.O_TRUNC, FILE_MODE), "wb") as file:
+            middle = len(data) // 2  # in two halves, so that tests can end the process between them
+            file.write(data[:middle])
             file.flush()
             self._step(f"half {path.name}")
-            file.write(data[half:])
+            file.write(data[middle:])
             file.flush()
             os.fsync(file.fileno())
         self._step(f"rename {path.name}")
@@ -181,7 +234,7 @@
         finally:
             os.close(directory)
 
-    def _sweep(self, kept: set[int]) -> None:
+    def _remove_contents_except(self, needed: set[int]) -> None:
         for path in self._directory.glob("*.json"):
-            if path.stem.isdigit() and int(path.stem) not in kept:
+            if path.stem.isdigit() and int(path.stem) not in needed:
                 path.unlink(missing_ok=True)
--- a/tests/config/test_yield_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -1,51 +1,19 @@
-"""The watch after a change: what trips it and what must not, and its test of ranks."""
+"""The goodput watch after a change: what it reports as a fall and what it must not report."""
 
 from __future__ import annotations
 
-from itertools import combinations
 from random import Random
 
-import pytest
+from sandhatch.config.goodput_watch import ALL, Fall, GoodputWatch
 
-from sandhatch.config.goodput_watch import ALL, Fall, GoodputWatch, correlation_length, rank_test
-
-BLOCK = 500.0
-
-
-def exact_by_hand(before: list[float], after: list[float]) -> float:
-    values = [*after, *before]
-    ranks = [sum(v < x for v in values) + (sum(v == x for v in values) + 1) / 2 for x in values]
-    observed = sum(ranks[: len(after)])
-    sums = [sum(choice) for choice in combinations(ranks, len(after))]
-    return sum(total <= observed + 1e-9 for total in sums) / len(sums)
-
-
-def test_the_rank_test_counts_every_way_to_choose() -> None:
-    rng = Random(3)
-    for _ in range(40):
-        before = [rng.choice([0.5, 0.8, 0.9, 1.0]) for _ in range(9)]
-        after = [rng.choice([0.4, 0.8, 1.0]) for _ in range(rng.randrange(1, 5))]
-        assert rank_test(before, after) == pytest.approx(exact_by_hand(before, after))
-
-
-def test_the_normal_approximation_is_near_the_exact_one() -> None:
-    rng = Random(4)
-    before = [rng.random() for _ in range(60)]
-    after = [rng.random() * 0.8 for _ in range(7)]
-    import sandhatch.config.goodput_watch as module
-
-    ranks = module._doubled_midranks([*after, *before])
-    exact = module._exact(ranks, 7, sum(ranks[:7]))
-    assert rank_test(before, after) == pytest.approx(exact, rel=0.25, abs=0.01)
-    assert rank_test([1.0] * 20, [1.0] * 20) == 1.0
-    assert rank_test([], [1.0]) == 1.0
+BLOCK_MS = 500.0
 
 
 class Run:
-    """Feeds a watch block by block; the yield and the load of each block are the caller's."""
+    """Feeds a watch block by block; the goodput and the load of each block are the test's."""
 
     def __init__(self, seed: int = 1, before_ms: float = 30_000.0) -> None:
-        self.watch = GoodputWatch(BLOCK, before_ms)
+        self.watch = GoodputWatch(BLOCK_MS, before_ms)
         self.rng = Random(seed)
         self.now = 0.0
 
@@ -53,11 +21,11 @@
         self, in_time: float, requests: int = 20, pool: str = "web", name: str = "order"
     ) -> Fall | None:
         for n in range(requests):
-            came = self.now + BLOCK * (n + 0.5) / requests
-            self.watch.came(came, name, pool, 5.0)
+            arrived = self.now + BLOCK_MS * (n + 0.5) / requests
+            self.watch.came(arrived, name, pool, 5.0)
             good = self.rng.random() < in_time
-            self.watch.over(came, name, pool, 5.0, good, not good)
-        self.now += BLOCK
+            self.watch.over(arrived, name, pool, 5.0, good, not good)
+        self.now += BLOCK_MS
         return self.watch.close(self.now, 2_000.0)
 
     def begin(self, **more: frozenset[str]) -> None:
@@ -65,11 +33,11 @@
 
 
 def noisy(rng: Random) -> float:
-    """A yield that is mostly good, and in one block of six much worse: one burst spoils many requests."""
+    """A goodput that is mostly high, and in one block of six much lower: one burst fails many requests."""
     return rng.uniform(0.3, 0.8) if rng.random() < 0.16 else rng.uniform(0.93, 1.0)
 
 
-def test_a_fall_is_found_within_half_of_the_window_and_told() -> None:
+def test_a_fall_is_found_within_half_of_the_window_and_described() -> None:
     run = Run(1, 60_000.0)
     for _ in range(120):
         assert run.block(noisy(run.rng)) is None
@@ -79,28 +47,28 @@
     fall = falls[at]
     assert fall is not None and fall.name == ALL
     assert fall.before > 0.85 and fall.after < 0.6 and fall.rejected_after > 0.3
-    assert "the yield of all classes fell from 0." in str(fall)
+    assert "the goodput of all classes fell from 0." in str(fall)
 
 
-def test_a_fall_of_one_class_is_found_though_the_rest_is_well() -> None:
+def test_a_fall_of_one_class_is_found_though_the_other_classes_are_well() -> None:
     run = Run()
     for after in range(100):
         if after == 60:
             run.begin()
         for n in range(30):
-            came = run.now + BLOCK * (n + 0.5) / 30
+            arrived = run.now + BLOCK_MS * (n + 0.5) / 30
             name = "order" if n % 30 == 0 else "look"
-            run.watch.came(came, name, "web", 1.0)
-            run.watch.over(came, name, "web", 1.0, name == "look" or after < 60, False)
-        run.now += BLOCK
+            run.watch.came(arrived, name, "web", 1.0)
+            run.watch.over(arrived, name, "web", 1.0, name == "look" or after < 60, False)
+        run.now += BLOCK_MS
         fall = run.watch.close(run.now, 2_000.0)
         if fall:
             break
     assert fall is not None and fall.name == "order"
 
 
-def test_two_hundred_good_changes_under_noise_are_left_alone() -> None:
-    """False alarms over whole watches, with bursts that spoil blocks before and after alike."""
+def test_two_hundred_good_changes_under_noise_raise_no_alarm() -> None:
+    """False alarms over whole watches, with bursts that affect blocks before and after alike."""
     alarms = 0
     for seed in range(200):
         run = Run(seed)
@@ -111,8 +79,8 @@
     assert alarms == 0
 
 
-def test_two_hundred_good_changes_under_bursts_longer_than_a_block_are_left_alone() -> None:
-    """A burst spoils up to eight blocks in a row, before and after alike: one sample, and not eight. The
+def test_two_hundred_good_changes_under_bursts_longer_than_a_block_raise_no_alarm() -> None:
+    """A burst affects up to eight blocks in a row, before and after alike: one sample, and not eight. The
     watch knows of them only if it has seen one, so it looks back a minute, as it does by default.
     """
     alarms = 0
@@ -145,15 +113,6 @@
     assert at <= 9 and "a collapse over" in str(falls[at])
 
 
-def test_the_length_of_correlation() -> None:
-    rng = Random(1)
-    alone = [rng.random() for _ in range(120)]
-    assert correlation_length(alone) <= 2
-    bursts = [float(n % 24 >= 6) for n in range(120)]
-    assert 3 <= correlation_length(bursts) <= 12
-    assert correlation_length([1.0] * 50) == 1 and correlation_length([]) == 1
-
-
 def test_a_rise_of_load_that_fills_the_pool_is_no_fall() -> None:
     """Three times the requests, of which as many as before are served: the change made nothing worse."""
     run = Run()
@@ -168,7 +127,7 @@
     assert any(worse.block(0.1, 60) for _ in range(40))  # more load, and less served than before
 
 
-def test_only_the_pools_that_a_change_touches_are_held_against_it() -> None:
+def test_only_the_pools_that_a_change_touches_are_compared() -> None:
     run = Run()
     for _ in range(60):
         run.block(0.98, 20, "other")
@@ -176,7 +135,7 @@
     assert not any(run.block(0.2, 20, "other") for _ in range(40))
 
 
-def test_too_little_before_says_nothing() -> None:
+def test_too_few_blocks_before_a_change_report_nothing() -> None:
     run = Run()
     for _ in range(5):
         run.block(1.0)
@@ -184,23 +143,23 @@
     assert not any(run.block(0.0) for _ in range(20))
 
 
-def test_blocks_wait_for_slow_requests_but_not_past_the_longest_aim() -> None:
-    watch = GoodputWatch(BLOCK, 30_000.0)
+def test_blocks_wait_for_slow_requests_but_not_past_the_longest_objective() -> None:
+    watch = GoodputWatch(BLOCK_MS, 30_000.0)
     for n in range(40):
-        watch.came(n * BLOCK, "order", "web", 1.0)
-        watch.over(n * BLOCK, "order", "web", 1.0, True, False)
-    watch.close(40 * BLOCK, 2_000.0)
-    watch.begin(40 * BLOCK, 30_000.0, 0.01, 0.05)
+        watch.came(n * BLOCK_MS, "order", "web", 1.0)
+        watch.over(n * BLOCK_MS, "order", "web", 1.0, True, False)
+    watch.close(40 * BLOCK_MS, 2_000.0)
+    watch.begin(40 * BLOCK_MS, 30_000.0, 0.01, 0.05)
     for n in range(41, 52):  # answers never come
         for _ in range(20):
-            watch.came(n * BLOCK + 1.0, "order", "web", 1.0)
-    assert watch.close(52 * BLOCK, 10_000_000.0) is None
-    fall = watch.close(52 * BLOCK + 2_000.0, 2_000.0)
+            watch.came(n * BLOCK_MS + 1.0, "order", "web", 1.0)
+    assert watch.close(52 * BLOCK_MS, 10_000_000.0) is None
+    fall = watch.close(52 * BLOCK_MS + 2_000.0, 2_000.0)
     assert fall is not None and fall.after == 0.0
-    watch.over(45 * BLOCK, "order", "web", 1.0, True, False)  # too late to count
+    watch.over(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # too late to count
 
 
-def test_after_a_confirmation_what_was_seen_becomes_the_before() -> None:
+def test_after_a_confirmation_the_blocks_since_are_those_before_the_next_change() -> None:
     run = Run()
     for _ in range(60):
         run.block(1.0)
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -1,15 +1,17 @@
-"""The state directory: what earlier versions of the program stored can be opened."""
+"""The state directory: what earlier versions stored can be opened, and a kill at any step loses nothing."""
 
 from __future__ import annotations
 
 import shutil
 from collections.abc import Iterator
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 from sandhatch.config.check import check_text
-from sandhatch.config.history import History, seal
+from sandhatch.config.errors import HistoryError
+from sandhatch.config.history import History, seal, unseal
 
 STATE_BEFORE_RENAME = Path(__file__).parent / "fixtures" / "state-before-rename"
 
@@ -69,3 +71,135 @@
         assert data["pools"]["web"].get("max_attempts") == attempts
         assert seal(data) == (STATE_BEFORE_RENAME / f"{number}.json").read_bytes()
     assert history_before_rename.content(5) is None
+
+
+class Killed(BaseException):
+    """Stands for the end of the process."""
+
+
+class Killer:
+    """Ends the process, as far as the disk can tell, before its nth step; never for 0."""
+
+    def __init__(self, at_step: int) -> None:
+        self.left = at_step
+        self.steps: list[str] = []
+
+    def __call__(self, name: str) -> None:
+        self.steps.append(name)
+        self.left -= 1
+        if self.left == 0:
+            raise Killed
+
+
+def save(history: History, confirmed: int, pending: int, contents: dict[int, Any]) -> None:
+    rows = [{"version": n, "state": "x", "why": ""} for n in (confirmed, pending) if n]
+    history.save(confirmed, pending, max(confirmed, pending) + 1, rows, contents)
+
+
+STEPS: list[tuple[int, int, dict[int, Any]]] = [
+    (1, 0, {1: {"v": 1}}),  # the first start
+    (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit: staged, pending
+    (2, 0, {2: {"v": 2}}),  # confirm
+    (2, 3, {2: {"v": 2}, 3: {"v": 3}}),  # the next commit
+    (2, 0, {2: {"v": 2}}),  # rollback
+]
+
+
+def test_a_kill_at_every_step_leaves_one_complete_version(tmp_path: Path) -> None:
+    """The process is killed at every write, half a write, rename and flush of a first start, a commit, a
+    confirmation and a rollback. What is loaded afterwards is what was confirmed before that step, or after
+    it, and never anything else.
+    """
+    never_killed = Killer(0)
+    history = History(str(tmp_path / "complete"), never_killed)
+    for step in STEPS:
+        save(history, *step)
+    history.close()
+    assert len(never_killed.steps) > 25
+    for killed_at, step_name in enumerate(never_killed.steps, start=1):
+        directory = tmp_path / str(killed_at)
+        killer = Killer(killed_at)
+        history = History(str(directory), killer)
+        before = None
+        try:
+            for step in STEPS:
+                after = step
+                save(history, *step)
+                before = step
+        except Killed:
+            pass
+        history.close()
+        reopened = History(str(directory))
+        saved = reopened.load()
+        if before is None:
+            assert saved is None or saved.data == {"v": 1}, step_name
+        else:
+            assert saved is not None, step_name
+            assert (saved.confirmed, saved.lost) in (before[:2], after[:2]), step_name
+            assert saved.data == {"v": saved.confirmed}
+            save(reopened, *STEPS[-1])  # and it goes on from there
+        reopened.close()
+
+
+def test_a_state_truncated_at_any_byte_is_not_used(tmp_path: Path) -> None:
+    history = History(str(tmp_path))
+    for step in STEPS[:3]:
+        save(history, *step)
+    path = tmp_path / "state.json"
+    complete = path.read_bytes()
+    for size in range(len(complete)):
+        path.write_bytes(complete[:size])
+        saved = history.load()
+        assert saved is not None and saved.data == {"v": 1} and saved.lost == 2 and saved.notes, size
+    flipped = bytearray(complete)
+    flipped[len(complete) // 2] ^= 1
+    path.write_bytes(flipped)
+    saved = history.load()
+    assert saved is not None and saved.confirmed == 1
+    (tmp_path / "state.json.old").write_bytes(b"")
+    with pytest.raises(HistoryError, match="checksum"):
+        history.load()
+    history.close()
+
+
+def test_a_version_that_was_never_confirmed_is_not_used_again(tmp_path: Path) -> None:
+    history = History(str(tmp_path))
+    for step in STEPS[:4]:
+        save(history, *step)
+    history.close()
+    history = History(str(tmp_path))
+    saved = history.load()
+    assert saved is not None
+    assert (saved.confirmed, saved.lost, saved.next_number) == (2, 3, 4)
+    assert saved.rows[-1]["state"] == "lost"
+    history.close()
+
+
+def test_a_second_process_is_refused_the_directory(tmp_path: Path) -> None:
+    history = History(str(tmp_path))
+    with pytest.raises(HistoryError, match="in use"):
+        History(str(tmp_path))
+    history.close()
+    History(str(tmp_path)).close()
+    (tmp_path / "file").write_text("")
+    with pytest.raises(HistoryError):
+        History(str(tmp_path / "file"))
+
+
+def test_contents_that_no_state_names_are_removed(tmp_path: Path) -> None:
+    history = History(str(tmp_path))
+    for step in STEPS:
+        save(history, *step)
+    for _ in range(2):  # the state before still names what came before it
+        save(history, 4, 0, {4: {"v": 4}})
+    assert sorted(p.name for p in tmp_path.glob("[0-9]*.json")) == ["4.json"]
+    assert history.content(4) == {"v": 4} and history.content(2) is None
+    assert (tmp_path / "4.json").stat().st_mode & 0o077 == 0
+    history.close()
+
+
+def test_a_truncated_or_damaged_file_does_not_pass_its_checksum() -> None:
+    assert unseal(seal({"a": [1]})) == {"a": [1]}
+    for broken in (b"", seal(1)[:-1], b"x" + seal(1)):
+        with pytest.raises(ValueError, match="checksum"):
+            unseal(broken)
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -5,9 +5,7 @@
 from __future__ import annotations
 
 import json
-import os
 from contextlib import suppress
-from pathlib import Path
 from random import Random
 from typing import Any
 
@@ -15,8 +13,7 @@
 
 from sandhatch.config.actions import Apply, Retire, Save, Say, Stage, Unstage, Watch
 from sandhatch.config.check import Checked, check_text
-from sandhatch.config.errors import HistoryError, Refusal, RejectedError
-from sandhatch.config.history import History, seal, unseal
+from sandhatch.config.errors import Refusal, RejectedError
 from sandhatch.config.proposals import MOST_PROPOSALS, MOST_PROPOSED_BYTES, PROPOSAL_MS, Proposal
 from sandhatch.config.transactions import MOST_RECORDS, Transactions
 from sandhatch.config.version import OVER, RUNNING, TRANSITIONS, State, Version
@@ -212,9 +209,9 @@
 def test_a_fall_takes_it_back_and_says_why() -> None:
     owner = Owner()
     version = owner.in_force_with(WEB3)
-    owner.machine.fell(version, "the yield fell")
+    owner.machine.fell(version, "the goodput fell")
     owner.act()
-    assert version.state is State.TAKEN_BACK and version.why == "the yield fell"
+    assert version.state is State.TAKEN_BACK and version.why == "the goodput fell"
     owner.machine.fell(version, "again")
     assert owner.machine.take() == []
 
@@ -373,138 +370,3 @@
         machine.fell(machine.pending, "fell") if rng.random() < 0.5 else machine.confirm()
     else:
         machine.tick(owner.now)
-
-
-# ------------------------------------------------ the history on disk
-
-
-class Killed(BaseException):
-    pass
-
-
-class Killer:
-    """Ends the process, as far as the disk can tell, before its nth step."""
-
-    def __init__(self, at: int) -> None:
-        self.left = at
-        self.steps: list[str] = []
-
-    def __call__(self, name: str) -> None:
-        self.steps.append(name)
-        self.left -= 1
-        if self.left == 0:
-            raise Killed
-
-
-def save(history: History, confirmed: int, pending: int, contents: dict[int, Any]) -> None:
-    rows = [{"version": n, "state": "x", "why": ""} for n in (confirmed, pending) if n]
-    history.save(confirmed, pending, max(confirmed, pending) + 1, rows, contents)
-
-
-STEPS: list[tuple[int, int, dict[int, Any]]] = [
-    (1, 0, {1: {"v": 1}}),  # the first start
-    (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit: staged, pending
-    (2, 0, {2: {"v": 2}}),  # confirm
-    (2, 3, {2: {"v": 2}, 3: {"v": 3}}),  # the next commit
-    (2, 0, {2: {"v": 2}}),  # rollback
-]
-
-
-def test_a_kill_at_every_step_leaves_one_whole_version(tmp_path: Path) -> None:
-    """Every write, half a write, rename and flush of first start, commit, confirm and rollback is a place to
-    die at; what is found afterwards is what was confirmed before that step, or after it, and never anything
-    else.
-    """
-    whole = Killer(0)
-    history = History(str(tmp_path / "whole"), whole)
-    for step in STEPS:
-        save(history, *step)
-    history.close()
-    assert len(whole.steps) > 25
-    for at in range(1, len(whole.steps) + 1):
-        directory = tmp_path / str(at)
-        killer = Killer(at)
-        history = History(str(directory), killer)
-        before = None
-        try:
-            for step in STEPS:
-                after = step
-                save(history, *step)
-                before = step
-        except Killed:
-            pass
-        history.close()
-        again = History(str(directory))
-        saved = again.load()
-        if before is None:
-            assert saved is None or saved.data == {"v": 1}, whole.steps[at - 1]
-        else:
-            assert saved is not None, whole.steps[at - 1]
-            assert (saved.confirmed, saved.lost) in (before[:2], after[:2]), whole.steps[at - 1]
-            assert saved.data == {"v": saved.confirmed}
-            save(again, *STEPS[-1])  # and it goes on from there
-        again.close()
-
-
-def test_a_state_cut_at_any_byte_is_not_used(tmp_path: Path) -> None:
-    history = History(str(tmp_path))
-    for step in STEPS[:3]:
-        save(history, *step)
-    path = tmp_path / "state.json"
-    whole = path.read_bytes()
-    for size in range(len(whole)):
-        path.write_bytes(whole[:size])
-        saved = history.load()
-        assert saved is not None and saved.data == {"v": 1} and saved.lost == 2 and saved.notes, size
-    flipped = bytearray(whole)
-    flipped[len(whole) // 2] ^= 1
-    path.write_bytes(flipped)
-    saved = history.load()
-    assert saved is not None and saved.confirmed == 1
-    (tmp_path / "state.json.old").write_bytes(b"")
-    with pytest.raises(HistoryError, match="checksum"):
-        history.load()
-    history.close()
-
-
-def test_a_version_that_was_never_confirmed_is_not_used_again(tmp_path: Path) -> None:
-    history = History(str(tmp_path))
-    for step in STEPS[:4]:
-        save(history, *step)
-    history.close()
-    history = History(str(tmp_path))
-    saved = history.load()
-    assert saved is not None
-    assert (saved.confirmed, saved.lost, saved.next_number) == (2, 3, 4)
-    assert saved.rows[-1]["state"] == "lost"
-    history.close()
-
-
-def test_a_directory_has_one_process(tmp_path: Path) -> None:
-    history = History(str(tmp_path))
-    with pytest.raises(HistoryError, match="in use"):
-        History(str(tmp_path))
-    history.close()
-    History(str(tmp_path)).close()
-    (tmp_path / "file").write_text("")
-    with pytest.raises(HistoryError):
-        History(str(tmp_path / "file"))
-
-
-def test_what_no_state_names_goes(tmp_path: Path) -> None:
-    history = History(str(tmp_path))
-    for step in STEPS:
-        save(history, *step)
-    for _ in range(2):  # the state before still names what came before it
-        save(history, 4, 0, {4: {"v": 4}})
-    assert sorted(p.name for p in tmp_path.glob("[0-9]*.json")) == ["4.json"]
-    assert history.content(4) == {"v": 4} and history.content(2) is None
-    assert os.stat(tmp_path / "4.json").st_mode & 0o077 == 0
-    history.close()
-
-
-def test_seals() -> None:
-    assert unseal(seal({"a": [1]})) == {"a": [1]}
-    for broken in (b"", seal(1)[:-1], b"x" + seal(1)):
-        with pytest.raises(ValueError, match="checksum"):
-            unseal(broken)
