--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -9,7 +9,8 @@
 from random import Random
 from time import perf_counter
 
-from sandhatch.routing.table import Query, Route, RouteTable
+from sandhatch.routing.route import Query, Route
+from sandhatch.routing.table import RouteTable
 
 SIZES = (10, 100, 1_000, 10_000)
 LOOKUPS = 20_000
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -8,10 +8,10 @@
 
 from pydantic import Field, ValidationError, model_validator
 
-from sandhatch.config.check import in_order, model_problems
 from sandhatch.config.document import Document, read
 from sandhatch.config.errors import CheckError
 from sandhatch.config.model import AddressText, KeyText, Model, Name
+from sandhatch.config.problems import model_problems, sorted_problems
 
 
 class PlannerConfig(Model):
@@ -54,7 +54,7 @@
     try:
         return PlannerConfig.model_validate(document.data)
     except ValidationError as failure:
-        raise CheckError(in_order(list(model_problems(document, failure)), document)) from None
+        raise CheckError(sorted_problems(model_problems(document, failure), document)) from None
 
 
 def check_planner_file(path: str) -> PlannerConfig:
--- /dev/null
+++ b/sandhatch/config/pool_settings.py
@@ -0,0 +1,48 @@
+"""The settings of a pool's balancer, out of the configuration.
+
+The one place where keys of the configuration meet the names of `balancing.settings`; the keys are those of
+docs/operators/configuration.md. Never checks: the model is checked before.
+"""
+
+from __future__ import annotations
+
+from sandhatch.balancing.settings import Effect, RequestClass, Settings, Tenant
+from sandhatch.config.model import Class, Configuration, Pool
+
+MAX_RETRY_AFTER_MS = 2_000.0
+
+
+def pool_settings(model: Configuration, pool: Pool) -> Settings:
+    """Return the settings of one pool's balancer; classes and tenants are the same in every pool."""
+    return Settings(
+        classes=[_request_class(name, request_class) for name, request_class in model.classes.items()],
+        tenants=[Tenant(tenant.quota_per_s, tenant.fraction, name) for name, tenant in model.tenants.items()],
+        instance_index=model.planning.place if model.planning is not None else 0,
+        instances=pool.copies,
+        ramp_per_s=pool.ramp_per_s,
+        ramp_burst=pool.ramp_burst,
+        tier=pool.tier,
+        tiers=pool.tier + 1,
+        polled_discovery=bool(pool.source and pool.source.ask),
+        one_shot_watches=pool.source is not None,
+        initial_capacity_share=pool.cold_share,
+        warm_up_ms=pool.cold_ms,
+        max_attempts=pool.max_attempts,
+        may_cancel=pool.may_cancel,
+        hedging_allowed=pool.second_copies,
+        connection_idle_ms=pool.idle_ms,
+        connect_timeout_ms=pool.connect_timeout_ms,
+        retry_advice=True,
+        max_retry_after_ms=MAX_RETRY_AFTER_MS,
+    )
+
+
+def _request_class(name: str, request_class: Class) -> RequestClass:
+    return RequestClass(
+        objective_ms=request_class.aim_ms,
+        deadline_ms=request_class.deadline_ms,
+        effect=Effect(request_class.effect),
+        priority_weight=request_class.worth,
+        deduplication_ms=request_class.memory_ms,
+        name=name,
+    )
--- a/sandhatch/routing/__init__.py
+++ b/sandhatch/routing/__init__.py
@@ -1,1 +1,5 @@
-"""Routes and pools: a request's way to one pool. It does no I/O, and draws only what a seed gives."""
+"""Which route a request takes, and which pool or answer that route leads to.
+
+Pure functions and immutable tables: no I/O, no clock, no random draws of its own. The routes come from
+`sandhatch.config`.
+"""
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -7,8 +7,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from sandhatch.config.check import pool_settings
 from sandhatch.config.model import Configuration, Planning
+from sandhatch.config.pool_settings import pool_settings
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared import SharedResources
 from sandhatch.service.pools import RunningPool, StageError
--- a/sandhatch/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -14,13 +14,15 @@
 from uuid import uuid4
 
 from sandhatch.balancing.events import RequestArrived
-from sandhatch.config.check import Checked, pool_settings
+from sandhatch.config.check import Checked
+from sandhatch.config.pool_settings import pool_settings
 from sandhatch.config.version import Version
 from sandhatch.dispatch.dispatcher import Exchange
 from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
 from sandhatch.http1.message import FramingError, Message
-from sandhatch.routing.table import Answer, Query, Split, Target
+from sandhatch.routing.route import Query
+from sandhatch.routing.targets import Answer, Split, Target
 from sandhatch.runtime.shared import SharedResources
 from sandhatch.service.pools import RunningPool
 from sandhatch.streaming.flow import StreamTerms
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from sandhatch.config.check import check, check_text, pool_settings
+from sandhatch.config.check import check, check_text
 from sandhatch.config.document import read
 from sandhatch.config.errors import CheckError
+from sandhatch.config.pool_settings import pool_settings
 from tests.config.samples import checked, sample
 
 ROOT = Path(__file__).parent.parent.parent
--- a/tests/config/test_planning.py
+++ b/tests/config/test_planning.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from sandhatch.config.check import check_text, pool_settings
+from sandhatch.config.check import check_text
 from sandhatch.config.errors import CheckError
+from sandhatch.config.pool_settings import pool_settings
 from tests.config.samples import sample
 
 PEER = {"address": "127.0.0.1:7000"}
