--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -1,8 +1,8 @@
-"""Two configurations compared key by key, and three merged. Pure.
+"""Two configurations compared key by key, and three merged. No I/O.
 
-A configuration is taken as its leaves: `("pools", "web", "max_attempts")` and its value. A list of
-mappings that have a `name` is flattened by the names, with its order as one leaf more, so that a route keeps
-its key when another is put before it. Any other list is one leaf.
+A configuration is taken as its leaves, such as `("pools", "web", "max_attempts")`, and their values. A list
+of mappings that have a `name` is flattened by the names, with its order as one more leaf, so that a route
+keeps its key when another is put before it. Any other list is one leaf. Never interprets a key.
 """
 
 from __future__ import annotations
@@ -15,13 +15,28 @@
 from sandhatch.config.errors import MergeError
 
 Key = tuple[str, ...]
-ORDER = "(order)"
-ABSENT: Any = type("Absent", (), {"__repr__": lambda self: "(absent)"})()
+ORDER = "(order)"  # the leaf for the order of a list that is flattened by names
+
+
+class _Absent:
+    """Stands for a value that is not there."""
+
+    def __repr__(self) -> str:
+        return "(absent)"
+
+
+ABSENT: Any = _Absent()
 
 
 @dataclass(slots=True, frozen=True)
 class Change:
-    """One leaf that differs; ABSENT stands for one that is not there."""
+    """One leaf that differs.
+
+    Attributes:
+        key: Where it stands.
+        before: Its value before; ABSENT if it was not there.
+        after: Its value after; ABSENT if it is not there.
+    """
 
     key: Key
     before: Any
@@ -29,9 +44,11 @@
 
     @property
     def path(self) -> str:
+        """The key as users write it."""
         return dotted(self.key)
 
     def __str__(self) -> str:
+        """Format the change as one line, with a sign for added, removed or changed."""
         if self.before is ABSENT:
             return f"+ {self.path}: {self.after!r}"
         if self.after is ABSENT:
@@ -39,87 +56,130 @@
         return f"~ {self.path}: {self.before!r} -> {self.after!r}"
 
 
-def _named(value: Any) -> bool:
-    return (
-        isinstance(value, list)
-        and bool(value)
-        and all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in value)
-        and len({item["name"] for item in value}) == len(value)
-    )
+# ------------------------------------------------ comparing
+
+
+def diff(before: Any, after: Any) -> list[Change]:
+    """Return the leaves that differ, by key. Parts that are equal cost one comparison."""
+    changes: list[Change] = []
+    _compare((), before, after, changes)
+    return sorted(changes, key=lambda change: change.key)
+
+
+def _compare(key: Key, before: Any, after: Any, changes: list[Change]) -> None:
+    if before == after:
+        return
+    if isinstance(before, dict) and isinstance(after, dict) and ((before and after) or not key):
+        for name in before.keys() | after.keys():
+            _compare((*key, name), before.get(name, ABSENT), after.get(name, ABSENT), changes)
+    elif _is_named_list(before) and _is_named_list(after):
+        _compare_named_lists(key, before, after, changes)
+    else:
+        _compare_leaves(key, before, after, changes)
+
+
+def _compare_named_lists(
+    key: Key, before: list[dict[str, Any]], after: list[dict[str, Any]], changes: list[Change]
+) -> None:
+    before_by_name = _by_name(before)
+    after_by_name = _by_name(after)
+    names_before = list(before_by_name)
+    names_after = list(after_by_name)
+    if names_before != names_after:
+        changes.append(Change((*key, ORDER), names_before, names_after))
+    for name in before_by_name.keys() | after_by_name.keys():
+        item_before = _without_name(before_by_name.get(name, ABSENT))
+        item_after = _without_name(after_by_name.get(name, ABSENT))
+        _compare((*key, name), item_before, item_after, changes)
+
+
+def _compare_leaves(key: Key, before: Any, after: Any, changes: list[Change]) -> None:
+    leaves_before = dict(_leaves(key, before))
+    leaves_after = dict(_leaves(key, after))
+    for leaf in leaves_before.keys() | leaves_after.keys():
+        change = Change(leaf, leaves_before.get(leaf, ABSENT), leaves_after.get(leaf, ABSENT))
+        if not _same(change.before, change.after):
+            changes.append(change)
 
 
 def _leaves(key: Key, value: Any) -> Iterator[tuple[Key, Any]]:
+    """Yield each leaf of a value and its key; nothing for ABSENT."""
+    if value is ABSENT:
+        return
     if isinstance(value, dict) and (value or not key):
-        for name, item in value.items():
-            yield from _leaves((*key, name), item)
-    elif _named(value):
+        for name, part in value.items():
+            yield from _leaves((*key, name), part)
+    elif _is_named_list(value):
         yield (*key, ORDER), [item["name"] for item in value]
         for item in value:
-            yield from _leaves((*key, item["name"]), _unnamed(item))
+            yield from _leaves((*key, item["name"]), _without_name(item))
     else:
         yield key, value
 
 
-def diff(before: Any, after: Any) -> list[Change]:
-    """The leaves that differ, by key. Parts that are equal cost a comparison and are not walked through."""
-    found: list[Change] = []
-    _compare((), before, after, found)
-    return sorted(found, key=lambda change: change.key)
+def _is_named_list(value: Any) -> bool:
+    """Whether it is a list of mappings that each have a name of their own."""
+    return (
+        isinstance(value, list)
+        and bool(value)
+        and all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in value)
+        and len({item["name"] for item in value}) == len(value)
+    )
 
 
-def _compare(key: Key, before: Any, after: Any, found: list[Change]) -> None:
-    if before == after:
-        return
-    if isinstance(before, dict) and isinstance(after, dict) and ((before and after) or not key):
-        for name in before.keys() | after.keys():
-            _compare((*key, name), before.get(name, ABSENT), after.get(name, ABSENT), found)
-    elif _named(before) and _named(after):
-        old, new = ({item["name"]: item for item in side} for side in (before, after))
-        if list(old) != list(new):
-            found.append(Change((*key, ORDER), list(old), list(new)))
-        for name in old.keys() | new.keys():
-            _compare((*key, name), _unnamed(old.get(name, ABSENT)), _unnamed(new.get(name, ABSENT)), found)
-    else:
-        gone, come = (dict(_leaves(key, side)) if side is not ABSENT else {} for side in (before, after))
-        for leaf in gone.keys() | come.keys():
-            change = Change(leaf, gone.get(leaf, ABSENT), come.get(leaf, ABSENT))
-            if not _same(change.before, change.after):
-                found.append(change)
+def _by_name(items: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
+    return {item["name"]: item for item in items}
 
 
-def _unnamed(item: Any) -> Any:
+def _without_name(item: Any) -> Any:
     return item if item is ABSENT else {key: value for key, value in item.items() if key != "name"}
 
 
-def _same(one: Any, other: Any) -> bool:
-    return type(one) is type(other) and bool(one == other)
+def _same(value: Any, other: Any) -> bool:
+    """Whether two values are equal and of one type: 1 is neither 1.0 nor True."""
+    return type(value) is type(other) and bool(value == other)
+
+
+# ------------------------------------------------ conflicts and merges
 
 
 def overlap(mine: list[Change], theirs: list[Change]) -> list[str]:
-    """The keys that two changes of one base both touch: the same leaf, or a leaf and what holds it. A leaf
-    that both bring to the same value is no conflict.
+    """Return the keys that two changes of one base both touch, as users write them.
+
+    They touch the same leaf, or one a leaf and the other what holds it. A leaf that both change to the same
+    value is no conflict.
     """
-    by_key = {change.key: change for change in theirs}
-    above = {change.key[:n]: change.key for change in theirs for n in range(1, len(change.key))}
-    found = set()
+    their_changes = {change.key: change for change in theirs}
+    their_holders = {holder for change in theirs for holder in _holders(change.key)}
+    conflicts: set[Key] = set()
     for change in mine:
-        other = by_key.get(change.key)
+        other = their_changes.get(change.key)
         if other is not None:
             if not _same(change.after, other.after):
-                found.add(change.key)
-        elif change.key in above:
-            found.add(change.key)
+                conflicts.add(change.key)
+        elif change.key in their_holders:
+            conflicts.add(change.key)
         else:
-            found.update(change.key[:n] for n in range(1, len(change.key)) if change.key[:n] in by_key)
-    return [dotted(key) for key in sorted(found)]
+            conflicts.update(holder for holder in _holders(change.key) if holder in their_changes)
+    return [dotted(key) for key in sorted(conflicts)]
+
+
+def _holders(key: Key) -> Iterator[Key]:
+    """Yield the keys of everything that holds a leaf, outermost first."""
+    for length in range(1, len(key)):
+        yield key[:length]
 
 
 def merge(base: Any, mine: Any, theirs: Any) -> Any:
-    """`theirs` with what `mine` changed from `base`; MergeError where both changed the same. The order of a
-    named list is theirs, with what is new in mine behind the one it stood behind there.
+    """Return `theirs` with what `mine` changed from `base`.
+
+    The order of a named list is that of `theirs`; what is new in `mine` stands behind the item that it stood
+    behind there.
+
+    Raises:
+        MergeError: Both changed the same keys.
     """
-    changes, others = diff(base, mine), diff(base, theirs)
-    keys = [key for key in overlap(changes, others) if not key.endswith(ORDER)]
+    keys = [key for key in overlap(diff(base, mine), diff(base, theirs)) if not key.endswith(ORDER)]
     if keys:
         raise MergeError(keys)
     return _merge(base, mine, theirs)
@@ -131,31 +191,35 @@
     if _same(theirs, base):
         return mine
     if isinstance(mine, dict) and isinstance(theirs, dict):
-        before = base if isinstance(base, dict) else {}
-        keys = [*theirs, *(key for key in mine if key not in theirs)]
-        merged = {
-            key: _merge(before.get(key, ABSENT), mine.get(key, ABSENT), theirs.get(key, ABSENT))
-            for key in keys
-        }
-        return {key: value for key, value in merged.items() if value is not ABSENT}
-    if all(_named(item) or item in ([], ABSENT) for item in (mine, theirs)):
-        return _merge_named(base, mine, theirs)
+        return _merge_mappings(base, mine, theirs)
+    if all(_is_named_list(side) or side in ([], ABSENT) for side in (mine, theirs)):
+        return _merge_named_lists(base, mine, theirs)
     return mine
 
 
-def _merge_named(base: Any, mine: Any, theirs: Any) -> list[Any]:
-    by_name = [
-        {item["name"]: item for item in side} if isinstance(side, list) else {}
-        for side in (base, mine, theirs)
-    ]
-    order = list(by_name[2])
+def _merge_mappings(base: Any, mine: dict[str, Any], theirs: dict[str, Any]) -> dict[str, Any]:
+    base_values = base if isinstance(base, dict) else {}
+    keys = [*theirs, *(key for key in mine if key not in theirs)]
+    merged = {}
+    for key in keys:
+        value = _merge(base_values.get(key, ABSENT), mine.get(key, ABSENT), theirs.get(key, ABSENT))
+        if value is not ABSENT:
+            merged[key] = value
+    return merged
+
+
+def _merge_named_lists(base: Any, mine: Any, theirs: Any) -> list[Any]:
+    base_by_name = _by_name(base) if isinstance(base, list) else {}
+    my_by_name = _by_name(mine) if isinstance(mine, list) else {}
+    their_by_name = _by_name(theirs) if isinstance(theirs, list) else {}
+    order = list(their_by_name)
     previous: str | None = None
-    for name in by_name[1]:
-        if name not in by_name[2]:
+    for name in my_by_name:
+        if name not in their_by_name:
             order.insert(order.index(previous) + 1 if previous in order else 0, name)
         previous = name
     merged = [
-        _merge(by_name[0].get(name, ABSENT), by_name[1].get(name, ABSENT), by_name[2].get(name, ABSENT))
+        _merge(base_by_name.get(name, ABSENT), my_by_name.get(name, ABSENT), their_by_name.get(name, ABSENT))
         for name in order
     ]
     return [item for item in merged if item is not ABSENT]
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -10,8 +10,8 @@
 
 from sandhatch.config.document import Document, read
 from sandhatch.config.errors import CheckError
-from sandhatch.config.model import AddressText, KeyText, Model, Name
 from sandhatch.config.problems import model_problems, sorted_problems
+from sandhatch.config.value_types import AddressText, KeyText, Model, Name
 
 
 class PlannerConfig(Model):
--- a/sandhatch/config/pool_settings.py
+++ b/sandhatch/config/pool_settings.py
@@ -7,7 +7,9 @@
 from __future__ import annotations
 
 from sandhatch.balancing.settings import Effect, RequestClass, Settings, Tenant
-from sandhatch.config.model import Class, Configuration, Pool
+from sandhatch.config.class_model import RequestClassModel
+from sandhatch.config.model import Configuration
+from sandhatch.config.pool_model import Pool
 
 MAX_RETRY_AFTER_MS = 2_000.0
 
@@ -37,7 +39,7 @@
     )
 
 
-def _request_class(name: str, request_class: Class) -> RequestClass:
+def _request_class(name: str, request_class: RequestClassModel) -> RequestClass:
     return RequestClass(
         objective_ms=request_class.aim_ms,
         deadline_ms=request_class.deadline_ms,
--- a/sandhatch/config/references.py
+++ b/sandhatch/config/references.py
@@ -10,7 +10,9 @@
 
 from sandhatch.config.document import Document, KeyPath
 from sandhatch.config.errors import Problem
-from sandhatch.config.model import Configuration, Match, Pool, Server, Target
+from sandhatch.config.model import Configuration
+from sandhatch.config.pool_model import Pool, Server
+from sandhatch.config.route_model import Match, TargetModel
 
 MOST_NAMES_SHOWN = 8
 
@@ -71,7 +73,7 @@
                 text = f"{host!r}: a host without port is wanted, or *. and a host"
                 self._error((*path, "hosts", index), text)
 
-    def _check_target(self, path: KeyPath, target: Target) -> None:
+    def _check_target(self, path: KeyPath, target: TargetModel) -> None:
         if target.pool is not None:
             self._check_pool_name((*path, "pool"), target.pool)
         if target.weighted is not None:
--- a/sandhatch/config/route_compilation.py
+++ b/sandhatch/config/route_compilation.py
@@ -1,18 +1,16 @@
 """The routes of a checked model, compiled into those of the route table.
 
 Names become bytes, patterns become compiled regular expressions. Never finds errors: the model is checked
-before. Source: `model.Route` and `routing.table.Route`.
+before. Source: `route_model` and `routing.route`.
 """
 
 from __future__ import annotations
 
 import re2
 
-from sandhatch.config.model import HeaderMatch, Target
-from sandhatch.config.model import Route as RouteModel
+from sandhatch.config.route_model import HeaderMatch, RouteModel, TargetModel
 from sandhatch.routing.route import HeaderTest, Route, Test
-from sandhatch.routing.targets import Answer, Split, WeightedPool
-from sandhatch.routing.targets import Target as CompiledTarget
+from sandhatch.routing.targets import Answer, Split, Target, WeightedPool
 
 
 def compile_route(route: RouteModel) -> Route:
@@ -33,7 +31,7 @@
     )
 
 
-def compile_target(target: Target, salt: bytes) -> CompiledTarget:
+def compile_target(target: TargetModel, salt: bytes) -> Target:
     """Compile the target of a route.
 
     Args:
--- /dev/null
+++ b/sandhatch/config/value_types.py
@@ -0,0 +1,63 @@
+"""The types of single values in a configuration: names, addresses, patterns, paths, times.
+
+Each checks its value by itself and says what would be right. None knows of another key. The base class of all
+models is here too.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+import re2
+from pydantic import AfterValidator, BaseModel, ConfigDict, Field, StringConstraints
+
+from sandhatch.runtime.address import read_address
+
+MOST_PATTERN_CHARACTERS = 1024
+MOST_PATTERN_MEMORY_BYTES = 1 << 20
+MOST_PATH_CHARACTERS = 4096
+
+
+class Model(BaseModel):
+    """The base of all models: unknown keys are errors, values keep their type, nothing changes later."""
+
+    model_config = ConfigDict(extra="forbid", frozen=True, strict=True, hide_input_in_errors=True)
+
+
+def _check_address(text: str) -> str:
+    read_address(text)
+    return text
+
+
+def _check_pattern(text: str) -> str:
+    # RE2's dialect: its matching takes linear time, so no pattern can occupy the one core.
+    options = re2.Options()
+    options.log_errors = False
+    options.max_mem = MOST_PATTERN_MEMORY_BYTES
+    try:
+        re2.compile(text, options)
+    except re2.error as problem:
+        reason = problem.args[0] if problem.args else ""
+        reason = reason.decode("utf-8", "replace") if isinstance(reason, bytes) else str(reason)
+        raise ValueError(f"not a regular expression of RE2: {reason}") from None
+    return text
+
+
+def _check_path(text: str) -> str:
+    if not text.startswith("/"):
+        raise ValueError("a path starts with /")
+    if "?" in text or "#" in text:
+        raise ValueError("a path is matched without its query; it holds no ? or #")
+    return text
+
+
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$"
+Name = Annotated[str, StringConstraints(pattern=NAME_PATTERN)]
+Milliseconds = Annotated[float, Field(gt=0, le=3_600_000)]
+HeaderName = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,128}$")]
+AddressText = Annotated[str, AfterValidator(_check_address)]
+Pattern = Annotated[
+    str, StringConstraints(max_length=MOST_PATTERN_CHARACTERS), AfterValidator(_check_pattern)
+]
+KeyText = Annotated[str, StringConstraints(pattern=r"^[0-9a-fA-F]{64}$")]  # 32 bytes
+PathText = Annotated[str, StringConstraints(max_length=MOST_PATH_CHARACTERS), AfterValidator(_check_path)]
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -7,7 +7,8 @@
 
 from typing import TYPE_CHECKING, Any
 
-from sandhatch.config.model import Configuration, Planning
+from sandhatch.config.model import Configuration
+from sandhatch.config.planning_model import Planning
 from sandhatch.config.pool_settings import pool_settings
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared import SharedResources
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -21,7 +21,7 @@
 from sandhatch.balancing.events import ServerState
 from sandhatch.balancing.state_transfer import inherit
 from sandhatch.config.check import Checked
-from sandhatch.config.model import Pool
+from sandhatch.config.pool_model import Pool
 from sandhatch.config.pool_settings import pool_settings
 from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing, Names
 from sandhatch.discovery.static import StaticServer, StaticSource
