--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -1,4 +1,8 @@
-"""What the platform tells the balancer: GW_CONFIG and the environment, into one typed object."""
+"""What the platform configures: the file that GW_CONFIG names and the environment, as one typed object.
+
+Needs none of the extras. Errors name the key and the value; the keys and variables are the platform's.
+Source: docs PROTOCOL and DEPLOY of the platform.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 import resource
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
+from pathlib import Path
 from typing import Any
 
 from sandhatch.balancing.errors import SettingsError
@@ -15,11 +20,31 @@
 from sandhatch.runtime.process import grant_descriptors
 from sandhatch.simulator.codec import decode_settings
 
-MEMORY_MB = 64.0  # taken where no limit is stated
+DEFAULT_MEMORY_MB = 64.0
+LEAST_MEMORY_MB = 16
+LEAST_SOCKETS = 32
+MOST_NUMBER = 1e9  # above any limit or time that makes sense
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of the platform's program.
+
+    Attributes:
+        name: Of this instance.
+        listen: Where clients connect to.
+        discovery: Where endpoint lists come from.
+        seed: Of all random draws.
+        sockets: The descriptors that this process may hold.
+        memory_mb: The memory budget.
+        settings: Those of the balancer.
+        zones: The names of the zones, by their number.
+        kinds: The names of the machine types, by their number.
+        report_names: The names of a load report's values, in the order of the settings.
+        drain_grace_ms: From the notice that a server is draining to the last attempt that may be sent to it.
+        known: The endpoint lists that are known at the start.
+    """
+
     name: str
     listen: Address
     discovery: Address
@@ -29,92 +54,120 @@
     settings: Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    report_names: tuple[str, ...]  # of a load report's values, in the settings' order
+    report_names: tuple[str, ...]
     drain_grace_ms: float
     known: dict[str, Any] = field(default_factory=dict)
 
 
-def _object(data: Any, key: str) -> dict[str, Any]:
-    if not isinstance(data, dict):
-        raise ConfigError(f"{key}: {data!r:.200} is not an object")
-    return data
-
-
-def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
-    value = data.get(key, [])
-    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-        raise ConfigError(f"settings.{key}: {value!r:.200} is not a list of names")
-    return tuple(value)
-
-
-def _seed(value: object) -> int:
-    try:
-        return int(value, 16) if isinstance(value, str) else int(str(value))
-    except ValueError:
-        raise ConfigError(f"seed: {value!r} is not a hexadecimal number") from None
-
-
-def _sockets(data: dict[str, Any]) -> int:
-    """The descriptors this process may hold: the stated limit or the system's, whichever is less."""
-    stated: Any = _object(data.get("limits", {}), "limits").get(
-        "sockets", resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    )
-    if isinstance(stated, bool) or not isinstance(stated, int) or stated < 32:
-        raise ConfigError(f"limits.sockets: {stated!r} is not a whole number of at least 32")
-    return grant_descriptors(stated)
-
-
-def _memory(data: dict[str, Any]) -> float:
-    stated = _object(data.get("limits", {}), "limits").get("memory_mb", MEMORY_MB)
-    if isinstance(stated, bool) or not isinstance(stated, int | float) or not 16 <= stated < 1e9:
-        raise ConfigError(f"limits.memory_mb: {stated!r} is not a number of at least 16")
-    return float(stated)
+def decode(text: str, env: Mapping[str, str], again: bool = False) -> Config:
+    """Decode the file's text and the environment, which goes first where both give the same.
 
+    Args:
+        text: A JSON object.
+        env: The environment.
+        again: Whether the file is reloaded: its discovery goes first then, since the environment still gives
+            the address of the start.
 
-def decode(text: str, env: Mapping[str, str], again: bool = False) -> Config:
-    """The file's text and the environment, which goes first where both tell the same. When the file is read
-    `again`, its discovery goes first: the environment still tells the address from the start.
+    Raises:
+        ConfigError: Names the key and the value that can't be used.
     """
     try:
-        data = json.loads(text)
+        parsed = json.loads(text)
     except (ValueError, RecursionError) as problem:
         raise ConfigError(f"GW_CONFIG: not JSON: {problem}") from None
-    data = _object(data, "GW_CONFIG")
-    facts = _object(data.get("settings"), "settings")
-    try:
-        settings = decode_settings(json.dumps(facts).encode())
-    except SettingsError as problem:
-        raise ConfigError(f"settings: {problem}") from None
-    rules = _object(facts.get("Guarantees", {}), "settings.Guarantees")
-    grace = rules.get("DrainGraceMs", 0.0)
-    if isinstance(grace, bool) or not isinstance(grace, int | float) or not 0 <= grace < 1e9:
-        raise ConfigError(f"settings.Guarantees.DrainGraceMs: {grace!r} is not a time in milliseconds")
-    discovery = (data.get("discovery"), env.get("GW_DISCOVERY"))
+    data = _object(parsed, "GW_CONFIG")
+    settings_data = _object(data.get("settings"), "settings")
+    settings = _settings(settings_data)
+    drain_grace_ms = _drain_grace_ms(settings_data)
     return Config(
         name=str(env.get("GW_NAME") or data.get("name", "")),
         listen=parse_address(env.get("GW_LISTEN") or data.get("listen"), "listen"),
-        discovery=parse_address(
-            discovery[0] or discovery[1] if again else discovery[1] or discovery[0], "discovery"
-        ),
+        discovery=_discovery(data, env, again),
         seed=_seed(data.get("seed", "0")),
-        sockets=_sockets(data),
-        memory_mb=_memory(data),
-        settings=replace(settings, one_shot_watches=True),
-        zones=_names(facts, "Zones"),
-        kinds=_names(facts, "MachineTypes"),
-        report_names=_names(_object(facts.get("Stats", {}), "settings.Stats"), "Fields"),
-        drain_grace_ms=float(grace),
+        sockets=_sockets(_limits(data)),
+        memory_mb=_memory_mb(_limits(data)),
+        settings=settings,
+        zones=_names(settings_data, "Zones"),
+        kinds=_names(settings_data, "MachineTypes"),
+        report_names=_names(_object(settings_data.get("Stats", {}), "settings.Stats"), "Fields"),
+        drain_grace_ms=drain_grace_ms,
         known=_object(data.get("known") or {}, "known"),
     )
 
 
 def load(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
+    """Read and decode the file that GW_CONFIG names; the arguments and errors are those of `decode`."""
     path = env.get("GW_CONFIG")
     if not path:
         raise ConfigError(f"GW_CONFIG: {path!r} names no file")
     try:
-        with open(path, encoding="utf-8") as file:
-            text = file.read()
+        text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as problem:
         raise ConfigError(f"GW_CONFIG: {path!r} can't be read: {problem}") from None
     return decode(text, env, again)
+
+
+def _object(data: Any, key: str) -> dict[str, Any]:
+    if not isinstance(data, dict):
+        raise ConfigError(f"{key}: {data!r:.200} is not an object")
+    return data
+
+
+def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
+    names = data.get(key, [])
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
+        raise ConfigError(f"settings.{key}: {names!r:.200} is not a list of names")
+    return tuple(names)
+
+
+def _settings(data: dict[str, Any]) -> Settings:
+    try:
+        settings = decode_settings(json.dumps(data).encode())
+    except SettingsError as problem:
+        raise ConfigError(f"settings: {problem}") from None
+    return replace(settings, one_shot_watches=True)
+
+
+def _drain_grace_ms(settings: dict[str, Any]) -> float:
+    guarantees = _object(settings.get("Guarantees", {}), "settings.Guarantees")
+    grace_ms = guarantees.get("DrainGraceMs", 0.0)
+    if isinstance(grace_ms, bool) or not isinstance(grace_ms, int | float) or not 0 <= grace_ms < MOST_NUMBER:
+        raise ConfigError(f"settings.Guarantees.DrainGraceMs: {grace_ms!r} is not a time in milliseconds")
+    return float(grace_ms)
+
+
+def _discovery(data: dict[str, Any], env: Mapping[str, str], again: bool) -> Address:
+    in_file = data.get("discovery")
+    in_environment = env.get("GW_DISCOVERY")
+    return parse_address(in_file or in_environment if again else in_environment or in_file, "discovery")
+
+
+def _seed(value: object) -> int:
+    try:
+        return int(value, 16) if isinstance(value, str) else int(str(value))
+    except ValueError:
+        raise ConfigError(f"seed: {value!r} is not a hexadecimal number") from None
+
+
+def _limits(data: dict[str, Any]) -> dict[str, Any]:
+    return _object(data.get("limits", {}), "limits")
+
+
+def _sockets(limits: dict[str, Any]) -> int:
+    """Return the descriptors that this process may hold: the configured limit or the system's, if lower."""
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    configured: Any = limits.get("sockets", soft_limit)
+    if isinstance(configured, bool) or not isinstance(configured, int) or configured < LEAST_SOCKETS:
+        raise ConfigError(f"limits.sockets: {configured!r} is not a whole number of at least {LEAST_SOCKETS}")
+    return grant_descriptors(configured)
+
+
+def _memory_mb(limits: dict[str, Any]) -> float:
+    configured = limits.get("memory_mb", DEFAULT_MEMORY_MB)
+    if (
+        isinstance(configured, bool)
+        or not isinstance(configured, int | float)
+        or not LEAST_MEMORY_MB <= configured < MOST_NUMBER
+    ):
+        raise ConfigError(f"limits.memory_mb: {configured!r} is not a number of at least {LEAST_MEMORY_MB}")
+    return float(configured)
