--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -1,219 +1,165 @@
-"""`sandhatch planner ...`: run a planner, ask a running one, make keys. Exit codes as of the other verbs."""
+"""The verbs `planner ...`: run a planner, check its configuration, ask a running one, make keys.
+
+Exit codes are those of the other verbs. The planner itself is `sandhatch.planning`, loaded only by the verbs
+that need it. Source: docs/operators/planning.md.
+"""
 
 from __future__ import annotations
 
 import argparse
-import asyncio
-import json
 import os
 import signal
-from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, TextIO
+from typing import Any
 
-from sandhatch.cli.messages import warn
+from sandhatch.cli.console import Console, ExitCode, warn
+from sandhatch.cli.service_call import TIMEOUT_S, Answer, show_rejection
+from sandhatch.cli.verbs import Handler, VerbParsers, add_control_option, add_json_option
 from sandhatch.config.errors import CheckError
+from sandhatch.config.planner import PlannerConfig, check_planner_file
 from sandhatch.control.client import Client
-from sandhatch.control.framing import fault
 from sandhatch.runtime.environment import renamed_variable
-from sandhatch.runtime.text_table import table
-
-if TYPE_CHECKING:
-    from sandhatch.config.planner import PlannerConfig
-    from sandhatch.planning.server import PlannerServer
-
-OK, FAILED = 0, 1
-CONTROL = "sandhatch-planner.sock"
-
-Verb = Callable[..., argparse.ArgumentParser]
-
-
-def add_planner_verbs(verb: Verb) -> None:
-    planner = verb("planner", "advise forwarders: run a planner, or ask a running one", control=False)
-    verbs = planner.add_subparsers(dest="planner_verb", required=True, metavar="VERB")
-    default = renamed_variable(os.environ, "PLANNER_CONTROL", warn) or CONTROL
-    for name, text in (
-        ("run", "run a planner"),
-        ("check", "check a planner's configuration without starting"),
-        ("status", "what a running planner knows and advises"),
-        ("key", "make an Ed25519 key, or a shared one"),
-        ("public", "the public key to a private one"),
-    ):
-        sub = verbs.add_parser(name, help=text, description=text)
-        if name in ("run", "status"):
-            sub.add_argument(
-                "--control", default=default, metavar="PATH", help="control socket (%(default)s)"
-            )
-        if name == "status":
-            sub.add_argument("--explain", metavar="SERVER", help="why a server gets what it gets: host:port")
-            sub.add_argument("--pool", help="the pool of that server, where it is in several")
-            sub.add_argument("--json", action="store_true", help="the answer as one JSON object")
-        else:
-            sub.add_argument("file")
-        if name == "key":
-            sub.add_argument("--shared", action="store_true", help="one key for all, in place of Ed25519")
 
+DEFAULT_CONTROL = "sandhatch-planner.sock"
+SHARED_KEY_BYTES = 32
+KEY_FILE_MODE = 0o600
+
+POOL_COLUMNS = ("pool", "forwarders", "of", "servers", "cold", "weighed_down", "demand_per_s")
+FORWARDER_COLUMNS = ("name", "heard_ms_ago", "advice", "taken", "conflict")
+
+
+def add_verbs(verbs: VerbParsers) -> None:
+    """Add `planner` and the verbs below it."""
+    planner = verbs.add("planner", "advise forwarders: run a planner, or ask a running one", control=False)
+    subparsers = planner.add_subparsers(dest="planner_verb", required=True, metavar="VERB")
+    default_control = renamed_variable(os.environ, "PLANNER_CONTROL", warn) or DEFAULT_CONTROL
+
+    def add(name: str, text: str, handler: Handler) -> argparse.ArgumentParser:
+        parser = subparsers.add_parser(name, help=text, description=text)
+        parser.set_defaults(handler=handler)
+        return parser
+
+    run = add("run", "run a planner", _run)
+    add_control_option(run, default_control)
+    run.add_argument("file")
+    check = add("check", "check a planner's configuration without starting", _check)
+    check.add_argument("file")
+    status = add("status", "what a running planner knows and advises", _status)
+    add_control_option(status, default_control)
+    status.add_argument("--explain", metavar="SERVER", help="why a server gets what it gets: host:port")
+    status.add_argument("--pool", help="the pool of that server, where it is in several")
+    add_json_option(status)
+    key = add("key", "make an Ed25519 key, or a shared one", _make_key)
+    key.add_argument("file")
+    key.add_argument("--shared", action="store_true", help="one key for all, in place of Ed25519")
+    public = add("public", "the public key to a private one", _show_public_key)
+    public.add_argument("file")
 
-def run_planner_verb(args: argparse.Namespace, out: TextIO, err: TextIO) -> int:
-    if args.planner_verb == "status":
-        return _status(args, out, err)
-    try:
-        if args.planner_verb == "key":
-            return _new_key(args, out)
-        if args.planner_verb == "public":
-            from sandhatch.planning.keys import public_key, read_key
 
-            print(public_key(read_key(args.file)).hex(), file=out)
-            return OK
-        from sandhatch.config.planner import check_planner_file
+# ------------------------------------------------ configuration
 
-        config = check_planner_file(args.file)
+
+def _checked(path: str, console: Console) -> PlannerConfig | None:
+    """Return a planner's configuration; None if it has errors, which are printed then."""
+    try:
+        return check_planner_file(path)
     except CheckError as failure:
-        for problem in failure.problems:
-            print(problem, file=err)
-        return FAILED
+        console.problems(failure.problems)
     except (OSError, ValueError) as problem:
-        print(f"sandhatch: {problem}", file=err)
-        return FAILED
-    if args.planner_verb == "check":
-        print(f"{args.file}: configuration is valid", file=out)
-        return OK
-    import uvloop
+        console.error(problem)
+    return None
+
 
+def _check(args: argparse.Namespace, console: Console) -> int:
+    if _checked(args.file, console) is None:
+        return ExitCode.FAILED
+    console.line(f"{args.file}: configuration is valid")
+    return ExitCode.OK
+
+
+def _run(args: argparse.Namespace, console: Console) -> int:
+    config = _checked(args.file, console)
+    if config is None:
+        return ExitCode.FAILED
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a planner has nothing to reload: it is started anew
-    return uvloop.run(_run(config, args.control, err))
+    # Not at the top: the other verbs start faster without the planner and its event loop.
+    import uvloop
+
+    from sandhatch.cli.planner_program import serve
 
+    return uvloop.run(serve(config, args.control, console))
 
-def _new_key(args: argparse.Namespace, out: TextIO) -> int:
-    """Into a new file that only its owner may read. OSError if there is one already."""
-    from sandhatch.planning.keys import new_private_key, public_key
 
-    key = os.urandom(32) if args.shared else new_private_key()
-    with os.fdopen(os.open(args.file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as file:
-        file.write(key.hex() + "\n")
+# ------------------------------------------------ keys
+
+
+def _make_key(args: argparse.Namespace, console: Console) -> int:
+    """Write a key into a new file that only its owner may read; an existing file is left as it is."""
+    from sandhatch.planning.keys import new_private_key, public_key  # loads the cryptography of the extras
+
+    key = os.urandom(SHARED_KEY_BYTES) if args.shared else new_private_key()
+    try:
+        descriptor = os.open(args.file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, KEY_FILE_MODE)
+        with os.fdopen(descriptor, "w") as file:
+            file.write(key.hex() + "\n")
+    except (OSError, ValueError) as problem:
+        console.error(problem)
+        return ExitCode.FAILED
     if not args.shared:
-        print(f"public key: {public_key(key).hex()}", file=out)
-    return OK
-
-
-# ------------------------------------------------ running
-
-
-class PlannerCalls:
-    """The calls on a planner's control socket."""
-
-    def __init__(self, server: PlannerServer) -> None:
-        self._server = server
-
-    async def run(self, call: dict[str, Any], author: str) -> dict[str, Any]:
-        name = call.get("op")
-        if name == "status":
-            return {"ok": True} | self._server.status()
-        if name == "explain":
-            return self._explain(call.get("server"), call.get("pool"))
-        return fault("invalid", f"op: {name!r:.60} is none; there are: status, explain")
-
-    def _explain(self, address: Any, pool: Any) -> dict[str, Any]:
-        planner, now = self._server.planner, self._server.clock.now_ms()
-        if not isinstance(address, str) or not isinstance(pool, str | None):
-            return fault("invalid", "server: an address as host:port is wanted; pool: a name")
-        found = [
-            told
-            for name in ([pool] if pool is not None else list(planner.pools))
-            if (told := planner.explain(name, address, now)) is not None
-        ]
-        if not found:
-            return fault("unknown", f"no forwarder has named server {address:.80}")
-        return {"ok": True, "servers": found}
-
-
-async def _run(config: PlannerConfig, control_path: str, err: TextIO) -> int:
-    from sandhatch.control.server import ControlError, ControlServer
-    from sandhatch.planning.keys import BadKeyError, identity
-    from sandhatch.planning.planner import PlannerTerms
-    from sandhatch.planning.server import PlannerServer
-    from sandhatch.runtime.address import parse_address
-    from sandhatch.runtime.clock import Clock
-    from sandhatch.runtime.logger import Logger, report_loop_errors
-    from sandhatch.runtime.process import grant_descriptors, settle_collector, stop_event
-
-    loop = asyncio.get_running_loop()
-    stopping = stop_event(loop)
-    logger = Logger(config.name)
-    report_loop_errors(loop, logger)
-    terms = PlannerTerms(
-        lease_ms=config.lease_ms,
-        lend_ms=config.lend_ms,
-        look_ms=config.look_ms,
-        lost_ms=config.lend_ms,
-        enough=config.enough,
-        most_holders=config.most_holders,
-    )
-    most = min(config.most_forwarders, grant_descriptors(config.most_forwarders + 64) - 64)
+        console.line(f"public key: {public_key(key).hex()}")
+    return ExitCode.OK
+
+
+def _show_public_key(args: argparse.Namespace, console: Console) -> int:
+    from sandhatch.planning.keys import public_key, read_key
+
     try:
-        who = identity(config.shared_key_file, config.private_key_file, config.forwarders)
-        address = parse_address(config.listen, "listen")
-        server = PlannerServer(
-            config.name, address, who, Clock(loop), logger.line, terms, config.bytes_per_s, most
-        )
-        await server.start()
-        control = ControlServer(PlannerCalls(server), logger, control_path)
-        await control.start()
-    except (BadKeyError, ControlError, OSError) as problem:
-        print(f"sandhatch: {problem}", file=err)
-        return FAILED
-    settle_collector()
-    logger.line(f"planner {config.name} at {address[0]}:{server.port}; control at {control_path}")
-    await stopping.wait()
-    await control.stop()
-    server.stop()
-    await asyncio.sleep(0.05)  # for the last words to leave
-    return OK
-
-
-# ------------------------------------------------ asking
-
-
-def _status(args: argparse.Namespace, out: TextIO, err: TextIO) -> int:
-    with Client(args.control, 60.0) as client:
+        public = public_key(read_key(args.file))
+    except (OSError, ValueError) as problem:
+        console.error(problem)
+        return ExitCode.FAILED
+    console.line(public.hex())
+    return ExitCode.OK
+
+
+# ------------------------------------------------ status
+
+
+def _status(args: argparse.Namespace, console: Console) -> int:
+    with Client(args.control, TIMEOUT_S) as client:
         if args.explain is not None:
             answer = client.call("explain", server=args.explain, pool=args.pool)
         else:
             answer = client.call("status")
     if args.json:
-        print(json.dumps(answer), file=out)
+        console.json(answer)
     elif not answer.get("ok"):
-        print(f"sandhatch: {answer.get('why')}: {answer.get('text')}", file=err)
+        show_rejection(answer, console)
     elif args.explain is not None:
-        for told in answer["servers"]:
-            _print_explained(told, out)
+        for server in answer["servers"]:
+            _show_explanation(server, console)
     else:
-        _print_status(answer, out)
-    return OK if answer.get("ok") else FAILED
+        _show_status(answer, console)
+    return ExitCode.OK if answer.get("ok") else ExitCode.FAILED
 
 
-def _print_status(answer: dict[str, Any], out: TextIO) -> None:
+def _show_status(answer: Answer, console: Console) -> None:
     state = "learning: it grants nothing new yet" if answer["learning"] else "advising"
-    print(f"planner {answer['name']}, epoch {answer['epoch']}: {state}", file=out)
-    print(f"{answer['reports']} reports, {answer['turned_away']} sessions refused", file=out)
-    pools = ("pool", "forwarders", "of", "servers", "cold", "weighed_down", "demand_per_s")
-    print(table(answer["pools"], pools), file=out)
-    forwarders = ("name", "heard_ms_ago", "advice", "taken", "conflict")
-    print(table(answer["forwarders"], forwarders), file=out)
-
-
-def _print_explained(told: dict[str, Any], out: TextIO) -> None:
-    print(f"{told['server']} in {told['pool']}: listed by {told['listed_by']} forwarders", file=out)
-    print(
-        f"  weight {told['weight']:g}: {told['why']}"
-        + (f", {told['ratio']:g} times the tier's" if told["ratio"] else ""),
-        file=out,
-    )
-    print(
-        f"  {told['outstanding']} calls out (mean {told['load']:g}), answers {told['slowness']:g} times the"
-        f" usual, {100.0 * told['failing']:.1f} % failing, of {told['calls']:g} calls lately",
-        file=out,
+    console.line(f"planner {answer['name']}, epoch {answer['epoch']}: {state}")
+    console.line(f"{answer['reports']} reports, {answer['turned_away']} sessions refused")
+    console.table(answer["pools"], POOL_COLUMNS)
+    console.table(answer["forwarders"], FORWARDER_COLUMNS)
+
+
+def _show_explanation(server: dict[str, Any], console: Console) -> None:
+    """Print why a server gets what it gets; the keys are those of the control protocol."""
+    console.line(f"{server['server']} in {server['pool']}: listed by {server['listed_by']} forwarders")
+    ratio = f", {server['ratio']:g} times the tier's" if server["ratio"] else ""
+    console.line(f"  weight {server['weight']:g}: {server['why']}{ratio}")
+    console.line(
+        f"  {server['outstanding']} calls out (mean {server['load']:g}), answers {server['slowness']:g} times"
+        f" the usual, {100.0 * server['failing']:.1f} % failing, of {server['calls']:g} calls lately"
     )
-    if told["cold"]:
-        print(f"  cold: {100.0 * told['ramp_lent']:.1f} % of its ramp is lent to this planner", file=out)
-        for name, part in sorted(told["ramp_granted"].items()):
-            print(f"    {name}: {100.0 * part:.1f} %", file=out)
+    if server["cold"]:
+        console.line(f"  cold: {100.0 * server['ramp_lent']:.1f} % of its ramp is lent to this planner")
+        for name, part in sorted(server["ramp_granted"].items()):
+            console.line(f"    {name}: {100.0 * part:.1f} %")
--- /dev/null
+++ b/sandhatch/cli/service_program.py
@@ -0,0 +1,78 @@
+"""The process of a service with a configuration of its own: history, control socket, signals, end.
+
+Runs until a signal ends it. What it serves and how is `sandhatch.service`.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import signal
+
+from sandhatch.cli.console import Console, ExitCode
+from sandhatch.config.check import Checked
+from sandhatch.config.errors import CheckError, HistoryError
+from sandhatch.config.history import History, Saved
+from sandhatch.control.calls import Calls
+from sandhatch.control.server import ControlError, ControlServer
+from sandhatch.runtime.logger import report_loop_errors
+from sandhatch.runtime.process import settle_collector, stop_event
+from sandhatch.service.accesslog import AccessLog
+from sandhatch.service.pools import StageError
+from sandhatch.service.reload import Reload
+from sandhatch.service.service import Service, check_data
+
+
+async def serve(args: argparse.Namespace, checked: Checked, console: Console) -> int:
+    """Run the service until a signal ends the process; return the exit code.
+
+    Args:
+        args: Those of the verb `serve`.
+        checked: The configuration of the file.
+        console: Where start and errors are reported.
+    """
+    loop = asyncio.get_running_loop()
+    stopping = stop_event(loop)
+    try:
+        service = _service(args, checked, console, loop)
+        access_log = AccessLog(args.access_log, service) if args.access_log else None
+        await service.start()
+        control = ControlServer(Calls(service), service.logger, args.control)
+        await control.start()
+    except (HistoryError, ControlError, StageError, CheckError, OSError) as problem:
+        console.error(problem)
+        return ExitCode.FAILED
+    loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).ask)
+    settle_collector()
+    service.logger.line(f"version {service.transactions.in_force.number} in force; control at {args.control}")
+    await stopping.wait()
+    await control.stop()
+    await service.drain()
+    if access_log is not None:
+        access_log.close()
+    return ExitCode.OK
+
+
+def _service(
+    args: argparse.Namespace, checked: Checked, console: Console, loop: asyncio.AbstractEventLoop
+) -> Service:
+    """Make the service with the version that the state directory holds, or with the file's."""
+    history: History | None = None
+    saved: Saved | None = None
+    if args.state:
+        history = History(args.state)
+        saved = history.load()
+    if saved is not None:
+        _report_saved(saved, args, console)
+        checked = check_data(saved.data)
+    service = Service(checked, loop, history, saved)
+    report_loop_errors(loop, service.logger)
+    return service
+
+
+def _report_saved(saved: Saved, args: argparse.Namespace, console: Console) -> None:
+    for note in saved.notes:
+        console.error(note)
+    if saved.lost:
+        console.error(f"version {saved.lost} was not confirmed and is not used")
+    console.error(f"version {saved.confirmed} of {args.state} goes before {args.file}")
--- /dev/null
+++ b/sandhatch/cli/status.py
@@ -0,0 +1,80 @@
+"""The verbs that show a running service: status, history, show.
+
+Prints what the control socket answers and computes nothing. The keys are those of the control protocol.
+"""
+
+from __future__ import annotations
+
+import argparse
+from functools import partial
+from typing import Any
+
+from sandhatch.cli.changes import show_version
+from sandhatch.cli.console import Console
+from sandhatch.cli.service_call import Answer, call_service
+from sandhatch.cli.verbs import VerbParsers
+
+POOL_COLUMNS = ("pool", "content", "versions", "ready", "servers", "connections", "requests")
+LISTENER_COLUMNS = ("name", "address", "connections")
+PLANNER_COLUMNS = ("planner", "state", "advice_counts", "learning", "advices", "late", "refused", "last")
+PROPOSAL_COLUMNS = ("proposal", "base", "author", "comment")
+HISTORY_COLUMNS = ("version", "base", "state", "changes", "author", "comment", "why")
+
+
+def add_verbs(verbs: VerbParsers) -> None:
+    """Add status, history and show."""
+    handler = partial(call_service, make_arguments=_no_arguments, show=_show_status)
+    verbs.add("status", "what is in force and on its way", handler)
+    handler = partial(call_service, make_arguments=_no_arguments, show=_show_history)
+    verbs.add("history", "versions and what became of them", handler)
+    handler = partial(call_service, make_arguments=_version_argument, show=_show_text)
+    verbs.add("show", "a version's configuration", handler).add_argument("version", type=int, nargs="?")
+
+
+def _no_arguments(args: argparse.Namespace) -> dict[str, Any]:  # noqa: ARG001 - as every verb's
+    return {}
+
+
+def _version_argument(args: argparse.Namespace) -> dict[str, Any]:
+    return {"version": args.version}
+
+
+def _show_status(answer: Answer, console: Console) -> None:
+    console.line(f"{answer['name']}: version {answer['in_force']} in force, {answer['confirmed']} confirmed")
+    if answer["pending"]:
+        show_version(answer["pending"], console)
+    console.table([{"content": content} | row for content, row in answer["pools"].items()], POOL_COLUMNS)
+    console.table(answer["listeners"], LISTENER_COLUMNS)
+    _show_bodies(answer["bodies"], answer["memory"], console)
+    if answer["planning"]:
+        _show_planning(answer["planning"], console)
+    if answer["proposals"]:
+        console.table(answer["proposals"], PROPOSAL_COLUMNS)
+
+
+def _show_bodies(bodies: dict[str, Any], memory: dict[str, Any], console: Console) -> None:
+    console.line(
+        f"bodies in passing: {bodies['open']}, at most {bodies['most_open']} at once, {bodies['bytes']} bytes"
+        f" so far; one held at most {bodies['peak_bytes']}; {memory['held_bytes']} of"
+        f" {memory['most_bytes']} bytes of memory in use"
+    )
+
+
+def _show_planning(planning: dict[str, Any], console: Console) -> None:
+    leased_to = planning["lends_to"]
+    if leased_to is None:
+        ends_ms = planning["own_parts_in_ms"]
+        console.line(
+            f"{planning['forwarder']}: uses its own parts" + (f" in {ends_ms} ms" if ends_ms else "")
+        )
+    else:
+        console.line(f"{planning['forwarder']}: its parts are lent to planner {leased_to}")
+    console.table(planning["planners"], PLANNER_COLUMNS)
+
+
+def _show_history(answer: Answer, console: Console) -> None:
+    console.table(answer["versions"], HISTORY_COLUMNS)
+
+
+def _show_text(answer: Answer, console: Console) -> None:
+    console.text(answer["text"])
