--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -143,7 +143,7 @@
 # ------------------------------------------------ conflicts and merges
 
 
-def overlap(mine: list[Change], theirs: list[Change]) -> list[str]:
+def overlap(ours: list[Change], theirs: list[Change]) -> list[str]:
     """Return the keys that two changes of one base both touch, as users write them.
 
     They touch the same leaf, or one a leaf and the other what holds it. A leaf that both change to the same
@@ -152,7 +152,7 @@
     their_changes = {change.key: change for change in theirs}
     their_holders = {holder for change in theirs for holder in _holders(change.key)}
     conflicts: set[Key] = set()
-    for change in mine:
+    for change in ours:
         other = their_changes.get(change.key)
         if other is not None:
             if not _same(change.after, other.after):
@@ -170,56 +170,56 @@
         yield key[:length]
 
 
-def merge(base: Any, mine: Any, theirs: Any) -> Any:
-    """Return `theirs` with what `mine` changed from `base`.
+def merge(base: Any, ours: Any, theirs: Any) -> Any:
+    """Return `theirs` with what `ours` changed from `base`.
 
-    The order of a named list is that of `theirs`; what is new in `mine` stands behind the item that it stood
+    The order of a named list is that of `theirs`; what is new in `ours` stands behind the item that it stood
     behind there.
 
     Raises:
         MergeError: Both changed the same keys.
     """
-    keys = [key for key in overlap(diff(base, mine), diff(base, theirs)) if not key.endswith(ORDER)]
+    keys = [key for key in overlap(diff(base, ours), diff(base, theirs)) if not key.endswith(ORDER)]
     if keys:
         raise MergeError(keys)
-    return _merge(base, mine, theirs)
+    return _merge(base, ours, theirs)
 
 
-def _merge(base: Any, mine: Any, theirs: Any) -> Any:
-    if _same(mine, base):
+def _merge(base: Any, ours: Any, theirs: Any) -> Any:
+    if _same(ours, base):
         return theirs
     if _same(theirs, base):
-        return mine
-    if isinstance(mine, dict) and isinstance(theirs, dict):
-        return _merge_mappings(base, mine, theirs)
-    if all(_is_named_list(side) or side in ([], ABSENT) for side in (mine, theirs)):
-        return _merge_named_lists(base, mine, theirs)
-    return mine
+        return ours
+    if isinstance(ours, dict) and isinstance(theirs, dict):
+        return _merge_mappings(base, ours, theirs)
+    if all(_is_named_list(side) or side in ([], ABSENT) for side in (ours, theirs)):
+        return _merge_named_lists(base, ours, theirs)
+    return ours
 
 
-def _merge_mappings(base: Any, mine: dict[str, Any], theirs: dict[str, Any]) -> dict[str, Any]:
+def _merge_mappings(base: Any, ours: dict[str, Any], theirs: dict[str, Any]) -> dict[str, Any]:
     base_values = base if isinstance(base, dict) else {}
-    keys = [*theirs, *(key for key in mine if key not in theirs)]
+    keys = [*theirs, *(key for key in ours if key not in theirs)]
     merged = {}
     for key in keys:
-        value = _merge(base_values.get(key, ABSENT), mine.get(key, ABSENT), theirs.get(key, ABSENT))
+        value = _merge(base_values.get(key, ABSENT), ours.get(key, ABSENT), theirs.get(key, ABSENT))
         if value is not ABSENT:
             merged[key] = value
     return merged
 
 
-def _merge_named_lists(base: Any, mine: Any, theirs: Any) -> list[Any]:
+def _merge_named_lists(base: Any, ours: Any, theirs: Any) -> list[Any]:
     base_by_name = _by_name(base) if isinstance(base, list) else {}
-    my_by_name = _by_name(mine) if isinstance(mine, list) else {}
+    our_by_name = _by_name(ours) if isinstance(ours, list) else {}
     their_by_name = _by_name(theirs) if isinstance(theirs, list) else {}
     order = list(their_by_name)
     previous: str | None = None
-    for name in my_by_name:
+    for name in our_by_name:
         if name not in their_by_name:
             order.insert(order.index(previous) + 1 if previous in order else 0, name)
         previous = name
     merged = [
-        _merge(base_by_name.get(name, ABSENT), my_by_name.get(name, ABSENT), their_by_name.get(name, ABSENT))
+        _merge(base_by_name.get(name, ABSENT), our_by_name.get(name, ABSENT), their_by_name.get(name, ABSENT))
         for name in order
     ]
     return [item for item in merged if item is not ABSENT]
--- a/tests/config/samples.py
+++ b/tests/config/samples.py
@@ -28,17 +28,17 @@
 
 
 def sample(**changes: Any) -> dict[str, Any]:
-    """BASE with changes: `pools__web__max_attempts=3` sets a key inside; a value of None takes it away."""
+    """BASE with changes: `pools__web__max_attempts=3` sets a key inside; a value of None removes it."""
     data = deepcopy(BASE)
     for path, value in changes.items():
-        *above, last = path.split("__")
-        at: Any = data
-        for name in above:
-            at = at[int(name)] if isinstance(at, list) else at.setdefault(name, {})
+        *holders, last = path.split("__")
+        holder: Any = data
+        for name in holders:
+            holder = holder[int(name)] if isinstance(holder, list) else holder.setdefault(name, {})
         if value is None:
-            del at[last]
+            del holder[last]
         else:
-            at[last] = value
+            holder[last] = value
     return data
 
 
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -1,4 +1,4 @@
-"""The check in full: every error in one go, each with line, key, value and what would be right."""
+"""The complete check: every error at once, each with line, key, value and what would be right."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
     return [str(problem) for problem in caught.value.problems]
 
 
-def test_the_example_is_valid_and_without_warnings() -> None:
+def test_the_example_is_valid_and_has_no_warnings() -> None:
     found = check(read(str(ROOT / "deploy" / "own-example.yaml")))
     assert found.warnings == ()
     settings = pool_settings(found.model, found.model.pools["price-store"])
-    assert [item.name for item in settings.classes][3] == "place-order"
-    assert settings.tier == 2  # below the first tier nothing is refused before work is spent
+    assert [request_class.name for request_class in settings.classes][3] == "place-order"
+    assert settings.tier == 2  # below the first tier nothing is rejected before work is spent
 
 
-def test_every_error_is_told_in_one_go_with_its_line() -> None:
+def test_every_error_is_reported_at_once_with_its_line() -> None:
     text = """\
 format: 2
 listeners:
@@ -45,7 +45,7 @@
 """
     found = problems(text)
     assert [line.split(":")[1] for line in found] == ["1", "3", "5", "5", "8", "8", "9"]
-    told = "\n".join(found)
+    reported = "\n".join(found)
     for words in (
         "f.yaml:1: format: 2: one of 1 is wanted",
         "listeners.front.address: 'localhost:80': an IPv4 address and port is wanted",
@@ -55,7 +55,7 @@
         "pools.web.servers.w1.wieght: 2: no such key here",
         "pools.web.max_attempts: 'many': a whole number is wanted",
     ):
-        assert words in told
+        assert words in reported
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         ({"format": None}, "format: this key is wanted"),
     ],
 )
-def test_what_one_key_says_of_another(change: dict[str, Any], words: str) -> None:
+def test_errors_between_keys_name_the_key_and_the_value(change: dict[str, Any], words: str) -> None:
     with pytest.raises(CheckError) as caught:
         checked(sample(**change))
     assert words in "\n".join(map(str, caught.value.problems))
@@ -108,13 +108,13 @@
 @pytest.mark.parametrize(
     ("data", "words"), [(b"", "no mapping"), (b"[1]", "no mapping"), (b"\xff\xfe\xff", "")]
 )
-def test_a_file_that_is_no_mapping(data: bytes, words: str) -> None:
+def test_a_file_that_is_no_mapping_is_rejected(data: bytes, words: str) -> None:
     with pytest.raises(CheckError) as caught:
         check_text(data)
     assert words in str(caught.value)
 
 
-def test_pools_never_used_and_routes_that_never_match_are_warned_of() -> None:
+def test_unused_pools_and_routes_that_never_match_are_warnings() -> None:
     data = sample(pools__spare={"servers": {"s": {"address": "127.0.0.1:1", "state": "draining"}}})
     data["routes"] += [
         {
@@ -125,14 +125,14 @@
         {"name": "late", "match": {"path": {"exact": "/x"}}, "to": {"pool": "web"}},
     ]
     data["routes"][2]["name"] = "fine"
-    told = [str(problem) for problem in checked(data).warnings]
-    assert any("pools.spare: no route leads to this pool" in line for line in told)
-    assert any("no server is ready" in line for line in told)
-    assert any("routes[1]: it can never match: 'orders' before it" in line for line in told)
-    assert len(told) == 3
+    warnings = [str(problem) for problem in checked(data).warnings]
+    assert any("pools.spare: no route leads to this pool" in line for line in warnings)
+    assert any("no server is ready" in line for line in warnings)
+    assert any("routes[1]: it can never match: 'orders' before it" in line for line in warnings)
+    assert len(warnings) == 3
 
 
-def test_ten_thousand_routes_are_checked_and_found() -> None:
+def test_ten_thousand_routes_are_checked_and_compiled() -> None:
     data = sample()
     data["routes"] = [
         {"name": f"r{n}", "match": {"path": {"prefix": f"/tier{n % 7}/p{n}"}}, "to": {"pool": "web"}}
@@ -143,7 +143,7 @@
     assert found.warnings[0].key == "pools.orders"
 
 
-def test_of_thousands_of_errors_a_bounded_number_is_told() -> None:
+def test_of_thousands_of_errors_a_bounded_number_is_reported() -> None:
     data = sample()
     data["routes"] = [{"name": f"r{n}", "to": {"pool": "none"}} for n in range(5_000)]
     with pytest.raises(CheckError) as caught:
--- a/tests/config/test_diff.py
+++ b/tests/config/test_diff.py
@@ -1,4 +1,4 @@
-"""Differences by key, what two changes both touch, and three-way merges."""
+"""Differences by key, conflicts between two changes, and three-way merges."""
 
 from __future__ import annotations
 
@@ -36,25 +36,26 @@
 
 
 def test_changes_of_different_keys_merge() -> None:
-    mine = sample(pools__web__max_attempts=3)
-    mine["routes"].append({"name": "mine", "to": {"pool": "web"}})
+    ours = sample(pools__web__max_attempts=3)
+    ours["routes"].append({"name": "ours", "to": {"pool": "web"}})
     theirs = sample(pools__orders__max_attempts=4)
     theirs["routes"].insert(0, {"name": "theirs", "to": {"pool": "web"}})
-    merged = merge(BASE, mine, theirs)
+    merged = merge(BASE, ours, theirs)
     assert merged["pools"]["web"]["max_attempts"] == 3
     assert merged["pools"]["orders"]["max_attempts"] == 4
-    assert [route["name"] for route in merged["routes"]] == ["theirs", "orders", "mine"]
+    assert [route["name"] for route in merged["routes"]] == ["theirs", "orders", "ours"]
 
 
-def test_the_same_key_changed_twice_is_a_conflict_unless_to_the_same() -> None:
-    mine, theirs = sample(pools__web__max_attempts=3), sample(pools__web__max_attempts=4)
+def test_the_same_key_changed_twice_is_a_conflict_unless_to_the_same_value() -> None:
+    ours = sample(pools__web__max_attempts=3)
+    theirs = sample(pools__web__max_attempts=4)
     with pytest.raises(MergeError) as caught:
-        merge(BASE, mine, theirs)
+        merge(BASE, ours, theirs)
     assert caught.value.keys == ["pools.web.max_attempts"]
-    assert merge(BASE, mine, deepcopy(mine)) == mine
+    assert merge(BASE, ours, deepcopy(ours)) == ours
 
 
-def test_taking_away_what_another_changes_inside_is_a_conflict() -> None:
+def test_removing_what_another_change_modifies_inside_is_a_conflict() -> None:
     without = sample(pools__orders=None)
     inside = sample(pools__orders__servers__o1__address="127.0.0.1:9999")
     assert overlap(diff(BASE, without), diff(BASE, inside)) == ["pools.orders.servers.o1.address"]
@@ -74,25 +75,26 @@
     return data
 
 
-def test_whatever_merges_holds_both_changes() -> None:
+def test_a_merge_contains_both_changes() -> None:
     """Over many seeds: a merge that succeeds contains each leaf that either side changed."""
-    merged_some = 0
+    merge_count = 0
     for seed in range(300):
         rng = Random(seed)
         names = [f"p{n}" for n in range(6)]
         base = {"pools": {name: {"max_attempts": 1, "copies": 1} for name in names[:4]}}
-        mine, theirs = _mutate(base, rng, names), _mutate(base, rng, names)
+        ours = _mutate(base, rng, names)
+        theirs = _mutate(base, rng, names)
         try:
-            merged = merge(base, mine, theirs)
+            merged = merge(base, ours, theirs)
         except MergeError:
             continue
-        merged_some += 1
-        for side in (mine, theirs):
+        merge_count += 1
+        for side in (ours, theirs):
             for change in diff(base, side):
                 assert change.path not in [c.path for c in diff(side, merged) if c.before == c.after], seed
-                at: Any = merged
+                value: Any = merged
                 for part in change.key:
-                    at = at.get(part, "absent") if isinstance(at, dict) else "absent"
-                wanted = "absent" if repr(change.after) == "(absent)" else change.after
-                assert at == wanted, (seed, change)
-    assert merged_some > 50
+                    value = value.get(part, "absent") if isinstance(value, dict) else "absent"
+                expected = "absent" if repr(change.after) == "(absent)" else change.after
+                assert value == expected, (seed, change)
+    assert merge_count > 50
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -1,8 +1,9 @@
-"""YAML into data with lines: what is taken, and what is refused with its line."""
+"""YAML into data with lines: what is accepted, and what is rejected with its line."""
 
 from __future__ import annotations
 
 import json
+from pathlib import Path
 
 import pytest
 
@@ -33,7 +34,7 @@
     assert document.line(("pools", "web", "absent")) == 2
 
 
-def test_json_is_taken() -> None:
+def test_json_is_accepted() -> None:
     data = {"a": [1, 2.5, "x", None, True], "b": {"c": {}}}
     assert parse(json.dumps(data)).data == data
 
@@ -53,22 +54,22 @@
         ("\0", 0, "not YAML"),
     ],
 )
-def test_what_is_refused_names_its_line(text: str, line: int, words: str) -> None:
+def test_what_is_rejected_names_its_line(text: str, line: int, words: str) -> None:
     with pytest.raises(DocumentError) as caught:
         parse(text, "f.yaml")
     assert caught.value.problem.line == line
     assert words in str(caught.value)
 
 
-def test_a_configuration_of_100_mb_is_refused_before_it_is_read(tmp_path) -> None:  # type: ignore[no-untyped-def]
+def test_a_configuration_of_100_mb_is_rejected_before_it_is_read(tmp_path: Path) -> None:
     path = tmp_path / "large.yaml"
-    with open(path, "wb") as file:
+    with path.open("wb") as file:
         file.truncate(100 * 1024 * 1024)
     with pytest.raises(DocumentError, match=f"104857600 bytes; {MAX_BYTES} at most"):
         read(str(path))
 
 
-def test_a_bomb_of_aliases_costs_nothing() -> None:
+def test_nested_aliases_are_rejected_before_they_grow() -> None:
     lines = ["a0: &a0 [x, x]"] + [f"a{n}: &a{n} [*a{n - 1}, *a{n - 1}]" for n in range(1, 60)]
     with pytest.raises(DocumentError, match="aliases"):
         parse("\n".join(lines))
--- a/tests/config/test_planning.py
+++ b/tests/config/test_planning.py
@@ -1,9 +1,8 @@
-"""The forwarder's part of a configuration: what is refused, and what a change of it does."""
+"""The forwarder's part of a configuration: what is rejected, and the settings it leads to."""
 
 from __future__ import annotations
 
 import json
-from pathlib import Path
 from typing import Any
 
 import pytest
@@ -22,29 +21,30 @@
     return "\n".join(map(str, found.value.problems))
 
 
-def test_a_shared_ramp_wants_to_know_which_copy_this_is() -> None:
-    told = problems(pools__web__ramp_per_s=50, pools__web__copies=3)
+def test_a_shared_warm_up_must_say_which_instance_this_is() -> None:
+    reported = problems(pools__web__ramp_per_s=50, pools__web__copies=3)
     assert (
-        "pools.web.ramp_per_s: 3 copies share it; planning.place must say which of them this one is" in told
+        "pools.web.ramp_per_s: 3 copies share it; planning.place must say which of them this one is"
+        in reported
     )
-    told = problems(pools__web__ramp_per_s=50, pools__web__copies=3, planning={"place": 3})
-    assert "planning.place: 3: pool 'web' has 3 copies, with places from 0 on" in told
+    reported = problems(pools__web__ramp_per_s=50, pools__web__copies=3, planning={"place": 3})
+    assert "planning.place: 3: pool 'web' has 3 copies, with places from 0 on" in reported
     assert "ramp_burst 0.5 lets no call through" in problems(pools__web__ramp_burst=0.5)
 
 
-def test_keys_and_planners_go_together() -> None:
+def test_planners_need_the_keys_that_go_with_them() -> None:
     assert "either shared_key_file or private_key_file" in problems(planning={"planners": {"p": PEER}})
-    told = problems(planning={"planners": {"p": PEER}, "private_key_file": "k"})
-    assert "planners.p.public_key is wanted with private_key_file" in told
+    reported = problems(planning={"planners": {"p": PEER}, "private_key_file": "k"})
+    assert "planners.p.public_key is wanted with private_key_file" in reported
     peer = PEER | {"public_key": "ab" * 32}
-    told = problems(planning={"planners": {"p": peer}, "shared_key_file": "k"})
-    assert "planners.p.public_key has no use without private_key_file" in told
+    reported = problems(planning={"planners": {"p": peer}, "shared_key_file": "k"})
+    assert "planners.p.public_key has no use without private_key_file" in reported
     assert "a text like" in problems(
         planning={"planners": {"p": PEER | {"public_key": "short"}}, "private_key_file": "k"}
     )
 
 
-def test_a_planned_pool_has_a_place_for_this_forwarder_and_others_need_none() -> None:
+def test_a_planned_pool_must_count_this_forwarder_and_other_pools_need_not() -> None:
     planning = {"place": 2, "planners": {"p": PEER}, "shared_key_file": "k"}
     assert "pool 'web' has 1 copies" in problems(planning=planning)
     data = sample(planning=planning, pools__web__copies=3, pools__orders__planned=False)
@@ -54,7 +54,7 @@
     assert model.planning is not None and model.planning.forwarder == "forwarder-2"
 
 
-def test_without_planning_everything_is_as_before(tmp_path: Path) -> None:
+def test_without_planning_the_settings_are_those_of_a_single_instance() -> None:
     model = check_text(json.dumps(sample())).model
     settings = pool_settings(model, model.pools["web"])
     assert (settings.instance_index, settings.ramp_per_s, settings.ramp_burst) == (0, 0.0, 0.0)
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -1,11 +1,10 @@
-"""The machine of versions, driven by hand and by many seeds; and its history on a disk, killed at every
-step.
-"""
+"""The state machine of versions, driven by hand and by many seeds."""
 
 from __future__ import annotations
 
 import json
-from contextlib import suppress
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
 from random import Random
 from typing import Any
 
@@ -20,70 +19,71 @@
 from tests.config.samples import BASE, checked, sample
 
 
-def remake(data: dict[str, Any]) -> Checked:
+def check_data(data: dict[str, Any]) -> Checked:
     return check_text(json.dumps(data))
 
 
-class Owner:
-    """Carries out actions as a service would, step by step, and keeps the account of what is in force."""
+class FakeOwner:
+    """Carries out actions as a service would, one step at a time, and records what is active and on disk."""
 
     def __init__(self) -> None:
-        self.machine = Transactions(Version(1, 0, checked(), State.STAGING), remake)
+        self.transactions = Transactions(Version(1, 0, checked(), State.STAGING), check_data)
         self.now = 1_000.0
-        self.in_force = self.machine.in_force
+        self.in_force = self.transactions.in_force
         self.staging: list[Version] = []
         self.saves: list[int] = []
         self.retired: list[int] = []
         self.unstaged: list[int] = []
         self.watched: list[int] = []
         self.disk = (1, 0)
-        self.said: list[str] = []
-
-    def act(self) -> None:
-        for action in self.machine.take():
-            if isinstance(action, Stage):
-                self.staging.append(action.version)
-            elif isinstance(action, Save):
-                record = self.machine.record()
-                self.saves.append(action.step)
-                self.disk = (record.confirmed, record.pending)
-            elif isinstance(action, Apply):
-                self.in_force = action.version
-            elif isinstance(action, Retire):
-                self.retired.append(action.version.number)
-            elif isinstance(action, Unstage):
-                self.unstaged.append(action.version.number)
-            elif isinstance(action, Watch):
-                self.watched.append(action.version.number)
-            elif isinstance(action, Say):
-                self.said.append(action.text)
-        assert self.in_force is self.machine.in_force
+        self.log_lines: list[str] = []
+
+    def carry_out(self) -> None:
+        for action in self.transactions.take():
+            match action:
+                case Stage():
+                    self.staging.append(action.version)
+                case Save():
+                    record = self.transactions.record()
+                    self.saves.append(action.step)
+                    self.disk = (record.confirmed, record.pending)
+                case Apply():
+                    self.in_force = action.version
+                case Retire():
+                    self.retired.append(action.version.number)
+                case Unstage():
+                    self.unstaged.append(action.version.number)
+                case Watch():
+                    self.watched.append(action.version.number)
+                case Say():
+                    self.log_lines.append(action.text)
+        assert self.in_force is self.transactions.in_force
 
     def propose(self, data: dict[str, Any], base: int = 1, merged: bool = False) -> int:
-        return self.machine.propose(self.now, base, checked(data), merged=merged).number
+        return self.transactions.propose(self.now, base, checked(data), merged=merged).number
 
-    def commit(self, data: dict[str, Any], base: int = 1, **more: Any) -> Version:
-        version = self.machine.commit(self.now, self.propose(data, base), **more)
-        self.act()
+    def commit(self, data: dict[str, Any], base: int = 1, **options: Any) -> Version:
+        version = self.transactions.commit(self.now, self.propose(data, base), **options)
+        self.carry_out()
         return version
 
-    def stage(self) -> None:
-        self.machine.staged(self.staging.pop(0))
-        self.act()
+    def finish_staging(self) -> None:
+        self.transactions.staged(self.staging.pop(0))
+        self.carry_out()
 
-    def save(self) -> None:
-        self.machine.saved(self.now, self.saves.pop(0))
-        self.act()
+    def finish_save(self) -> None:
+        self.transactions.saved(self.now, self.saves.pop(0))
+        self.carry_out()
 
-    def in_force_with(self, data: dict[str, Any], base: int = 1, **more: Any) -> Version:
-        version = self.commit(data, base, **more)
-        self.stage()
-        self.save()
+    def activate(self, data: dict[str, Any], base: int = 1, **options: Any) -> Version:
+        version = self.commit(data, base, **options)
+        self.finish_staging()
+        self.finish_save()
         return version
 
-    def confirmed_with(self, data: dict[str, Any], base: int = 1) -> Version:
-        version = self.in_force_with(data, base, watched=False)
-        self.save()
+    def activate_and_confirm(self, data: dict[str, Any], base: int = 1) -> Version:
+        version = self.activate(data, base, watched=False)
+        self.finish_save()
         return version
 
 
@@ -92,281 +92,277 @@
 ORDERS3 = sample(pools__orders__max_attempts=3)
 
 
-def rejected(why: Refusal) -> Any:
-    class Check:
-        def __enter__(self) -> Any:
-            self.raises = pytest.raises(RejectedError)
-            self.info = self.raises.__enter__()
-            return self.info
+@contextmanager
+def rejected(why: Refusal) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
+    """Expects a call to be rejected for this reason."""
+    with pytest.raises(RejectedError) as info:
+        yield info
+    assert info.value.why is why, info.value
 
-        def __exit__(self, *what: Any) -> Any:
-            done = self.raises.__exit__(*what)
-            assert self.info.value.why is why, self.info.value
-            return done
 
-    return Check()
-
-
-def test_a_change_goes_all_the_way() -> None:
-    owner = Owner()
+def test_a_change_passes_every_state_until_it_is_confirmed() -> None:
+    owner = FakeOwner()
     version = owner.commit(WEB3)
     assert version.state is State.STAGING and owner.in_force.number == 1
-    owner.stage()
+    owner.finish_staging()
     assert version.state is State.SAVING and owner.in_force.number == 1 and owner.disk == (1, 2)
-    owner.save()
+    owner.finish_save()
     assert version.state is State.IN_FORCE and owner.in_force is version and owner.watched == [2]
     owner.now += 29_999.0
-    owner.machine.tick(owner.now)
+    owner.transactions.tick(owner.now)
     assert version.state is State.IN_FORCE
     owner.now += 1.0
-    owner.machine.tick(owner.now)
-    owner.act()
+    owner.transactions.tick(owner.now)
+    owner.carry_out()
     assert version.state is State.CONFIRMING and owner.disk == (2, 0)
-    owner.save()
-    assert version.state is State.CONFIRMED and owner.retired == [1] and owner.machine.pending is None
+    owner.finish_save()
+    assert version.state is State.CONFIRMED and owner.retired == [1] and owner.transactions.pending is None
 
 
-def test_of_two_changes_of_one_key_exactly_one_wins_and_the_other_gets_the_keys() -> None:
-    owner = Owner()
-    first, second = owner.propose(WEB3), owner.propose(WEB4)
-    owner.machine.commit(owner.now, first)
+def test_of_two_changes_of_one_key_one_is_committed_and_the_other_gets_the_keys() -> None:
+    owner = FakeOwner()
+    first = owner.propose(WEB3)
+    second = owner.propose(WEB4)
+    owner.transactions.commit(owner.now, first)
     with rejected(Refusal.CONFLICT) as info:
-        owner.machine.commit(owner.now, second)
+        owner.transactions.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
-    owner.act()
-    owner.stage()
-    owner.save()
+    owner.carry_out()
+    owner.finish_staging()
+    owner.finish_save()
     with rejected(Refusal.CONFLICT) as info:
-        owner.machine.commit(owner.now, second)
+        owner.transactions.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
     assert owner.in_force.data == WEB3
 
 
-def test_two_hundred_proposals_at_once_have_one_winner() -> None:
-    owner = Owner()
+def test_of_two_hundred_proposals_for_one_key_exactly_one_is_committed() -> None:
+    owner = FakeOwner()
     numbers = [owner.propose(sample(pools__web__max_connections=100 + n)) for n in range(200)]
     Random(5).shuffle(numbers)
-    won = []
+    committed = []
     for number in numbers:
         try:
-            won.append(owner.machine.commit(owner.now, number))
-        except RejectedError as why:
-            assert why.why is Refusal.CONFLICT and why.keys == ["pools.web.max_connections"]
-    owner.act()
-    owner.stage()
-    owner.save()
-    assert len(won) == 1 and owner.in_force is won[0]
+            committed.append(owner.transactions.commit(owner.now, number))
+        except RejectedError as error:
+            assert error.why is Refusal.CONFLICT and error.keys == ["pools.web.max_connections"]
+    owner.carry_out()
+    owner.finish_staging()
+    owner.finish_save()
+    assert len(committed) == 1 and owner.in_force is committed[0]
 
 
-def test_a_change_of_other_keys_waits_its_turn_and_merges() -> None:
-    owner = Owner()
+def test_a_change_of_other_keys_is_busy_until_the_first_ends_and_merges_then() -> None:
+    owner = FakeOwner()
     other = owner.propose(ORDERS3)
     merged = owner.propose(ORDERS3, merged=True)
     owner.commit(WEB3, watched=False)
     with rejected(Refusal.BUSY):
-        owner.machine.commit(owner.now, other)
-    owner.stage()
-    owner.save()
-    owner.save()
+        owner.transactions.commit(owner.now, other)
+    owner.finish_staging()
+    owner.finish_save()
+    owner.finish_save()
     with rejected(Refusal.CONFLICT) as info:
-        owner.machine.commit(owner.now, other)
+        owner.transactions.commit(owner.now, other)
     assert info.value.keys == [] and "can be merged" in info.value.text
-    version = owner.machine.commit(owner.now, merged)
+    version = owner.transactions.commit(owner.now, merged)
     assert version.data["pools"]["web"]["max_attempts"] == 3
     assert version.data["pools"]["orders"]["max_attempts"] == 3
 
 
-def test_changes_valid_alone_that_are_invalid_together_are_refused_whole() -> None:
-    """One takes a pool away that nothing leads to; the other leads a route to it. No key is in common."""
-    with_spare = sample(pools__spare={"servers": {"s": {"address": "127.0.0.1:1"}}})
-    owner = Owner()
-    owner.confirmed_with(with_spare)
-    leads = json.loads(json.dumps(with_spare))
-    leads["routes"].append({"name": "beta", "to": {"pool": "spare"}})
-    late = owner.propose(leads, 2, merged=True)
-    owner.confirmed_with(BASE, 2)
+def test_changes_valid_alone_but_invalid_together_are_rejected_completely() -> None:
+    """One removes a pool that no route leads to; the other adds a route to it. No key is in common."""
+    with_spare_pool = sample(pools__spare={"servers": {"s": {"address": "127.0.0.1:1"}}})
+    owner = FakeOwner()
+    owner.activate_and_confirm(with_spare_pool)
+    with_route = json.loads(json.dumps(with_spare_pool))
+    with_route["routes"].append({"name": "beta", "to": {"pool": "spare"}})
+    late = owner.propose(with_route, 2, merged=True)
+    owner.activate_and_confirm(BASE, 2)
     with rejected(Refusal.CONFLICT) as info:
-        owner.machine.commit(owner.now, late)
+        owner.transactions.commit(owner.now, late)
     assert any("names no pool" in line for line in info.value.problems)
     assert owner.in_force.data == BASE
 
 
-def test_not_confirmed_in_time_is_taken_back() -> None:
-    owner = Owner()
-    version = owner.in_force_with(WEB3, confirm_within_ms=500.0)
+def test_a_version_not_confirmed_in_time_is_rolled_back() -> None:
+    owner = FakeOwner()
+    version = owner.activate(WEB3, confirm_within_ms=500.0)
     owner.now += 400.0
-    owner.machine.extend(owner.now, 500.0)
+    owner.transactions.extend(owner.now, 500.0)
     owner.now += 400.0
-    owner.machine.tick(owner.now)
+    owner.transactions.tick(owner.now)
     assert version.state is State.IN_FORCE
     owner.now += 200.0
-    owner.machine.tick(owner.now)
-    owner.act()
+    owner.transactions.tick(owner.now)
+    owner.carry_out()
     assert version.state is State.TAKEN_BACK and owner.in_force.number == 1 and owner.retired == [2]
     assert owner.disk == (1, 0)
 
 
-def test_a_fall_takes_it_back_and_says_why() -> None:
-    owner = Owner()
-    version = owner.in_force_with(WEB3)
-    owner.machine.fell(version, "the goodput fell")
-    owner.act()
+def test_a_fall_of_goodput_rolls_back_with_its_reason() -> None:
+    owner = FakeOwner()
+    version = owner.activate(WEB3)
+    owner.transactions.fell(version, "the goodput fell")
+    owner.carry_out()
     assert version.state is State.TAKEN_BACK and version.why == "the goodput fell"
-    owner.machine.fell(version, "again")
-    assert owner.machine.take() == []
+    owner.transactions.fell(version, "again")
+    assert owner.transactions.take() == []
 
 
-def test_a_second_change_during_the_rollback_is_told_of_the_conflict() -> None:
-    owner = Owner()
-    version = owner.in_force_with(WEB3)
+def test_a_change_of_a_version_that_is_rolled_back_is_rejected_with_the_conflict() -> None:
+    owner = FakeOwner()
+    version = owner.activate(WEB3)
     waiting = owner.propose(WEB4, version.number)
-    owner.machine.rollback(owner.now, "anna")
-    owner.act()
+    owner.transactions.rollback(owner.now, "anna")
+    owner.carry_out()
     with rejected(Refusal.CONFLICT) as info:
-        owner.machine.commit(owner.now, waiting)
+        owner.transactions.commit(owner.now, waiting)
     assert info.value.keys == ["pools.web.max_attempts"]
     with rejected(Refusal.CONFLICT):
         owner.propose(WEB4, version.number)
     assert owner.commit(WEB4, 1).state is State.STAGING
 
 
-def test_by_hand_at_every_state() -> None:
-    owner = Owner()
+def test_calls_by_hand_are_rejected_in_states_that_do_not_allow_them() -> None:
+    owner = FakeOwner()
     version = owner.commit(WEB3)
     with rejected(Refusal.BUSY):
-        owner.machine.confirm()
-    owner.machine.rollback(owner.now)
-    owner.act()
+        owner.transactions.confirm()
+    owner.transactions.rollback(owner.now)
+    owner.carry_out()
     assert version.state is State.FAILED and owner.unstaged == [2]
-    owner.machine.staged(owner.staging.pop())  # too late: what was built goes
-    owner.act()
+    owner.transactions.staged(owner.staging.pop())  # too late: what was built is released
+    owner.carry_out()
     assert owner.unstaged == [2, 2] and owner.in_force.number == 1
     with rejected(Refusal.NOTHING):
-        owner.machine.confirm()
+        owner.transactions.confirm()
     with rejected(Refusal.UNKNOWN):
-        owner.machine.rollback(owner.now)  # nothing stands before the first
+        owner.transactions.rollback(owner.now)  # there is no version before the first
     with rejected(Refusal.NOTHING):
         owner.commit(BASE)
     with rejected(Refusal.UNKNOWN):
-        owner.machine.commit(owner.now, 999)
+        owner.transactions.commit(owner.now, 999)
     with rejected(Refusal.UNKNOWN):
         owner.propose(WEB3, base=77)
 
 
 def test_back_to_an_older_version_is_a_change_like_any_other() -> None:
-    owner = Owner()
-    owner.confirmed_with(WEB3)
-    owner.confirmed_with(WEB4, 2)
-    proposal = owner.machine.rollback(owner.now)
+    owner = FakeOwner()
+    owner.activate_and_confirm(WEB3)
+    owner.activate_and_confirm(WEB4, 2)
+    proposal = owner.transactions.rollback(owner.now)
     assert isinstance(proposal, Proposal) and proposal.restores == 2
-    version = owner.machine.commit(owner.now, proposal.number)
+    version = owner.transactions.commit(owner.now, proposal.number)
     assert version.number == 4 and version.data == WEB3
 
 
-def test_a_disk_that_fails_changes_nothing() -> None:
-    owner = Owner()
+def test_a_save_that_fails_changes_nothing() -> None:
+    owner = FakeOwner()
     version = owner.commit(WEB3)
-    owner.stage()
-    owner.machine.save_failed(owner.now, owner.saves.pop(0), "No space left on device")
-    owner.act()
+    owner.finish_staging()
+    owner.transactions.save_failed(owner.now, owner.saves.pop(0), "No space left on device")
+    owner.carry_out()
     assert version.state is State.FAILED and "No space" in version.why and owner.in_force.number == 1
-    version = owner.in_force_with(WEB3, watched=False)
-    owner.machine.save_failed(owner.now, owner.saves.pop(0), "I/O error")
-    owner.act()
+    version = owner.activate(WEB3, watched=False)
+    owner.transactions.save_failed(owner.now, owner.saves.pop(0), "I/O error")
+    owner.carry_out()
     assert version.state is State.TAKEN_BACK and owner.in_force.number == 1
 
 
 def test_memory_is_bounded_over_ten_thousand_commits() -> None:
-    owner = Owner()
-    data = [WEB3, WEB4]
-    contents = [checked(item) for item in data]
+    owner = FakeOwner()
+    contents = [checked(WEB3), checked(WEB4)]
     base = 1
-    for n in range(10_000):
-        proposal = owner.machine.propose(owner.now, base, contents[n % 2])
-        base = owner.machine.commit(owner.now, proposal.number, watched=False).number
-        owner.act()
-        owner.stage()
-        owner.save()
-        owner.save()
-    assert len(owner.machine.versions) <= MOST_RECORDS and not owner.machine.proposals
+    for index in range(10_000):
+        proposal = owner.transactions.propose(owner.now, base, contents[index % 2])
+        base = owner.transactions.commit(owner.now, proposal.number, watched=False).number
+        owner.carry_out()
+        owner.finish_staging()
+        owner.finish_save()
+        owner.finish_save()
+    assert len(owner.transactions.versions) <= MOST_RECORDS and not owner.transactions.proposals
     assert owner.in_force.number == 10_001
 
 
-def test_proposals_are_bounded_and_age() -> None:
-    owner = Owner()
+def test_proposals_are_bounded_and_expire() -> None:
+    owner = FakeOwner()
     for _ in range(MOST_PROPOSALS):
         owner.propose(WEB3)
     with rejected(Refusal.FULL):
         owner.propose(WEB3)
     owner.now += PROPOSAL_MS + 1.0
     owner.propose(WEB3)
-    assert len(owner.machine.proposals) == 1
+    assert len(owner.transactions.proposals) == 1
     with rejected(Refusal.FULL):
-        owner.machine.propose(owner.now, 1, checked(WEB3), size_bytes=MOST_PROPOSED_BYTES + 1)
+        owner.transactions.propose(owner.now, 1, checked(WEB3), size_bytes=MOST_PROPOSED_BYTES + 1)
 
 
-def test_the_table_of_states_has_an_end_for_each() -> None:
+def test_every_state_leads_to_a_final_one() -> None:
     for state in State:
-        seen, todo = set(), [state]
-        while todo:
-            at = todo.pop()
-            seen.add(at)
-            todo += [to for to in TRANSITIONS[at] if to not in seen]
+        seen = set()
+        waiting = [state]
+        while waiting:
+            current = waiting.pop()
+            seen.add(current)
+            waiting += [target for target in TRANSITIONS[current] if target not in seen]
         assert seen & OVER
 
 
 @pytest.mark.parametrize("block", range(10))
-def test_whatever_comes_in_whatever_order_one_whole_version_is_in_force(block: int) -> None:
-    """Random calls, times, failures and late ends from a seed. After each: one version in force, that is
-    either confirmed or the pending one; what is on disk names a confirmed version; and the states went
-    allowed ways.
+def test_in_any_order_of_calls_one_complete_version_is_active(block: int) -> None:
+    """Random calls, times, failures and late reports from a seed. After each, one version is active, which is
+    the confirmed or the pending one; the disk names a confirmed version; and only allowed transitions took
+    place.
     """
     choices = [sample(pools__web__max_attempts=n) for n in range(1, 6)] + [ORDERS3]
-    made = [checked(data) for data in choices]
+    configurations = [checked(data) for data in choices]
     for seed in range(block * 20, block * 20 + 20):
         rng = Random(seed)
-        owner = Owner()
-        machine = owner.machine
+        owner = FakeOwner()
+        transactions = owner.transactions
         for _ in range(120):
             owner.now += rng.random() * 5_000.0
             with suppress(RejectedError):
-                _random_call(owner, rng, made)
-            owner.act()
+                _random_call(owner, rng, configurations)
+            owner.carry_out()
             where = f"seed {seed}"
-            pending = machine.pending
-            assert machine.in_force in (machine.confirmed, pending), where
-            assert machine.confirmed.state is State.CONFIRMED, where
-            if machine.in_force is not machine.confirmed:
+            pending = transactions.pending
+            assert transactions.in_force in (transactions.confirmed, pending), where
+            assert transactions.confirmed.state is State.CONFIRMED, where
+            if transactions.in_force is not transactions.confirmed:
                 assert pending is not None and pending.state in RUNNING, where
-                assert owner.disk in ((machine.confirmed.number, pending.number), (pending.number, 0)), where
-            moving = [v for v in machine.versions.values() if v.state not in OVER]
+                assert owner.disk in ((transactions.confirmed.number, pending.number), (pending.number, 0)), (
+                    where
+                )
+            moving = [v for v in transactions.versions.values() if v.state not in OVER]
             assert moving == ([pending] if pending else []), where
 
 
-def _random_call(owner: Owner, rng: Random, made: list[Checked]) -> None:
-    machine = owner.machine
-    kind = rng.randrange(10)
-    if kind <= 1:
-        base = rng.choice(list(machine.versions))
-        machine.propose(owner.now, base, rng.choice(made), merged=rng.random() < 0.5)
-    elif kind <= 3 and machine.proposals:
+def _random_call(owner: FakeOwner, rng: Random, configurations: list[Checked]) -> None:
+    transactions = owner.transactions
+    call = rng.randrange(10)
+    if call <= 1:
+        base = rng.choice(list(transactions.versions))
+        transactions.propose(owner.now, base, rng.choice(configurations), merged=rng.random() < 0.5)
+    elif call <= 3 and transactions.proposals:
         within = rng.choice([None, 3_000.0])
-        machine.commit(owner.now, rng.choice(list(machine.proposals)), within, rng.random() < 0.5)
-    elif kind == 4 and owner.staging:
+        transactions.commit(owner.now, rng.choice(list(transactions.proposals)), within, rng.random() < 0.5)
+    elif call == 4 and owner.staging:
         version = owner.staging.pop(0)
         if rng.random() < 0.8:
-            machine.staged(version)
+            transactions.staged(version)
         else:
-            machine.failed(version, "no")
-    elif kind <= 6 and owner.saves:
+            transactions.failed(version, "no")
+    elif call <= 6 and owner.saves:
         step = owner.saves.pop(0)
         if rng.random() < 0.9:
-            machine.saved(owner.now, step)
+            transactions.saved(owner.now, step)
         else:
-            machine.save_failed(owner.now, step, "disk")
-    elif kind == 7:
-        machine.rollback(owner.now, to=rng.choice([None, *machine.versions]))
-    elif kind == 8 and machine.pending is not None:
-        machine.fell(machine.pending, "fell") if rng.random() < 0.5 else machine.confirm()
+            transactions.save_failed(owner.now, step, "disk")
+    elif call == 7:
+        transactions.rollback(owner.now, to=rng.choice([None, *transactions.versions]))
+    elif call == 8 and transactions.pending is not None:
+        transactions.fell(transactions.pending, "fell") if rng.random() < 0.5 else transactions.confirm()
     else:
-        machine.tick(owner.now)
+        transactions.tick(owner.now)
