--- a/sandhatch/routing/table.py
+++ b/sandhatch/routing/table.py
@@ -90,7 +90,7 @@
         if self._by_prefix:
             if path.count(b"/") > MOST_SEGMENTS:
                 path = b"/".join(path.split(b"/", MOST_SEGMENTS + 1)[: MOST_SEGMENTS + 1])
-            for prefix in prefixes(normalized_prefix(path)):
+            for prefix in prefixes(path.rstrip(b"/") or b"/"):  # inline: once a request
                 hosts = self._by_prefix.get(prefix)
                 if hosts is not None:
                     yield hosts
--- /dev/null
+++ b/tests/cli/test_output.py
@@ -0,0 +1,125 @@
+"""What the verbs print of a service's answers, and the exit codes that they lead to."""
+
+from __future__ import annotations
+
+import argparse
+import io
+from typing import Any
+
+import pytest
+
+from sandhatch.cli import changes, status
+from sandhatch.cli.commands import main
+from sandhatch.cli.console import Console, ExitCode
+from sandhatch.cli.service_call import Answer, call_service
+
+STATUS: Answer = {
+    "ok": True,
+    "name": "edge",
+    "in_force": 2,
+    "confirmed": 1,
+    "pending": {"version": 2, "state": "in force", "why": "", "confirm_in_ms": 1500},
+    "pools": {
+        "0a1b": {"pool": "web", "versions": "2", "ready": 1, "servers": 1, "connections": 0, "requests": 0}
+    },
+    "listeners": [{"name": "front", "address": "127.0.0.1:8080 front", "connections": 0}],
+    "bodies": {"open": 0, "most_open": 3, "bytes": 4096, "peak_bytes": 1024},
+    "memory": {"held_bytes": 0, "most_bytes": 65536},
+    "planning": None,
+    "proposals": [],
+}
+
+
+@pytest.fixture
+def console() -> Console:
+    return Console(io.StringIO(), io.StringIO())
+
+
+def printed(console: Console) -> str:
+    assert isinstance(console.out, io.StringIO)
+    return console.out.getvalue()
+
+
+class FakeClient:
+    """Answers calls with one answer, in place of a control socket, and records their operations."""
+
+    def __init__(self, answer: Answer) -> None:
+        self.answer = answer
+        self.operations: list[str] = []
+
+    def __enter__(self) -> FakeClient:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        return
+
+    def call(self, operation: str) -> Answer:
+        self.operations.append(operation)
+        return self.answer
+
+
+@pytest.mark.parametrize(
+    ("verb", "answer", "code"),
+    [
+        ("commit", {"ok": True, "state": "in force"}, ExitCode.OK),
+        ("commit", {"ok": True, "state": "failed"}, ExitCode.FAILED),
+        ("commit", {"ok": True, "state": "taken back"}, ExitCode.FAILED),
+        ("confirm", {"ok": True, "state": "lost"}, ExitCode.FAILED),
+        ("rollback", {"ok": True, "state": "taken back"}, ExitCode.OK),
+        ("commit", {"ok": False, "why": "conflict"}, ExitCode.CONFLICT),
+        ("commit", {"ok": False, "why": "busy"}, ExitCode.BUSY),
+        ("propose", {"ok": False, "why": "too many proposals"}, ExitCode.BUSY),
+        ("abort", {"ok": False, "why": "unknown"}, ExitCode.FAILED),
+    ],
+)
+def test_an_answer_leads_to_its_exit_code(
+    verb: str, answer: Answer, code: ExitCode, monkeypatch: pytest.MonkeyPatch, console: Console
+) -> None:
+    service = FakeClient(answer)
+    monkeypatch.setattr("sandhatch.cli.service_call.Client", lambda path, timeout_s: service)
+    args = argparse.Namespace(verb=verb, json=False, control="unused.sock")
+    assert call_service(args, console, lambda args: {}, lambda answer, console: None) == code
+    assert service.operations == [verb]
+
+
+def test_the_exit_codes_are_those_of_the_help(capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(["--help"]) == 0
+    described = " ".join(capsys.readouterr().out.split())
+    assert [int(code) for code in ExitCode] == [0, 1, 2, 3, 4, 5]
+    for words in (
+        "0 done",
+        "1 the configuration has errors",
+        "2 wrong usage",
+        "3 no service",
+        "4 the change",
+    ):
+        assert words in described
+
+
+def test_the_status_shows_the_pending_version_and_the_time_left(console: Console) -> None:
+    status._show_status(STATUS, console)
+    lines = printed(console).splitlines()
+    assert lines[0] == "edge: version 2 in force, 1 confirmed"
+    assert lines[1] == "version 2: in force"
+    assert lines[2] == "taken back unless confirmed in 1.5 s"
+    assert lines[-1].startswith("bodies in passing: 0, at most 3 at once, 4096 bytes so far")
+
+
+@pytest.mark.parametrize(
+    ("planning", "line"),
+    [
+        ({"lends_to": None, "own_parts_in_ms": 0}, "web-1: uses its own parts"),
+        ({"lends_to": None, "own_parts_in_ms": 250}, "web-1: uses its own parts in 250 ms"),
+        ({"lends_to": "p0", "own_parts_in_ms": 0}, "web-1: its parts are lent to planner p0"),
+    ],
+)
+def test_the_status_shows_who_uses_the_forwarders_parts(
+    planning: dict[str, Any], line: str, console: Console
+) -> None:
+    status._show_status(STATUS | {"planning": planning | {"forwarder": "web-1", "planners": []}}, console)
+    assert line in printed(console).splitlines()
+
+
+def test_a_difference_without_changes_says_so(console: Console) -> None:
+    changes._show_diff({"ok": True, "changes": []}, console)
+    assert printed(console) == "no key differs\n"
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -96,6 +96,8 @@
         ({"limits": {"sockets": 3}}, "limits.sockets: 3: it should be greater than or equal to 64"),
         ({"pools__web__drain_grace_ms": 5000}, "less than or equal to 2000"),
         ({"classes": {}}, "classes"),
+        ({"routes__0__match": {"headers": [{"name": "X", "present": True}] * 17}}, "at most 16 items"),
+        ({"tenants": {f"t{number}": {"quota_per_s": 1} for number in range(1_001)}}, "at most 1000 items"),
         ({"format": None}, "format: this key is wanted"),
     ],
 )
