--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -34,6 +34,7 @@
     default_control = renamed_variable(os.environ, "PLANNER_CONTROL", warn) or DEFAULT_CONTROL
 
     def add(name: str, text: str, handler: Handler) -> argparse.ArgumentParser:
+        """Add one verb below `planner`."""
         parser = subparsers.add_parser(name, help=text, description=text)
         parser.set_defaults(handler=handler)
         return parser
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -42,7 +42,7 @@
         kinds: The names of the machine types, by their number.
         report_names: The names of a load report's values, in the order of the settings.
         drain_grace_ms: From the notice that a server is draining to the last attempt that may be sent to it.
-        known: The endpoint lists that are known at the start.
+        known: The endpoint list as this instance last had it, in the form of discovery; empty for none.
     """
 
     name: str
