--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -10,7 +10,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import diff
-from sandhatch.config.transactions import Refusal, RejectedError
+from sandhatch.config.errors import Refusal, RejectedError
 from sandhatch.control.call import Call
 from sandhatch.service.service import Service
 from sandhatch.service.validation import checked_text
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -7,7 +7,7 @@
 
 from typing import Any
 
-from sandhatch.config.transactions import Version
+from sandhatch.config.version import Version
 from sandhatch.control.call import Call
 from sandhatch.control.version_row import version_row
 from sandhatch.service.service import Service
--- a/sandhatch/service/running_pool.py
+++ b/sandhatch/service/running_pool.py
@@ -8,7 +8,7 @@
 
 from sandhatch.balancing.events import ServerState
 from sandhatch.config.check import Checked
-from sandhatch.config.model import Pool
+from sandhatch.config.pool_model import Pool
 from sandhatch.dispatch.dispatcher import Dispatcher
 
 
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -10,10 +10,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from sandhatch.config import transactions as tx
 from sandhatch.config.check import Checked
+from sandhatch.config.errors import Refusal, RejectedError
 from sandhatch.config.history import History, Saved
-from sandhatch.config.transactions import Refusal, RejectedError, State, Transactions, Version
+from sandhatch.config.proposals import Proposal
+from sandhatch.config.transactions import Transactions
+from sandhatch.config.version import OVER, RUNNING, State, Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
 from sandhatch.service.errors import StageError
@@ -164,7 +166,7 @@
 
     def propose(
         self, text: bytes, base: int | None, author: str = "", comment: str = "", merge: bool = False
-    ) -> tx.Proposal:
+    ) -> Proposal:
         """Check text in full and keep it as a proposal.
 
         Args:
@@ -187,7 +189,7 @@
         comment: str = "",
         merge: bool = False,
         size: int = 0,
-    ) -> tx.Proposal:
+    ) -> Proposal:
         """As `propose`, of a configuration that has been checked; `size` is that of its text in bytes."""
         number = self.transactions.in_force.number if base is None else base
         return self.transactions.propose(self.now_ms, number, checked, author, comment, merge, size)
@@ -219,12 +221,12 @@
         if to is not None and to not in self.transactions.versions:
             return self.commit(self._propose_saved(to, author).number)
         result = self.transactions.rollback(self.now_ms, author, to)
-        if isinstance(result, tx.Proposal):
+        if isinstance(result, Proposal):
             return self.commit(result.number)
         self.changes.carry_out()
         return result
 
-    def _propose_saved(self, number: int, author: str) -> tx.Proposal:
+    def _propose_saved(self, number: int, author: str) -> Proposal:
         data = self._store.confirmed_content(number)
         if data is None:
             raise RejectedError(Refusal.UNKNOWN, f"there is no confirmed version {number}")
@@ -253,7 +255,7 @@
 
     async def settled(self, version: Version, over: bool = False) -> Version:
         """Wait until a version is active or has ended; with `over`, until it has ended."""
-        while version.state not in tx.OVER and (over or version.state not in tx.RUNNING):
+        while version.state not in OVER and (over or version.state not in RUNNING):
             await self.changes.changed.wait()
         return version
 
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sandhatch.config import transactions as tx
 from sandhatch.config.history import History, Saved
-from sandhatch.config.transactions import Transactions, Version
+from sandhatch.config.transactions import MOST_RECORDS, Record, Transactions
+from sandhatch.config.version import Version
 from sandhatch.runtime.shared_resources import SharedResources
 
 
@@ -29,7 +29,7 @@
     """
 
     step: int
-    record: tx.Record
+    record: Record
     contents: dict[int, Any]
 
 
@@ -57,7 +57,7 @@
         rows = list(self._transactions.record().versions)
         numbers = {row["version"] for row in rows}
         earlier = [row for row in self._earlier_rows if row["version"] not in numbers]
-        return sorted([*earlier, *rows], key=lambda row: int(row["version"]))[-tx.MOST_RECORDS :]
+        return sorted([*earlier, *rows], key=lambda row: int(row["version"]))[-MOST_RECORDS:]
 
     def confirmed_content(self, number: int) -> dict[str, Any] | None:
         """The configuration of a confirmed version from before this process, None if there is none."""
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -16,7 +16,7 @@
 import yaml
 
 from sandhatch.cli import commands as cli
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from sandhatch.control.calls import Calls
 from sandhatch.control.errors import CallError, ControlError
 from sandhatch.control.framing import LineReader, encode
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.ports import free_port
 from testkit.servers import Talk
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -9,7 +9,7 @@
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
 from sandhatch.balancing.policy.balancer import SlowStart
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.load import Load
 from testkit.servers import Talk
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -7,7 +7,8 @@
 from random import Random
 from typing import Any
 
-from sandhatch.config.transactions import Refusal, RejectedError, State
+from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.version import State
 from tests.service.harness import Farm, Kept
 
 NON_IDEMPOTENT = frozenset(("order",))
