--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -25,7 +25,7 @@
 from typing import cast
 
 from sandhatch.balancing.events import Guidance, ServerState
-from sandhatch.balancing.guidance import SharedRamp
+from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
 from sandhatch.planning.messages import Advice, PartRow, PoolReport, Report, Row, decode, encode
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -39,7 +39,9 @@
     TimerFired,
     Unrepeatable,
 )
-from sandhatch.balancing.guidance import GuidanceState, SharedRamp, Warming
+from sandhatch.balancing.guidance.shared_ramp import SharedRamp
+from sandhatch.balancing.guidance.state import GuidanceState
+from sandhatch.balancing.guidance.warm_up import Warming
 from sandhatch.balancing.settings import DeduplicationScope, Effect, ReportMode, RequestClass, Settings
 
 # ---------------------------------------------------------------- token list
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, RampShare, ServerWeight
-from sandhatch.balancing.guidance import ramp_burst
+from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.ledger import DRIFT
 from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, Report
--- a/sandhatch/planning/ledger.py
+++ b/sandhatch/planning/ledger.py
@@ -1,6 +1,6 @@
 """What a planner may grant out of what it was lent, so that no two sides ever count the same part.
 
-Every copy owns a part of each ramp, known without a word (`sandhatch.balancing.guidance.safe_part`). A
+Every copy owns a part of each ramp, known without a word (`balancing.guidance.ramp_allocation.safe_part`). A
 forwarder lends its parts to one planner; the planner grants out of what it was lent, and nothing else. So
 planners need no leader and no agreement: what two of them grant was lent by different forwarders. No
 I/O, no clock.
@@ -19,7 +19,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from sandhatch.balancing.guidance import safe_part
+from sandhatch.balancing.guidance.ramp_allocation import safe_part
 
 DRIFT = 0.01  # of a lease, by which the clocks of two machines may differ in their rate
 
@@ -81,8 +81,8 @@
         first = -label % self.copies
         last = first + holders
         held = counts[min(last, self.copies)] - counts[first] + counts[max(0, last - self.copies)]
-        rate, burst = safe_part(self.copies, first, self.burst, label)
-        return held * rate, held * burst
+        allocation = safe_part(self.copies, first, self.burst, label)
+        return held * allocation.rate, held * allocation.burst
 
 
 class Ledger:
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -15,7 +15,7 @@
 from heapq import nsmallest
 from typing import Any
 
-from sandhatch.balancing.guidance import GuidanceState
+from sandhatch.balancing.guidance.state import GuidanceState
 from sandhatch.planning.ledger import DRIFT, Ledger, Lenders
 from sandhatch.planning.load import MemberLoad, PoolLoad, ServerView
 from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, PoolReport, Report
--- a/tests/planning/test_ledger.py
+++ b/tests/planning/test_ledger.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sandhatch.balancing.guidance import safe_part
+from sandhatch.balancing.guidance.ramp_allocation import safe_part
 from sandhatch.planning.ledger import Ledger, Lenders
 
 
@@ -31,8 +31,8 @@
     places = {me for me in places if me < copies}
     own = [safe_part(copies, me, burst, label) for me in places]
     rate, calls = lenders(copies, burst, *places).parts(label, 1_000.0)
-    assert math.isclose(rate, sum(part for part, _ in own), abs_tol=1e-9)
-    assert math.isclose(calls, sum(part for _, part in own), abs_tol=1e-9)
+    assert math.isclose(rate, sum(allocation.rate for allocation in own), abs_tol=1e-9)
+    assert math.isclose(calls, sum(allocation.burst for allocation in own), abs_tol=1e-9)
 
 
 def test_a_place_counts_only_where_it_is_lent_for_as_long_as_the_grant_may_live() -> None:
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -246,8 +246,8 @@
             scripted(answering(right), "p1") as other,
             forwarder({"p0": one.port, "p1": other.port}) as post,
         ):
-            slides = post.dispatcher.balancer.guidance_state._slides
-            await until(lambda: [slides[n].to for n in sorted(slides)] == [0.6] * 4)
+            changes = post.dispatcher.balancer.guidance_state.weights.changes
+            await until(lambda: [changes[n].target for n in sorted(changes)] == [0.6] * 4)
             assert post.dispatcher.rejected == []
 
     run(work())
--- a/tests/planning/test_ramps.py
+++ b/tests/planning/test_ramps.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, ramp_burst, safe_part
 from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
 
 # More comes than the ramp lets through, so that it binds; few servers, so that each draw may be the cold one.
@@ -57,10 +58,11 @@
 def test_copies_that_do_not_share_the_ramp_pass_it() -> None:
     """What the other tests would see if each forwarder took the whole ramp for its own."""
     tier = Tier(replace(PLAN, planners=0), 1)
+    complete = safe_part(1, 0, ramp_burst(tier.settings), 0)
     for forwarder in tier.forwarders:
         ramp = forwarder.balancer.guidance_state.ramp
         assert ramp is not None
-        ramp._settings = replace(ramp._settings, instances=1, instance_index=0)
+        ramp._own_allocation = lambda server: complete
     tier.at(FRESH, lambda: tier.restart(0))
     tier.run(FRESH + PLAN.cold_ms)
     node = tier.servers[0]
@@ -184,7 +186,7 @@
     assert again.machine is not None and again.machine.bound_ms >= begin + 3_000.0
     ramp = again.balancer.guidance_state.ramp
     assert ramp is not None
-    assert ramp.part(again.balancer.fleet.servers[0], begin + 2_000.0) == (0.0, 0.0)
+    assert ramp.part(again.balancer.fleet.servers[0], begin + 2_000.0) == RampAllocation(0.0, 0.0)
 
 
 @pytest.mark.parametrize("seed", range(8))
