--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -1,273 +1,340 @@
-"""How old the held list may be, and every call to discovery that keeps it younger: when to call, what for,
-how long discovery may keep the call, and when to give it up.
-
-`Freshness` owns the one bound. A list is current as of its last whole answer; the next whole answer is due
-`notified_ms` later, when whatever discovery has counts as told. A watch waits for a third of that bound at
-most, so that its silence shows early; the rest is for the calls behind it, which take their turn at
-discovery. Nothing but a whole answer moves the bound: no failure, pause, refusal or malformed answer does.
-
-A call is one of three, each told by `WatchList`:
-
-    WHOLE   the whole list, where no version is held
-    OPEN    changes since the version held, without a wait: takes its turn, and opens a watch
-    RENEW   the same with a wait: goes on with that watch, takes no turn, and must follow at once
-
-    state     event                      next       what is done
-    --------  -------------------------  ---------  --------------------------------------------------------
-    OFF       the list at the start      PLANNED    WHOLE or OPEN, spread over the copies that may start too
-    PLANNED   its time has come          OUT        the call is made; one that is out ends
-    OUT       answered: WHOLE            PLANNED    OPEN, after PACE_MS; the next answer is due anew
-    OUT       answered: OPEN, RENEW      PLANNED    RENEW, after PACE_MS; the next answer is due anew
-    OUT       failed, refused, given up  PLANNED    WHOLE or OPEN: the first spread out, then by pauses that
-                                                    count from the begin of the call that failed
-    any       moved                      PLANNED    WHOLE, spread out; its answer is due in MOVED_MS
-    any       an answer of another call  as it was  the version held is that answer's
-
-A standing subscription (the simulator's wire) needs no renewals: OPEN answered leads to SUBSCRIBED, from
-where a failure leads to PLANNED as above, and so does a listed server that turns calls away (`doubt`): a
-silent subscription shows by nothing else.
-
-Does no input or output and reads no clock. Sources: the protocol's figures for lists (6 s, 200 ms from an
-answer to the next call, 4 s after a change of address), and the settings.
+"""How old the endpoint list may be, and every request to discovery that keeps it fresh.
+
+`Freshness` decides when to send a request, what for, how long discovery may hold it, and when to abandon it.
+It does no I/O and reads no clock. Sources: the protocol's figures for lists (6 s until a change counts as
+notified, 200 ms from an answer to the next request, 4 s after a change of address), and the settings.
+
+One bound matters. A list is fresh as of its last complete answer. The next complete answer is due
+`notified_ms` later: from then on every change that discovery has counts as notified to this instance, whether
+it was received or not. Nothing but a complete answer moves this bound: a failure, a pause, a rejection or a
+malformed answer does not. A watch waits for a third of the bound at most, so that a silent watch is noticed
+early; the rest of the bound is for the requests that follow it, which queue at discovery.
+
+A request is one of three kinds, and each is sent as a `WatchList` action:
+
+    COMPLETE_LIST  the complete list, where no version of it is known
+    OPEN_WATCH     changes since the known version, without a wait: queues at discovery, and opens a watch
+    RENEW_WATCH    the same with a wait: continues that watch, doesn't queue, and must follow at once
+
+    state        event                              next         action
+    -----------  ---------------------------------  -----------  ---------------------------------------------
+    NOT_STARTED  the cached list at the start       SCHEDULED    COMPLETE_LIST or OPEN_WATCH, spread over the
+                                                                 instances that may start in the same moment
+    SCHEDULED    the scheduled time has come        IN_FLIGHT    send the request; one in flight is abandoned
+    IN_FLIGHT    COMPLETE_LIST is answered          SCHEDULED    OPEN_WATCH, after NEXT_REQUEST_MS; the bound
+                                                                 starts again
+    IN_FLIGHT    another request is answered        SCHEDULED    RENEW_WATCH, after NEXT_REQUEST_MS; the bound
+                                                                 starts again
+    IN_FLIGHT    failed, rejected or abandoned      SCHEDULED    COMPLETE_LIST or OPEN_WATCH: after the first
+                                                                 failure spread like a start, then with a
+                                                                 pause that counts from the failed request
+    any          discovery has a new address        SCHEDULED    COMPLETE_LIST, spread; due in RELOCATED_MS
+    any          the answer to an earlier request   unchanged    the known version is that answer's
+
+A standing subscription (the simulator's wire) needs no renewals. There an answer to OPEN_WATCH leads to the
+state SUBSCRIBED, from which a failure leads to SCHEDULED as above. A subscription that has fallen silent
+shows only by a listed server that rejects requests: that raises a suspicion, see `Freshness.doubt`.
 """
 
 from __future__ import annotations
 
 import math
+from dataclasses import dataclass
 from enum import Enum
 from random import Random
-from typing import NamedTuple, Protocol
+from typing import Protocol
 
 from sandhatch.balancing.actions import Action, SetTimer, WatchList
 from sandhatch.balancing.events import NO_VERSION, ListKind, ListUpdate, ServerState
 from sandhatch.balancing.settings import Settings
 
-LIST_COOKIE = 1 << 40  # above every request id
-DOUBT_COOKIE = LIST_COOKIE + 1
-COOKIES = (LIST_COOKIE, DOUBT_COOKIE)
+REQUEST_COOKIE = 1 << 40  # above every request id
+SUSPICION_COOKIE = REQUEST_COOKIE + 1
+COOKIES = (REQUEST_COOKIE, SUSPICION_COOKIE)
 
-NOTIFIED_MS = 6_000.0  # whatever discovery has counts as told so long after
-MOVED_MS = 4_000.0  # the same after its address has changed
-LEAST_MS = 1_000.0  # guards discovery against settings by which a list would be old at once
+NOTIFIED_MS = 6_000.0  # from a change at discovery until it counts as notified
+RELOCATED_MS = 4_000.0  # the same after discovery has changed its address
+LEAST_NOTIFIED_MS = 1_000.0  # guards discovery against settings by which a list would be old at once
 
 
 def notified_after_ms(settings: Settings) -> float:
-    """How long after discovery has a change it counts as told, whatever the copy has heard: the bound. A copy
-    that neither watches nor asks is told of all that is older than the settings' time for asking.
+    """How long after a change at discovery it counts as notified, received or not: the bound on a list's age.
+
+    An instance that neither watches nor polls counts as notified of all that is older than the settings' poll
+    interval.
     """
-    return (
-        min(NOTIFIED_MS, max(LEAST_MS, settings.poll_interval_ms))
-        if settings.polled_discovery
-        else NOTIFIED_MS
-    )
+    if not settings.polled_discovery:
+        return NOTIFIED_MS
+    return min(NOTIFIED_MS, max(LEAST_NOTIFIED_MS, settings.poll_interval_ms))
+
 
+class Suspect(Protocol):
+    """A listed server that rejected a request, as far as the list's age is judged by it.
 
-class Doubted(Protocol):
-    """A listed server, as far as the list's age is judged by it. `strikes`: failures since it last served."""
+    Attributes:
+        state: What discovery says of it.
+        strikes: Its consecutive failures since it last served a request.
+    """
 
     state: ServerState
     strikes: int
 
 
 class State(Enum):
-    OFF = "off"
-    PLANNED = "planned"
-    OUT = "out"
+    """Where the requests to discovery stand."""
+
+    NOT_STARTED = "not started"
+    SCHEDULED = "scheduled"
+    IN_FLIGHT = "in flight"
     SUBSCRIBED = "subscribed"
 
 
-class Call(Enum):
-    WHOLE = "whole"
-    OPEN = "open"
-    RENEW = "renew"
+class RequestKind(Enum):
+    """What a request to discovery is for."""
+
+    COMPLETE_LIST = "complete list"
+    OPEN_WATCH = "open watch"
+    RENEW_WATCH = "renew watch"
+
+
+@dataclass(slots=True, frozen=True)
+class Pacing:
+    """How far requests are kept apart. Pauses are drawn from half of what is stated here up to all of it.
 
+    Attributes:
+        spread_ms: For each instance that may send a request in the same moment.
+        pause_ms: Between the starts of requests in a row that fail, until the list is due.
+        overdue_pause_ms: The same once the list is overdue.
+    """
+
+    spread_ms: float
+    pause_ms: float
+    overdue_pause_ms: float
+
+
+# For each instance of each tier: twice the time that a request is taken to need at discovery. Nothing states
+# that time.
+SPREAD_MS = 500.0
 
-class Pace(NamedTuple):
-    """How calls are kept apart, ms. Pauses are drawn from half of what is stated here to all of it."""
 
-    spread_ms: float  # for each copy that may call in the same moment
-    pause_ms: float  # from begin to begin of calls in a row that fail, until the bound has passed
-    longest_ms: float  # the same from then on
+def _pacing(settings: Settings, notified_ms: float) -> Pacing:
+    if not settings.polled_discovery:
+        # Pushed lists come from the instance's own agent, whose answers count at once when it is back: nobody
+        # else waits there, and a pause must fit into the shortest grace period.
+        return Pacing(0.0, 100.0, 500.0)
+    # Once the list is overdue about one request an instance in each bound, so that a discovery that can serve
+    # all instances within it is not kept busy by rejections; but no longer than the grace period leaves once
+    # it is back.
+    grace_ms = min(settings.drain_grace_ms, notified_ms)  # guards against one without end
+    return Pacing(SPREAD_MS, 2.0 * (notified_ms / 3.0), notified_ms + grace_ms / 2.0)
 
 
 class Freshness:
-    """One copy's list. Each method returns the actions that it calls for.
+    """The freshness of one instance's endpoint list. Each method returns the actions to carry out.
 
-    Discovery has one capacity for all copies, and a call that it refuses costs it as much as one that it
-    takes: guards against copies that call in step at their start or after a failure, against turns that are
-    given up and taken anew, and against refusals that are repeated so fast that nobody is served any more.
+    Discovery has one capacity for all instances, and a request that it rejects costs it as much as one that
+    it serves. The pacing guards against instances that send requests in step at their start or after a
+    failure, against requests that leave discovery's queue and join it anew, and against rejected requests
+    that are retried so fast that no instance is served any more.
+
+    Attributes:
+        notified_ms: The bound on the list's age.
+        state: Where the requests to discovery stand.
     """
 
-    # For each copy of each tier: as long as a call takes discovery, twice over. Nothing tells how long.
-    SPREAD_MS = 500.0
-    USED = 0.9  # of what is left of the bound, over which a fleet's calls are spread at the most
-    # Past a renewal's wait, for the answer to come: it takes no turn, and a copy may read late on a part of a
-    # core.
-    SEEN_MS = 500.0
-    PACE_MS = 25.0  # from an answer to the next call: well under what ends a watch, and no busy loop
-    DOUBT_MS = 2_000.0  # about as long as news of a server take to come by the list
+    SPREAD_SHARE = 0.9  # of the time until the list is due, over which requests are spread at most
+    # Beyond a renewal's wait, for its answer to arrive: it doesn't queue, and an instance on a part of a core
+    # may read late.
+    ANSWER_MARGIN_MS = 500.0
+    NEXT_REQUEST_MS = 25.0  # from an answer to the next request: far below what ends a watch, no busy loop
+    SUSPICION_MS = 2_000.0  # about as long as a change of a server takes to arrive by the list
 
     def __init__(self, settings: Settings, rng: Random) -> None:
+        """Start without a list; the first list event starts the requests."""
         self._rng = rng
-        self._fleet = settings.instances * settings.tiers  # about: each tier has its own number of copies
+        self._fleet_size = settings.instances * settings.tiers  # an estimate: tiers differ in size
         self._half_tick_ms = settings.tick_ms / 2.0
-        self._ask_within_ms = settings.poll_interval_ms
-        self._renewed = settings.one_shot_watches
-        self._asked = settings.polled_discovery
+        self._poll_interval_ms = settings.poll_interval_ms
+        self._has_one_shot_watches = settings.one_shot_watches
+        self._is_polled = settings.polled_discovery
         self.notified_ms = notified_after_ms(settings)
-        third = self.notified_ms / 3.0
-        if self._asked:
-            # Past the bound about one call a copy in each bound, so that a discovery that can serve the fleet
-            # within it is not kept busy by refusals; but no longer than the grace leaves once it is back.
-            grace_ms = min(settings.drain_grace_ms, self.notified_ms)  # guards against one without end
-            self._pace = Pace(self.SPREAD_MS, 2.0 * third, self.notified_ms + grace_ms / 2.0)
-        else:
-            # Pushed lists come from the copy's own agent, whose word counts at once when it is back: nobody
-            # else waits there, and a pause must fit into the shortest grace.
-            self._pace = Pace(0.0, 100.0, 500.0)
-        self._longest_wait_ms = third
-        # Of a call that takes its turn: one given up loses it, so that it may take half of the bound.
-        self._patience_ms = self.notified_ms / 2.0 + self.SEEN_MS
-        self.state = State.OFF
-        self._call = Call.OPEN  # the one planned or out
-        self._number = 0  # of the call made last
-        self._held = NO_VERSION
-        self._due_ms = math.inf  # when the next whole answer is due: the bound
-        self._at = math.inf  # when the call planned is to be made
-        self._begun_ms = 0.0  # when the last one was
-        # Whether no call has failed since the last list. Copies that start together have spread out already.
-        self._spreads = not self._asked
-        self._old = False  # the cached list is all there is so far, and no call was made
-        self._doubted: Doubted | None = None  # listed as ready, but turns calls away
-        self._doubt_ms = 0.0  # from the last call for that reason to the next; 0: there was none
-        self._doubt_at = 0.0
+        self._pacing = _pacing(settings, self.notified_ms)
+        self._longest_wait_ms = self.notified_ms / 3.0
+        # Of a request that queues: one that is abandoned loses its turn, and so may take half of the bound.
+        self._patience_ms = self.notified_ms / 2.0 + self.ANSWER_MARGIN_MS
+
+        self.state = State.NOT_STARTED
+        self._kind = RequestKind.OPEN_WATCH  # of the request that is scheduled or in flight
+        self._request_number = 0  # of the request sent last
+        self._version = NO_VERSION  # of the known list
+        self._due_ms = math.inf  # when the next complete answer is due: the bound
+        self._scheduled_ms = math.inf  # when the scheduled request is to be sent
+        self._sent_ms = 0.0  # when the last request was sent
+        # Whether the next failure is the first since the last list, and is spread. Instances that start in
+        # the same moment are spread already.
+        self._spreads_failure = not self._is_polled
+        self._knows_only_cached = False  # there is only the cached list, and no request was sent
+        self._suspect: Suspect | None = None  # listed as ready, but rejects requests
+        # From the last request that a suspect caused to the next one; 0 if there was none.
+        self._suspicion_pause_ms = 0.0
+        self._next_suspicion_ms = 0.0  # when the next one may be sent
 
     # ------------------------------------------------ events
 
     def heard(self, update: ListUpdate, now_ms: float) -> list[Action]:
-        """A list event has come."""
-        if not (self._asked or self._renewed):
+        """Handle a list event."""
+        if not (self._is_polled or self._has_one_shot_watches):
             return []
         if update.kind is ListKind.RELOCATED:
-            return self._moved(now_ms)
-        if self.state is State.OFF:
-            return self._begin(update, now_ms)
+            return self._on_relocated(now_ms)
+        if self.state is State.NOT_STARTED:
+            return self._on_first_list(update, now_ms)
         if update.kind is ListKind.FAILED:
-            return self._failed(update, now_ms)
-        return self._answered(update, now_ms)
+            return self._on_failure(update, now_ms)
+        return self._on_answer(update, now_ms)
 
-    def _begin(self, update: ListUpdate, now_ms: float) -> list[Action]:
-        """The list held at the start serves at first. Copies may start together, by their number. One that
-        holds none has nothing to serve from, and comes before the others.
-        """
-        self._held = update.version
-        self._due_ms = now_ms + self.notified_ms
-        self._old = True
-        early = 3.0 if update.version == NO_VERSION else 1.0
-        return self._plan(self._again(), self._spread(now_ms) / early, now_ms)
-
-    def _moved(self, now_ms: float) -> list[Action]:
-        """What was planned is void with the old address, and its versions with it."""
-        self._held = NO_VERSION
-        self._due_ms = min(self._due_ms, now_ms + MOVED_MS)
-        self._spreads, self._doubt_ms = True, 0.0
-        return self._plan(Call.WHOLE, self._spread(now_ms), now_ms)
-
-    def _answered(self, update: ListUpdate, now_ms: float) -> list[Action]:
-        self._held = update.version
-        if self._renewed and not self._answers(update):
-            return []  # of a call that was made elsewhere; the one out stays out
-        self._due_ms = now_ms + self.notified_ms
-        self._spreads, self._doubt_ms = True, 0.0
-        if not self._renewed:
-            self.state = State.SUBSCRIBED
+    def fired(self, cookie: int, now_ms: float) -> list[Action]:
+        """Handle one of the timers in `COOKIES`."""
+        if cookie == SUSPICION_COOKIE:
+            return self._confirm_suspicion(now_ms)
+        # Half a tick: a caller's clock may round down. Timers of requests that were rescheduled are ignored.
+        if self.state is not State.SCHEDULED or now_ms + self._half_tick_ms < self._scheduled_ms:
             return []
-        return self._plan(Call.OPEN if self._call is Call.WHOLE else Call.RENEW, self.PACE_MS, now_ms)
+        return self._send(now_ms)
+
+    def doubt(self, server: Suspect, now_ms: float) -> list[Action]:
+        """Handle that a listed server rejected a request unseen: it may be leaving, and the list be old.
 
-    def _failed(self, update: ListUpdate, now_ms: float) -> list[Action]:
-        if self.state is State.PLANNED or (self._renewed and not self._answers(update)):
+        Guards against a standing subscription that has fallen silent, which nothing else reveals, while
+        listed servers leave and new ones stay unknown. A change that is on its way has precedence: a request
+        is sent only if the server is still listed after a while, and has served nothing since.
+        """
+        if not self._is_polled:
             return []
-        if self.state is State.SUBSCRIBED:
-            self._due_ms = now_ms + self.notified_ms  # it held until it broke
-        self._held = update.version
-        return self._plan(self._again(), self._pause(now_ms), now_ms)
+        if self._knows_only_cached and self.state is State.SCHEDULED:
+            # The cached list turns out to be old. Not at once: instances that start together would all poll.
+            return self._schedule(self._kind, max(0.0, self._scheduled_ms - now_ms) / 3.0, now_ms)
+        if self._has_one_shot_watches:
+            return []  # a watch that is renewed reveals its own silence, and sooner
+        if self._suspect is not None or now_ms < self._next_suspicion_ms:
+            return []
+        self._suspect = server
+        return [SetTimer(SUSPICION_COOKIE, self.SUSPICION_MS * (0.5 + self._rng.random()))]
 
-    def _answers(self, update: ListUpdate) -> bool:
-        return self.state is State.OUT and update.call == self._number
+    # ------------------------------------------------ transitions
 
-    def doubt(self, server: Doubted, now_ms: float) -> list[Action]:
-        """A listed server turned a call away unseen: it may be leaving or gone, and the list old.
+    def _on_first_list(self, update: ListUpdate, now_ms: float) -> list[Action]:
+        """Serve from the cached list at first, and spread the first request over the fleet.
 
-        Guards against a standing subscription that has fallen silent, which nobody else tells of, while the
-        servers on the list go and those that come stay unknown. What is on its way comes first: the list is
-        asked for only if the server is still on it after a while, and has served nothing since.
+        An instance that knows no list has nothing to serve from, and comes before the others.
         """
-        if not self._asked:
+        self._version = update.version
+        self._due_ms = now_ms + self.notified_ms
+        self._knows_only_cached = True
+        precedence = 3.0 if update.version == NO_VERSION else 1.0
+        return self._schedule(self._first_kind(), self._spread_ms(now_ms) / precedence, now_ms)
+
+    def _on_relocated(self, now_ms: float) -> list[Action]:
+        """Start again at the new address, which knows neither the old requests nor the old versions."""
+        self._version = NO_VERSION
+        self._due_ms = min(self._due_ms, now_ms + RELOCATED_MS)
+        self._reset_failures()
+        return self._schedule(RequestKind.COMPLETE_LIST, self._spread_ms(now_ms), now_ms)
+
+    def _on_answer(self, update: ListUpdate, now_ms: float) -> list[Action]:
+        self._version = update.version
+        if self._has_one_shot_watches and not self._answers_request(update):
+            return []  # to an earlier request; the one in flight stays in flight
+        self._due_ms = now_ms + self.notified_ms
+        self._reset_failures()
+        if not self._has_one_shot_watches:
+            self.state = State.SUBSCRIBED
             return []
-        if self._old and self.state is State.PLANNED:
-            # The cached list shows to be old. Not at once: copies that start together would all ask together.
-            return self._plan(self._call, max(0.0, self._at - now_ms) / 3.0, now_ms)
-        if self._renewed or self._doubted is not None or now_ms < self._doubt_at:
-            return []  # a renewed watch tells of its own silence, sooner than that
-        self._doubted = server
-        return [SetTimer(DOUBT_COOKIE, self.DOUBT_MS * (0.5 + self._rng.random()))]
+        was_complete = self._kind is RequestKind.COMPLETE_LIST
+        next_kind = RequestKind.OPEN_WATCH if was_complete else RequestKind.RENEW_WATCH
+        return self._schedule(next_kind, self.NEXT_REQUEST_MS, now_ms)
 
-    def fired(self, cookie: int, now_ms: float) -> list[Action]:
-        """One of the timers has come due."""
-        if cookie == DOUBT_COOKIE:
-            return self._settle(now_ms)
-        # Half a tick: a caller's clock may round below what was asked for. Timers of older plans are ignored.
-        if self.state is not State.PLANNED or now_ms + self._half_tick_ms < self._at:
+    def _on_failure(self, update: ListUpdate, now_ms: float) -> list[Action]:
+        if self.state is State.SCHEDULED:
             return []
-        return self._make(now_ms)
-
-    def _settle(self, now_ms: float) -> list[Action]:
-        server, self._doubted = self._doubted, None
-        if server is None or server.state is not ServerState.READY or not server.strikes:
+        if self._has_one_shot_watches and not self._answers_request(update):
+            return []
+        if self.state is State.SUBSCRIBED:
+            self._due_ms = now_ms + self.notified_ms  # the list was fresh until the subscription broke
+        self._version = update.version
+        return self._schedule(self._first_kind(), self._pause_after_failure_ms(now_ms), now_ms)
+
+    def _confirm_suspicion(self, now_ms: float) -> list[Action]:
+        """Send a request if the suspect is still listed as ready and has served nothing since."""
+        suspect = self._suspect
+        self._suspect = None
+        if suspect is None or suspect.state is not ServerState.READY or not suspect.strikes:
             return []
-        if self.state is State.PLANNED:
-            return []  # it is going to be asked for anyway
-        # Each call that brought nothing new doubles the time to the next: it may not be the list at all.
-        self._doubt_ms = min(4.0 * self._ask_within_ms, 2.0 * (self._doubt_ms or self.DOUBT_MS))
-        self._doubt_at = now_ms + self._doubt_ms * (0.5 + self._rng.random())
-        self._call = Call.OPEN
-        return self._make(now_ms)
-
-    # ------------------------------------------------ calls
-
-    def _again(self) -> Call:
-        """What a call is for where no watch goes on."""
-        return Call.WHOLE if self._held == NO_VERSION and self._renewed else Call.OPEN
-
-    def _spread(self, now_ms: float) -> float:
-        """Until a call that other copies may make for the same reason in the same moment."""
-        left = max(0.0, self._due_ms - now_ms)
-        return self._rng.random() * min(self._pace.spread_ms * self._fleet, self.USED * left)
-
-    def _pause(self, now_ms: float) -> float:
-        """From a failure to the next call. The first in a row after a list is a watch that broke or fell
-        silent: all that came since is unknown. Later ones keep calls apart, from begin to begin: one that was
-        out until it was given up has spent that time already.
+        if self.state is State.SCHEDULED:
+            return []  # a request is about to be sent anyway
+        # Each request that brought nothing new doubles the pause to the next: the list may not be at fault.
+        longest_pause_ms = 4.0 * self._poll_interval_ms
+        next_pause_ms = 2.0 * (self._suspicion_pause_ms or self.SUSPICION_MS)
+        self._suspicion_pause_ms = min(longest_pause_ms, next_pause_ms)
+        self._next_suspicion_ms = now_ms + self._suspicion_pause_ms * (0.5 + self._rng.random())
+        self._kind = RequestKind.OPEN_WATCH
+        return self._send(now_ms)
+
+    def _answers_request(self, update: ListUpdate) -> bool:
+        """Whether a list event answers the request in flight."""
+        return self.state is State.IN_FLIGHT and update.call == self._request_number
+
+    def _reset_failures(self) -> None:
+        self._spreads_failure = True
+        self._suspicion_pause_ms = 0.0
+
+    # ------------------------------------------------ requests
+
+    def _first_kind(self) -> RequestKind:
+        """What a request is for where no watch continues."""
+        if self._version == NO_VERSION and self._has_one_shot_watches:
+            return RequestKind.COMPLETE_LIST
+        return RequestKind.OPEN_WATCH
+
+    def _spread_ms(self, now_ms: float) -> float:
+        """The delay of a request that other instances may send for the same reason in the same moment."""
+        left_ms = max(0.0, self._due_ms - now_ms)
+        return self._rng.random() * min(
+            self._pacing.spread_ms * self._fleet_size, self.SPREAD_SHARE * left_ms
+        )
+
+    def _pause_after_failure_ms(self, now_ms: float) -> float:
+        """The delay from a failure to the next request.
+
+        The first failure after a list is a watch that broke or fell silent: everything that changed since is
+        unknown, and the delay is a spread. Later failures keep requests apart from start to start: a request
+        that was in flight until it was abandoned has spent that time already.
         """
-        if self._spreads:
-            self._spreads = False
-            return self._spread(now_ms)
-        longest = self._pace.pause_ms if now_ms < self._due_ms else self._pace.longest_ms
-        pause = longest * (0.5 + 0.5 * self._rng.random())
-        return max(0.0, self._begun_ms + pause - now_ms)
-
-    def _plan(self, call: Call, delay_ms: float, now_ms: float) -> list[Action]:
-        self.state, self._call = State.PLANNED, call
-        self._at = now_ms + delay_ms
-        return [SetTimer(LIST_COOKIE, delay_ms)]
-
-    def _make(self, now_ms: float) -> list[Action]:
-        self.state, self._old, self._at, self._begun_ms = State.OUT, False, math.inf, now_ms
-        if not self._renewed:
+        if self._spreads_failure:
+            self._spreads_failure = False
+            return self._spread_ms(now_ms)
+        is_due = now_ms >= self._due_ms
+        longest_ms = self._pacing.overdue_pause_ms if is_due else self._pacing.pause_ms
+        pause_ms = longest_ms * (0.5 + 0.5 * self._rng.random())
+        return max(0.0, self._sent_ms + pause_ms - now_ms)
+
+    def _schedule(self, kind: RequestKind, delay_ms: float, now_ms: float) -> list[Action]:
+        self.state = State.SCHEDULED
+        self._kind = kind
+        self._scheduled_ms = now_ms + delay_ms
+        return [SetTimer(REQUEST_COOKIE, delay_ms)]
+
+    def _send(self, now_ms: float) -> list[Action]:
+        self.state = State.IN_FLIGHT
+        self._knows_only_cached = False
+        self._scheduled_ms = math.inf
+        self._sent_ms = now_ms
+        if not self._has_one_shot_watches:
             return [WatchList(True)]
-        self._number += 1
-        if self._call is not Call.RENEW:
-            return [WatchList(True, self._number, self._held, 0.0, self._patience_ms)]
-        # Drawn anew each time: watches that broke together are not renewed in step, nor found silent in step.
+        self._request_number += 1
+        if self._kind is not RequestKind.RENEW_WATCH:
+            return [WatchList(True, self._request_number, self._version, 0.0, self._patience_ms)]
+        # Drawn anew each time: watches that broke together are neither renewed nor found silent in step.
         wait_ms = self._longest_wait_ms * (0.5 + 0.5 * self._rng.random())
-        return [WatchList(True, self._number, self._held, wait_ms, wait_ms + self.SEEN_MS)]
+        patience_ms = wait_ms + self.ANSWER_MARGIN_MS
+        return [WatchList(True, self._request_number, self._version, wait_ms, patience_ms)]
--- a/tests/freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -1,5 +1,7 @@
-"""Settings that bear on the list's age and on cold servers: a value that makes no sense is named, one that is
-odd but legal neither stops a copy nor makes it call without pause.
+"""Settings that affect the list's age and warming servers.
+
+A value that makes no sense is named; one that is odd but valid neither stops an instance nor makes it send
+requests to discovery without a pause.
 """
 
 from __future__ import annotations
@@ -11,7 +13,12 @@
 import pytest
 
 from sandhatch.balancing.actions import SetTimer, WatchList
-from sandhatch.balancing.endpoint_freshness import LEAST_MS, NOTIFIED_MS, Freshness, notified_after_ms
+from sandhatch.balancing.endpoint_freshness import (
+    LEAST_NOTIFIED_MS,
+    NOTIFIED_MS,
+    Freshness,
+    notified_after_ms,
+)
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
 from sandhatch.runtime.address import ConfigError
@@ -24,11 +31,11 @@
 
 def settings_with(key: str, value: Any) -> dict[str, Any]:
     settings = SETTINGS | {"Discovery": "on_request", "Guarantees": dict(SETTINGS["Guarantees"])}
-    place = settings if key == "PeersTotal" else settings["Guarantees"]
+    section = settings if key == "PeersTotal" else settings["Guarantees"]
     if value is ...:
-        place.pop(key, None)
+        section.pop(key, None)
     else:
-        place[key] = value
+        section[key] = value
     return settings
 
 
@@ -44,13 +51,13 @@
         return
     with pytest.raises(ConfigError) as raised:
         decode(text_of(settings_with(key, value)), {})
-    told = str(raised.value)
-    assert key in told and "\n" not in told
-    assert repr(value) in told or "inf" in told
+    message = str(raised.value)
+    assert key in message and "\n" not in message
+    assert repr(value) in message or "inf" in message
 
 
 @pytest.mark.parametrize("key", KEYS)
-def test_zero_is_named_or_taken(key: str) -> None:
+def test_zero_is_named_or_accepted(key: str) -> None:
     text = text_of(settings_with(key, 0))
     if key in MAY_BE_ZERO:
         decode(text, {})
@@ -61,20 +68,19 @@
 
 @pytest.mark.parametrize("key", KEYS)
 @pytest.mark.parametrize("value", [..., 0.0, 1.0, 1e12], ids=["missing", "zero", "tiny", "vast"])
-def test_whatever_is_taken_a_copy_calls_within_bounds(key: str, value: Any) -> None:
-    """At most some calls a second, and at least one in the bound and its longest pause, for a minute of
-    failures.
-    """
+def test_with_any_accepted_value_requests_to_discovery_stay_within_bounds(key: str, value: Any) -> None:
+    """In a minute of failures: at most six requests a second, and at least one in the longest pause."""
     if value == 0.0 and key not in MAY_BE_ZERO:
         return
     if key == "DrainGraceMs" and value == 1e12:
-        value = 9e8  # the most that is taken
+        value = 9e8  # the most that is accepted
     if key == "PeersTotal" and value is not ...:
         value = int(value)
     settings = decode(text_of(settings_with(key, value)), {}).settings
-    assert LEAST_MS <= notified_after_ms(settings) <= NOTIFIED_MS
+    assert LEAST_NOTIFIED_MS <= notified_after_ms(settings) <= NOTIFIED_MS
     freshness = Freshness(settings, Random(1))
-    now, calls = 0.0, []
+    now = 0.0
+    requests = []
     actions = freshness.heard(ListUpdate(ListKind.CACHED, 1), now)
     for _ in range(10_000):
         (action,) = actions
@@ -85,8 +91,8 @@
             actions = freshness.fired(action.cookie, now)
         else:
             assert isinstance(action, WatchList)
-            calls.append(now)
+            requests.append(now)
             actions = freshness.heard(ListUpdate(ListKind.FAILED, 1, call=action.call), now)
     else:
-        raise AssertionError(f"{len(calls)} calls in {now:.0f} ms")
-    assert 6 <= len(calls) <= 60 * 6
+        raise AssertionError(f"{len(requests)} requests in {now:.0f} ms")
+    assert 6 <= len(requests) <= 60 * 6
