--- a/sandhatch/balancing/actions.py
+++ b/sandhatch/balancing/actions.py
@@ -1,4 +1,8 @@
-"""Actions: what a balancer asks its caller to do, in their order."""
+"""Actions: what a balancer wants its caller to do, in the order in which it returns them.
+
+Servers, requests and timers are named by the integers of the events. Times are durations in milliseconds.
+A balancer never waits for an action: what comes of it arrives as an event.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +10,18 @@
 
 from sandhatch.balancing.events import NO_VERSION
 
+# ---------------------------------------------------------------- requests
+
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; a request's attempts are numbered 0, 1, 2 in the order of their sends."""
+    """Start an attempt. A request's attempts are numbered 0, 1, 2 in the order of these actions.
+
+    Attributes:
+        request: The request.
+        server: The server that it goes to.
+        timeout_ms: After which the attempt ends with `Outcome.TIMEOUT`.
+    """
 
     request: int
     server: int
@@ -18,7 +30,12 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Call off an attempt that is still out; its `AttemptEnded` follows all the same."""
+    """Cancel an attempt in flight. Its `AttemptEnded` follows all the same.
+
+    Attributes:
+        request: The request.
+        attempt: The attempt's number within the request.
+    """
 
     request: int
     attempt: int
@@ -26,7 +43,12 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: not served, and trying again does no harm."""
+    """Final answer: the request was not served, and a retry does no harm.
+
+    Attributes:
+        request: The request.
+        wait_ms: How long the client should wait before its retry (Retry-After); 0 gives no advice.
+    """
 
     request: int
     wait_ms: float = 0.0
@@ -34,14 +56,22 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: not served, and nothing is promised of its effect."""
+    """Final answer: the request failed, and may or may not have had its effect."""
 
     request: int
 
 
+# ---------------------------------------------------------------- timers, servers, peers
+
+
 @dataclass(slots=True)
 class SetTimer:
-    """Fire `TimerFired` with this cookie after the delay."""
+    """Send `TimerFired` after a delay. Timers can't be cancelled.
+
+    Attributes:
+        cookie: What the event is to carry.
+        delay_ms: How long from now.
+    """
 
     cookie: int
     delay_ms: float
@@ -49,7 +79,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its load report."""
+    """Probe a server: check whether it answers, and get its load report."""
 
     server: int
 
@@ -63,22 +93,38 @@
 
 @dataclass(slots=True)
 class TellPeer:
-    """`peer` of None reaches every peer."""
+    """Send a message to other instances of the tier.
+
+    Attributes:
+        peer: The index of the instance; None sends it to all.
+        payload: What to send.
+    """
 
     peer: int | None
     payload: bytes = b""
 
 
+# ---------------------------------------------------------------- discovery
+
+
 @dataclass(slots=True)
 class FetchList:
-    """Fetch the complete endpoint list once."""
+    """Request the complete endpoint list once."""
 
 
 @dataclass(slots=True)
 class WatchList:
-    """Ask for changes since version `after` (`NO_VERSION`: for the whole list), or stop asking. Discovery may
-    keep the call for `wait_ms`; it is given up, and counts as failed, after `patience_ms`. A call that is
-    still out ends, with its connection. Without a number it is a standing subscription.
+    """Request changes of the endpoint list, or stop watching it.
+
+    A request that is still in flight ends, with its connection. Without a number the action starts or ends a
+    standing subscription, and the fields that follow the number don't count.
+
+    Attributes:
+        active: Whether to watch.
+        call: The request's number, which its answer carries; 0 for a standing subscription.
+        after: The version after which changes are requested; `NO_VERSION` requests the complete list.
+        wait_ms: How long discovery may hold the request until there is a change.
+        patience_ms: After which the request is abandoned, and counts as failed.
     """
 
     active: bool = field(default=True)
@@ -88,6 +134,9 @@
     patience_ms: float = 0.0
 
 
+# ---------------------------------------------------------------- reports
+
+
 @dataclass(slots=True)
 class Log:
     """Write a line to the log."""
@@ -97,7 +146,12 @@
 
 @dataclass(slots=True)
 class GuidanceRejected:
-    """Advice was out of bounds, and none of it counts."""
+    """Report that guidance was out of bounds, so that none of it counts.
+
+    Attributes:
+        planner: The planner that sent it.
+        why: What was out of bounds.
+    """
 
     planner: str
     why: str
--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -1,8 +1,8 @@
-"""Events: what the caller tells a balancer.
+"""Events: what happened outside, as the caller of a balancer passes it in.
 
-Times are milliseconds; durations are relative, and the time of an event is handed to `Balancer.handle`.
-Servers, requests and timers are named by integers that the caller chooses; the module never reads meaning
-into them.
+Servers, requests and timers are named by integers that the caller chooses; nothing is ever read into them.
+All times are milliseconds. `started_ms`, `report_sent_ms` and names that end in `until_ms` are readings of the
+caller's clock, whose present reading goes to `Balancer.handle` with each event; all others are durations.
 """
 
 from __future__ import annotations
@@ -11,47 +11,41 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
+# ---------------------------------------------------------------- discovery
+
 
 class ServerState(IntEnum):
     """What discovery says of a server."""
 
-    GONE = 0
-    READY = 1
-    DRAINING = 2
-
-
-class Outcome(IntEnum):
-    """How one attempt or probe ended."""
-
-    OK = 0
-    ERROR = 1  # the server answered with an error; it may have run
-    FULL = 2  # turned away unseen: proves that it never ran
-    TIMEOUT = 3  # no answer in time; may have run, or still be running
-    CONNECT_FAILED = 4  # no connection: proves that it never ran
-    RESET = 5  # connection lost; may have run
-    CANCELLED = 6  # called off by us; may have run
-    DISCARDED = 7  # never sent: proves that it never ran
-    CLIENT_ERROR = 8  # the server says that the request itself is no good, which tells nothing of the server
-
-
-NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED))
-# They tell nothing of the server's state.
-NEUTRAL_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.DISCARDED, Outcome.CLIENT_ERROR))
+    GONE = 0  # removed
+    READY = 1  # may be sent requests
+    DRAINING = 2  # finishes its work; nothing new is sent to it
 
 
 class ListKind(Enum):
     """What a list event carries."""
 
-    FULL = "full"  # the whole list: a server that it lacks is gone
+    FULL = "full"  # the complete list: a server that is not on it is gone
     DELTA = "delta"  # changed entries only
-    CACHED = "cached"  # the whole list as last held; may be old
-    FAILED = "failed"  # a call to discovery failed or the subscription broke; no entries
-    RELOCATED = "moved"  # discovery is at another address, and calls out to the old one ended; no entries
+    CACHED = "cached"  # the complete list as this instance knew it last; may be old
+    FAILED = "failed"  # a request to discovery failed or the subscription broke; no entries
+    RELOCATED = "moved"  # discovery has a new address, and requests in flight have ended; no entries
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEntry:
-    """One line of discovery's list. `started_ms` of 0 means long ago."""
+    """One entry of an endpoint list.
+
+    Attributes:
+        server: The server's number.
+        state: What discovery says of it.
+        started_ms: When its process started, by the caller's clock; 0 means long ago.
+        weight: Its rating, in comparison with those of other servers; has no unit.
+        zone: Its zone.
+        cell: Its cell: the servers of a cell share the idempotency keys that they have seen.
+        kind: Its kind of machine.
+        label: A number that is the same for this server in all instances; used where these share a ramp.
+    """
 
     server: int
     state: ServerState = ServerState.READY
@@ -60,16 +54,21 @@
     zone: int = 0
     cell: int = 0
     kind: int = 0
-    label: int = 0  # the same for this server in every copy; only where copies share a ramp
+    label: int = 0
 
 
-NO_VERSION = -1  # in place of a list's version: there is none
+NO_VERSION = -1  # in place of a list's version: no list is known
 
 
 @dataclass(slots=True)
 class ListUpdate:
-    """What discovery tells. `call` is the number of the `WatchList` that it answers, 0 of none; `version` is
-    that of the list held from here on.
+    """An event of the endpoint list.
+
+    Attributes:
+        kind: What it carries.
+        version: The version of the list that is known from now on.
+        entries: The list's entries, or the changed ones.
+        call: The number of the `WatchList` that this answers; 0 if it answers none.
     """
 
     kind: ListKind
@@ -78,9 +77,42 @@
     call: int = 0
 
 
+# ---------------------------------------------------------------- requests
+
+
+class Outcome(IntEnum):
+    """How an attempt or a probe ended."""
+
+    OK = 0
+    ERROR = 1  # the server answered with an error; it may have run
+    FULL = 2  # rejected by the server unseen: proves that it never ran
+    TIMEOUT = 3  # no answer in time; may have run, or still be running
+    CONNECT_FAILED = 4  # no connection: proves that it never ran
+    RESET = 5  # connection lost; may have run
+    CANCELLED = 6  # cancelled by us; may have run
+    DISCARDED = 7  # never sent: proves that it never ran
+    CLIENT_ERROR = 8  # the server says that the request itself is invalid, which says nothing of the server
+
+
+NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED))
+# Outcomes that say nothing of the server's health.
+NEUTRAL_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.DISCARDED, Outcome.CLIENT_ERROR))
+
+
 @dataclass(slots=True)
 class RequestArrived:
-    """A client request; exactly one final answer is owed from here on."""
+    """A client's request. From now on the balancer has to give it exactly one final answer.
+
+    Attributes:
+        request: Its number, never used twice.
+        class_index: Its class in `Settings.classes`.
+        time_left_ms: How long until the client abandons it.
+        tenant: Its tenant in `Settings.tenants`.
+        key: What it is about: requests with the same key belong together; 0 means none.
+        expected_ms: The work that it is expected to take, on a standard core; None if unknown.
+        client_retry: Whether the client marked it as a retry.
+        write: Whether it writes.
+    """
 
     request: int
     class_index: int
@@ -94,7 +126,14 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """A streamed answer has begun: the attempt now belongs to the client and no deadline runs."""
+    """A streamed answer has started: the attempt is the request's last, and no deadline runs any more.
+
+    Attributes:
+        request: The request.
+        attempt: The attempt's number within the request.
+        server: The server.
+        spent_ms: The time since the attempt was sent.
+    """
 
     request: int
     attempt: int
@@ -104,14 +143,24 @@
 
 @dataclass(slots=True)
 class Unrepeatable:
-    """What was sent of the request's body is no longer held: no further attempt could carry it."""
+    """Part of a request's body was sent and is not buffered any more: no further attempt could send it."""
 
     request: int
 
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """Exactly one for each `Send`. `final` says the request itself is over."""
+    """An attempt has ended. There is exactly one for each `Send`.
+
+    Attributes:
+        request: The request.
+        attempt: The attempt's number within the request.
+        server: The server.
+        outcome: How it ended.
+        final: Whether the request itself has ended, by this outcome or before.
+        spent_ms: The time since the attempt was sent.
+        report: The load report that came with it, in the order of `Settings.report_fields`; may be empty.
+    """
 
     request: int
     attempt: int
@@ -124,21 +173,31 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request has left; nothing is owed to it any more."""
+    """The client of a request has disconnected: the request needs no answer any more."""
 
     request: int
 
 
+# ---------------------------------------------------------------- timers, probes, peers
+
+
 @dataclass(slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` has run out."""
+    """A timer that was set by `SetTimer` has fired."""
 
     cookie: int
 
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """Exactly one for each `Probe`, with the load report that came, if any."""
+    """A probe has ended. There is exactly one for each `Probe`.
+
+    Attributes:
+        server: The server.
+        outcome: How it ended.
+        spent_ms: The time since the probe was sent.
+        report: The load report that came with it, in the order of `Settings.report_fields`; may be empty.
+    """
 
     server: int
     outcome: Outcome
@@ -148,15 +207,28 @@
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Another instance has sent a payload."""
+    """Another instance of the tier has sent a message.
+
+    Attributes:
+        sender: The index of that instance.
+        payload: What it sent.
+    """
 
     sender: int
     payload: bytes = b""
 
 
+# ---------------------------------------------------------------- guidance from planners
+
+
 @dataclass(slots=True, frozen=True)
 class ServerWeight:
-    """How much of the draws that it would have a server keeps, from 0 to 1."""
+    """The weight of a server.
+
+    Attributes:
+        server: The server.
+        weight: The share of its draws that it keeps, from 0 to 1.
+    """
 
     server: int
     weight: float
@@ -164,7 +236,13 @@
 
 @dataclass(slots=True, frozen=True)
 class RampShare:
-    """A copy's part in the ramp of a cold server: of its rate, from 0 to 1, and calls at once."""
+    """An instance's share of the ramp of a server that is warming up.
+
+    Attributes:
+        server: The server.
+        rate: Share of the ramp's rate, from 0 to 1.
+        burst: Requests that may be sent at once beyond that rate.
+    """
 
     server: int
     rate: float
@@ -173,11 +251,19 @@
 
 @dataclass(slots=True)
 class Guidance:
-    """A planner's advice. It counts until `until_ms`, of this copy's own time.
-
-    `weights` of None leave those it gave before. `parts` and `own_part`, of what the tier bears (None leaves
-    the one before), count where this copy has `leased` its own parts to that planner, which are others' until
-    `leased_until_ms`. `report_sent_ms` is when the report was sent that it answers.
+    """Guidance from a planner: weights of servers, and shares that this instance may use for a while.
+
+    The shares count only where this instance has leased its own shares to that planner.
+
+    Attributes:
+        planner: The planner's name.
+        report_sent_ms: When this instance sent the report that the guidance answers.
+        until_ms: When the guidance expires.
+        weights: The servers' weights; one that is not named has the weight 1. None extends those before.
+        leased: Whether this instance has leased its own shares to that planner.
+        leased_until_ms: Until when these are leased to others.
+        parts: Shares of ramps; a server that is not named has none.
+        own_part: Share of the tier's capacity. None extends the share before.
     """
 
     planner: str
@@ -192,7 +278,7 @@
 
 @dataclass(slots=True)
 class OwnSharesLeased:
-    """This copy's own parts in ramps are others' until then, whatever is advised."""
+    """This instance has leased its own shares of ramps to others until this time, whatever guidance comes."""
 
     until_ms: float
 
