--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -1,8 +1,8 @@
 """Events: what happened outside, as the caller of a balancer passes it in.
 
 Servers, requests and timers are named by integers that the caller chooses; nothing is ever read into them.
-All times are milliseconds. `started_ms`, `report_sent_ms` and names that end in `until_ms` are readings of the
-caller's clock, whose present reading goes to `Balancer.handle` with each event; all others are durations.
+All times are milliseconds. `started_ms`, `report_sent_ms` and names that end in `until_ms` are readings of
+the caller's clock, whose present reading goes to `Balancer.handle` with each event; others are durations.
 """
 
 from __future__ import annotations
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -13,7 +13,7 @@
 from sandhatch.balancing.settings import Settings
 from sandhatch.runtime.address import Address, ConfigError, parse_address
 from sandhatch.runtime.process import grant_descriptors
-from sandhatch.simulator.codec import decode_settings
+from sandhatch.simulator.settings_decoder import decode_settings
 
 MEMORY_MB = 64.0  # taken where no limit is stated
 
