--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -58,7 +58,7 @@
 class SharedRamp(Warming):
     """This instance's share of the ramps of a tier's warming servers."""
 
-    SETTLE_MS = 1_000.0  # over which a share of the rate rises
+    RISE_MS = 1_000.0  # over which a share of the rate rises
 
     def __init__(self, settings: Settings) -> None:
         """Start without a warming server and without a grant."""
@@ -116,8 +116,8 @@
 
     def grant(
         self,
-        parts: Iterable[RampShare],
-        begun_ms: float,
+        shares: Iterable[RampShare],
+        report_sent_ms: float,
         until_ms: float,
         leased_until_ms: float,
         now_ms: float,
@@ -125,16 +125,16 @@
         """Use the shares that a planner has granted, in place of those that it granted before.
 
         Args:
-            parts: The granted shares. A server that is not named is granted nothing.
-            begun_ms: When the report was sent that the grant answers.
+            shares: The granted shares. A server that is not named is granted nothing.
+            report_sent_ms: When the report was sent that the grant answers.
             until_ms: When the grant expires.
             leased_until_ms: Until when this instance's own shares are leased to others.
             now_ms: The present time.
         """
         self._accrue_all(now_ms)
-        self._leased = {share.server: share for share in parts}
+        self._leased = {share.server: share for share in shares}
         self._leased_shares_end_ms = until_ms
-        self._decay_ms = max(1.0, (until_ms - begun_ms) / 2.0)
+        self._decay_ms = max(1.0, (until_ms - report_sent_ms) / 2.0)
         self._own_shares_leased_until_ms = max(self._own_shares_leased_until_ms, leased_until_ms)
 
     def lend(self, until_ms: float, now_ms: float) -> None:
@@ -143,18 +143,18 @@
             self._accrue_all(now_ms)
             self._own_shares_leased_until_ms = until_ms
 
-    def inherit(self, past: SharedRamp) -> None:
+    def inherit(self, previous: SharedRamp) -> None:
         """Take over the buckets and grants of another ramp of the same servers.
 
         The other ramp keeps only its grants from now on: its own shares are never its own again.
         """
-        self._buckets = past._buckets
-        self._rate_shares = past._rate_shares
-        self._leased = past._leased
-        self._leased_shares_end_ms = past._leased_shares_end_ms
-        self._decay_ms = past._decay_ms
-        self._own_shares_leased_until_ms = past._own_shares_leased_until_ms
-        past._own_shares_leased_until_ms = math.inf
+        self._buckets = previous._buckets
+        self._rate_shares = previous._rate_shares
+        self._leased = previous._leased
+        self._leased_shares_end_ms = previous._leased_shares_end_ms
+        self._decay_ms = previous._decay_ms
+        self._own_shares_leased_until_ms = previous._own_shares_leased_until_ms
+        previous._own_shares_leased_until_ms = math.inf
 
     # ------------------------------------------------ sends
 
@@ -222,7 +222,7 @@
         start_ms = bucket.updated_ms
         while True:
             phase = self._phase(start_ms)
-            rate_share.fall_or_rise_to(self._rate_share(phase, server, start_ms), start_ms, self.SETTLE_MS)
+            rate_share.fall_or_rise_to(self._rate_share(phase, server, start_ms), start_ms, self.RISE_MS)
             end_ms = self._piece_end(start_ms, rate_share.end_ms, now_ms)
             mean_share = (rate_share.value_at(start_ms) + rate_share.value_at(end_ms)) / 2.0
             counted_share = min(mean_share, self._rate_share(phase, server, end_ms))
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -35,7 +35,7 @@
     # Bounds of an instance's share of the tier's capacity, in even shares.
     LEAST_PART = 0.5
     MOST_PART = 8.0
-    SETTLE_MS = 3_000.0  # over which that share moves to a new value
+    OWN_SHARE_CHANGE_MS = 3_000.0  # over which that share moves to a new value
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         """Start without any guidance. The balancer's own random numbers decide who is passed over."""
@@ -90,7 +90,7 @@
             self.ramp.grant(shares, event.report_sent_ms, event.until_ms, event.leased_until_ms, now_ms)
         if event.own_part is not None:
             self._own_share_until_ms = event.until_ms
-            self._own_share.change_to(event.own_part, now_ms, self.SETTLE_MS)
+            self._own_share.change_to(event.own_part, now_ms, self.OWN_SHARE_CHANGE_MS)
         elif self._own_share_until_ms < math.inf:
             self._own_share_until_ms = event.until_ms  # the share granted before counts on
 
@@ -105,11 +105,11 @@
         """Whether the settings that guidance depends on are the same."""
         return _relevant_settings(self._settings) == _relevant_settings(other._settings)
 
-    def inherit(self, past: GuidanceState) -> None:
+    def inherit(self, previous: GuidanceState) -> None:
         """Take over the guidance that counts for another balancer, whose settings differ."""
-        self.weights.inherit(past.weights)
-        if self.ramp is not None and past.ramp is not None:
-            self.ramp.inherit(past.ramp)
+        self.weights.inherit(previous.weights)
+        if self.ramp is not None and previous.ramp is not None:
+            self.ramp.inherit(previous.ramp)
 
     # ------------------------------------------------ what counts now
 
@@ -127,7 +127,7 @@
     def own_part(self, now_ms: float) -> float:
         """This instance's share of the tier's capacity; an even one without guidance."""
         if now_ms >= self._own_share_until_ms:
-            self._own_share.change_to(self._even_share, self._own_share_until_ms, self.SETTLE_MS)
+            self._own_share.change_to(self._even_share, self._own_share_until_ms, self.OWN_SHARE_CHANGE_MS)
             self._own_share_until_ms = math.inf
         return self._own_share.value_at(now_ms)
 
--- a/tests/balancing/test_guidance_gradual_value.py
+++ b/tests/balancing/test_guidance_gradual_value.py
@@ -5,7 +5,7 @@
 from sandhatch.balancing.guidance.gradual_value import GradualValue
 
 
-def test_a_value_changes_linearly_and_the_same_target_again_changes_nothing() -> None:
+def test_a_value_changes_linearly_and_a_repeated_target_changes_nothing() -> None:
     value = GradualValue(1.0)
     value.change_to(0.0, 100.0, 100.0)
     assert value.value_at(150.0) == 0.5
