--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -1,172 +1,205 @@
-"""Counts over a whole fleet, second by second, from the records that its copies wrote (`event_recorder`):
+"""The fleet report: counts over all instances, second by second, from the lines of their event recorders.
 
     python -m sandhatch.telemetry.fleet_report LOG...
 
-It reads nothing but those lines; other lines are passed over. Only `main` reads files.
+It reads nothing but those lines and passes over all others; only `main` reads files.
+Source: the project's own; `event_recorder` says what the lines hold.
 """
 
 from __future__ import annotations
 
-import json
 import sys
 from collections import Counter, defaultdict
-from collections.abc import Iterable, Iterator, Sequence
+from collections.abc import Iterable, Sequence
+from enum import StrEnum
 from pathlib import Path
-from typing import Any
 
-from sandhatch.balancing.events import Outcome, ServerState
+from sandhatch.balancing.events import ListKind, Outcome
 from sandhatch.runtime.text_table import table
-from sandhatch.telemetry.event_recorder import MARK
-
-COLD_S = 20.0  # a server is counted as cold for so long after its start, unless told otherwise
-COLUMNS = (
-    "asked",  # requests that came
-    "again",  # of them, marked as a client's repeat
-    "sent",
-    "repeat",  # attempts beyond a request's first
-    "cold",  # sends to servers that started less than `cold_s` ago
-    "gone",  # sends to servers that some copy had been told are draining or gone
-    "ok",
-    "full",
-    "connect",
-    "reset",
-    "timeout",
-    "error",
-    "refuse",
-    "fail",
-    "probe",
-    "closeidle",
-    "watchlist",
-    "full_list",
-    "delta",
-    "failed",
-    "copies",  # that wrote a line in this second
-    "cpu_ms",
-    "oldest_ms",  # the highest age of a list that a call was sent by
+from sandhatch.telemetry.record_format import (
+    ATTEMPT_EVENT,
+    LIST_EVENT,
+    REQUEST_EVENT,
+    SENDS_EVENT,
+    EventRecord,
+    RecordedSend,
+    parse_records,
 )
-OUTCOMES = {Outcome.OK: "ok", Outcome.FULL: "full", Outcome.CONNECT_FAILED: "connect", Outcome.RESET: "reset"}
-OUTCOMES |= {Outcome.TIMEOUT: "timeout", Outcome.ERROR: "error"}
 
-
-def records(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """The records in a log, in its order; a line that is cut off or is no record is left out."""
-    for line in lines:
-        at = line.find(MARK)
-        if at < 0:
-            continue
-        try:
-            record = json.loads(line[at + len(MARK) :])
-        except ValueError:
-            continue
-        if isinstance(record, dict) and isinstance(record.get("t"), int | float) and "in" in record:
-            yield record
+WARM_UP_S = 20.0  # a server counts as warming up for so long after its start, unless set otherwise
+EXIT_NO_RECORDS = 1
+EXIT_UNREADABLE = 2
+
+
+class Column(StrEnum):
+    """The report's columns, in their order.
+
+    The values are the headings. Scripts and people read them, so they stay; the names are the field's terms.
+    """
+
+    REQUESTS = "asked"
+    CLIENT_RETRIES = "again"  # of the requests, those that a client marked as a retry
+    ATTEMPTS = "sent"
+    RETRIES = "repeat"  # attempts beyond a request's first
+    ATTEMPTS_TO_WARMING_UP = "cold"  # to servers that started less than the warm-up time ago
+    ATTEMPTS_TO_REMOVED = "gone"  # to servers that some instance was notified are draining or removed
+    OK = "ok"
+    FULL = "full"
+    CONNECT_FAILED = "connect"
+    RESET = "reset"
+    TIMEOUT = "timeout"
+    ERROR = "error"
+    REJECTED = "refuse"
+    FAILED = "fail"
+    PROBES = "probe"
+    IDLE_CLOSED = "closeidle"
+    LIST_POLLS = "watchlist"
+    FULL_LISTS = "full_list"
+    DELTA_LISTS = "delta"
+    FAILED_POLLS = "failed"
+    INSTANCES = "copies"  # that wrote a line in this second
+    CPU_MS = "cpu_ms"
+    OLDEST_LIST_MS = "oldest_ms"  # the highest age of a list that an attempt was sent by
+
+
+OUTCOME_COLUMNS = {
+    Outcome.OK: Column.OK,
+    Outcome.FULL: Column.FULL,
+    Outcome.CONNECT_FAILED: Column.CONNECT_FAILED,
+    Outcome.RESET: Column.RESET,
+    Outcome.TIMEOUT: Column.TIMEOUT,
+    Outcome.ERROR: Column.ERROR,
+}
+LIST_COLUMNS = {
+    ListKind.FULL.value: Column.FULL_LISTS,
+    ListKind.DELTA.value: Column.DELTA_LISTS,
+    ListKind.FAILED.value: Column.FAILED_POLLS,
+}
+ACTION_COLUMNS = {
+    column.value: column
+    for column in (Column.REJECTED, Column.FAILED, Column.PROBES, Column.IDLE_CLOSED, Column.LIST_POLLS)
+}
 
 
 class Fleet:
-    """Counts of one tier's copies. Records are taken in the order of their times, over all copies."""
-
-    def __init__(self, cold_s: float = COLD_S) -> None:
-        self._cold_s = cold_s
-        self.seconds: dict[int, Counter[str]] = defaultdict(Counter)
-        self._names: dict[str, dict[int, str]] = defaultdict(dict)  # by copy: its number of a server
-        self._left: set[str] = set()
-        self._started: dict[str, float] = {}
-        self._tried: Counter[tuple[str, int]] = Counter()
-        self._cpu: dict[str, float] = {}
-        self._seen: set[tuple[int, str]] = set()
-
-    def take(self, record: dict[str, Any], second: int) -> None:
-        count, copy, what = self.seconds[second], str(record.get("copy")), record["in"]
-        if (second, copy) not in self._seen:
-            self._seen.add((second, copy))
-            count["copies"] += 1
-        cpu = float(record.get("cpu", 0.0))
-        count["cpu_ms"] += round(1000.0 * max(0.0, cpu - self._cpu.get(copy, cpu)))
-        self._cpu[copy] = cpu
-        if what == "RequestArrived":
-            count["asked"] += 1
-            count["again"] += bool(record.get("again"))
-        elif what == "AttemptEnded":
-            count[OUTCOMES.get(Outcome(record["outcome"]), "other")] += 1
-        elif what == "ListUpdate":
-            kind = str(record["kind"])
-            count["full_list" if kind == "full" else kind] += 1
-            self._learn(copy, record)
-        elif what == "Sends":
-            for number, times in record["sent"].items():
-                self._send(self._names[copy].get(int(number), ""), record["t"], count, times)
-            self._oldest(record["age_ms"], count)
-        for action in record.get("out", ()):
-            self._act(action, copy, record["t"], count)
-
-    def _learn(self, copy: str, record: dict[str, Any]) -> None:
-        for number, address, state, started_ms in record["servers"]:
-            self._names[copy][number] = address
-            if state == ServerState.READY.value:
-                self._left.discard(address)
-                self._started[address] = max(self._started.get(address, 0.0), started_ms / 1000.0)
+    """Counts of one tier's instances. Records are added in the order of their times, over all instances.
+
+    `seconds` has the counts of each second, by the seconds since the first record.
+    """
+
+    def __init__(self, warm_up_s: float = WARM_UP_S) -> None:
+        """Creates a fleet without records, whose servers warm up for `warm_up_s`."""
+        self.seconds: dict[int, Counter[Column]] = defaultdict(Counter)
+        self._warm_up_s = warm_up_s
+        self._addresses: dict[str, dict[int, str]] = defaultdict(dict)  # by instance and its server number
+        self._removed: set[str] = set()  # addresses
+        self._started_at_s: dict[str, float] = {}  # by address
+        self._attempts: Counter[tuple[str, int]] = Counter()  # by instance and its request number
+        self._cpu_s: dict[str, float] = {}  # by instance
+        self._active: set[tuple[int, str]] = set()  # seconds in which an instance wrote
+
+    def add(self, record: EventRecord, second: int) -> None:
+        """Counts a record in this second."""
+        count = self.seconds[second]
+        self._count_instance(record, second)
+        if record.event == REQUEST_EVENT:
+            count[Column.REQUESTS] += 1
+            count[Column.CLIENT_RETRIES] += record.is_client_retry
+        elif record.event == ATTEMPT_EVENT and record.outcome in OUTCOME_COLUMNS:
+            count[OUTCOME_COLUMNS[record.outcome]] += 1
+        elif record.event == LIST_EVENT:
+            if record.list_kind in LIST_COLUMNS:
+                count[LIST_COLUMNS[record.list_kind]] += 1
+            self._apply_list(record)
+        elif record.event == SENDS_EVENT:
+            for server, sent in record.sends_by_server:
+                self._count_attempts(self._address(record.instance, server), record.time_s, count, sent)
+            self._count_list_age(record.list_age_ms, count)
+        for send in record.sends:
+            self._count_send(record, send, count)
+        for action in record.other_actions:
+            if action in ACTION_COLUMNS:
+                count[ACTION_COLUMNS[action]] += 1
+
+    def _count_instance(self, record: EventRecord, second: int) -> None:
+        count = self.seconds[second]
+        if (second, record.instance) not in self._active:
+            self._active.add((second, record.instance))
+            count[Column.INSTANCES] += 1
+        before_s = self._cpu_s.get(record.instance, record.cpu_s)
+        count[Column.CPU_MS] += round(1000.0 * max(0.0, record.cpu_s - before_s))
+        self._cpu_s[record.instance] = record.cpu_s
+
+    def _apply_list(self, record: EventRecord) -> None:
+        for server in record.servers:
+            self._addresses[record.instance][server.number] = server.address
+            if server.is_ready:
+                self._removed.discard(server.address)
+                known_s = self._started_at_s.get(server.address, 0.0)
+                self._started_at_s[server.address] = max(known_s, server.started_at_s)
             else:
-                self._left.add(address)
-
-    def _act(self, action: Sequence[Any], copy: str, at: float, count: Counter[str]) -> None:
-        if action[0] != "send":
-            count[str(action[0])] += 1
-            return
-        self._tried[copy, action[1]] += 1
-        count["repeat"] += self._tried[copy, action[1]] > 1
-        self._send(self._names[copy].get(action[2], ""), at, count)
-        if len(action) > 4:
-            self._oldest(action[4], count)
-
-    def _send(self, address: str, at: float, count: Counter[str], times: int = 1) -> None:
-        count["sent"] += times
-        count["gone"] += times * (address in self._left)
-        started = self._started.get(address, 0.0)
-        count["cold"] += times * (bool(started) and at - started < self._cold_s)
-
-    @staticmethod
-    def _oldest(age_ms: float, count: Counter[str]) -> None:
-        count["oldest_ms"] = max(count["oldest_ms"], round(age_ms))
+                self._removed.add(server.address)
 
+    def _address(self, instance: str, server: int) -> str:
+        return self._addresses[instance].get(server, "")
 
-def tally(logs: Iterable[Iterable[str]], cold_s: float = COLD_S) -> dict[int, Fleet]:
-    """Of each tier, the counts of its fleet, by seconds since the first record of all."""
-    merged = sorted((record for log in logs for record in records(log)), key=lambda record: record["t"])
-    tiers: dict[int, Fleet] = {}
-    for record in merged:
-        fleet = tiers.setdefault(int(record.get("tier", 0)), Fleet(cold_s))
-        fleet.take(record, int(record["t"] - merged[0]["t"]))
-    return tiers
+    def _count_send(self, record: EventRecord, send: RecordedSend, count: Counter[Column]) -> None:
+        self._attempts[record.instance, send.request] += 1
+        count[Column.RETRIES] += self._attempts[record.instance, send.request] > 1
+        self._count_attempts(self._address(record.instance, send.server), record.time_s, count)
+        self._count_list_age(send.list_age_ms, count)
 
+    def _count_attempts(self, address: str, time_s: float, count: Counter[Column], sent: int = 1) -> None:
+        started_at_s = self._started_at_s.get(address, 0.0)
+        is_warming_up = bool(started_at_s) and time_s - started_at_s < self._warm_up_s
+        count[Column.ATTEMPTS] += sent
+        count[Column.ATTEMPTS_TO_REMOVED] += sent * (address in self._removed)
+        count[Column.ATTEMPTS_TO_WARMING_UP] += sent * is_warming_up
 
-def counts(fleet: Fleet) -> str:
-    """Seconds down, what was counted across; columns in which nothing was counted are left out."""
-    used = [name for name in COLUMNS if any(count[name] for count in fleet.seconds.values())]
+    @staticmethod
+    def _count_list_age(age_ms: float | None, count: Counter[Column]) -> None:
+        if age_ms is not None:
+            count[Column.OLDEST_LIST_MS] = max(count[Column.OLDEST_LIST_MS], round(age_ms))
+
+
+def count_fleets(logs: Iterable[Iterable[str]], warm_up_s: float = WARM_UP_S) -> dict[int, Fleet]:
+    """The counts of each tier's fleet, by tier and by seconds since the first record of all."""
+    records = sorted(
+        (record for log in logs for record in parse_records(log)), key=lambda record: record.time_s
+    )
+    fleets: dict[int, Fleet] = {}
+    for record in records:
+        fleet = fleets.setdefault(record.tier, Fleet(warm_up_s))
+        fleet.add(record, int(record.time_s - records[0].time_s))
+    return fleets
+
+
+def format_counts(fleet: Fleet) -> str:
+    """A table with a row for each second; columns in which nothing was counted are left out."""
+    used = [column for column in Column if any(count[column] for count in fleet.seconds.values())]
     rows = [
-        {"s": second, **{name: count[name] for name in used}}
+        {"s": second, **{column.value: count[column] for column in used}}
         for second, count in sorted(fleet.seconds.items())
     ]
     return table(rows, ("s", *used))
 
 
 def main(paths: Sequence[str]) -> int:
+    """Prints the report of the log files at `paths`; returns the exit status."""
     if not paths:
-        print("fleet_report: name the log files of the fleet's copies", file=sys.stderr)
-        return 2
+        print("fleet_report: name the log files of the fleet's instances", file=sys.stderr)
+        return EXIT_UNREADABLE
     try:
         logs = [Path(path).read_text(errors="replace").splitlines() for path in paths]
-    except OSError as problem:
-        print(f"fleet_report: {problem.filename}: {problem.strerror}", file=sys.stderr)
-        return 2
-    tiers = tally(logs)
-    for tier, fleet in sorted(tiers.items()):
-        print(f"tier {tier}\n{counts(fleet)}")
-    if not tiers:
-        print(
-            "fleet_report: no records; copies write them with SANDHATCH_RECORD=1",
-            file=sys.stderr,
-        )
-        return 1
+    except OSError as error:
+        print(f"fleet_report: {error.filename}: {error.strerror}", file=sys.stderr)
+        return EXIT_UNREADABLE
+    fleets = count_fleets(logs)
+    for tier, fleet in sorted(fleets.items()):
+        print(f"tier {tier}\n{format_counts(fleet)}")
+    if not fleets:
+        print("fleet_report: no records; instances write them with SANDHATCH_RECORD=1", file=sys.stderr)
+        return EXIT_NO_RECORDS
     return 0
 
 
