--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -17,7 +17,9 @@
 from statistics import mean
 
 from sandhatch.planning.planner import PlannerTerms
-from testkit.tier import Tier, TierPlan, over_ramp
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.tier import Tier
 
 CORES, SERVERS = 2, 20
 BEGIN, END = 12_000.0, 36_000.0
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -32,7 +32,10 @@
 from sandhatch.planning.observer import Observer
 from sandhatch.planning.planner import Planner
 from sandhatch.runtime.address import label_of
-from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
+from testkit.simulation.faults import random_faults
+from testkit.simulation.plan import POOL, TierPlan
+from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.tier import Tier
 
 BEGIN_MS = 1_000_000.0
 CLASS = RequestClass(objective_ms=150.0, deadline_ms=1_000.0, effect=Effect.IDEMPOTENT, name="view")
--- /dev/null
+++ b/testkit/simulation/planning_link.py
@@ -0,0 +1,171 @@
+"""The planners of a simulated tier and their links to the forwarders: delays, losses and partitions.
+
+It decides nothing about advice. Source: `docs/planning-link.md` for the messages, which are encoded and
+decoded as on the wire.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from functools import partial
+from random import Random
+
+from sandhatch.planning.messages import Advice, Report, decode, encode
+from testkit.simulation.clock import SimulatedClock
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.planner import Script, SimPlanner
+from testkit.simulation.protocols import ForwarderPort
+
+TICK_MS = 100.0
+
+
+class PlanningLink:
+    """The planners by name, and the sessions of forwarders with them.
+
+    `partitions` are pairs of a forwarder's number and a planner's name that don't reach each other.
+    """
+
+    def __init__(self, plan: TierPlan, clock: SimulatedClock, rng: Random) -> None:
+        """Creates the plan's planners, each in its first incarnation."""
+        self._plan = plan
+        self._clock = clock
+        self._rng = rng
+        self._last_session = 0
+        self.partitions: set[tuple[int, str]] = set()
+        self.planners = {name: SimPlanner(name, 1, clock.now_ms, plan) for name in planner_names(plan)}
+
+    # ------------------------------------------------ planners
+
+    def tick(self, name: str) -> None:
+        """Ticks a planner's machine now and from now on."""
+        planner = self.planners[name]
+        if planner.up:
+            planner.machine.tick(self._clock.now_ms)
+        self._clock.after(TICK_MS, partial(self.tick, name))
+
+    def kill_planner(self, name: str, forwarders: Iterable[ForwarderPort]) -> None:
+        """Ends a planner's process and its sessions with the forwarders."""
+        self.planners[name].up = False
+        for forwarder in forwarders:
+            self.disconnect(forwarder, name)
+
+    def start_planner(self, name: str) -> None:
+        """Starts a new incarnation of a planner, with its script and nothing in its memory."""
+        previous = self.planners[name]
+        planner = SimPlanner(name, previous.machine.epoch + 1, self._clock.now_ms, self._plan)
+        planner.script = previous.script
+        self.planners[name] = planner
+
+    def follow(self, name: str, script: Script) -> None:
+        """Passes a planner's advice through this script from here on."""
+        self.planners[name].script = script
+
+    # ------------------------------------------------ sessions
+
+    def reaches(self, forwarder: ForwarderPort, planner: str) -> bool:
+        """Whether a message from the forwarder would arrive."""
+        return self.planners[planner].up and (forwarder.number, planner) not in self.partitions
+
+    def connect(self, forwarder: ForwarderPort, planner: str) -> None:
+        """Opens a session, which is established after a while."""
+        machine = forwarder.machine
+        if machine is None or not machine.may_connect(planner, self._clock.now_ms):
+            return
+        self._last_session += 1
+        session = self._last_session
+        forwarder.sessions[planner] = session
+        peer = self.planners[planner]
+
+        def establish() -> None:
+            if forwarder.sessions.get(planner) != session or not self.reaches(forwarder, planner):
+                forwarder.sessions.pop(planner, None)
+                return
+            now_ms = self._clock.now_ms
+            peer.machine.joined(forwarder_name(forwarder.number), now_ms)
+            actions = machine.connected(planner, peer.machine.epoch, now_ms)
+            forwarder.perform_planning_actions(actions)
+
+        self._clock.after(2.0 * self._plan.link_ms + self._rng.random() * self._plan.reconnect_ms, establish)
+
+    def disconnect(self, forwarder: ForwarderPort, planner: str) -> None:
+        """Ends a forwarder's session with a planner, if it has one."""
+        if forwarder.sessions.pop(planner, None) is not None and forwarder.machine is not None:
+            forwarder.machine.lost(planner)
+
+    def partition(self, pairs: Iterable[tuple[int, str]], forwarders: Sequence[ForwarderPort]) -> None:
+        """Replaces the partitions and ends the sessions across them.
+
+        Args:
+            pairs: of a forwarder's number and a planner's name.
+            forwarders: all of the tier's, by number.
+        """
+        self.partitions = set(pairs)
+        for number, name in self.partitions:
+            self.disconnect(forwarders[number], name)
+
+    # ------------------------------------------------ messages
+
+    def report(self, forwarder: ForwarderPort, planner: str, report: Report) -> None:
+        """Sends a forwarder's report; the planner's advice comes back through its script."""
+        if self._loses_message(forwarder, planner):
+            return
+        payload = encode(report)
+        session = forwarder.sessions.get(planner)
+        peer = self.planners[planner]
+        self._clock.after(
+            self._plan.link_ms, partial(self._report_arrives, forwarder, planner, peer, session, payload)
+        )
+
+    def _report_arrives(
+        self, forwarder: ForwarderPort, planner: str, peer: SimPlanner, session: int | None, payload: bytes
+    ) -> None:
+        if self.planners[planner] is not peer or not self.reaches(forwarder, planner):
+            self.disconnect(forwarder, planner)
+            return
+        message = decode(payload)
+        assert isinstance(message, Report)
+        now_ms = self._clock.now_ms
+        try:
+            advice = peer.machine.report(forwarder_name(forwarder.number), message, now_ms)
+        except ValueError:
+            self.disconnect(forwarder, planner)
+            return
+        for delay_ms, arriving in peer.script(advice, now_ms):
+            self._clock.after(
+                self._plan.link_ms + delay_ms,
+                partial(self._advice_arrives, forwarder, planner, session, arriving),
+            )
+
+    def _advice_arrives(
+        self, forwarder: ForwarderPort, planner: str, session: int | None, advice: Advice | None
+    ) -> None:
+        if forwarder.sessions.get(planner) != session or not forwarder.up:
+            return
+        is_partitioned = (forwarder.number, planner) in self.partitions
+        if is_partitioned or self._loses_message(forwarder, planner):
+            self.disconnect(forwarder, planner)
+            return
+        assert forwarder.machine is not None
+        now_ms = self._clock.now_ms
+        if advice is None:
+            forwarder.perform_planning_actions(forwarder.machine.broken(planner, "garbage", now_ms))
+            self.disconnect(forwarder, planner)
+            return
+        forwarder.perform_planning_actions(forwarder.machine.advice(planner, advice, now_ms))
+
+    def _loses_message(self, forwarder: ForwarderPort, planner: str) -> bool:
+        """Draws whether a message is lost; its session ends if so."""
+        if self._plan.link_loss and self._rng.random() < self._plan.link_loss:
+            self.disconnect(forwarder, planner)
+            return True
+        return False
+
+
+def planner_names(plan: TierPlan) -> list[str]:
+    """The planners' names, in the order in which forwarders prefer them."""
+    return [f"p{number}" for number in range(plan.planners)]
+
+
+def forwarder_name(number: int) -> str:
+    """A forwarder's name, as planners know it."""
+    return f"f{number}"
--- /dev/null
+++ b/testkit/simulation/tier.py
@@ -0,0 +1,156 @@
+"""A tier in simulated time: its parts put together, and the events that a test makes happen to them.
+
+It decides nothing and reads no clock: a run is the same each time. Source: the project's own.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Iterable
+from random import Random
+
+from sandhatch.balancing.events import ListKind, ListUpdate
+from testkit.simulation.clock import SimulatedClock
+from testkit.simulation.discovery import SimDiscovery
+from testkit.simulation.forwarder import SimForwarder, Surroundings
+from testkit.simulation.network import Network
+from testkit.simulation.plan import TierPlan, settings_of
+from testkit.simulation.planner import Script, SimPlanner
+from testkit.simulation.planning_link import PlanningLink
+from testkit.simulation.server import SimServer
+from testkit.simulation.workload import Workload
+
+FIRST_TICK_MS = 50.0  # a forwarder's first tick comes at random within so long
+
+
+class Tier:
+    """One run. Create it, schedule faults with `at`, then `run`."""
+
+    def __init__(self, plan: TierPlan, seed: int = 1, quiet_ms: float = 0.0) -> None:
+        """Creates a tier at the run's start.
+
+        Args:
+            plan: its description.
+            seed: of all random draws.
+            quiet_ms: how long an earlier incarnation's ramp shares may still be leased.
+        """
+        self.plan = plan
+        self.rng = Random(seed)
+        self.settings = settings_of(plan)
+        self.clock = SimulatedClock()
+        self.servers = [SimServer(number, plan, self.clock) for number in range(plan.servers)]
+        self.forwarders: list[SimForwarder] = []
+        self.discovery = SimDiscovery(self.clock, self.servers, plan.list_call_ms, plan.list_notice_ms)
+        self.link = PlanningLink(plan, self.clock, self.rng)
+        self.workload = Workload(plan, self.clock, self.forwarders, Random(seed + 1))
+        self._surroundings = Surroundings(
+            plan=plan,
+            settings=self.settings,
+            clock=self.clock,
+            servers=self.servers,
+            workload=self.workload,
+            network=Network(plan, self.clock, self.servers, self.workload),
+            discovery=self.discovery,
+            link=self.link,
+        )
+        self._quiet_ms = quiet_ms
+        self._list_version = 0
+        for _ in range(plan.forwarders):
+            self.join()
+        for name in self.planners:
+            self.link.tick(name)
+        self.workload.schedule_arrival()
+
+    # ------------------------------------------------ time
+
+    @property
+    def now(self) -> float:
+        """The run's time in milliseconds; it starts at `clock.START_MS`."""
+        return self.clock.now_ms
+
+    def at(self, ms: float, call: Callable[[], object]) -> None:
+        """Makes the call `ms` after the run's start."""
+        self.clock.at(ms, call)
+
+    def run(self, until_ms: float) -> None:
+        """Runs until `until_ms` after the run's start."""
+        self.clock.run(until_ms)
+
+    # ------------------------------------------------ forwarders and servers
+
+    def join(self) -> SimForwarder:
+        """Adds a forwarder, with the servers of now in its endpoint list."""
+        number = len(self.forwarders)
+        forwarder = SimForwarder(self._surroundings, number, self.rng.getrandbits(32), self._quiet_ms)
+        self.forwarders.append(forwarder)
+        kind = ListKind.CACHED if self.plan.list_call_ms else ListKind.FULL
+        forwarder.on_endpoint_list(self._list([server for server in self.servers if server.up], kind))
+        self.clock.after(self.rng.random() * FIRST_TICK_MS, forwarder.tick)
+        return forwarder
+
+    def leave(self, number: int) -> None:
+        """Kills a forwarder, which notifies nobody."""
+        forwarder = self.forwarders[number]
+        forwarder.up = False
+        for name in list(forwarder.sessions):
+            self.link.disconnect(forwarder, name)
+
+    def restart(self, number: int) -> None:
+        """Restarts a server, which warms up and loses what it ran; the change is published at once."""
+        server = self.servers[number]
+        server.restart()
+        self._publish([server])
+
+    def add(self) -> SimServer:
+        """Adds a server that warms up."""
+        server = SimServer(len(self.servers), self.plan, self.clock)
+        server.started_ms = self.now
+        self.servers.append(server)
+        self._publish([server])
+        return server
+
+    def replace(self, number: int) -> SimServer:
+        """Removes a server, which completes what it has, and adds one that warms up."""
+        self.servers[number].up = False
+        self._publish([self.servers[number]])
+        return self.add()
+
+    def _publish(self, servers: list[SimServer]) -> None:
+        if self.plan.list_call_ms:
+            self.discovery.change(servers)
+            return
+        for forwarder in self.forwarders:
+            forwarder.on_endpoint_list(self._list(servers, ListKind.DELTA))
+
+    def _list(self, servers: Iterable[SimServer], kind: ListKind) -> ListUpdate:
+        self._list_version += 1
+        return ListUpdate(kind, self._list_version, [server.entry() for server in servers])
+
+    # ------------------------------------------------ planners
+
+    @property
+    def planners(self) -> dict[str, SimPlanner]:
+        """The planners by name."""
+        return self.link.planners
+
+    def kill_planner(self, name: str) -> None:
+        """Ends a planner's process."""
+        self.link.kill_planner(name, self.forwarders)
+
+    def start_planner(self, name: str) -> None:
+        """Starts a new incarnation of a planner, with nothing in its memory."""
+        self.link.start_planner(name)
+
+    def follow(self, name: str, script: Script) -> None:
+        """Passes a planner's advice through this script from here on."""
+        self.link.follow(name, script)
+
+    def partition(self, pairs: Iterable[tuple[int, str]]) -> None:
+        """Keeps these pairs of a forwarder's number and a planner's name apart, and no others."""
+        self.link.partition(pairs, self.forwarders)
+
+    # ------------------------------------------------ results
+
+    def yielded(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
+        """The share served in time of the requests that arrived in a span of the run; 0 if none did."""
+        return self.workload.goodput_share(begin_ms, end_ms)
--- /dev/null
+++ b/testkit/simulation/workload.py
@@ -0,0 +1,97 @@
+"""The requests that come to a simulated tier, and what became of them.
+
+It never looks into a balancer. Source: the project's own; arrivals are a Poisson process from a seed.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Sequence
+from dataclasses import dataclass
+from random import Random
+
+from sandhatch.balancing.events import RequestArrived
+from testkit.simulation.clock import START_MS, SimulatedClock
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.protocols import ForwarderPort
+
+# A request's work is this share of the plan's, and a random part that makes up the rest on average.
+FIXED_WORK_SHARE = 0.25
+
+
+@dataclass(frozen=True, slots=True)
+class PendingRequest:
+    """A request without its final response."""
+
+    arrived_ms: float
+    work_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class CompletedRequest:
+    """A request that has had its final response."""
+
+    arrived_ms: float
+    in_time: bool  # served within the latency objective
+
+
+class Workload:
+    """Sends requests to the forwarders by their demand, and keeps the outcome of each."""
+
+    def __init__(
+        self, plan: TierPlan, clock: SimulatedClock, forwarders: Sequence[ForwarderPort], rng: Random
+    ) -> None:
+        """Creates a workload that has not started.
+
+        Args:
+            plan: the tier's description.
+            clock: the run's time.
+            forwarders: shared, so that later ones get requests too.
+            rng: of the arrivals alone, so that all variants of a plan get the same ones.
+        """
+        self.completed: list[CompletedRequest] = []
+        self._plan = plan
+        self._clock = clock
+        self._forwarders = forwarders
+        self._rng = rng
+        self._pending: dict[int, PendingRequest] = {}
+        self._last_request = 0
+
+    def schedule_arrival(self) -> None:
+        """Schedules the next request, which schedules the one after it."""
+        self._clock.after(self._rng.expovariate(self._plan.rate_per_s / 1000.0), self._arrive)
+
+    def _arrive(self) -> None:
+        self.schedule_arrival()
+        random_share = (1.0 - FIXED_WORK_SHARE) * self._rng.expovariate(1.0)
+        work_ms = (FIXED_WORK_SHARE + random_share) * self._plan.work_ms
+        demand = [
+            self._plan.demand.get(forwarder.number, 1.0) if forwarder.up else 0.0
+            for forwarder in self._forwarders
+        ]
+        forwarder = self._rng.choices(self._forwarders, demand)[0]
+        self._last_request += 1
+        self._pending[self._last_request] = PendingRequest(self._clock.now_ms, work_ms)
+        forwarder.feed(RequestArrived(self._last_request, 0, self._plan.deadline_ms, expected_ms=work_ms))
+
+    def work_ms_of(self, request: int) -> float:
+        """The work of a request; the average of all for one that has been completed."""
+        pending = self._pending.get(request)
+        return pending.work_ms if pending is not None else self._plan.work_ms
+
+    def complete(self, request: int, served: bool) -> None:
+        """Notes the final response of a request; a second one is ignored."""
+        pending = self._pending.pop(request, None)
+        if pending is None:
+            return
+        in_time = served and self._clock.now_ms - pending.arrived_ms <= self._plan.aim_ms
+        self.completed.append(CompletedRequest(pending.arrived_ms, in_time))
+
+    def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
+        """The share served in time of the requests that arrived in a span of the run; 0 if none did."""
+        in_time = [
+            request.in_time
+            for request in self.completed
+            if begin_ms <= request.arrived_ms - START_MS < end_ms
+        ]
+        return sum(in_time) / len(in_time) if in_time else 0.0
--- a/tests/fleet/test_cold.py
+++ b/tests/fleet/test_cold.py
@@ -14,7 +14,9 @@
 from sandhatch.balancing.events import ServerEntry
 from sandhatch.balancing.policy.balancer import Server, SlowStart
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from testkit.tier import SimServer, Tier, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.server import SimServer
+from testkit.simulation.tier import Tier
 
 PLAN = TierPlan(
     servers=20,
--- a/tests/fleet/test_lists.py
+++ b/tests/fleet/test_lists.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from testkit.tier import Tier, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.tier import Tier
 
 PLAN = TierPlan(
     forwarders=40,
--- a/tests/fleet/test_release.py
+++ b/tests/fleet/test_release.py
@@ -11,7 +11,8 @@
 
 import pytest
 
-from testkit.tier import Tier, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.tier import Tier
 
 PLAN = TierPlan(
     servers=10,
--- a/tests/planning/test_loopback.py
+++ b/tests/planning/test_loopback.py
@@ -25,7 +25,8 @@
 from testkit.books import Books
 from testkit.discovery import FakeDiscovery
 from testkit.load import Load
-from testkit.tier import TierPlan, over_ramp
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.ramp_check import over_ramp
 from tests.service.harness import Farm, Kept, run, serving
 
 FORWARDERS = 20
--- a/tests/planning/test_ramps.py
+++ b/tests/planning/test_ramps.py
@@ -11,7 +11,10 @@
 
 import pytest
 
-from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
+from testkit.simulation.faults import random_faults
+from testkit.simulation.plan import POOL, TierPlan
+from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.tier import Tier
 
 # More comes than the ramp lets through, so that it binds; few servers, so that each draw may be the cold one.
 PLAN = TierPlan(
--- a/tests/planning/test_service.py
+++ b/tests/planning/test_service.py
@@ -7,7 +7,8 @@
 import pytest
 
 from sandhatch.planning.messages import Report
-from testkit.tier import Tier, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.tier import Tier
 
 # 20 servers of two cores with calls of 100 ms: 400 calls a second are all that they can do.
 PLAN = TierPlan(
