--- a/tests/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, played in a project of its own."""
+"""The list of known red tests, tried in a project of its own."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 import pytest
 
-from tests.conftest import FILE, read_known
+from tests.conftest import KNOWN_RED_FILE, parse_known_red
 
-CONFTEST = Path(__file__).parent / "conftest.py"
+CONFTEST = Path(__file__).parents[1] / "conftest.py"
 TESTS = """
 def test_sound():
     pass
@@ -23,17 +23,17 @@
 """
 
 
-def played(tmp: Path, lines: str | None, tests: str = TESTS) -> tuple[int, str]:
-    """Exit code and output of a run of all tests."""
+def run_pytest(tmp: Path, lines: str | None, tests: str = TESTS) -> tuple[int, str]:
+    """Exit status and output of a run of all tests."""
     (tmp / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (tmp / "tests").mkdir()
     (tmp / "tests" / "conftest.py").write_text(CONFTEST.read_text())
     (tmp / "tests" / "test_some.py").write_text(tests)
     if lines is not None:
-        (tmp / FILE).write_text(lines)
+        (tmp / KNOWN_RED_FILE).write_text(lines)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    ended = subprocess.run(command, cwd=tmp, capture_output=True, text=True, timeout=60, check=False)
-    return ended.returncode, ended.stdout + ended.stderr
+    process = subprocess.run(command, cwd=tmp, capture_output=True, text=True, timeout=60, check=False)
+    return process.returncode, process.stdout + process.stderr
 
 
 RED = "tests/test_some.py::test_red | a fault | issue 7\n"
@@ -41,29 +41,29 @@
 
 
 def test_listed_tests_are_expected_failures_printed_with_their_cause(tmp_path: Path) -> None:
-    code, out = played(tmp_path, RED + "\n" + RED_TOO)
+    code, out = run_pytest(tmp_path, RED + "\n" + RED_TOO)
     assert code == 0 and "1 passed, 2 xfailed" in out
     assert "known red: tests/test_some.py::test_red: a fault (issue 7)" in out
 
 
 def test_a_red_test_that_is_not_listed_fails(tmp_path: Path) -> None:
-    code, out = played(tmp_path, RED)
+    code, out = run_pytest(tmp_path, RED)
     assert code == 1 and "1 failed" in out
 
 
 @pytest.mark.parametrize("lines", [None, "", "\n \n"])
 def test_an_empty_or_absent_file_is_the_normal_state(lines: str | None, tmp_path: Path) -> None:
-    code, out = played(tmp_path, lines, "def test_sound():\n    pass\n")
+    code, out = run_pytest(tmp_path, lines, "def test_sound():\n    pass\n")
     assert code == 0 and "1 passed" in out
 
 
 def test_a_listed_test_that_passes_fails(tmp_path: Path) -> None:
-    code, out = played(tmp_path, RED + RED_TOO + "tests/test_some.py::test_sound | mended | issue 9\n")
+    code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_sound | mended | issue 9\n")
     assert code == 1 and "1 failed" in out
 
 
 def test_a_line_that_names_no_test_fails(tmp_path: Path) -> None:
-    code, out = played(tmp_path, RED + RED_TOO + "tests/test_some.py::test_none | gone | issue 9\n")
+    code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_none | gone | issue 9\n")
     assert code != 0 and "test_none names no test" in out
 
 
@@ -80,6 +80,6 @@
 )
 def test_a_line_that_cannot_be_read_or_is_too_many_fails(lines: str, wrong: str, tmp_path: Path) -> None:
     with pytest.raises(ValueError, match=wrong):
-        read_known(lines)
-    code, out = played(tmp_path, lines)
+        parse_known_red(lines)
+    code, out = run_pytest(tmp_path, lines)
     assert code != 0 and wrong in out
--- a/tests/test_readme.py
+++ b/tests/project/test_readme.py
@@ -3,8 +3,10 @@
 import re
 from pathlib import Path
 
+ROOT = Path(__file__).parents[2]
+
 
 def test_the_quick_start_runs() -> None:
-    text = (Path(__file__).parent.parent / "README.md").read_text()
+    text = (ROOT / "README.md").read_text()
     (snippet,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(snippet, "README.md", "exec"), {})
