--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -7,7 +7,8 @@
 from collections.abc import Callable
 
 from sandhatch.downstream.listener import waits
-from tests.fakes import PATIENCE_S, Behaviour, Incoming, Talk, ok
+from testkit.servers import Behaviour, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 
 
 def dial(port: int) -> socket.socket:
--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -14,16 +14,11 @@
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived, TimerFired
 from sandhatch.downstream.listener import ClientConnection
 from sandhatch.upstream.pool import ServerConnection
+from testkit.clients import request_bytes
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S, status
 from tests.crossings.harness import answers, dial, holds, until
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    Running,
-    Script,
-    request_bytes,
-    running,
-    status,
-)
+from tests.fakes import Running, Script, running
 from tests.test_attempts import run
 
 LATER_MS = 100.0  # from which on nothing may be begun
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/crossings/test_kept_connections.py
@@ -9,8 +9,12 @@
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.upstream.pool import ServerConnection
+from testkit.clients import HttpClient
+from testkit.platform import entry
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 from tests.crossings.harness import accepted, holds, until, until_unread
-from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
+from tests.fakes import Script, running
 from tests.test_attempts import run
 
 
--- a/tests/crossings/test_list_age.py
+++ b/tests/crossings/test_list_age.py
@@ -11,9 +11,12 @@
 
 import pytest
 
+from testkit.clients import HttpClient
+from testkit.platform import SETTINGS
+from testkit.servers import FakeUpstream
 from testkit.wire import ok, read_head
 from tests.crossings.skipping import SkippingLoop, run
-from tests.fakes import SETTINGS, FakeUpstream, HttpClient, running
+from tests.fakes import running
 
 TOLD_S, GRACE_S = 6.0, 2.0  # the protocol's bound, and the settings' grace of this deployment
 ASKED = SETTINGS | {
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -11,18 +11,11 @@
 
 from sandhatch.platform import graceful_shutdown as draining
 from sandhatch.platform.program import PlatformRequestHandler
+from testkit.clients import HttpClient, request_bytes
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 from tests.crossings.harness import dial, holds, until, until_unread
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    HttpClient,
-    Incoming,
-    Running,
-    Talk,
-    ok,
-    request_bytes,
-    running,
-)
+from tests.fakes import Running, running
 from tests.test_attempts import run
 
 
--- a/tests/crossings/test_signals.py
+++ b/tests/crossings/test_signals.py
@@ -10,9 +10,13 @@
 from pathlib import Path
 from typing import Any
 
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import config_data
 from testkit.ports import free_port
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 from tests.crossings.harness import holds
-from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
 from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,4 +1,4 @@
-"""The balancer's real parts between stand-ins, and a script in place of its decisions.
+"""The balancer's real parts between fakes of the rest, and a script in place of its decisions.
 
 Ports are the system's choice, and everything waits for events.
 """
@@ -9,7 +9,7 @@
 import json
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -23,22 +23,22 @@
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.program import PlatformProgram
 from sandhatch.runtime.shared import SharedResources
-from testkit.clients import HttpClient, request_bytes
 from testkit.discovery import FakeDiscovery
-from testkit.platform import SETTINGS, config_data, entry
-from testkit.servers import Behaviour, FakeUpstream, Talk, serve_ok
-from testkit.wire import PATIENCE_S, Answer, Incoming, ok, read_answer, read_head, status
+from testkit.platform import SETTINGS, config_data
+from testkit.wire import PATIENCE_S
 
 
 class Script:
-    """Stands in for the decisions: each request's sends go to the given servers in turn, then it fails. Keeps
-    every event, so that a test sees just what the decisions would be told. It follows pushed lists as they
-    do, unless the test makes each call for the list itself.
+    """Decisions by script: each request's attempts go to the given servers in turn, then it fails.
+
+    It keeps every event, so that a test sees just what the balancer would be notified of. It follows pushed
+    endpoint lists as the balancer does, unless the test makes each poll itself. A test that sets `more`
+    decides on an event before the script does; None from it leaves the event to the script.
     """
 
     def __init__(self, servers: list[int], timeout_ms: float = 0.0, follows: bool = True) -> None:
-        terms = Settings([RequestClass(1.0, 1.0, Effect.IDEMPOTENT)], one_shot_watches=follows)
-        self.freshness = Freshness(terms, Random(1))
+        settings = Settings([RequestClass(1.0, 1.0, Effect.IDEMPOTENT)], one_shot_watches=follows)
+        self.freshness = Freshness(settings, Random(1))
         self.servers = servers
         self.timeout_ms = timeout_ms
         self.events: list[Event] = []
@@ -55,6 +55,9 @@
         actions = self.more(event)
         if actions is not None:
             return actions
+        return self._next_attempt(event)
+
+    def _next_attempt(self, event: Event) -> list[Action]:
         if isinstance(event, RequestArrived):
             return [Send(event.request, self.servers[0], self.timeout_ms)]
         if isinstance(event, AttemptEnded) and not event.final:
@@ -72,18 +75,20 @@
                     return event
 
     def ends(self) -> list[AttemptEnded]:
+        """All ends of attempts so far."""
         return [event for event in self.events if isinstance(event, AttemptEnded)]
 
 
 @dataclass
 class Running:
+    """The parts of a balancer that runs."""
+
     dispatcher: Dispatcher
     listener: Listener
     discovery: FakeDiscovery
     port: int
     shared: SharedResources
     watch: Discovery
-    errors: list[str] = field(default_factory=list)
 
 
 @asynccontextmanager
@@ -99,8 +104,19 @@
     rest_ms: float = 0.0,
     **more: Any,
 ) -> AsyncIterator[Running]:
-    """The balancer's real parts, with a fake discovery that knows the entries. Connections to upstreams don't
-    rest between calls, unless a test asks for that.
+    """The balancer's real parts, with a fake discovery that lists the entries.
+
+    Args:
+        entries: servers, as `testkit.platform.entry` makes them.
+        script: takes the place of the balancer's decisions.
+        limits: keys of the settings' `PolicyLimits`.
+        stats: the settings' `Stats`.
+        categories: the settings' `Categories`.
+        base: the settings that those above change.
+        machine: the configuration's `limits`.
+        generation: of the list that is known at the start.
+        rest_ms: how long a connection to a server rests between attempts.
+        more: further keys of the configuration.
     """
     discovery = await FakeDiscovery(list(entries)).start()
     discovery.generation = generation
@@ -115,13 +131,14 @@
     }
     data = config_data(list(entries), discovery.port, settings=settings, **more)
     config = decode(json.dumps(data), {})
-    single = PlatformProgram(config, asyncio.get_running_loop(), script)
-    dispatcher, listener = single.dispatcher, single.listener
+    program = PlatformProgram(config, asyncio.get_running_loop(), script)
+    dispatcher = program.dispatcher
+    listener = program.listener
     dispatcher.connection_pool.REST_MS = rest_ms
     listener.start()
     dispatcher.source.start()
     try:
-        yield Running(dispatcher, listener, discovery, listener.port, single.shared, single.discovery)
+        yield Running(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
     finally:
         dispatcher.source.stop()
         listener.stop_accepting()
@@ -129,27 +146,3 @@
         dispatcher.connection_pool.close()
         discovery.stop()
         await asyncio.sleep(0)
-
-
-__all__ = [
-    "PATIENCE_S",
-    "SETTINGS",
-    "Answer",
-    "Behaviour",
-    "FakeDiscovery",
-    "FakeUpstream",
-    "HttpClient",
-    "Incoming",
-    "Running",
-    "Script",
-    "Talk",
-    "config_data",
-    "entry",
-    "ok",
-    "read_answer",
-    "read_head",
-    "request_bytes",
-    "running",
-    "serve_ok",
-    "status",
-]
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -25,20 +25,11 @@
 )
 from sandhatch.discovery.client import Listing
 from sandhatch.upstream.pool import parse_report
-from tests.fakes import (
-    PATIENCE_S,
-    SETTINGS,
-    FakeUpstream,
-    HttpClient,
-    Incoming,
-    Script,
-    Talk,
-    entry,
-    ok,
-    read_head,
-    running,
-    status,
-)
+from testkit.clients import HttpClient
+from testkit.platform import SETTINGS, entry
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok, read_head, status
+from tests.fakes import Script, running
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,17 +11,12 @@
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.discovery.client import DiscoveryError, Names, parse_listing
-from tests.fakes import (
-    PATIENCE_S,
-    SETTINGS,
-    FakeDiscovery,
-    FakeUpstream,
-    HttpClient,
-    Script,
-    entry,
-    ok,
-    running,
-)
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, entry
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S, ok
+from tests.fakes import Script, running
 from tests.test_attempts import run
 
 
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -14,11 +14,15 @@
 import pytest
 
 from sandhatch.runtime.process import grant_descriptors
-from testkit.platform import SETTINGS
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S
 from tests.crossings.skipping import SkippingLoop
 from tests.crossings.skipping import run as skip
-from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data, running
+from tests.fakes import running
 from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -15,18 +15,13 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.client import MAX_LIST, Names, parse_listing
 from sandhatch.http1.framing import ResponseReader
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, config_data, entry
 from testkit.ports import free_port
-from tests.fakes import (
-    PATIENCE_S,
-    SETTINGS,
-    FakeDiscovery,
-    FakeUpstream,
-    HttpClient,
-    config_data,
-    entry,
-    ok,
-    running,
-)
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S, ok
+from tests.fakes import running
 from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -15,17 +15,10 @@
 from sandhatch.downstream.listener import ClientConnection, Listener
 from sandhatch.http1.framing import RequestReader, ResponseReader
 from sandhatch.upstream.pool import Attempt, ServerConnection
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    HttpClient,
-    Incoming,
-    Script,
-    Talk,
-    ok,
-    request_bytes,
-    running,
-)
+from testkit.clients import HttpClient, request_bytes
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.fakes import Script, running
 from tests.test_attempts import run, silence
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,19 +15,12 @@
 
 import pytest
 
+from testkit.clients import HttpClient, request_bytes
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
-from tests.fakes import (
-    PATIENCE_S,
-    SETTINGS,
-    FakeDiscovery,
-    FakeUpstream,
-    HttpClient,
-    Incoming,
-    Talk,
-    config_data,
-    ok,
-    request_bytes,
-)
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 from tests.test_attempts import run
 
 ROOT = Path(__file__).parent.parent
