--- a/tests/telemetry/test_fleet_report.py
+++ b/tests/telemetry/test_fleet_report.py
@@ -1,177 +1,47 @@
-"""The event record of one instance, and the report over a fleet's records."""
+"""Counts over the records of a whole fleet."""
 
 from __future__ import annotations
 
-import io
 import json
-import re
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from sandhatch.balancing.actions import Action, Fail, Reject, Send, WatchList
-from sandhatch.balancing.events import (
-    AttemptEnded,
-    Event,
-    ListKind,
-    ListUpdate,
-    Outcome,
-    RequestArrived,
-    ServerEntry,
-    ServerState,
-    TimerFired,
-)
-from sandhatch.telemetry.event_recorder import Recorder, RecordScope, requested_record
 from sandhatch.telemetry.fleet_report import Column, count_fleets, format_counts, main
 from sandhatch.telemetry.record_format import LINE_PREFIX, parse_records
-
-START_MS = 1_700_000_000_000.0
-
-
-class Instance:
-    """One instance's log, written at stated times."""
-
-    def __init__(self, name: str, scope: RecordScope = RecordScope.ALL) -> None:
-        self.log = io.StringIO()
-        self.now_ms = START_MS
-        self.recorder = Recorder(name, 0, lambda: self.now_ms, self.log, scope)
-
-    def notify_list(self, at_ms: float, kind: ListKind, *rows: tuple[ServerEntry, str]) -> None:
-        self.now_ms = START_MS + at_ms
-        update = ListUpdate(kind, 1, [entry for entry, _ in rows])
-        self.recorder.on_endpoint_list(update, [address for _, address in rows])
-        self.recorder.saw(update, [])
-
-    def handle(self, at_ms: float, event: Event, *actions: Action) -> None:
-        self.now_ms = START_MS + at_ms
-        self.recorder.saw(event, actions)
-
-    @property
-    def lines(self) -> list[str]:
-        return self.log.getvalue().splitlines()
-
-    @property
-    def json_lines(self) -> list[dict[str, Any]]:
-        return [json.loads(line.removeprefix(LINE_PREFIX)) for line in self.lines]
-
-
-def fleet_of_two() -> tuple[Instance, Instance]:
-    first = Instance("n0")
-    second = Instance("n1")
-    # The same server under another number in each instance.
-    first.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"), (ServerEntry(2), "10.0.0.2:80"))
-    second.notify_list(0.0, ListKind.CACHED, (ServerEntry(7), "10.0.0.2:80"))
-    first.handle(100.0, RequestArrived(1, 0, 1000.0), Send(1, 2, 500.0))
-    first.handle(1200.0, AttemptEnded(1, 0, 2, Outcome.CONNECT_FAILED, False, 1.0), Send(1, 1, 400.0))
-    first.notify_list(1300.0, ListKind.DELTA, (ServerEntry(2, ServerState.DRAINING), "10.0.0.2:80"))
-    second.handle(1400.0, RequestArrived(1, 0, 1000.0, client_retry=True), Send(1, 7, 500.0))
-    started = ServerEntry(9, ServerState.READY, START_MS + 1_000.0)
-    second.notify_list(2000.0, ListKind.DELTA, (started, "10.0.0.3:80"))
-    second.handle(2100.0, RequestArrived(2, 0, 1000.0), Send(2, 9, 500.0))
-    second.handle(2200.0, RequestArrived(3, 0, 1000.0), Reject(3, 50.0))
-    second.handle(2300.0, AttemptEnded(1, 0, 7, Outcome.TIMEOUT, True, 900.0), Fail(1))
-    second.handle(2400.0, TimerFired(4), WatchList(True))
-    second.handle(2500.0, TimerFired(5))
-    return first, second
+from tests.telemetry.harness import fleet_of_two
 
 
 def test_counts_cover_the_fleet_whatever_number_each_instance_gives_a_server() -> None:
     first, second = fleet_of_two()
     seconds = count_fleets([first.lines, second.lines])[0].seconds
-    assert (seconds[0][Column.REQUESTS], seconds[0][Column.ATTEMPTS], seconds[0][Column.INSTANCES]) == (
-        1,
-        1,
-        2,
-    )
-    assert (
-        seconds[1][Column.CONNECT_FAILED],
-        seconds[1][Column.RETRIES],
-        seconds[1][Column.CLIENT_RETRIES],
-    ) == (1, 1, 1)
+    assert seconds[0][Column.REQUESTS] == 1
+    assert seconds[0][Column.ATTEMPTS] == 1
+    assert seconds[0][Column.INSTANCES] == 2
+    assert seconds[1][Column.CONNECT_FAILED] == 1
+    assert seconds[1][Column.RETRIES] == 1
+    assert seconds[1][Column.CLIENT_RETRIES] == 1
     assert seconds[1][Column.ATTEMPTS_TO_REMOVED] == 1  # n1 sends to a server that n0 knows is draining
-    assert (
-        seconds[2][Column.ATTEMPTS_TO_WARMING_UP],
-        seconds[2][Column.REJECTED],
-        seconds[2][Column.FAILED],
-    ) == (1, 1, 1)
-    assert (seconds[2][Column.TIMEOUT], seconds[2][Column.LIST_POLLS], seconds[2][Column.DELTA_LISTS]) == (
-        1,
-        1,
-        1,
-    )
+    assert seconds[2][Column.ATTEMPTS_TO_WARMING_UP] == 1
+    assert seconds[2][Column.REJECTED] == 1
+    assert seconds[2][Column.FAILED] == 1
+    assert seconds[2][Column.TIMEOUT] == 1
+    assert seconds[2][Column.LIST_POLLS] == 1
+    assert seconds[2][Column.DELTA_LISTS] == 1
 
 
-def test_a_list_poll_is_recorded_when_made_and_by_how_it_ended() -> None:
-    instance = Instance("n0")
-    instance.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"))
-    instance.handle(500.0, TimerFired(4), WatchList(True, 1, 41, 2000.0, 2500.0))
-    instance.now_ms = START_MS + 3_000.0
-    failed = ListUpdate(ListKind.FAILED, 41, call=1)
-    instance.recorder.on_endpoint_list(failed, [], "no answer in 2.5 s")
-    instance.recorder.saw(failed, [])
-    instance.handle(3_100.0, RequestArrived(1, 0, 1000.0), Send(1, 1, 500.0))
-    lines = instance.json_lines
-    assert lines[1]["out"] == [["watchlist", 1, 41, 2000, 2500]]
-    assert (lines[2]["kind"], lines[2]["call"], lines[2]["why"]) == ("failed", 1, "no answer in 2.5 s")
-    # A failure does not refresh the list: 3.1 s since the start.
-    assert lines[3]["out"] == [["send", 1, 1, 500.0, 3100.0]]
-    assert count_fleets([instance.lines])[0].seconds[3][Column.OLDEST_LIST_MS] == 3100
+def test_the_table_has_only_columns_in_which_something_was_counted() -> None:
+    first, second = fleet_of_two()
+    text = format_counts(count_fleets([first.lines, second.lines])[0])
+    assert "timeout" in text and "probe" not in text
+    json.loads(first.lines[0].removeprefix(LINE_PREFIX))
 
 
-def test_a_record_of_lists_counts_sends_by_server() -> None:
-    instance = Instance("n0", RecordScope.LISTS)
-    instance.notify_list(
-        0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"), (ServerEntry(2), "10.0.0.2:80")
+def test_the_report_keeps_the_headings_that_scripts_read() -> None:
+    assert " ".join(Column) == (
+        "asked again sent repeat cold gone ok full connect reset timeout error refuse fail probe closeidle "
+        "watchlist full_list delta failed copies cpu_ms oldest_ms"
     )
-    for number in range(10):
-        event = RequestArrived(number, 0, 1000.0)
-        instance.handle(100.0 * number, event, Send(number, 1 + number % 2, 500.0))
-        instance.handle(100.0 * number + 10.0, AttemptEnded(number, 0, 1, Outcome.OK, True, 10.0))
-    instance.notify_list(1_000.0, ListKind.DELTA, (ServerEntry(2, ServerState.DRAINING), "10.0.0.2:80"))
-    instance.handle(1_500.0, RequestArrived(20, 0, 1000.0), Send(20, 2, 500.0))
-    instance.handle(2_600.0, AttemptEnded(20, 0, 2, Outcome.OK, True, 10.0))
-    events = [record.event for record in parse_records(instance.lines)]
-    assert events == ["ListUpdate", "Sends", "ListUpdate", "Sends"]
-    seconds = count_fleets([instance.lines])[0].seconds
-    assert (
-        seconds[0][Column.ATTEMPTS],
-        seconds[0][Column.ATTEMPTS_TO_REMOVED],
-        seconds[0][Column.OLDEST_LIST_MS],
-    ) == (10, 0, 900)
-    assert (
-        seconds[1][Column.ATTEMPTS],
-        seconds[1][Column.ATTEMPTS_TO_REMOVED],
-        seconds[1][Column.OLDEST_LIST_MS],
-    ) == (1, 1, 500)
-
-
-@pytest.mark.parametrize(
-    ("value", "scope"), [("1", RecordScope.ALL), ("lists", RecordScope.LISTS), ("", None), ("yes", None)]
-)
-def test_the_environment_requests_a_record_by_its_scope(value: str, scope: RecordScope | None) -> None:
-    warnings: list[str] = []
-    assert requested_record({"SANDHATCH_RECORD": value}, warnings.append) == scope
-    assert requested_record({}, warnings.append) is None
-    assert warnings == []
-
-
-def test_the_former_variable_name_counts_and_gets_one_warning_that_names_the_new_one() -> None:
-    warnings: list[str] = []
-    assert requested_record({"LARKWEIR_RECORD": "lists"}, warnings.append) == RecordScope.LISTS
-    assert warnings == ["LARKWEIR_RECORD is now called SANDHATCH_RECORD; set that one instead"]
-
-
-def test_the_new_variable_name_takes_precedence_over_the_former_one() -> None:
-    warnings: list[str] = []
-    both = {"LARKWEIR_RECORD": "lists", "SANDHATCH_RECORD": "1"}
-    assert requested_record(both, warnings.append) == RecordScope.ALL
-    assert warnings == []
-
-
-def test_a_timer_that_leads_to_nothing_is_not_recorded() -> None:
-    _, second = fleet_of_two()
-    assert sum("TimerFired" in line for line in second.lines) == 1
 
 
 def test_truncated_and_foreign_lines_are_left_out() -> None:
@@ -185,12 +55,6 @@
     assert [record.event for record in parse_records([*foreign, first.lines[1]])] == ["RequestArrived"]
 
 
-def test_a_line_that_cannot_be_written_raises_nothing() -> None:
-    instance = Instance("n0")
-    instance.log.close()
-    instance.handle(1.0, RequestArrived(1, 0, 1000.0))
-
-
 def test_the_command_exits_with_an_error_that_names_the_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -199,35 +63,3 @@
     (tmp_path / "empty.log").write_text("nothing\n")
     assert main([str(tmp_path / "empty.log")]) == 1
     assert "none.log" in capsys.readouterr().err
-
-
-def test_the_table_has_only_columns_in_which_something_was_counted() -> None:
-    first, second = fleet_of_two()
-    text = format_counts(count_fleets([first.lines, second.lines])[0])
-    assert "timeout" in text and "probe" not in text
-    json.loads(first.lines[0].removeprefix(LINE_PREFIX))
-
-
-def test_the_report_keeps_the_headings_that_scripts_read() -> None:
-    assert " ".join(Column) == (
-        "asked again sent repeat cold gone ok full connect reset timeout error refuse fail probe closeidle "
-        "watchlist full_list delta failed copies cpu_ms oldest_ms"
-    )
-
-
-def test_the_recorder_keeps_the_bytes_of_its_lines() -> None:
-    instance = Instance("n0")
-    instance.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"))
-    instance.handle(
-        250.0, RequestArrived(7, 2, 1000.04, client_retry=True), Send(7, 1, 500.0), Reject(8, 50.0)
-    )
-    instance.handle(300.0, AttemptEnded(7, 0, 1, Outcome.RESET, False, 49.96))
-    lines = [re.sub(r'"cpu":[0-9.]+', '"cpu":0', line) for line in instance.lines]
-    assert lines == [
-        'sandhatch-record {"t":1700000000.0,"cpu":0,"copy":"n0","tier":0,"in":"ListUpdate","kind":"cached",'
-        '"version":1,"call":0,"servers":[[1,"10.0.0.1:80",1,0.0]]}',
-        'sandhatch-record {"t":1700000000.25,"cpu":0,"copy":"n0","tier":0,"in":"RequestArrived","request":7,'
-        '"class":2,"again":true,"left_ms":1000.0,"out":[["send",7,1,500.0,250.0],["refuse",8,50.0]]}',
-        'sandhatch-record {"t":1700000000.3,"cpu":0,"copy":"n0","tier":0,"in":"AttemptEnded","request":7,'
-        '"attempt":0,"server":1,"outcome":5,"ms":50.0}',
-    ]
