--- a/benchmarks/checkouts.py
+++ b/benchmarks/checkouts.py
@@ -1,9 +1,13 @@
-"""Other checkouts of the project, which benchmarks measure beside this one."""
+"""Other checkouts of the project, which benchmarks measure beside this one.
+
+It changes nothing in them. Source: the project's own; versions before the renaming had another package.
+"""
 
 from __future__ import annotations
 
 from pathlib import Path
 
+ROOT = Path(__file__).parent.parent  # of this checkout
 PACKAGE = "sandhatch"
 FORMER_PACKAGE = "larkweir"  # of versions before the renaming
 
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -1,10 +1,10 @@
-"""Planned against alone, on the same arrivals, in simulated time: worth in time by load, number of forwarders
-and what is wrong with the tier; then by the advice's age and loss. And what planners' failures cost.
+"""Tiers with planners against tiers without, on the same arrivals in simulated time.
 
     python -m benchmarks.planned [--part service|age|failures] [--seeds N] [--jobs N]
 
-One line a case on standard error as it ends, a table at the end. Nothing reads a clock: the same seeds give
-the same figures.
+The share of requests served in time: by load, number of forwarders and fault of the tier (service); by the
+delay and the loss of the link to the planners (age); and with planners that fail (failures). One line a case
+on standard error as it ends, a table at the end. Nothing reads a clock: the same seeds give the same figures.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 import sys
 from collections.abc import Callable
 from dataclasses import dataclass, replace
+from functools import partial
 from multiprocessing import Pool
 from statistics import mean
 
@@ -21,15 +22,30 @@
 from testkit.simulation.ramp_check import over_ramp
 from testkit.simulation.tier import Tier
 
-CORES, SERVERS = 2, 20
-BEGIN, END = 12_000.0, 36_000.0
+CORES = 2
+SERVERS = 20
+BEGIN_MS = 12_000.0
+END_MS = 36_000.0
+FAILURE_END_MS = BEGIN_MS + 60_000.0
+
+EVEN = "even"
+UNEVEN = "uneven"  # a tenth of the forwarders have eight times the demand
+COLD_STARTS = "cold starts"  # two servers restart
+THIRD_SLOW = "a third slow"  # of the servers, by SLOWDOWN
+SLOWDOWN = 1.4
+KILLED = "killed"  # all planners, at BEGIN_MS
+KEPT = "kept"
+
+# Leases that outlast a slow link, there and back.
+SLOW_LINK_MS = 300.0
+SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, lend_ms=9_000.0, lost_ms=9_000.0)
 
 
 @dataclass(frozen=True)
 class Case:
-    """`load` by what the whole tier can do when it is well; calls of `work_ms`."""
+    """One run; `load` is relative to the capacity of the tier without a fault."""
 
-    what: str
+    scenario: str
     load: float
     forwarders: int
     planners: int
@@ -37,64 +53,74 @@
     work_ms: float = 100.0
     link_ms: float = 1.0
     loss: float = 0.0
-    fault: str = ""
+    fault: str = ""  # of the planners
+
+
+@dataclass(frozen=True)
+class Result:
+    """What came of a run."""
+
+    case: Case
+    goodput_share: float
+    ramp_excess: float  # the most of its ramp's burst that a restarted server got beyond the rate
 
 
-def tier_of(case: Case) -> Tier:
-    rate = case.load * SERVERS * CORES / case.work_ms * 1000.0
-    each = CORES / case.work_ms * 1000.0
+def make_tier(case: Case) -> Tier:
+    """A tier without a fault."""
+    server_per_s = CORES / case.work_ms * 1000.0
     plan = TierPlan(
         forwarders=case.forwarders,
         servers=SERVERS,
         planners=case.planners,
-        rate_per_s=rate,
+        rate_per_s=case.load * SERVERS * CORES / case.work_ms * 1000.0,
         work_ms=case.work_ms,
         cores=CORES,
         aim_ms=7.5 * case.work_ms,
         deadline_ms=50.0 * case.work_ms,
-        ramp_per_s=0.9 * each,
+        ramp_per_s=0.9 * server_per_s,
         cold_ms=15_000.0,
         tier=0,
         link_ms=case.link_ms,
         link_loss=case.loss,
-        demand=dict.fromkeys(range(max(1, case.forwarders // 10)), 8.0) if case.what == "uneven" else {},
+        demand=dict.fromkeys(range(max(1, case.forwarders // 10)), 8.0) if case.scenario == UNEVEN else {},
     )
-    if case.link_ms > 300.0:  # a lease must outlast the way there and back
-        plan = replace(plan, planner_terms=PlannerTerms(lease_ms=6_000.0, lend_ms=9_000.0, lost_ms=9_000.0))
+    if case.link_ms > SLOW_LINK_MS:
+        plan = replace(plan, planner_terms=SLOW_LINK_TERMS)
     return Tier(plan, case.seed)
 
 
-def kill_all(tier: Tier) -> None:
+def kill_all_planners(tier: Tier) -> None:
+    """Ends all planners' processes."""
     for name in tier.planners:
         tier.kill_planner(name)
 
 
-def play(case: Case) -> tuple[Case, float, float]:
-    """Worth in time, and the most of its ramp's burst that a fresh node got beyond the rate."""
-    tier = tier_of(case)
-    fresh: list[int] = []
-    if case.what == "cold starts":
-        fresh = [0, 1]
-        for number in fresh:
-            tier.at(BEGIN + 3_000.0 * number, lambda n=number: tier.restart(n))  # type: ignore[misc]
-    if case.what == "a third slow":
+def run_case(case: Case) -> Result:
+    """Runs a case."""
+    tier = make_tier(case)
+    restarted = [0, 1] if case.scenario == COLD_STARTS else []
+    for number in restarted:
+        tier.at(BEGIN_MS + 3_000.0 * number, partial(tier.restart, number))
+    if case.scenario == THIRD_SLOW:
         for server in tier.servers[: SERVERS // 3]:
-            tier.at(BEGIN - 4_000.0, lambda s=server: setattr(s, "slow", 1.4))  # type: ignore[misc]
-    if case.fault == "killed":
-        tier.at(BEGIN, lambda: kill_all(tier))
-    end = BEGIN + 60_000.0 if case.fault else END
-    tier.run(end + 50.0 * case.work_ms)
-    over = [
-        over_ramp(tier.plan, s.started_ms, s.sent_ms) / case.forwarders for s in tier.servers[: len(fresh)]
+            tier.at(BEGIN_MS - 4_000.0, partial(setattr, server, "slow", SLOWDOWN))
+    if case.fault == KILLED:
+        tier.at(BEGIN_MS, partial(kill_all_planners, tier))
+    end_ms = FAILURE_END_MS if case.fault else END_MS
+    tier.run(end_ms + 50.0 * case.work_ms)
+    excess = [
+        over_ramp(tier.plan, server.started_ms, server.sent_ms) / case.forwarders
+        for server in tier.servers[: len(restarted)]
     ]
-    return case, tier.yielded(BEGIN, end), max(over, default=0.0)
+    return Result(case, tier.yielded(BEGIN_MS, end_ms), max(excess, default=0.0))
 
 
-def cases_service(seeds: int) -> list[Case]:
+def service_cases(seeds: int) -> list[Case]:
+    """By load, number of forwarders and fault of the tier."""
     return [
-        Case(what, load, forwarders, planners, seed, work)
-        for what in ("even", "uneven", "cold starts", "a third slow")
-        for work in (20.0, 200.0)
+        Case(scenario, load, forwarders, planners, seed, work_ms)
+        for scenario in (EVEN, UNEVEN, COLD_STARTS, THIRD_SLOW)
+        for work_ms in (20.0, 200.0)
         for forwarders in (5, 20)
         for load in (0.6, 0.85, 0.95)
         for planners in (0, 2)
@@ -102,34 +128,60 @@
     ]
 
 
-def cases_age(seeds: int) -> list[Case]:
-    variants = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
-    variants += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
+def age_cases(seeds: int) -> list[Case]:
+    """By delay and loss of the link."""
+    links = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
+    links += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
     return [
-        Case("uneven", 0.9, forwarders, planners, seed, 100.0, link, loss)
+        Case(UNEVEN, 0.9, forwarders, planners, seed, 100.0, link_ms, loss)
         for forwarders in (5, 20, 50)
-        for link, loss in variants
+        for link_ms, loss in links
         for planners in (0, 2)
         for seed in range(1, seeds + 1)
     ]
 
 
-def cases_failures(seeds: int) -> list[Case]:
+def failure_cases(seeds: int) -> list[Case]:
+    """Planners that fail, that don't, and none."""
     return [
-        Case("uneven", 0.95, 20, planners, seed, 100.0, fault=fault)
-        for planners, fault in ((0, "killed"), (2, "killed"), (2, "kept"))
+        Case(UNEVEN, 0.95, 20, planners, seed, 100.0, fault=fault)
+        for planners, fault in ((0, KILLED), (2, KILLED), (2, KEPT))
         for seed in range(1, seeds + 1)
     ]
 
 
 PARTS: dict[str, Callable[[int], list[Case]]] = {
-    "service": cases_service,
-    "age": cases_age,
-    "failures": cases_failures,
+    "service": service_cases,
+    "age": age_cases,
+    "failures": failure_cases,
 }
 
 
+def run_cases(cases: list[Case], jobs: int) -> dict[Case, list[Result]]:
+    """The results by case, with all seeds of one together under seed 0."""
+    results: dict[Case, list[Result]] = {}
+    with Pool(jobs) as pool:
+        for done, result in enumerate(pool.imap(run_case, cases), 1):
+            results.setdefault(replace(result.case, seed=0), []).append(result)
+            print(f"{done}/{len(cases)}", end="\r", file=sys.stderr, flush=True)
+    return results
+
+
+def format_results(case: Case, results: list[Result]) -> str:
+    """A case's line of the table."""
+    shares = [result.goodput_share for result in results]
+    ramp = ""
+    if results[0].ramp_excess:
+        ramp = f", at most {max(result.ramp_excess for result in results):.2f} of the ramp's burst"
+    return (
+        f"{case.scenario}, calls of {case.work_ms:g} ms, load {case.load:g}, {case.forwarders} forwarders,"
+        f" {case.planners} planners, link {case.link_ms:g} ms, loss {case.loss:g}{' ' + case.fault}:"
+        f" {mean(shares):.4f} ({min(shares):.4f} to {max(shares):.4f}){ramp}"
+    )
+
+
 def main() -> None:
+    """Runs the benchmark."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -137,20 +189,8 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--jobs", type=int, default=4)
     args = parser.parse_args()
-    cases = PARTS[args.part](args.seeds)
-    found: dict[Case, list[tuple[float, float]]] = {}
-    with Pool(args.jobs) as pool:
-        for done, (case, worth, over) in enumerate(pool.imap(play, cases), 1):
-            found.setdefault(replace(case, seed=0), []).append((worth, over))
-            print(f"{done}/{len(cases)}", end="\r", file=sys.stderr, flush=True)
-    for case, rows in found.items():
-        worths = [worth for worth, _ in rows]
-        ramp = f", at most {max(over for _, over in rows):.2f} of the ramp's burst" if rows[0][1] else ""
-        print(
-            f"{case.what}, calls of {case.work_ms:g} ms, load {case.load:g}, {case.forwarders} forwarders,"
-            f" {case.planners} planners, link {case.link_ms:g} ms, loss {case.loss:g}{' ' + case.fault}:"
-            f" {mean(worths):.4f} ({min(worths):.4f} to {max(worths):.4f}){ramp}"
-        )
+    for case, results in run_cases(PARTS[args.part](args.seeds), args.jobs).items():
+        print(format_results(case, results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -1,10 +1,10 @@
-"""What the link to planners costs a forwarder: requests a second and processor time with it and without, in
-alternating rounds on one core; its traffic, and what it costs when nothing is asked.
+"""What the link to planners costs a forwarder, with it and without it in alternating rounds on one core.
 
     python -m benchmarks.planning_link [--rounds N] [--seconds S] [--connections C] [--planners P]
 
-Callers, servers and planners are processes on the other cores. The forwarder that is not measured is stopped
-meanwhile, so that neither pays for the other.
+Prints requests a second, processor time, the link's traffic, and what it costs when no request comes. Servers
+and planners are processes on the other cores. The forwarder that is not measured is stopped meanwhile, so
+that neither pays for the other.
 """
 
 from __future__ import annotations
@@ -12,139 +12,193 @@
 import argparse
 import asyncio
 import json
-import os
 import signal
 import statistics
 import tempfile
-from contextlib import suppress
+from collections.abc import Mapping
+from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any
 
-from benchmarks.through import cpu_s, rate, spawn, up
+from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all, wait_until_listening
+from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
 from sandhatch.control.client import Client
 from testkit.ports import free_port
 
 SERVERS = 8
+SETTLE_S = 1.0
 IDLE_S = 4.0
+LEASED_TIMEOUT_S = 60.0
+ALONE = "alone"  # the forwarder without planners
+LINKED = "linked"  # the one with them
+
+
+@dataclass(frozen=True, slots=True)
+class MeasuredForwarder:
+    """A forwarder, and where it listens."""
+
+    port: int
+    process: asyncio.subprocess.Process
+
+
+@dataclass(slots=True)
+class Samples:
+    """What was measured, by forwarder, a value a round."""
+
+    rates: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], LINKED: []})
+    costs_us: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], LINKED: []})
+    link_bytes_per_s: list[float] = field(default_factory=list)  # to one planner
 
 
 def forwarder_config(port: int, servers: list[int], planning: dict[str, Any] | None) -> dict[str, Any]:
-    listed = {f"s{n}": {"address": f"127.0.0.1:{server}"} for n, server in enumerate(servers)}
-    model: dict[str, Any] = {
+    """The configuration of a forwarder; one without `planning` has no planners."""
+    addresses = {f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(servers)}
+    return {
         "format": 1,
         "listeners": {"front": {"address": f"127.0.0.1:{port}"}},
         "classes": {"look": {"effect": "safe", "aim_ms": 5000, "deadline_ms": 8000}},
-        "pools": {"web": {"servers": listed, "copies": 4, "tier": 1, "ramp_per_s": 1000}},
+        "pools": {"web": {"servers": addresses, "copies": 4, "tier": 1, "ramp_per_s": 1000}},
         "default": {"pool": "web"},
         "planning": planning or {"place": 0},
     }
-    return model
 
 
 def planner_config(name: str, port: int, key: Path) -> dict[str, Any]:
+    """The configuration of a planner."""
     return {"format": 1, "name": name, "listen": f"127.0.0.1:{port}", "shared_key_file": str(key)}
 
 
-def bytes_in(control: Path) -> int:
-    with Client(str(control)) as client:
-        return int(client.call("status")["bytes_in"])
-
-
-async def measure(args: argparse.Namespace, directory: Path) -> None:
-    cores = sorted(os.sched_getaffinity(0))
-    one, rest = {cores[-1]}, set(cores[:-1]) or {cores[-1]}
-    os.sched_setaffinity(0, rest)
-    key = directory / "key"
-    key.touch(0o600)
-    key.write_text("5a" * 32)
-    servers = [free_port() for _ in range(SERVERS)]
-    processes = [
-        await spawn("-m", "benchmarks.through", "--role", "server", "--port", str(port), cores=rest)
-        for port in servers
-    ]
-    planners = {}
-    for number in range(args.planners):
+class Processes:
+    """The processes of a run, with their files in a directory."""
+
+    def __init__(self, directory: Path, cores: Cores) -> None:
+        """Creates a run that has started nothing."""
+        self._directory = directory
+        self._cores = cores
+        self._key = directory / "key"
+        self._servers = [free_port() for _ in range(SERVERS)]
+        self._processes: list[asyncio.subprocess.Process] = []
+        self.forwarders: dict[str, MeasuredForwarder] = {}
+
+    async def start(self, planners: int) -> None:
+        """Starts all processes, and waits until the linked forwarder has leased its ramp shares."""
+        self._key.touch(0o600)
+        self._key.write_text("5a" * 32)
+        for port in self._servers:
+            server = ("-m", "benchmarks.through", "--role", "server", "--port", str(port))
+            self._processes.append(await spawn(*server, cores=self._cores.rest))
+        addresses = {name: await self._start_planner(name) for name in planner_names(planners)}
+        planning = {"place": 0, "shared_key_file": str(self._key), "planners": addresses}
+        await self._start_forwarder(ALONE, None)
+        await self._start_forwarder(LINKED, planning)
+        for port in (*self._servers, *(forwarder.port for forwarder in self.forwarders.values())):
+            await wait_until_listening(port)
+        await self._wait_until_leased()
+
+    async def stop(self) -> None:
+        """Ends all processes."""
+        await stop_all(self._processes)
+
+    def let_only_run(self, name: str) -> None:
+        """Stops the other forwarder until it is let run."""
+        for other, forwarder in self.forwarders.items():
+            forwarder.process.send_signal(signal.SIGCONT if other == name else signal.SIGSTOP)
+
+    def planner_bytes_in(self) -> int:
+        """What the first planner has received so far."""
+        with Client(str(self._control("p0"))) as client:
+            return int(client.call("status")["bytes_in"])
+
+    async def _start_planner(self, name: str) -> dict[str, str]:
         port = free_port()
-        file = directory / f"p{number}.json"
-        file.write_text(json.dumps(planner_config(f"p{number}", port, key)))
-        control = directory / f"p{number}.sock"
-        verb = ("-m", "sandhatch", "planner", "run", str(file), "--control", str(control))
-        processes.append(await spawn(*verb, cores=rest))
-        planners[f"p{number}"] = {"address": f"127.0.0.1:{port}"}
-    linked = {"place": 0, "shared_key_file": str(key), "planners": planners}
-    ports, measured = {}, {}
-    for name, planning in (("alone", None), ("linked", linked)):
-        ports[name] = free_port()
-        file = directory / f"{name}.json"
-        file.write_text(json.dumps(forwarder_config(ports[name], servers, planning)))
-        verb = ("-m", "sandhatch", "serve", str(file), "--control", str(directory / f"{name}.sock"))
-        measured[name] = await spawn(*verb, cores=one)
-        processes.append(measured[name])
-    try:
-        for port in (*servers, *ports.values()):
-            await up(port)
-        await settled(directory / "linked.sock")
-        await report(args, directory, ports, measured)
-    finally:
-        for process in processes:
-            with suppress(ProcessLookupError):
-                process.send_signal(signal.SIGCONT)
-                process.terminate()
-        for process in processes:
-            await process.wait()
-
-
-async def settled(control: Path) -> None:
-    """Until its parts are lent."""
-    async with asyncio.timeout(60.0):
-        while True:
-            with Client(str(control)) as client:
-                if client.call("status")["planning"]["lends_to"] is not None:
-                    return
-            await asyncio.sleep(0.1)
-
-
-async def report(
-    args: argparse.Namespace,
-    directory: Path,
-    ports: dict[str, int],
-    measured: dict[str, asyncio.subprocess.Process],
-) -> None:
-    rates: dict[str, list[float]] = {name: [] for name in ports}
-    costs: dict[str, list[float]] = {name: [] for name in ports}
-    traffic = []
-    control = directory / "p0.sock"
+        path = self._write(name, planner_config(name, port, self._key))
+        run = ("-m", "sandhatch", "planner", "run", path, "--control", str(self._control(name)))
+        self._processes.append(await spawn(*run, cores=self._cores.rest))
+        return {"address": f"127.0.0.1:{port}"}
+
+    async def _start_forwarder(self, name: str, planning: dict[str, Any] | None) -> None:
+        port = free_port()
+        path = self._write(name, forwarder_config(port, self._servers, planning))
+        serve = ("-m", "sandhatch", "serve", path, "--control", str(self._control(name)))
+        process = await spawn(*serve, cores=self._cores.measured)
+        self._processes.append(process)
+        self.forwarders[name] = MeasuredForwarder(port, process)
+
+    async def _wait_until_leased(self) -> None:
+        async with asyncio.timeout(LEASED_TIMEOUT_S):
+            while True:
+                with Client(str(self._control(LINKED))) as client:
+                    if client.call("status")["planning"]["lends_to"] is not None:
+                        return
+                await asyncio.sleep(0.1)
+
+    def _control(self, name: str) -> Path:
+        return self._directory / f"{name}.sock"
+
+    def _write(self, name: str, data: Mapping[str, Any]) -> str:
+        path = self._directory / f"{name}.json"
+        path.write_text(json.dumps(data))
+        return str(path)
+
+
+def planner_names(count: int) -> list[str]:
+    """The planners' names."""
+    return [f"p{number}" for number in range(count)]
+
+
+async def measure_load(processes: Processes, args: argparse.Namespace) -> Samples:
+    """Measures both forwarders under load in turn, and prints the rates of each round."""
+    samples = Samples()
     for turn in range(args.rounds):
-        for name in list(ports) if turn % 2 else list(ports)[::-1]:
-            for other, process in measured.items():
-                process.send_signal(signal.SIGCONT if other == name else signal.SIGSTOP)
-            await asyncio.sleep(1.0)
-            spent, sent = cpu_s(measured[name].pid), bytes_in(control)
-            rates[name].append(await rate(ports[name], args.connections, args.seconds))
-            if name == "linked":
-                traffic.append((bytes_in(control) - sent) / args.seconds)
-            spent = cpu_s(measured[name].pid) - spent
-            costs[name].append(spent / (rates[name][-1] * args.seconds) * 1e6)
-        row = "  ".join(f"{name} {values[-1]:.0f}/s" for name, values in rates.items())
-        print(f"round {turn + 1}: {row}", flush=True)
-    idle = {}
-    for name, process in measured.items():
-        process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(1.0)
-        spent = cpu_s(process.pid)
+        for name in in_turns([ALONE, LINKED], turn):
+            processes.let_only_run(name)
+            await asyncio.sleep(SETTLE_S)
+            forwarder = processes.forwarders[name]
+            cpu_before_s = cpu_s(forwarder.process.pid)
+            bytes_before = processes.planner_bytes_in()
+            rate = await request_rate(forwarder.port, args.connections, args.seconds)
+            if name == LINKED:
+                sent_bytes = processes.planner_bytes_in() - bytes_before
+                samples.link_bytes_per_s.append(sent_bytes / args.seconds)
+            spent_s = cpu_s(forwarder.process.pid) - cpu_before_s
+            samples.rates[name].append(rate)
+            samples.costs_us[name].append(spent_s / (rate * args.seconds) * 1e6)
+        print(f"round {turn + 1}: {format_rates(samples.rates)}", flush=True)
+    return samples
+
+
+async def measure_idle(processes: Processes) -> dict[str, float]:
+    """The share of a core that each forwarder uses without requests."""
+    shares = {}
+    for name, forwarder in processes.forwarders.items():
+        forwarder.process.send_signal(signal.SIGCONT)
+        await asyncio.sleep(SETTLE_S)
+        before_s = cpu_s(forwarder.process.pid)
         await asyncio.sleep(IDLE_S)
-        idle[name] = (cpu_s(process.pid) - spent) / IDLE_S
-    ratio = statistics.median(a / b for a, b in zip(rates["linked"], rates["alone"], strict=True))
-    cost = ", ".join(f"{name} {statistics.median(found):.0f}" for name, found in costs.items())
-    print(f"processor time a request, microseconds: {cost}")
-    print(f"idle, of a core: alone {idle['alone']:.4f}, linked {idle['linked']:.4f}")
+        shares[name] = (cpu_s(forwarder.process.pid) - before_s) / IDLE_S
+    return shares
+
+
+async def run(args: argparse.Namespace, directory: Path) -> None:
+    """Runs the benchmark and prints its figures."""
+    processes = Processes(directory, split_cores())
+    try:
+        await processes.start(args.planners)
+        samples = await measure_load(processes, args)
+        idle = await measure_idle(processes)
+    finally:
+        await processes.stop()
+    ratio = median_ratio(samples.rates[LINKED], samples.rates[ALONE])
+    print(f"processor time a request, microseconds: {format_costs(samples.costs_us)}")
+    print(f"idle, of a core: alone {idle[ALONE]:.4f}, linked {idle[LINKED]:.4f}")
     print(
         f"link: {args.planners} planners, {ratio:.3f} of the requests a second without it;"
-        f" {statistics.median(traffic):.0f} bytes a second to each planner under load"
+        f" {statistics.median(samples.link_bytes_per_s):.0f} bytes a second to each planner under load"
     )
 
 
 def main() -> None:
+    """Runs the benchmark."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -154,7 +208,7 @@
     parser.add_argument("--planners", type=int, default=2)
     args = parser.parse_args()
     with tempfile.TemporaryDirectory() as directory:
-        asyncio.run(measure(args, Path(directory)))
+        asyncio.run(run(args, Path(directory)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -5,10 +5,9 @@
     python -m benchmarks.planning_scale --sizes            several sizes, for where a planner's core is full
     python -m benchmarks.planning_scale --faults 200       random faults on so many seeds, none past its ramp
 
-Forwarders are the real machine and the real ramp; what they see of the servers is modelled, since thousands
-of full balancers would fill the memory of any machine. Servers are started anew one after another. Every
-report and every advice is encoded and decoded as on the wire. Processor time is that of the planner's
-machine alone, measured around its calls: an absolute figure of the machine that it ran on.
+Forwarders are modelled (`planning_scale_model`). Servers are restarted one after another. All reports and
+advice are encoded and decoded as on the wire. Processor time is that of the planner's machine alone, measured
+around its calls: an absolute figure of the machine that it ran on.
 """
 
 from __future__ import annotations
@@ -16,328 +15,250 @@
 import argparse
 import sys
 import time
-from collections.abc import Callable, Iterable
 from dataclasses import dataclass, replace
 from functools import partial
-from heapq import heappop, heappush
 from multiprocessing import Pool
 from random import Random
 from typing import cast
 
-from sandhatch.balancing.events import Guidance, ServerState
-from sandhatch.balancing.guidance import SharedRamp
-from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
-from sandhatch.planning.messages import Advice, PartRow, PoolReport, Report, Row, decode, encode
-from sandhatch.planning.observer import Observer
+from benchmarks.planning_scale_model import STEP_S, Model, ModelForwarder
+from sandhatch.planning.forwarder import Action
+from sandhatch.planning.messages import Advice, Report, decode, encode
 from sandhatch.planning.planner import Planner
-from sandhatch.runtime.address import label_of
+from testkit.simulation.clock import START_MS, SimulatedClock
 from testkit.simulation.faults import random_faults
-from testkit.simulation.plan import POOL, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.planning_link import planner_names
 from testkit.simulation.ramp_check import over_ramp
 from testkit.simulation.tier import Tier
 
-BEGIN_MS = 1_000_000.0
-CLASS = RequestClass(objective_ms=150.0, deadline_ms=1_000.0, effect=Effect.IDEMPOTENT, name="view")
-
-
-class Node:
-    """A server, the same object for all forwarders."""
-
-    __slots__ = ("address", "id", "label", "sent_ms", "started_ms", "state")
-
-    def __init__(self, number: int) -> None:
-        self.id = number
-        self.address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
-        self.label = label_of(self.address)
-        self.started_ms = 0.0
-        self.state = ServerState.READY
-        self.sent_ms: list[float] = []
-
-
-class Model:
-    """What all forwarders see. `starts` lists servers in the order of their restarts."""
-
-    def __init__(self, plan: TierPlan, rng: Random) -> None:
-        self.plan = plan
-        self.rng = rng
-        self.nodes = [Node(number) for number in range(plan.servers)]
-        self.names = [node.address for node in self.nodes]
-        self.starts: list[int] = []
-        self.calls = plan.rate_per_s / plan.forwarders * 0.25  # a forwarder's, in a quarter of a second
-
-
-class ModelTold:
-    """Stands for `Told`: names the servers at first, then rows of servers drawn by chance."""
-
-    def __init__(self, model: Model) -> None:
-        self._model = model
-        self._named = False
-        self._started = 0
-
-    def close(self) -> None:
-        """Nobody keeps it."""
-
-    def server_of(self, number: int) -> int | None:
-        return number if number < len(self._model.nodes) else None
-
-    def report(
-        self, pool: str, now_ms: float, budget: int, held: Iterable[PartRow] = ()
-    ) -> tuple[PoolReport, int]:
-        model = self._model
-        report = PoolReport(pool, anew=not self._named, held=list(held))
-        if not self._named:
-            self._named = True
-            report.names = model.names
-            report.warm = list(range(len(model.nodes)))
-        report.cold = model.starts[self._started :]
-        self._started = len(model.starts)
-        calls = int(model.calls)
-        drawn = model.rng.sample(range(len(model.nodes)), min(2 * calls, len(model.nodes)))
-        report.rows = [Row(n, at % 2, 1, 0, 0, 20.0, [20, 1]) for at, n in enumerate(drawn)]
-        report.demand = {"view": calls}
-        return report, budget
-
-
-class ModelObserver:
-    def __init__(self, model: Model) -> None:
-        self._model = model
-
-    def tell(self) -> ModelTold:
-        return ModelTold(self._model)
-
-
-class Seat:
-    """One forwarder: the machine, its ramp, and draws at the cold servers."""
-
-    def __init__(self, number: int, model: Model, names: list[str], terms: ForwarderTerms) -> None:
-        plan = model.plan
-        self.model = model
-        self.settings = Settings(
-            classes=[CLASS],
-            instances=plan.forwarders,
-            instance_index=number,
-            initial_capacity_share=plan.cold_share,
-            warm_up_ms=plan.cold_ms,
-            ramp_per_s=plan.ramp_per_s,
-            ramp_burst=plan.ramp_burst,
-        )
-        self.name = f"f{number}"
-        self.ramp = SharedRamp(self.settings)
-        self.machine = Forwarder(self.name, names, BEGIN_MS, terms, 0.0)
-        observer = cast(Observer, ModelObserver(model))
-        self.machine.add_pool(POOL, self.settings, observer)
-        self.seen = 0
-
-    def draw(self, now_ms: float) -> None:
-        """The calls of a quarter of a second, of which some fall on cold servers."""
-        model = self.model
-        fresh = [model.nodes[n] for n in model.starts[self.seen :]]
-        self.ramp.watch(fresh, now_ms)
-        self.seen = len(model.starts)
-        odds = model.calls / len(model.nodes)
-        for number in self.ramp.cold(now_ms):
-            node = model.nodes[number]
-            # A drawn server without credit is drawn past; several chances, as several calls would have.
-            while model.rng.random() < max(odds, 0.5) and self.ramp.admits(node, now_ms):
-                self.ramp.spend(node, now_ms)
-                node.sent_ms.append(now_ms)
-
-    def hear(self, actions: list[Action], now_ms: float) -> list[SendReport]:
-        reports = []
-        for action in actions:
-            if isinstance(action, SendReport):
-                reports.append(action)
-            elif isinstance(action, Advise):
-                event = action.event
-                if not isinstance(event, Guidance):
-                    self.ramp.lend(event.until_ms, now_ms)
-                elif event.leased:
-                    self.ramp.grant(
-                        event.parts, event.report_sent_ms, event.until_ms, event.leased_until_ms, now_ms
-                    )
-            elif isinstance(action, Drop):
-                raise AssertionError(f"{action.planner} was dropped: {action.why}")
-        return reports
+WARM_UP_MS = 4_000.0  # before anything is measured
+FIRST_RESTART_MS = 2_500.0
+TICK_MS = 100.0
+PLANNER_AGE_MS = 60_000.0  # at the start, so that they are not learning any more
+PARTITION_AFTER_MS = 1_500.0  # from the planner's restart
+PARTITION_HEALS_AFTER_MS = 4_500.0
+MEASURED_PLANNER = "p0"
+RAMP_TOLERANCE = 1e-9
+# Forwarders and servers of the runs with --sizes.
+SIZES = ((50, 250), (100, 500), (200, 1_000), (400, 2_000), (1_000, 5_000))
 
 
 @dataclass
 class Figures:
-    """Of one run; processor time in seconds of the first planner's machine a simulated second."""
+    """What was measured in one run, of the first planner where it is of a planner."""
 
-    core: float = 0.0
+    core_share: float = 0.0
     reports_per_s: float = 0.0
     up_bytes_per_s: float = 0.0
     down_bytes_per_s: float = 0.0
-    over: float = 0.0
-    used: float = 0.0
-    broken: int = 0  # sessions
-    lending: int = 0  # forwarders that lend at the end
-
+    ramp_excess: float = 0.0  # the most attempts beyond a ramp's rate
+    ramp_used_share: float = 0.0
+    broken_sessions: int = 0
+    leasing: int = 0  # forwarders that lease their shares to a planner at the end
 
-class Scale:
-    """One run: messages arrive after the link's delay, some are lost and break their session; `faults` starts
-    the first planner anew and cuts half of the forwarders off from it, one after the other.
-    """
 
-    WARM_UP_MS = 4_000.0
+class ScaleRun:
+    """One run: messages arrive after the link's delay, and some are lost and break their session."""
 
     def __init__(
         self, plan: TierPlan, seconds: float, restarts_per_s: float, faults: bool, seed: int
     ) -> None:
-        self.plan = plan
-        self.rng = Random(seed)
-        self.model = Model(plan, self.rng)
-        names = [f"p{n}" for n in range(plan.planners)]
-        self.planners = {name: Planner(name, 1, BEGIN_MS - 60_000.0) for name in names}
-        self.seats = [Seat(n, self.model, names, plan.forwarder_terms) for n in range(plan.forwarders)]
-        self.now = BEGIN_MS
-        self.begin = BEGIN_MS + self.WARM_UP_MS
-        self.end = self.begin + seconds * 1_000.0
-        self.cut: set[tuple[str, str]] = set()
-        self.sessions: dict[tuple[str, str], int] = {}
-        self.found = Figures()
-        self._cpu = 0.0
-        self._reports = self._up = self._down = 0
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._serial = 0
-        self._session = 0
-        for seat in self.seats:
-            self.after(self.rng.random() * 250.0, partial(self.step, seat))
-        self.after(0.0, self.tick)
+        """Creates a run at its start.
+
+        Args:
+            plan: the tier's description.
+            seconds: how long is measured, after the warm-up.
+            restarts_per_s: servers that restart in a second.
+            faults: whether the first planner restarts, and is then partitioned from half of the forwarders.
+            seed: of all random draws.
+        """
+        self._plan = plan
+        self._rng = Random(seed)
+        self._model = Model(plan, self._rng)
+        self._clock = SimulatedClock()
+        names = planner_names(plan)
+        self._planners = {name: Planner(name, 1, START_MS - PLANNER_AGE_MS) for name in names}
+        self._forwarders = [
+            ModelForwarder(number, self._model, names, plan.forwarder_terms)
+            for number in range(plan.forwarders)
+        ]
+        self._seconds = seconds
+        self._measure_from_ms = START_MS + WARM_UP_MS
+        self._partitions: set[tuple[str, str]] = set()  # of a forwarder's name and a planner's
+        self._sessions: dict[tuple[str, str], int] = {}  # by the same, the session's number
+        self._last_session = 0
+        self._figures = Figures()
+        self._cpu_s = 0.0
+        self._reports = 0
+        self._up_bytes = 0
+        self._down_bytes = 0
+        self._schedule(restarts_per_s, faults)
+
+    def _schedule(self, restarts_per_s: float, faults: bool) -> None:
+        for forwarder in self._forwarders:
+            self._clock.after(self._rng.random() * STEP_S * 1000.0, partial(self._step, forwarder))
+        self._clock.after(0.0, self._tick)
         if restarts_per_s:
-            self.after(2_500.0, partial(self.restart, 1_000.0 / restarts_per_s))
+            self._clock.after(FIRST_RESTART_MS, partial(self._restart_server, 1_000.0 / restarts_per_s))
         if faults:
-            half = self.WARM_UP_MS + 500.0 * seconds
-            self.after(half, self.begin_anew)
-            self.after(half + 1_500.0, self.partition)
-            self.after(half + 4_500.0, self.cut.clear)
-
-    def after(self, delay_ms: float, call: Callable[[], None]) -> None:
-        self._serial += 1
-        heappush(self._heap, (self.now + delay_ms, self._serial, call))
+            half_ms = WARM_UP_MS + 500.0 * self._seconds
+            self._clock.after(half_ms, self._restart_planner)
+            self._clock.after(half_ms + PARTITION_AFTER_MS, self._partition)
+            self._clock.after(half_ms + PARTITION_HEALS_AFTER_MS, self._partitions.clear)
 
     def run(self) -> Figures:
-        while self._heap and self._heap[0][0] < self.end:
-            self.now, _, call = heappop(self._heap)
-            call()
-        seconds = (self.end - self.begin) / 1_000.0
-        found = self.found
-        found.core, found.reports_per_s = self._cpu / seconds, self._reports / seconds
-        found.up_bytes_per_s, found.down_bytes_per_s = self._up / seconds, self._down / seconds
-        found.lending = sum(seat.machine.leased_to is not None for seat in self.seats)
-        self._ramps()
-        return found
-
-    def _ramps(self) -> None:
-        plan, allowed, sent = self.plan, 0.0, 0
-        for number in self.model.starts:
-            node = self.model.nodes[number]
-            self.found.over = max(self.found.over, over_ramp(plan, node.started_ms, node.sent_ms))
-            age = min(1.0, (self.end - node.started_ms) / plan.cold_ms)
+        """Runs to the end; returns what was measured."""
+        self._clock.run(WARM_UP_MS + self._seconds * 1_000.0)
+        figures = self._figures
+        figures.core_share = self._cpu_s / self._seconds
+        figures.reports_per_s = self._reports / self._seconds
+        figures.up_bytes_per_s = self._up_bytes / self._seconds
+        figures.down_bytes_per_s = self._down_bytes / self._seconds
+        figures.leasing = sum(forwarder.machine.leased_to is not None for forwarder in self._forwarders)
+        self._measure_ramps()
+        return figures
+
+    def _measure_ramps(self) -> None:
+        plan = self._plan
+        allowed = 0.0
+        sent = 0
+        for number in self._model.restarts:
+            server = self._model.servers[number]
+            excess = over_ramp(plan, server.started_ms, server.sent_ms)
+            self._figures.ramp_excess = max(self._figures.ramp_excess, excess)
+            age = min(1.0, (self._clock.now_ms - server.started_ms) / plan.cold_ms)
             share = plan.cold_share * age + (1.0 - plan.cold_share) * age * age / 2.0
             allowed += plan.ramp_per_s * plan.cold_ms / 1000.0 * share
-            sent += len(node.sent_ms)
-        self.found.used = sent / (allowed or 1.0)
-
-    # ------------------------------------------------ what happens
-
-    def restart(self, pause_ms: float) -> None:
-        node = self.model.nodes[len(self.model.starts)]
-        node.started_ms = self.now
-        self.model.starts.append(node.id)
-        self.after(pause_ms, partial(self.restart, pause_ms))
-
-    def begin_anew(self) -> None:
-        self.planners["p0"] = Planner("p0", 2, self.now)
-        for seat in self.seats:
-            self.lose(seat, "p0")
-
-    def partition(self) -> None:
-        self.cut.update((seat.name, "p0") for seat in self.seats[::2])
-        for seat in self.seats[::2]:
-            self.lose(seat, "p0")
-
-    def tick(self) -> None:
-        for name, planner in self.planners.items():
-            began = time.process_time()
-            planner.tick(self.now)
-            if name == "p0" and self.now >= self.begin:
-                self._cpu += time.process_time() - began
-        print(f"{(self.now - BEGIN_MS) / 1000.0:.1f} s simulated", end="\r", file=sys.stderr, flush=True)
-        self.after(100.0, self.tick)
-
-    def step(self, seat: Seat) -> None:
-        """A forwarder's quarter of a second."""
-        for name in self.planners:
-            key = (seat.name, name)
-            if key not in self.sessions and key not in self.cut:
-                self._session += 1
-                self.sessions[key] = self._session
-                self.planners[name].joined(seat.name, self.now)
-                self.take(seat, seat.machine.connected(name, self.planners[name].epoch, self.now))
-        seat.draw(self.now)
-        self.take(seat, seat.machine.tick(self.now))
-        self.after(250.0, partial(self.step, seat))
-
-    def take(self, seat: Seat, actions: list[Action]) -> None:
-        for action in seat.hear(actions, self.now):
-            key = (seat.name, action.planner)
-            if self._lost():
-                self.lose(seat, action.planner)
-            else:
-                payload, session = encode(action.report), self.sessions.get(key)
-                self.after(self.plan.link_ms, partial(self.reported, seat, action.planner, session, payload))
-
-    def _lost(self) -> bool:
-        return self.plan.link_loss > 0.0 and self.rng.random() < self.plan.link_loss
-
-    def lose(self, seat: Seat, name: str) -> None:
-        if self.sessions.pop((seat.name, name), None) is not None:
-            self.found.broken += 1
-            seat.machine.lost(name)
-
-    def reported(self, seat: Seat, name: str, session: int | None, payload: bytes) -> None:
-        if session is None or self.sessions.get((seat.name, name)) != session:
+            sent += len(server.sent_ms)
+        self._figures.ramp_used_share = sent / (allowed or 1.0)
+
+    # ------------------------------------------------ faults
+
+    def _restart_server(self, pause_ms: float) -> None:
+        server = self._model.servers[len(self._model.restarts)]
+        server.started_ms = self._clock.now_ms
+        self._model.restarts.append(server.id)
+        self._clock.after(pause_ms, partial(self._restart_server, pause_ms))
+
+    def _restart_planner(self) -> None:
+        self._planners[MEASURED_PLANNER] = Planner(MEASURED_PLANNER, 2, self._clock.now_ms)
+        for forwarder in self._forwarders:
+            self._disconnect(forwarder, MEASURED_PLANNER)
+
+    def _partition(self) -> None:
+        half = self._forwarders[::2]
+        self._partitions.update((forwarder.name, MEASURED_PLANNER) for forwarder in half)
+        for forwarder in half:
+            self._disconnect(forwarder, MEASURED_PLANNER)
+
+    # ------------------------------------------------ planners and forwarders
+
+    def _is_measured(self, planner: str) -> bool:
+        return planner == MEASURED_PLANNER and self._clock.now_ms >= self._measure_from_ms
+
+    def _tick(self) -> None:
+        for name, planner in self._planners.items():
+            started_s = time.process_time()
+            planner.tick(self._clock.now_ms)
+            if self._is_measured(name):
+                self._cpu_s += time.process_time() - started_s
+        simulated_s = (self._clock.now_ms - START_MS) / 1000.0
+        print(f"{simulated_s:.1f} s simulated", end="\r", file=sys.stderr, flush=True)
+        self._clock.after(TICK_MS, self._tick)
+
+    def _step(self, forwarder: ModelForwarder) -> None:
+        """A forwarder connects to planners, sends attempts and ticks its machine."""
+        now_ms = self._clock.now_ms
+        for name, planner in self._planners.items():
+            key = (forwarder.name, name)
+            if key not in self._sessions and key not in self._partitions:
+                self._last_session += 1
+                self._sessions[key] = self._last_session
+                planner.joined(forwarder.name, now_ms)
+                self._perform(forwarder, forwarder.machine.connected(name, planner.epoch, now_ms))
+        forwarder.send_attempts(now_ms)
+        self._perform(forwarder, forwarder.machine.tick(now_ms))
+        self._clock.after(STEP_S * 1000.0, partial(self._step, forwarder))
+
+    def _perform(self, forwarder: ModelForwarder, actions: list[Action]) -> None:
+        for action in forwarder.perform(actions, self._clock.now_ms):
+            if self._loses_message():
+                self._disconnect(forwarder, action.planner)
+                continue
+            payload = encode(action.report)
+            session = self._sessions.get((forwarder.name, action.planner))
+            self._clock.after(
+                self._plan.link_ms, partial(self._report_arrives, forwarder, action.planner, session, payload)
+            )
+
+    # ------------------------------------------------ the link
+
+    def _loses_message(self) -> bool:
+        return self._plan.link_loss > 0.0 and self._rng.random() < self._plan.link_loss
+
+    def _disconnect(self, forwarder: ModelForwarder, planner: str) -> None:
+        if self._sessions.pop((forwarder.name, planner), None) is not None:
+            self._figures.broken_sessions += 1
+            forwarder.machine.lost(planner)
+
+    def _report_arrives(
+        self, forwarder: ModelForwarder, planner: str, session: int | None, payload: bytes
+    ) -> None:
+        if session is None or self._sessions.get((forwarder.name, planner)) != session:
             return
-        began = time.process_time()
-        message = cast(Report, decode(payload))
-        answer = encode(self.planners[name].report(seat.name, message, self.now))
-        spent = time.process_time() - began
-        if name == "p0" and self.now >= self.begin:
-            self._cpu += spent
+        started_s = time.process_time()
+        report = cast(Report, decode(payload))
+        answer = encode(self._planners[planner].report(forwarder.name, report, self._clock.now_ms))
+        spent_s = time.process_time() - started_s
+        if self._is_measured(planner):
+            self._cpu_s += spent_s
             self._reports += 1
-            self._up, self._down = self._up + len(payload), self._down + len(answer)
-        if self._lost():
-            self.lose(seat, name)
-        else:
-            self.after(self.plan.link_ms, partial(self.advised, seat, name, session, answer))
+            self._up_bytes += len(payload)
+            self._down_bytes += len(answer)
+        if self._loses_message():
+            self._disconnect(forwarder, planner)
+            return
+        self._clock.after(
+            self._plan.link_ms, partial(self._advice_arrives, forwarder, planner, session, answer)
+        )
 
-    def advised(self, seat: Seat, name: str, session: int, answer: bytes) -> None:
-        if self.sessions.get((seat.name, name)) == session:
-            advice = cast(Advice, decode(answer))
-            self.take(seat, seat.machine.advice(name, advice, self.now))
+    def _advice_arrives(self, forwarder: ModelForwarder, planner: str, session: int, payload: bytes) -> None:
+        if self._sessions.get((forwarder.name, planner)) == session:
+            advice = cast(Advice, decode(payload))
+            self._perform(forwarder, forwarder.machine.advice(planner, advice, self._clock.now_ms))
 
 
-def tell(plan: TierPlan, figures: Figures) -> None:
+def format_figures(plan: TierPlan, figures: Figures) -> str:
+    """A run's line."""
     burst = plan.ramp_burst or plan.forwarders
-    print(
+    return (
         f"{plan.forwarders} forwarders, {plan.servers} servers, {plan.planners} planners:"
-        f" {figures.core:.3f} of a core, {figures.reports_per_s:.0f} reports a second;"
+        f" {figures.core_share:.3f} of a core, {figures.reports_per_s:.0f} reports a second;"
         f" a forwarder's link {figures.up_bytes_per_s / plan.forwarders:.0f} bytes a second up and"
         f" {figures.down_bytes_per_s / plan.forwarders:.0f} down;"
-        f" at most {figures.over:.1f} calls of a burst of {burst:g} beyond a ramp, {figures.used:.2f} of the"
-        f" ramps used; {figures.broken} sessions broken, {figures.lending} forwarders lend at the end"
+        f" at most {figures.ramp_excess:.1f} calls of a burst of {burst:g} beyond a ramp,"
+        f" {figures.ramp_used_share:.2f} of the ramps used; {figures.broken_sessions} sessions broken,"
+        f" {figures.leasing} forwarders lend at the end"
     )
 
 
-def fault_run(seed: int) -> tuple[int, float, int]:
-    """One run with faults by chance: how much of the ramp's burst was used, and advice refused."""
+@dataclass(frozen=True, slots=True)
+class FaultRun:
+    """What came of a run with random faults."""
+
+    seed: int
+    ramp_excess: float  # as a share of the ramp's burst
+    rejections: int  # of advice
+
+
+def run_with_faults(seed: int) -> FaultRun:
+    """Runs a simulated tier with random faults."""
     rng = Random(seed)
-    number = rng.choice([3, 8, 20])
+    forwarders = rng.choice([3, 8, 20])
     plan = TierPlan(
-        forwarders=number,
-        places=number + rng.choice([0, 3]),
+        forwarders=forwarders,
+        places=forwarders + rng.choice([0, 3]),
         servers=rng.choice([2, 6]),
         planners=rng.choice([1, 2, 3]),
         rate_per_s=400.0,
@@ -348,32 +269,36 @@
         cold_ms=10_000.0,
         link_loss=rng.choice([0.0, 0.0, 0.02, 0.2]),
         link_ms=rng.choice([1.0, 50.0, 300.0]),
-        demand={n: rng.choice([1.0, 5.0]) for n in range(number)},
+        demand={number: rng.choice([1.0, 5.0]) for number in range(forwarders)},
     )
     tier = Tier(plan, seed)
     tier.at(6_000.0, lambda: tier.restart(0))
     random_faults(tier, rng, rng.randrange(1, 7), 5_000.0, 14_000.0)
     tier.run(16_500.0)
-    node = tier.servers[0]
-    over = over_ramp(plan, node.started_ms, node.sent_ms) / (plan.ramp_burst or tier.settings.instances)
-    return seed, over, sum(len(forwarder.refusals) for forwarder in tier.forwarders)
+    server = tier.servers[0]
+    burst = plan.ramp_burst or tier.settings.instances
+    excess = over_ramp(plan, server.started_ms, server.sent_ms) / burst
+    return FaultRun(seed, excess, sum(len(forwarder.refusals) for forwarder in tier.forwarders))
 
 
-def faults(count: int, jobs: int) -> None:
-    most, bad = 0.0, []
+def run_fault_seeds(count: int, jobs: int) -> None:
+    """Runs so many seeds with random faults, and prints those that break a bound."""
+    most = 0.0
+    failed = []
     with Pool(jobs) as pool:
-        for done, (seed, over, rejected) in enumerate(pool.imap_unordered(fault_run, range(count)), 1):
-            most = max(most, over)
-            if over > 1.0 + 1e-9 or rejected:
-                bad.append(seed)
+        for done, result in enumerate(pool.imap_unordered(run_with_faults, range(count)), 1):
+            most = max(most, result.ramp_excess)
+            if result.ramp_excess > 1.0 + RAMP_TOLERANCE or result.rejections:
+                failed.append(result.seed)
             print(f"{done}/{count}", end="\r", file=sys.stderr, flush=True)
     print(
         f"{count} seeds: at most {most:.3f} of a ramp's burst; past it or with refused advice:"
-        f" {bad or 'none'}"
+        f" {failed or 'none'}"
     )
 
 
-def main() -> None:
+def parse_arguments() -> argparse.Namespace:
+    """The command line's options."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -385,13 +310,18 @@
     parser.add_argument("--burst", type=float, default=0.0)
     parser.add_argument("--link-ms", type=float, default=5.0)
     parser.add_argument("--loss", type=float, default=0.0, help="of messages, each of which breaks a session")
-    parser.add_argument("--trouble", action="store_true", help="a planner started anew, and a partition")
+    parser.add_argument("--trouble", action="store_true", help="a planner restarted, and a partition")
     parser.add_argument("--sizes", action="store_true")
     parser.add_argument("--faults", type=int, metavar="SEEDS")
     parser.add_argument("--jobs", type=int, default=4)
-    args = parser.parse_args()
+    return parser.parse_args()
+
+
+def main() -> None:
+    """Runs the benchmark."""
+    args = parse_arguments()
     if args.faults:
-        faults(args.faults, args.jobs)
+        run_fault_seeds(args.faults, args.jobs)
         return
     plan = TierPlan(
         forwarders=args.forwarders,
@@ -405,10 +335,13 @@
     )
     plans = [plan]
     if args.sizes:
-        sizes = ((50, 250), (100, 500), (200, 1_000), (400, 2_000), (1_000, 5_000))
-        plans = [replace(plan, forwarders=f, servers=s, planners=1, rate_per_s=100.0 * f) for f, s in sizes]
-    for each in plans:
-        tell(each, Scale(each, args.seconds, args.restarts, args.trouble, 1).run())
+        plans = [
+            replace(plan, forwarders=forwarders, servers=servers, planners=1, rate_per_s=100.0 * forwarders)
+            for forwarders, servers in SIZES
+        ]
+    for plan in plans:
+        figures = ScaleRun(plan, args.seconds, args.restarts, args.trouble, 1).run()
+        print(format_figures(plan, figures))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/benchmarks/planning_scale_model.py
@@ -0,0 +1,168 @@
+"""A model of servers and of what forwarders see of them, for planners at large size.
+
+The forwarders' planning machine and ramp are the program's own; the balancers are left out, since thousands
+of them would fill the memory of any machine. Source: the project's own.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from random import Random
+from typing import cast
+
+from sandhatch.balancing.events import Guidance, OwnSharesLeased, ServerState
+from sandhatch.balancing.guidance import SharedRamp
+from sandhatch.balancing.settings import Effect, RequestClass, Settings
+from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
+from sandhatch.planning.messages import PartRow, PoolReport, Row
+from sandhatch.planning.observer import Observer
+from sandhatch.runtime.address import label_of
+from testkit.simulation.clock import START_MS
+from testkit.simulation.plan import POOL, REQUEST_CLASS, TierPlan
+
+STEP_S = 0.25  # of a forwarder
+CLASS = RequestClass(objective_ms=150.0, deadline_ms=1_000.0, effect=Effect.IDEMPOTENT, name=REQUEST_CLASS)
+
+
+class ModelServer:
+    """A server, the same object for all forwarders."""
+
+    __slots__ = ("address", "id", "label", "sent_ms", "started_ms", "state")
+
+    def __init__(self, number: int) -> None:
+        """Creates a server that has been warm for long."""
+        self.id = number
+        self.address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
+        self.label = label_of(self.address)
+        self.started_ms = 0.0
+        self.state = ServerState.READY
+        self.sent_ms: list[float] = []
+
+
+class Model:
+    """What all forwarders see; `restarts` are the servers' numbers in the order of their restarts."""
+
+    def __init__(self, plan: TierPlan, rng: Random) -> None:
+        """Creates the plan's servers."""
+        self.plan = plan
+        self.rng = rng
+        self.servers = [ModelServer(number) for number in range(plan.servers)]
+        self.names = [server.address for server in self.servers]
+        self.restarts: list[int] = []
+        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # a forwarder's
+
+
+class ModelReporter:
+    """Stands for what the planning machine gets from `Observer.tell`, whose methods it has.
+
+    It reports the names of the servers at first, then rows of servers drawn at random.
+    """
+
+    def __init__(self, model: Model) -> None:
+        """Creates a reporter that has reported nothing."""
+        self._model = model
+        self._has_reported_names = False
+        self._restarts_reported = 0
+
+    def close(self) -> None:
+        """Does nothing: nobody keeps it."""
+
+    def server_of(self, number: int) -> int | None:
+        """The forwarder's number of a server; here it is the report's."""
+        return number if number < len(self._model.servers) else None
+
+    def report(
+        self,
+        pool: str,
+        now_ms: float,  # noqa: ARG002 - the machine gives it
+        budget: int,
+        held: Iterable[PartRow] = (),
+    ) -> tuple[PoolReport, int]:
+        """The pool's part of a report, and what is left of the budget of rows."""
+        model = self._model
+        report = PoolReport(pool, anew=not self._has_reported_names, held=list(held))
+        if not self._has_reported_names:
+            self._has_reported_names = True
+            report.names = model.names
+            report.warm = list(range(len(model.servers)))
+        report.cold = model.restarts[self._restarts_reported :]
+        self._restarts_reported = len(model.restarts)
+        attempts = int(model.attempts_per_step)
+        drawn = model.rng.sample(range(len(model.servers)), min(2 * attempts, len(model.servers)))
+        report.rows = [Row(number, index % 2, 1, 0, 0, 20.0, [20, 1]) for index, number in enumerate(drawn)]
+        report.demand = {REQUEST_CLASS: attempts}
+        return report, budget
+
+
+class ModelObserver:
+    """Stands for the planning machine's `Observer`, as far as that calls it."""
+
+    def __init__(self, model: Model) -> None:
+        """Creates an observer of the model."""
+        self._model = model
+
+    def tell(self) -> ModelReporter:
+        """What reports to one planner are made from."""
+        return ModelReporter(self._model)
+
+
+class ModelForwarder:
+    """One forwarder: the planning machine, its ramp, and attempts to servers that warm up."""
+
+    def __init__(self, number: int, model: Model, planners: list[str], terms: ForwarderTerms) -> None:
+        """Creates a forwarder that knows these planners by name."""
+        plan = model.plan
+        settings = Settings(
+            classes=[CLASS],
+            instances=plan.forwarders,
+            instance_index=number,
+            initial_capacity_share=plan.cold_share,
+            warm_up_ms=plan.cold_ms,
+            ramp_per_s=plan.ramp_per_s,
+            ramp_burst=plan.ramp_burst,
+        )
+        self.name = f"f{number}"
+        self.ramp = SharedRamp(settings)
+        self.machine = Forwarder(self.name, planners, START_MS, terms, 0.0)
+        self._model = model
+        self._restarts_seen = 0
+        self.machine.add_pool(POOL, settings, cast(Observer, ModelObserver(model)))
+
+    def send_attempts(self, now_ms: float) -> None:
+        """Sends a step's attempts, of which some go to servers that warm up."""
+        model = self._model
+        restarted = [model.servers[number] for number in model.restarts[self._restarts_seen :]]
+        self.ramp.watch(restarted, now_ms)
+        self._restarts_seen = len(model.restarts)
+        probability = max(model.attempts_per_step / len(model.servers), 0.5)
+        for number in self.ramp.cold(now_ms):
+            server = model.servers[number]
+            # A drawn server without credit is passed over; several draws, as several attempts would have.
+            while model.rng.random() < probability and self.ramp.admits(server, now_ms):
+                self.ramp.spend(server, now_ms)
+                server.sent_ms.append(now_ms)
+
+    def perform(self, actions: list[Action], now_ms: float) -> list[SendReport]:
+        """Carries out what the planning machine decided, and returns the reports to be sent.
+
+        Raises:
+            AssertionError: the machine ended a session because of an error of the planner.
+        """
+        reports = []
+        for action in actions:
+            match action:
+                case SendReport():
+                    reports.append(action)
+                case Advise():
+                    self._apply(action.event, now_ms)
+                case Drop():
+                    raise AssertionError(f"{action.planner} was dropped: {action.why}")
+                case _:
+                    pass
+        return reports
+
+    def _apply(self, event: Guidance | OwnSharesLeased, now_ms: float) -> None:
+        if isinstance(event, OwnSharesLeased):
+            self.ramp.lend(event.until_ms, now_ms)
+        elif event.leased:
+            self.ramp.grant(event.parts, event.report_sent_ms, event.until_ms, event.leased_until_ms, now_ms)
--- /dev/null
+++ b/benchmarks/request_rate.py
@@ -0,0 +1,55 @@
+"""Requests a second of something that listens: clients with persistent connections, one request at a time.
+
+It doesn't retry: a response other than 200 ends the benchmark. Source: the project's own; a closed loop.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import statistics
+from collections.abc import Mapping, Sequence
+from time import perf_counter
+
+from benchmarks.relay import BODY
+
+
+async def request_rate(port: int, connections: int, seconds: float) -> float:
+    """Requests that were responded to in a second, on so many connections at once."""
+    until_s = perf_counter() + seconds
+    counts = await asyncio.gather(*(_count_exchanges(port, number, until_s) for number in range(connections)))
+    return sum(counts) / seconds
+
+
+async def _count_exchanges(port: int, connection: int, until_s: float) -> int:
+    reader, writer = await asyncio.open_connection("127.0.0.1", port)
+    count = 0
+    while perf_counter() < until_s:
+        trace = f"{connection:x}-{count:x}-{until_s}"
+        writer.write(f"GET /api HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace}\r\nX-Qos: look\r\n\r\n".encode())
+        head = await reader.readuntil(b"\r\n\r\n")
+        if not head.startswith(b"HTTP/1.1 200"):
+            raise RuntimeError(head.decode())
+        await reader.readexactly(len(BODY))
+        count += 1
+    writer.close()
+    return count
+
+
+def in_turns(names: Sequence[str], turn: int) -> list[str]:
+    """The names in their order or, every other turn, in reverse: guards against a drift of the machine."""
+    return list(names) if turn % 2 else list(names)[::-1]
+
+
+def median_ratio(values: Sequence[float], reference: Sequence[float]) -> float:
+    """The median of the ratios of each round."""
+    return statistics.median(value / other for value, other in zip(values, reference, strict=True))
+
+
+def format_rates(rates: Mapping[str, Sequence[float]]) -> str:
+    """The latest round's rates, by name."""
+    return "  ".join(f"{name} {values[-1]:.0f}/s" for name, values in rates.items())
+
+
+def format_costs(costs_us: Mapping[str, Sequence[float]]) -> str:
+    """The medians of processor time for a request, by name."""
+    return ", ".join(f"{name} {statistics.median(values):.0f}" for name, values in costs_us.items())
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -1,11 +1,12 @@
-"""What the watch after a commit does: bad changes taken back, with and without it, and good ones left alone.
+"""What the watch after a commit does: bad changes rolled back, with and without it, and good ones left alone.
 
     python -m benchmarks.rollback [--good N] [--services K]
 
-Bad changes: a pool whose servers all fail, whose half fails, and whose servers answer past the aim. Printed:
-time to the rollback, and the worth lost of what was asked for in the ten seconds after the commit, with the
-watch and without it. Good changes: commits of harmless keys under load whose servers fail in bursts all
-along; printed: how many were taken back. Services run side by side, each with its own servers and callers.
+Bad changes: a pool whose servers all fail, whose half fails, and whose servers respond past the latency
+objective. Printed: time to the rollback, and the worth lost of what was requested in the ten seconds after
+the commit, with the watch and without it. Good changes: commits of harmless keys under load whose servers
+fail in bursts all along; printed: how many were rolled back. Services run side by side, each with its own
+servers and clients.
 """
 
 from __future__ import annotations
@@ -13,30 +14,86 @@
 import argparse
 import asyncio
 import time
+from collections.abc import Sequence
 from copy import deepcopy
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
-from sandhatch.config.transactions import State
+from benchmarks.services import silence_log
+from sandhatch.config.transactions import State, Version
+from testkit.behaviours import fails_with
 from testkit.load_generator import Load
+from testkit.request_log import Entry
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, serving
 
+# Keys of the configuration: the watch of a bad change, and the shorter one of a good change.
 WATCH = {"window_ms": 10_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
+SHORT_WATCH = WATCH | {"window_ms": 4_000}
+BEFORE_S = 6.5  # under load, longer than the watch looks back
 AFTER_S = 10.0
+OBJECTIVE_S = 0.5
+LATE_S = 0.6  # past the objective
+WORTH = {"order": 5.0, "look": 1.0}
+SERVERS_BEFORE = ("a1", "a2", "a3", "a4")
+SERVERS_AFTER = ("b1", "b2", "b3", "b4")
+ALL_FAIL = "all fail"
+HALF_FAILS = "half fails"
+LATE = "late"
 
+fails = fails_with(500)
 
-async def fails(request: Incoming, talk: Talk) -> None:
-    await talk.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 
-
-async def late(request: Incoming, talk: Talk) -> None:
-    await asyncio.sleep(0.6)
+async def responds_late(request: Incoming, talk: Talk) -> None:  # noqa: ARG001 - a `Behaviour`
+    """Responds past the latency objective."""
+    await asyncio.sleep(LATE_S)
     await talk.send(ok())
 
 
-def classes(data: dict[str, Any]) -> dict[str, Any]:
+class BurstingFailures:
+    """A behaviour of servers that fail in bursts."""
+
+    def __init__(self, rng: Random) -> None:
+        """Creates servers that don't fail yet."""
+        self._rng = rng
+        self._bursting = False
+
+    async def run(self) -> None:
+        """Begins and ends bursts, until it is cancelled."""
+        while True:
+            await asyncio.sleep(self._rng.expovariate(1 / 1.2))
+            self._bursting = True
+            await asyncio.sleep(self._rng.uniform(0.05, 0.4))
+            self._bursting = False
+
+    async def behave(self, request: Incoming, talk: Talk) -> None:
+        """Fails during a burst more often than not."""
+        if self._bursting and self._rng.random() < 0.6:
+            await fails(request, talk)
+        else:
+            await talk.send(ok())
+
+
+@dataclass(frozen=True, slots=True)
+class BadChange:
+    """What came of a bad change."""
+
+    rolled_back_after_s: float | None  # None: never
+    worth_lost: float  # share of the worth requested in AFTER_S
+
+
+@dataclass(frozen=True, slots=True)
+class GoodChanges:
+    """What came of good changes."""
+
+    committed: int
+    rolled_back: int
+
+
+def with_classes(data: dict[str, Any]) -> dict[str, Any]:
+    """Sets the classes of a configuration."""
     data["classes"] = {
         "look": {"effect": "safe", "aim_ms": 500, "deadline_ms": 2000},
         "order": {"effect": "unsafe", "aim_ms": 500, "deadline_ms": 2000, "worth": 5},
@@ -44,16 +101,16 @@
     return data
 
 
-async def bad(kind: str, watched: bool) -> tuple[float | None, float]:
-    """Seconds to the rollback, and the part of the worth asked for in AFTER_S that was lost."""
-    farm = await Farm().start("a1", "a2", "a3", "a4", "b1", "b2", "b3", "b4", "o1")
-    behave = late if kind == "late" else fails
-    for name in ("b1", "b2", "b3", "b4")[: 2 if kind == "half fails" else 4]:
-        farm.behave[name] = behave
-    spec = WATCH | {"enabled": watched}
-    first = classes(farm.config(farm.pool("a1", "a2", "a3", "a4"), farm.pool("o1"), watch=spec))
+async def make_bad_change(kind: str, watched: bool) -> BadChange:
+    """Moves a pool under load to servers that fail or are late."""
+    farm = await Farm().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
+    behaviour = responds_late if kind == LATE else fails
+    for name in SERVERS_AFTER[: 2 if kind == HALF_FAILS else 4]:
+        farm.behave[name] = behaviour
+    watch = WATCH | {"enabled": watched}
+    first = with_classes(farm.config(farm.pool(*SERVERS_BEFORE), farm.pool("o1"), watch=watch))
     async with serving(first) as kept:
-        kept.service.logger.line = lambda text: None  # type: ignore[method-assign]
+        silence_log(kept.service)
         load = Load(
             kept.port,
             farm.books,
@@ -61,87 +118,101 @@
             clients=8,
             pause_s=0.02,
         )
-        await asyncio.sleep(6.5)
+        await asyncio.sleep(BEFORE_S)
         change = deepcopy(first)
-        change["pools"]["web"] = farm.pool("b1", "b2", "b3", "b4")
+        change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
         version = kept.service.commit(kept.propose(change))
         await kept.service.settled(version)
-        begun, at = time.perf_counter(), len(farm.books.entries)
-        taken: float | None = None
-        while time.perf_counter() < begun + AFTER_S:
-            if taken is None and version.state is State.TAKEN_BACK:
-                taken = time.perf_counter() - begun
-            await asyncio.sleep(0.01)
-        entries = list(farm.books.entries.values())[at:]
+        since = len(farm.books.entries)
+        rolled_back_after_s = await wait_for_rollback(version)
+        entries = list(farm.books.entries.values())[since:]
         await load.stop()
     farm.close()
-    asked = sum(5.0 if entry.request_class == "order" else 1.0 for entry in entries)
-    served = sum(
-        5.0 if entry.request_class == "order" else 1.0
-        for entry in entries
-        if entry.answers and entry.answers[0].status == 200 and entry.answered_s - entry.asked_s <= 0.5
-    )
-    return taken, 1.0 - served / asked
+    return BadChange(rolled_back_after_s, worth_lost(entries))
 
 
-async def good(changes: int, seed: int) -> tuple[int, int]:
-    """Changes made and taken back, while servers fail in bursts all along."""
-    farm = await Farm().start("a1", "a2", "o1")
-    rng = Random(seed)
-    bursting = False
+async def wait_for_rollback(version: Version) -> float | None:
+    """Waits for AFTER_S; returns seconds until the version was rolled back, None if it was not."""
+    started_s = time.perf_counter()
+    rolled_back_after_s: float | None = None
+    while time.perf_counter() < started_s + AFTER_S:
+        if rolled_back_after_s is None and version.state is State.TAKEN_BACK:
+            rolled_back_after_s = time.perf_counter() - started_s
+        await asyncio.sleep(0.01)
+    return rolled_back_after_s
 
-    async def bursts(request: Incoming, talk: Talk) -> None:
-        if bursting and rng.random() < 0.6:
-            await fails(request, talk)
-        else:
-            await talk.send(ok())
 
-    farm.behave.update(dict.fromkeys(("a1", "a2"), bursts))
-    spec = {"window_ms": 4_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
-    data = classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=spec))
+def worth_lost(entries: Sequence[Entry]) -> float:
+    """The share of the requested worth that was not served within the latency objective."""
+    requested = sum(WORTH[entry.request_class] for entry in entries)
+    served = sum(
+        WORTH[entry.request_class]
+        for entry in entries
+        if entry.answers
+        and entry.answers[0].status == 200
+        and entry.answered_s - entry.asked_s <= OBJECTIVE_S
+    )
+    return 1.0 - served / requested
 
-    async def weather() -> None:
-        nonlocal bursting
-        while True:
-            await asyncio.sleep(rng.expovariate(1 / 1.2))
-            bursting = True
-            await asyncio.sleep(rng.uniform(0.05, 0.4))
-            bursting = False
 
-    back = 0
+async def make_good_changes(changes: int, seed: int) -> GoodChanges:
+    """Commits harmless changes one after another, while servers fail in bursts all along."""
+    farm = await Farm().start("a1", "a2", "o1")
+    failures = BurstingFailures(Random(seed))
+    farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
+    data = with_classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=SHORT_WATCH))
+    rolled_back = 0
     async with serving(data) as kept:
-        kept.service.logger.line = lambda text: None  # type: ignore[method-assign]
-        noise = asyncio.create_task(weather())
-        load = Load(kept.port, farm.books, lambda rng: ("order", "/cart"), clients=4, pause_s=0.02, seed=seed)
-        await asyncio.sleep(6.5)
-        for n in range(changes):
+        silence_log(kept.service)
+        bursts = asyncio.create_task(failures.run())
+        load = Load(
+            kept.port,
+            farm.books,
+            lambda rng: ("order", "/cart"),  # noqa: ARG005 - a `Choose`
+            clients=4,
+            pause_s=0.02,
+            seed=seed,
+        )
+        await asyncio.sleep(BEFORE_S)
+        for number in range(changes):
             change = deepcopy(data)
-            change["pools"]["web"]["max_connections"] = 100 + n
+            change["pools"]["web"]["max_connections"] = 100 + number
             version = kept.service.commit(kept.propose(change))
             await kept.service.settled(version, over=True)
-            back += version.state is State.TAKEN_BACK
+            rolled_back += version.state is State.TAKEN_BACK
             if version.why:
                 print(f"taken back: {version.why}", flush=True)
         await load.stop()
-        noise.cancel()
+        bursts.cancel()
     farm.close()
-    return changes, back
+    return GoodChanges(changes, rolled_back)
 
 
 async def run(changes: int, services: int) -> None:
-    told = []
-    for kind in ("all fail", "half fails", "late"):
-        (taken, lost), (_, without) = await bad(kind, True), await bad(kind, False)
-        when = "never" if taken is None else f"after {taken:.1f} s"
-        told.append(f"{kind}: back {when}, worth lost {lost:.3f} (without {without:.3f})")
-        print(told[-1], flush=True)
-    results = await asyncio.gather(*(good(changes // services, seed) for seed in range(services)))
-    made, back = (sum(column) for column in zip(*results, strict=True))
-    print(f"rollback: {'; '.join(told)}; {back} of {made} good changes under bursts taken back")
+    """Runs the benchmark and prints its figures."""
+    lines = []
+    for kind in (ALL_FAIL, HALF_FAILS, LATE):
+        watched = await make_bad_change(kind, True)
+        unwatched = await make_bad_change(kind, False)
+        after_s = watched.rolled_back_after_s
+        when = "never" if after_s is None else f"after {after_s:.1f} s"
+        lines.append(
+            f"{kind}: back {when}, worth lost {watched.worth_lost:.3f} (without {unwatched.worth_lost:.3f})"
+        )
+        print(lines[-1], flush=True)
+    results = await asyncio.gather(
+        *(make_good_changes(changes // services, seed) for seed in range(services))
+    )
+    committed = sum(result.committed for result in results)
+    rolled_back = sum(result.rolled_back for result in results)
+    print(f"rollback: {'; '.join(lines)}; {rolled_back} of {committed} good changes under bursts taken back")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Runs the benchmark."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--good", type=int, default=200)
     parser.add_argument("--services", type=int, default=10)
     args = parser.parse_args()
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,7 +1,8 @@
-"""Look-up cost of the route table from 10 to 10,000 routes, for exact and prefix matches, with and without
-hosts.
+"""Look-up cost of the route table from 10 to 10,000 routes, for exact, prefix and host matches.
 
-python -m benchmarks.routes
+    python -m benchmarks.routes
+
+Prints microseconds a look-up, and the ratio of the largest table to the smallest.
 """
 
 from __future__ import annotations
@@ -11,52 +12,60 @@
 
 from sandhatch.routing.table import Query, Route, RouteTable
 
+KINDS = ("exact", "prefix", "host")
 SIZES = (10, 100, 1_000, 10_000)
+QUERIES = 1_000
 LOOKUPS = 20_000
 ROUNDS = 5
 
 
-def routes_of(kind: str, size: int) -> list[Route]:
+def make_routes(kind: str, size: int) -> list[Route]:
+    """A table's routes of one kind."""
     if kind == "exact":
-        return [Route(f"r{n}", "p", exact=b"/tier/%d/page" % n) for n in range(size)]
+        return [Route(f"r{number}", "p", exact=b"/tier/%d/page" % number) for number in range(size)]
     if kind == "prefix":
-        return [Route(f"r{n}", "p", prefix=b"/tier/%d" % n) for n in range(size)]
-    return [Route(f"r{n}", "p", prefix=b"/tier", hosts=frozenset([b"h%d.example" % n])) for n in range(size)]
+        return [Route(f"r{number}", "p", prefix=b"/tier/%d" % number) for number in range(size)]
+    return [
+        Route(f"r{number}", "p", prefix=b"/tier", hosts=frozenset([b"h%d.example" % number]))
+        for number in range(size)
+    ]
 
 
-def queries_of(kind: str, size: int, rng: Random) -> list[Query]:
-    picks = [rng.randrange(size) for _ in range(1_000)]
+def make_queries(kind: str, size: int, rng: Random) -> list[Query]:
+    """Queries that each match a route drawn at random."""
+    numbers = [rng.randrange(size) for _ in range(QUERIES)]
     return [
         Query(
             "front",
-            b"h%d.example" % n if kind == "host" else b"shop.example",
-            b"/tier/%d/page" % n,
+            b"h%d.example" % number if kind == "host" else b"shop.example",
+            b"/tier/%d/page" % number,
             b"GET",
             (),
             "look",
         )
-        for n in picks
+        for number in numbers
     ]
 
 
-def cost_us(kind: str, size: int) -> float:
+def lookup_cost_us(kind: str, size: int) -> float:
     """The least of several rounds, in microseconds a look-up."""
-    table = RouteTable(routes_of(kind, size), "d")
-    queries = queries_of(kind, size, Random(size))
-    best = float("inf")
+    table = RouteTable(make_routes(kind, size), "d")
+    queries = make_queries(kind, size, Random(size))
+    least_s = float("inf")
     for _ in range(ROUNDS):
-        begun = perf_counter()
+        started_s = perf_counter()
         for _ in range(LOOKUPS // len(queries)):
             for query in queries:
                 assert table.match(query) is not None
-        best = min(best, perf_counter() - begun)
-    return best / LOOKUPS * 1e6
+        least_s = min(least_s, perf_counter() - started_s)
+    return least_s / LOOKUPS * 1e6
 
 
 def main() -> None:
+    """Runs the benchmark."""
     worst = 0.0
-    for kind in ("exact", "prefix", "host"):
-        costs = [cost_us(kind, size) for size in SIZES]
+    for kind in KINDS:
+        costs = [lookup_cost_us(kind, size) for size in SIZES]
         worst = max(worst, costs[-1] / costs[0])
         row = "  ".join(f"{size}: {cost:.2f} us" for size, cost in zip(SIZES, costs, strict=True))
         print(f"{kind:7} {row}  ratio {costs[-1] / costs[0]:.2f}", flush=True)
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -17,63 +17,87 @@
 import sys
 import tempfile
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
-from benchmarks.checkouts import package_of
+from benchmarks.checkouts import ROOT, package_of
+from benchmarks.processes import resident_bytes
 from testkit.platform import config_data, entry
 from testkit.ports import free_port
 
-ROOT = Path(__file__).parent.parent
+START_TIMEOUT_S = 20.0
+POLL_S = 0.001
+SETTLE_S = 0.2
+MIB = 1024 * 1024
 
 
-def once(checkout: Path, directory: str) -> tuple[float, float]:
-    """Milliseconds until it accepts, and megabytes resident."""
+@dataclass(frozen=True, slots=True)
+class Start:
+    """One start of the program."""
+
+    until_accepting_ms: float
+    resident_mib: float
+
+
+def measure_start(checkout: Path, directory: Path) -> Start:
+    """Starts a checkout's program, waits until it accepts, and ends it."""
     port = free_port()
-    config = Path(directory) / "config.json"
+    config = directory / "config.json"
     config.write_text(json.dumps(config_data([entry("s", 1)], 1, listen=f"127.0.0.1:{port}")))
     env = dict(os.environ) | {"GW_CONFIG": str(config), "PYTHONPATH": str(checkout)}
-    begun = time.perf_counter()
-    process = subprocess.Popen(
-        [sys.executable, "-P", "-m", package_of(checkout)], cwd=checkout, env=env, stderr=subprocess.DEVNULL
-    )
+    command = [sys.executable, "-P", "-m", package_of(checkout)]
+    started_s = time.perf_counter()
+    process = subprocess.Popen(command, cwd=checkout, env=env, stderr=subprocess.DEVNULL)
     try:
-        while time.perf_counter() < begun + 20.0:
+        while time.perf_counter() < started_s + START_TIMEOUT_S:
             with socket.socket() as client:
                 if client.connect_ex(("127.0.0.1", port)) == 0:
                     break
-            time.sleep(0.001)
-        took = (time.perf_counter() - begun) * 1000.0
-        time.sleep(0.2)
-        status = Path(f"/proc/{process.pid}/status").read_text()
-        resident = next(line for line in status.splitlines() if line.startswith("VmRSS"))
-        return took, int(resident.split()[1]) / 1024.0
+            time.sleep(POLL_S)
+        until_accepting_ms = (time.perf_counter() - started_s) * 1000.0
+        time.sleep(SETTLE_S)
+        return Start(until_accepting_ms, resident_bytes(process.pid) / MIB)
     finally:
         process.terminate()
         process.wait()
 
 
-def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--before", required=True, metavar="DIR")
-    parser.add_argument("--rounds", type=int, default=15)
-    args = parser.parse_args()
-    for checkout in (Path(args.before), ROOT):
+def measure(before: Path, rounds: int) -> dict[str, list[Start]]:
+    """Starts both checkouts in turn; the first round, which fills the caches, doesn't count."""
+    checkouts = {"before": before, "now": ROOT}
+    for checkout in checkouts.values():
         # Else the one that is not compiled starts later for that alone.
         compileall.compile_dir(checkout / package_of(checkout), quiet=2)
-    rows: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
+    starts: dict[str, list[Start]] = {name: [] for name in checkouts}
     with tempfile.TemporaryDirectory() as directory:
-        for turn in range(args.rounds + 1):
-            for name, checkout in (("before", Path(args.before)), ("now", ROOT)):
-                found = once(checkout, directory)
-                if turn:  # the first fills the caches
-                    rows[name].append(found)
-    time_ms, memory = (
-        {name: statistics.median(row[at] for row in found) for name, found in rows.items()} for at in (0, 1)
+        for turn in range(rounds + 1):
+            for name, checkout in checkouts.items():
+                start = measure_start(checkout, Path(directory))
+                if turn:
+                    starts[name].append(start)
+    return starts
+
+
+def main() -> None:
+    """Runs the benchmark."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
+    parser.add_argument("--before", required=True, metavar="DIR")
+    parser.add_argument("--rounds", type=int, default=15)
+    args = parser.parse_args()
+    starts = measure(Path(args.before), args.rounds)
+    time_ms = {
+        name: statistics.median(start.until_accepting_ms for start in values)
+        for name, values in starts.items()
+    }
+    memory_mib = {
+        name: statistics.median(start.resident_mib for start in values) for name, values in starts.items()
+    }
     print(
         f"start: {time_ms['now']:.0f} ms for {time_ms['before']:.0f} (ratio "
-        f"{time_ms['now'] / time_ms['before']:.2f}); {memory['now']:.1f} MB for {memory['before']:.1f} "
-        f"(ratio {memory['now'] / memory['before']:.2f})"
+        f"{time_ms['now'] / time_ms['before']:.2f}); {memory_mib['now']:.1f} MB for "
+        f"{memory_mib['before']:.1f} (ratio {memory_mib['now'] / memory_mib['before']:.2f})"
     )
 
 
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -1,11 +1,10 @@
-"""The balancer's requests a second against a bare relay on one core: same bytes, same callers, alternating
-rounds.
+"""The balancer's requests a second against a bare relay on one core, in alternating rounds.
 
-    python -m benchmarks.through [--rounds N] [--seconds S] [--connections C]
+    python -m benchmarks.through [--rounds N] [--seconds S] [--connections C] [--before DIR]
 
-Caller, relay or balancer, and server run as three processes; the one measured is bound to one core, the
-others to the rest. The platform's program is measured, and the same through a configuration of its own.
-Prints ratios.
+The bytes and the clients are the same. Relay, balancers and servers are processes of their own; what is
+measured is bound to one core, all else to the rest. The platform's program is measured, the same through a
+configuration of its own, and with `--before` that of another checkout. Prints ratios.
 """
 
 from __future__ import annotations
@@ -13,204 +12,161 @@
 import argparse
 import asyncio
 import json
-import os
-import signal
-import statistics
-import sys
 import tempfile
-from contextlib import suppress
+from dataclasses import dataclass, field
 from pathlib import Path
-from time import perf_counter
+from typing import Any
 
 import uvloop
 
-from benchmarks.checkouts import package_of
+from benchmarks.checkouts import PACKAGE, package_of
+from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all, wait_until_listening
+from benchmarks.relay import serve_until_terminated
+from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
 from testkit.platform import config_data, entry
 from testkit.ports import free_port
 
-ROOT = Path(__file__).parent.parent
-BODY = b"x" * 200
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + BODY
-
-
-class EchoServer(asyncio.Protocol):
-    """Answers each request, which ends with an empty line, at once."""
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport
-        self.rest = b""
-
-    def data_received(self, data: bytes) -> None:
-        *whole, self.rest = (self.rest + data).split(b"\r\n\r\n")
-        if whole:
-            self.transport.write(ANSWER * len(whole))  # type: ignore[attr-defined]
-
-
-class RelaySide(asyncio.Protocol):
-    """Bytes to the other side, unread."""
-
-    def __init__(self, other: RelaySide | None = None, port: int = 0) -> None:
-        self.other, self.port = other, port
-        self.transport: asyncio.Transport | None = None
-        self.early: list[bytes] = []
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport  # type: ignore[assignment]
-        if self.other is None:
-            self.other = RelaySide(self)
-            loop = asyncio.get_running_loop()
-            self.task = loop.create_task(loop.create_connection(lambda: self.other, "127.0.0.1", self.port))
-        else:
-            for data in self.other.early:
-                transport.write(data)  # type: ignore[attr-defined]
-
-    def pause_writing(self) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.pause_reading()
-
-    def resume_writing(self) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.resume_reading()
-
-    def data_received(self, data: bytes) -> None:
-        assert self.other is not None
-        if self.other.transport is None:
-            self.early.append(data)
-        else:
-            self.other.transport.write(data)
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.close()
-
-
-async def listen(role: str, port: int, to: int) -> None:
-    loop = asyncio.get_running_loop()
-    make = EchoServer if role == "server" else lambda: RelaySide(port=to)
-    server = await loop.create_server(make, "127.0.0.1", port)
-    stopping = asyncio.Event()
-    loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    await stopping.wait()
-    server.close()
-
-
-async def spawn(
-    *arguments: str, cores: set[int], env: dict[str, str] | None = None, cwd: str | Path = ROOT
-) -> asyncio.subprocess.Process:
-    return await asyncio.create_subprocess_exec(
-        sys.executable,
-        *arguments,
-        cwd=cwd,
-        env=dict(os.environ) | (env or {}),
-        stderr=asyncio.subprocess.DEVNULL,
-        preexec_fn=lambda: os.sched_setaffinity(0, cores),
-    )
-
-
-async def up(port: int) -> None:
-    for _ in range(500):
-        with suppress(OSError):
-            _, writer = await asyncio.open_connection("127.0.0.1", port)
-            writer.close()
-            return
-        await asyncio.sleep(0.02)
-    raise RuntimeError(f"nothing listens at {port}")
-
-
-async def ask_on(port: int, number: int, until: float) -> int:
-    """Requests answered on one connection."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    count = 0
-    while perf_counter() < until:
-        trace = f"{number:x}-{count:x}-{until}"
-        writer.write(f"GET /api HTTP/1.1\r\nHost: h\r\nX-Trace-Id: {trace}\r\nX-Qos: look\r\n\r\n".encode())
-        status = await reader.readuntil(b"\r\n\r\n")
-        if not status.startswith(b"HTTP/1.1 200"):
-            raise RuntimeError(status.decode())
-        await reader.readexactly(len(BODY))
-        count += 1
-    writer.close()
-    return count
-
-
-async def rate(port: int, connections: int, seconds: float) -> float:
-    until = perf_counter() + seconds
-    counts = await asyncio.gather(*(ask_on(port, n, until) for n in range(connections)))
-    return sum(counts) / seconds
-
-
-def cpu_s(pid: int) -> float:
-    """Processor time that a process has used, in seconds (proc(5))."""
-    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
-
-
-async def measure(rounds: int, seconds: float, connections: int, directory: str, before: str) -> None:
-    cores = sorted(os.sched_getaffinity(0))
-    one, rest = {cores[-1]}, set(cores[:-1]) or {cores[-1]}
-    os.sched_setaffinity(0, rest)
-    servers = [free_port() for _ in range(8)]
-    relay, platform, own = (free_port() for _ in range(3))
-    entries = [entry(f"s{n}", port) for n, port in enumerate(servers)]
-    data = config_data(entries, 1, listen=f"127.0.0.1:{platform}")
-    data["limits"]["sockets"] = 1024
-    config = Path(directory) / "config.json"
-    config.write_text(json.dumps(data))
-    listed = {f"s{n}": {"address": f"127.0.0.1:{port}"} for n, port in enumerate(servers)}
-    model = {
-        "format": 1,
-        "listeners": {"front": {"address": f"127.0.0.1:{own}"}},
-        "classes": {"look": {"effect": "safe", "aim_ms": 5000, "deadline_ms": 8000}},
-        "pools": {"web": {"servers": listed}},
-        "default": {"pool": "web"},
-    }
-    file = Path(directory) / "own.json"
-    file.write_text(json.dumps(model))
-    this = ("-m", "benchmarks.through")
-    processes = [await spawn(*this, "--role", "server", "--port", str(port), cores=rest) for port in servers]
-    relayed = ("--role", "relay", "--port", str(relay), "--to", str(servers[0]))
-    measured = {"relay": await spawn(*this, *relayed, cores=one)}
-    measured["platform"] = await spawn("-m", "sandhatch", cores=one, env={"GW_CONFIG": str(config)})
-    if before:
-        older = free_port()
-        env = {"GW_CONFIG": str(config), "GW_LISTEN": f"127.0.0.1:{older}", "PYTHONPATH": before}
-        measured["before"] = await spawn("-P", "-m", package_of(Path(before)), cores=one, env=env, cwd=before)
-    control = str(Path(directory) / "c.sock")
-    measured["own"] = await spawn("-m", "sandhatch", "serve", str(file), "--control", control, cores=one)
-    processes += measured.values()
-    try:
-        for port in (*servers, relay, platform, own):
-            await up(port)
-        await asyncio.sleep(1.0)
-        ports = {"relay": relay, "platform": platform, "own": own} | ({"before": older} if before else {})
-        rates: dict[str, list[float]] = {name: [] for name in ports}
-        costs: dict[str, list[float]] = {name: [] for name in ports}
-        for turn in range(rounds):
-            order = list(ports) if turn % 2 else list(ports)[::-1]  # guards against a drift of the machine
-            for name in order:
-                spent = cpu_s(measured[name].pid)
-                rates[name].append(await rate(ports[name], connections, seconds))
-                costs[name].append((cpu_s(measured[name].pid) - spent) / (rates[name][-1] * seconds) * 1e6)
-            row = "  ".join(f"{name} {values[-1]:.0f}/s" for name, values in rates.items())
-            print(f"round {turn + 1}: {row}", flush=True)
-        ratios = {
-            name: statistics.median(a / b for a, b in zip(rates[name], rates["relay"], strict=True))
-            for name in ports
+SERVERS = 8
+SOCKETS = 1024
+SETTLE_S = 1.0
+THIS = ("-m", "benchmarks.through")
+
+
+@dataclass(frozen=True, slots=True)
+class Target:
+    """Something that is measured, and where it listens."""
+
+    port: int
+    process: asyncio.subprocess.Process
+
+
+@dataclass(slots=True)
+class Samples:
+    """What was measured of each target, a value a round."""
+
+    rates: dict[str, list[float]] = field(default_factory=dict)  # requests a second
+    costs_us: dict[str, list[float]] = field(default_factory=dict)  # processor time for a request
+
+    def add(self, name: str, rate: float, cost_us: float) -> None:
+        """Adds a target's values of a round."""
+        self.rates.setdefault(name, []).append(rate)
+        self.costs_us.setdefault(name, []).append(cost_us)
+
+
+class Targets:
+    """The processes of a run, with their configuration files in a directory."""
+
+    def __init__(self, directory: str, cores: Cores) -> None:
+        """Creates a run that has started nothing."""
+        self._directory = Path(directory)
+        self._cores = cores
+        self._servers = [free_port() for _ in range(SERVERS)]
+        self._processes: list[asyncio.subprocess.Process] = []
+        self.by_name: dict[str, Target] = {}
+
+    async def start(self, before: str) -> None:
+        """Starts the servers and all targets, and waits until they listen."""
+        for port in self._servers:
+            server = ("--role", "server", "--port", str(port))
+            self._processes.append(await spawn(*THIS, *server, cores=self._cores.rest))
+        await self._start_relay()
+        await self._start_platform("platform", (), PACKAGE, {})
+        await self._start_own()
+        if before:
+            env = {"PYTHONPATH": before}
+            await self._start_platform("before", ("-P",), package_of(Path(before)), env, cwd=before)
+        for port in (*self._servers, *(target.port for target in self.by_name.values())):
+            await wait_until_listening(port)
+        await asyncio.sleep(SETTLE_S)
+
+    async def stop(self) -> None:
+        """Ends all processes."""
+        await stop_all(self._processes)
+
+    async def _start_relay(self) -> None:
+        port = free_port()
+        relay = ("--role", "relay", "--port", str(port), "--to", str(self._servers[0]))
+        self._add("relay", port, await spawn(*THIS, *relay, cores=self._cores.measured))
+
+    async def _start_platform(
+        self, name: str, options: tuple[str, ...], package: str, env: dict[str, str], **more: Any
+    ) -> None:
+        """Starts the platform's program of a package; `more` goes to `spawn`."""
+        port = free_port()
+        entries = [entry(f"s{number}", server) for number, server in enumerate(self._servers)]
+        data = config_data(entries, 1, listen=f"127.0.0.1:{port}")
+        data["limits"]["sockets"] = SOCKETS
+        path = self._write(f"{name}.json", data)
+        env = {"GW_CONFIG": path} | env
+        process = await spawn(*options, "-m", package, cores=self._cores.measured, env=env, **more)
+        self._add(name, port, process)
+
+    async def _start_own(self) -> None:
+        """Starts a service with a configuration of its own."""
+        port = free_port()
+        servers = {
+            f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(self._servers)
         }
-        told = ", ".join(f"{name} {ratio:.3f}" for name, ratio in ratios.items() if name != "relay")
-        cost = ", ".join(f"{name} {statistics.median(found):.0f}" for name, found in costs.items())
-        print(f"processor time a request, in microseconds: {cost}")
-        print(f"through: at {connections} connections, of a bare relay's requests a second: {told}")
+        data = {
+            "format": 1,
+            "listeners": {"front": {"address": f"127.0.0.1:{port}"}},
+            "classes": {"look": {"effect": "safe", "aim_ms": 5000, "deadline_ms": 8000}},
+            "pools": {"web": {"servers": servers}},
+            "default": {"pool": "web"},
+        }
+        path = self._write("own.json", data)
+        control = str(self._directory / "c.sock")
+        serve = ("-m", PACKAGE, "serve", path, "--control", control)
+        self._add("own", port, await spawn(*serve, cores=self._cores.measured))
+
+    def _write(self, name: str, data: dict[str, Any]) -> str:
+        path = self._directory / name
+        path.write_text(json.dumps(data))
+        return str(path)
+
+    def _add(self, name: str, port: int, process: asyncio.subprocess.Process) -> None:
+        self._processes.append(process)
+        self.by_name[name] = Target(port, process)
+
+
+async def measure(rounds: int, seconds: float, connections: int, targets: Targets) -> Samples:
+    """Measures all targets in turn, and prints the rates of each round."""
+    samples = Samples()
+    for turn in range(rounds):
+        for name in in_turns(list(targets.by_name), turn):
+            target = targets.by_name[name]
+            before_s = cpu_s(target.process.pid)
+            rate = await request_rate(target.port, connections, seconds)
+            spent_s = cpu_s(target.process.pid) - before_s
+            samples.add(name, rate, spent_s / (rate * seconds) * 1e6)
+        rates = {name: samples.rates[name] for name in targets.by_name}
+        print(f"round {turn + 1}: {format_rates(rates)}", flush=True)
+    return samples
+
+
+async def run(args: argparse.Namespace, directory: str) -> None:
+    """Runs the benchmark and prints its ratios."""
+    targets = Targets(directory, split_cores())
+    try:
+        await targets.start(args.before)
+        samples = await measure(args.rounds, args.seconds, args.connections, targets)
     finally:
-        for process in processes:
-            with suppress(ProcessLookupError):
-                process.terminate()
-        for process in processes:
-            await process.wait()
+        await targets.stop()
+    ratios = ", ".join(
+        f"{name} {median_ratio(samples.rates[name], samples.rates['relay']):.3f}"
+        for name in targets.by_name
+        if name != "relay"
+    )
+    costs_us = {name: samples.costs_us[name] for name in targets.by_name}
+    print(f"processor time a request, in microseconds: {format_costs(costs_us)}")
+    print(f"through: at {args.connections} connections, of a bare relay's requests a second: {ratios}")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description=__doc__)
+    """Runs the benchmark or, with `--role`, one of its processes."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--rounds", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=2.0)
     parser.add_argument("--connections", type=int, default=32)
@@ -222,10 +178,10 @@
     parser.add_argument("--to", type=int, default=0)
     args = parser.parse_args()
     if args.role:
-        uvloop.run(listen(args.role, args.port, args.to))
+        uvloop.run(serve_until_terminated(args.port, args.to))
         return
     with tempfile.TemporaryDirectory() as directory:
-        asyncio.run(measure(args.rounds, args.seconds, args.connections, directory, args.before))
+        asyncio.run(run(args, directory))
 
 
 if __name__ == "__main__":
