--- /dev/null
+++ b/tests/benchmarks/test_shared.py
@@ -0,0 +1,49 @@
+"""What the benchmarks share: checkouts, turns and ratios, samples of memory."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import pytest
+
+from benchmarks.checkouts import ROOT, package_of
+from benchmarks.long_bodies_memory import MemorySample, MemoryWatch
+from benchmarks.request_rate import in_turns, median_ratio
+
+
+def test_the_package_of_this_checkout_is_sandhatch() -> None:
+    assert package_of(ROOT) == "sandhatch"
+
+
+def test_a_checkout_from_before_the_renaming_has_the_former_package(tmp_path: Path) -> None:
+    (tmp_path / "larkweir").mkdir()
+    assert package_of(tmp_path) == "larkweir"
+
+
+def test_targets_are_measured_in_alternating_order() -> None:
+    assert [in_turns(["relay", "balancer"], turn) for turn in range(3)] == [
+        ["balancer", "relay"],
+        ["relay", "balancer"],
+        ["balancer", "relay"],
+    ]
+
+
+def test_a_ratio_is_the_median_of_the_ratios_of_each_round() -> None:
+    assert median_ratio([1.0, 30.0, 2.0], [2.0, 10.0, 2.0]) == pytest.approx(1.0)
+
+
+def test_rounds_that_do_not_match_have_no_ratio() -> None:
+    with pytest.raises(ValueError, match="argument 2 is shorter"):
+        median_ratio([1.0, 2.0], [1.0])
+
+
+def test_memory_is_summarized_without_warm_up_and_tail() -> None:
+    watch = MemoryWatch()
+    for second in range(101):
+        resident_mib = 500.0 if second < 20 or second > 90 else 40.0 + second
+        watch.samples.append(MemorySample(float(second), resident_mib, 2.0))
+    assert watch.summary(0.0, 100.0) == (
+        "resident 60.0 to 130.0 MiB, slope +60.00 a minute;"
+        " held by bodies 2.0 to 2.0 MiB, slope +0.00 a minute;"
+        " the most in each third 82.0, 106.0, 130.0 (71 samples)"
+    )
