--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -130,12 +130,12 @@
 
 def age_cases(seeds: int) -> list[Case]:
     """By delay and loss of the link."""
-    links = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
-    links += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
+    delays_and_losses = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
+    delays_and_losses += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
     return [
         Case(UNEVEN, 0.9, forwarders, planners, seed, 100.0, link_ms, loss)
         for forwarders in (5, 20, 50)
-        for link_ms, loss in links
+        for link_ms, loss in delays_and_losses
         for planners in (0, 2)
         for seed in range(1, seeds + 1)
     ]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -90,6 +90,23 @@
     shared: SharedResources
     watch: Discovery
 
+    def stop(self) -> None:
+        """Stops it and its fake discovery, without waiting for what is in flight."""
+        self.dispatcher.source.stop()
+        self.listener.stop_accepting()
+        self.listener.end_idle()
+        self.dispatcher.connection_pool.close()
+        self.discovery.stop()
+
+
+def start_parts(program: PlatformProgram, discovery: FakeDiscovery) -> Running:
+    """Starts the parts of a program that serve requests."""
+    dispatcher = program.dispatcher
+    listener = program.listener
+    listener.start()
+    dispatcher.source.start()
+    return Running(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
+
 
 @asynccontextmanager
 async def running(
@@ -122,8 +139,7 @@
     discovery.generation = generation
     if machine is not None:
         more["limits"] = machine
-    known = {"generation": generation, "reset": True, "instances": list(entries)}
-    more.setdefault("known", known)
+    more.setdefault("known", {"generation": generation, "reset": True, "instances": list(entries)})
     settings = (base or SETTINGS) | {
         "PolicyLimits": SETTINGS["PolicyLimits"] | (limits or {}),
         "Stats": stats or SETTINGS["Stats"],
@@ -132,17 +148,10 @@
     data = config_data(list(entries), discovery.port, settings=settings, **more)
     config = decode(json.dumps(data), {})
     program = PlatformProgram(config, asyncio.get_running_loop(), script)
-    dispatcher = program.dispatcher
-    listener = program.listener
-    dispatcher.connection_pool.REST_MS = rest_ms
-    listener.start()
-    dispatcher.source.start()
+    program.dispatcher.connection_pool.REST_MS = rest_ms
+    balancer = start_parts(program, discovery)
     try:
-        yield Running(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
+        yield balancer
     finally:
-        dispatcher.source.stop()
-        listener.stop_accepting()
-        listener.end_idle()
-        dispatcher.connection_pool.close()
-        discovery.stop()
+        balancer.stop()
         await asyncio.sleep(0)
