--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -12,8 +12,12 @@
 from pathlib import Path
 from typing import Any
 
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import config_data
 from testkit.ports import free_port
-from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S
 
 ROOT = Path(__file__).parent.parent.parent
 
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -9,7 +9,11 @@
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.upstream.pool import ServerConnection
-from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
+from testkit.clients import HttpClient
+from testkit.platform import entry
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.fakes import Script, running
 from tests.race_conditions.harness import accept_request, block_until_readable, serves_when, wait_until
 from tests.test_attempts import run
 
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -13,17 +13,10 @@
 
 from sandhatch.platform import graceful_shutdown
 from sandhatch.platform.request_handler import PlatformRequestHandler
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    HttpClient,
-    Incoming,
-    Running,
-    Talk,
-    ok,
-    request_bytes,
-    running,
-)
+from testkit.clients import HttpClient, request_bytes
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.fakes import Running, running
 from tests.race_conditions.harness import block_until_readable, connect_client, serves_when, wait_until
 from tests.test_attempts import run
 
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -11,7 +11,7 @@
 from sandhatch.config.errors import CheckError, Refusal, RejectedError
 from sandhatch.config.version import State
 from testkit.clients import HttpClient
-from testkit.load import Load
+from testkit.load_generator import Load
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, run, serving
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -14,9 +14,13 @@
 import pytest
 
 from sandhatch.runtime.process import grant_descriptors
-from testkit.platform import SETTINGS
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
-from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data, running
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S
+from tests.fakes import running
 from tests.platform.harness import ready, spawn
 from tests.race_conditions.skipping_clock import SkippingLoop
 from tests.race_conditions.skipping_clock import run as skip
