--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -10,8 +10,9 @@
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import NO_VERSION, ListKind, ServerEntry, ServerState
-from sandhatch.http1.framing import ResponseReader, encode_request
 from sandhatch.http1.message import Message
+from sandhatch.http1.parser import ResponseReader
+from sandhatch.http1.serializer import encode_request
 from sandhatch.runtime.address import Address, ConfigError, label_of, parse_address, spell
 
 MAX_LIST = 4 * 1024 * 1024
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -21,8 +21,9 @@
 from sandhatch.downstream.interfaces import ConnectionOwner, DisconnectCallback
 from sandhatch.downstream.request_receiver import RequestReceiver
 from sandhatch.downstream.socket_poll import waits
-from sandhatch.http1.framing import encode_response, encode_response_head
-from sandhatch.http1.message import Fault, FramingError, Message
+from sandhatch.http1.errors import Fault, FramingError
+from sandhatch.http1.message import Message
+from sandhatch.http1.serializer import encode_response, encode_response_head
 from sandhatch.streaming.flow import Flow, StreamTerms
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
@@ -390,7 +391,7 @@
         transport.set_write_buffer_limits(high=0)
         self._answer_flow = flow
         self._socket_writer = SocketWriter(transport)
-        self._chunked = length is None and not message.version_10
+        self._chunked = length is None and not message.is_http_1_0
         self._ends_at_close = length is None and not self._chunked
         self._close_after_answer = self._is_last(message) or self._ends_at_close
         head = encode_response_head(status, headers, length, self._chunked, self._close_after_answer)
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -10,7 +10,8 @@
 
 from sandhatch.balancing.events import RequestArrived
 from sandhatch.balancing.settings import Effect, Settings
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.http1.errors import FramingError
+from sandhatch.http1.message import Message
 from sandhatch.runtime.shared import InFlightIds
 from sandhatch.streaming.headers import Headers
 
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -15,8 +15,10 @@
 
 from sandhatch.downstream.client_transport import ClientTransport
 from sandhatch.downstream.interfaces import ConnectionOwner
-from sandhatch.http1.framing import End, Event, RequestReader
-from sandhatch.http1.message import Fault, Message
+from sandhatch.http1.errors import Fault
+from sandhatch.http1.events import End, Event
+from sandhatch.http1.message import Message
+from sandhatch.http1.parser import NEVER, RequestReader
 from sandhatch.streaming.flow import Flow, StreamTerms
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.socket_writer import SCRATCH
@@ -41,7 +43,7 @@
         self._shared = listener.shared
         self.since_ms = listener.shared.clock.now_ms()  # from when the time of its state counts
         self._booked_bytes = 0  # of the memory budget, as last booked
-        self._reader = RequestReader(most=max_queued)
+        self._reader = RequestReader(max_messages=max_queued)
         self._reader.headed = self._on_head
         self._continue_sent = False  # for the request that is being received
         self._body_terms: StreamTerms | None = None  # of a body whose first part is being buffered
@@ -83,7 +85,7 @@
             return
         limits = terms.request
         if message.length is not None and message.length <= limits.hold_bytes:
-            self._reader.stream(-1, limits.hold_bytes)
+            self._reader.stream(NEVER, limits.hold_bytes)
             self._progress = ProgressMonitor(limits.writer)  # the same patience as with a long body
             self._progress.wait(self._shared.clock.now_ms())
             return
--- a/sandhatch/http1/message.py
+++ b/sandhatch/http1/message.py
@@ -1,17 +1,16 @@
-"""A request or an answer, as every protocol hands it on: its head, and its body while that is held whole.
+"""A request or an answer: its head, and its body where that is buffered completely.
 
-A body that is passed on as it arrives is a `sandhatch.streaming.flow.Flow` beside it. Source of the names
-that speak of one connection: RFC 9110 section 7.6.1.
+A body that is streamed is a `sandhatch.streaming.flow.Flow` beside it. No I/O. Source: RFC 9110, of which
+section 7.6.1 names the fields that concern one connection only.
 """
 
 from __future__ import annotations
 
-from typing import NamedTuple
-
+from sandhatch.http1.errors import FramingError
 from sandhatch.streaming.flow import Flow, StreamTerms
 from sandhatch.streaming.headers import Headers
 
-# Headers that speak of one connection, never passed on; framing is written anew.
+# Fields that concern one connection and are never forwarded; the framing is written anew.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -28,33 +27,32 @@
     )
 )
 
-
-class FramingError(Exception):
-    """What came is no message that may be taken; `status` is what a caller is told."""
-
-    def __init__(self, status: int, text: str) -> None:
-        super().__init__(text)
-        self.status = status
-
-
-class Fault(NamedTuple):
-    """Why no further message is read. Not the exception itself, whose traceback would hold the reader."""
-
-    status: int
-    text: str
+# About what one header field costs in memory beside its bytes.
+FIELD_OVERHEAD_BYTES = 128
 
 
 class Message:
-    """A request or an answer. Header names are kept as they came; look-ups go by lower case.
-
-    `body` is the whole of it, unless `flow` brings it. `length`: of the whole body in bytes, None if only its
-    end will tell. `terms`: on which bodies may be passed on as they arrive, None if they may not.
+    """A request or an answer. Header names keep their case; look-ups go by lower case.
+
+    Attributes:
+        method: Of a request, else empty.
+        target: Of a request, else empty.
+        status: Of an answer, else 0.
+        headers: The fields in their order.
+        names: The fields' names in lower case: looked up many times, converted once.
+        body: The complete body, unless `flow` brings it.
+        flow: Brings a body that is streamed; None if it is complete.
+        terms: Limits under which the bodies may be streamed; None if they may not.
+        length: Bytes of the complete body; None if only its end will tell.
+        keep_alive: Whether the connection may carry another message.
+        is_http_1_0: Whether the client speaks HTTP/1.0, so that it takes no chunks.
     """
 
     __slots__ = (
         "body",
         "flow",
         "headers",
+        "is_http_1_0",
         "keep_alive",
         "length",
         "method",
@@ -62,48 +60,59 @@
         "status",
         "target",
         "terms",
-        "version_10",
     )
 
     def __init__(self) -> None:
+        """Make an empty message, to be filled by a parser."""
         self.method = b""
         self.target = b""
         self.status = 0
         self.headers: Headers = []
-        self.names: list[bytes] = []  # of these, in lower case: looked up many times, lowered once
+        self.names: list[bytes] = []
         self.body = b""
         self.flow: Flow | None = None
         self.terms: StreamTerms | None = None
         self.length: int | None = None
         self.keep_alive = True
-        self.version_10 = False  # the caller takes no body in pieces of unknown number
+        self.is_http_1_0 = False
 
-    def values(self, name: bytes) -> list[bytes]:
-        if name not in self.names:
-            return []
-        return [field[1] for lower, field in zip(self.names, self.headers, strict=True) if lower == name]
+    @property
+    def size(self) -> int:
+        """About the bytes that it takes in memory."""
+        fields = sum(len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in self.headers)
+        return len(self.body) + len(self.target) + fields
 
     def add(self, name: bytes, value: bytes) -> None:
+        """Append a header field."""
         self.headers.append((name, value))
         self.names.append(name.lower())
 
-    @property
-    def size(self) -> int:
-        """About what it holds in memory."""
-        return len(self.body) + len(self.target) + sum(len(k) + len(v) + 128 for k, v in self.headers)
+    def values(self, name: bytes) -> list[bytes]:
+        """Returns all values of a header, which is named in lower case."""
+        if name not in self.names:
+            return []
+        return [field[1] for lower, field in zip(self.names, self.headers, strict=True) if lower == name]
 
     def value(self, name: bytes) -> bytes | None:
-        """The only value of a header; none if it is absent, FramingError if it comes twice."""
+        """Returns the only value of a header, which is named in lower case; None if it is absent.
+
+        Raises:
+            FramingError: The header comes more than once.
+        """
         count = self.names.count(name)
         if count > 1:
             raise FramingError(400, f"header {name.decode('latin-1')} comes more than once")
         return self.headers[self.names.index(name)][1] if count else None
 
     def passed_on(self, without: bytes = b"") -> Headers:
-        """The headers that go on to the other side, but for one, named in lower case."""
-        named: frozenset[bytes] | set[bytes] = HOP_BY_HOP
+        """Returns the fields to forward to the other side.
+
+        Args:
+            without: A field to leave out, named in lower case.
+        """
+        excluded: frozenset[bytes] | set[bytes] = HOP_BY_HOP
         if b"connection" in self.names:
-            listed = (item for value in self.values(b"connection") for item in value.split(b","))
-            named = HOP_BY_HOP.union(item.strip().lower() for item in listed)
+            listed = (name for value in self.values(b"connection") for name in value.split(b","))
+            excluded = HOP_BY_HOP.union(name.strip().lower() for name in listed)
         fields = zip(self.names, self.headers, strict=True)
-        return [field for lower, field in fields if lower not in named and lower != without]
+        return [field for lower, field in fields if lower not in excluded and lower != without]
--- a/sandhatch/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -19,7 +19,8 @@
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.interfaces import DisconnectCallback
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, Requests, reject_known
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.http1.errors import FramingError
+from sandhatch.http1.message import Message
 from sandhatch.routing.table import Answer, Query, Split, Target
 from sandhatch.runtime.shared import SharedResources
 from sandhatch.service.pools import RunningPool
--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -15,8 +15,11 @@
 
 from sandhatch.balancing.events import Outcome, ServerState
 from sandhatch.http1.body_endpoint import BodyEndpoint
-from sandhatch.http1.framing import End, Event, ResponseReader, encode_request, encode_request_head
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.http1.errors import FramingError
+from sandhatch.http1.events import End, Event
+from sandhatch.http1.message import Message
+from sandhatch.http1.parser import ResponseReader
+from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock, Timer
 from sandhatch.runtime.memory_budget import MemoryBudget
--- a/tests/bodies/test_framing.py
+++ b/tests/bodies/test_framing.py
@@ -12,8 +12,11 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from sandhatch.http1.framing import End, RequestReader, ResponseReader, chunk, last_chunk
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.http1.errors import Fault, FramingError
+from sandhatch.http1.events import End
+from sandhatch.http1.message import Message
+from sandhatch.http1.parser import RequestReader, ResponseReader
+from sandhatch.http1.serializer import chunk, last_chunk
 from sandhatch.streaming.headers import Headers
 
 KIB = 1024
@@ -297,4 +300,4 @@
     reader = RequestReader()
     reader.headed = reject
     reader.feed(b"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n")
-    assert reader.fault is not None and tuple(reader.fault) == (403, "not here")
+    assert reader.fault == Fault(403, "not here")
--- a/tests/test_large_lists.py
+++ b/tests/test_large_lists.py
@@ -14,7 +14,7 @@
 from sandhatch.balancing.events import ListKind, ListUpdate, RequestArrived
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.client import MAX_LIST, Names, parse_listing
-from sandhatch.http1.framing import ResponseReader
+from sandhatch.http1.parser import ResponseReader
 from testkit.ports import free_port
 from tests.fakes import (
     PATIENCE_S,
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -14,7 +14,7 @@
 from sandhatch.dispatch.dispatcher import Exchange
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.listener import Listener
-from sandhatch.http1.framing import RequestReader, ResponseReader
+from sandhatch.http1.parser import RequestReader, ResponseReader
 from sandhatch.upstream.pool import Attempt, ServerConnection
 from tests.fakes import (
     PATIENCE_S,
