--- a/sandhatch/config/model.py
+++ b/sandhatch/config/model.py
@@ -12,8 +12,8 @@
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, StringConstraints, model_validator
 
 from sandhatch.runtime.address import read_address
-from sandhatch.streaming.flow import BodyTerms, StreamTerms
 from sandhatch.streaming.progress import ProgressLimits
+from sandhatch.streaming.terms import BodyTerms, StreamTerms
 
 MAX_POOLS = 1_000
 MAX_ROUTES = 100_000
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -51,8 +51,9 @@
 from sandhatch.runtime.address import spell
 from sandhatch.runtime.clock import Timer
 from sandhatch.runtime.shared import SharedResources
-from sandhatch.streaming.flow import Flow, Side, Sink
+from sandhatch.streaming.flow import Flow, Side
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Sink
 from sandhatch.upstream.pool import LOAD_HEADER, Attempt, ConnectionPool, report_of
 
 
@@ -520,7 +521,7 @@
             for flow in flows:
                 found = flow.too_slow(now)
                 if found is not None:
-                    self._too_slow(exchange, flow, *found)
+                    self._too_slow(exchange, flow, found.side, found.reason)
         self._pacing = bool(self._streaming)
         if self._pacing:
             self.clock.after(self.PACE_MS, self._pace)
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -24,9 +24,10 @@
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.message import Message
 from sandhatch.http1.serializer import encode_response, encode_response_head
-from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+from sandhatch.streaming.terms import StreamTerms
 
 OUT_OF_MEMORY = Fault(503, "out of memory for requests")
 # Statuses that say when the client may come back.
@@ -224,8 +225,8 @@
                 self.close_if_quiet()  # one with a request unread stays: the event loop will read it
 
     def _check_progress(self, now_ms: float) -> None:
-        reason = self._progress.too_slow(now_ms) if self._progress is not None else ""
-        if reason:
+        reason = self._progress.violation(now_ms) if self._progress is not None else None
+        if reason is not None:
             self._answer_fault(Fault(408, f"the request did not come fast enough: {reason}"))
 
     def is_quiet(self) -> bool:
--- a/sandhatch/downstream/interfaces.py
+++ b/sandhatch/downstream/interfaces.py
@@ -9,7 +9,7 @@
 
 from sandhatch.http1.message import Message
 from sandhatch.runtime.shared import SharedResources
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.streaming.terms import StreamTerms
 
 if TYPE_CHECKING:  # for annotations only: the connection itself imports this module
     from sandhatch.downstream.client_connection import ClientConnection
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -19,9 +19,10 @@
 from sandhatch.http1.events import End, Event
 from sandhatch.http1.message import Message
 from sandhatch.http1.parser import NEVER, RequestReader
-from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.socket_writer import SCRATCH
+from sandhatch.streaming.terms import StreamTerms
 
 # Where a body that is buffered completely is read into.
 BODY_BUFFER = SCRATCH[: 64 * 1024]
@@ -87,7 +88,7 @@
         if message.length is not None and message.length <= limits.hold_bytes:
             self._reader.stream(NEVER, limits.hold_bytes)
             self._progress = ProgressMonitor(limits.writer)  # the same patience as with a long body
-            self._progress.wait(self._shared.clock.now_ms())
+            self._progress.start_waiting(self._shared.clock.now_ms())
             return
         message.terms = terms
         self._reader.stream(limits.hold_bytes, limits.most_bytes)
@@ -99,7 +100,7 @@
             self._buffer_body(received_bytes, self._shared.clock.now_ms())
         elif self._progress is not None:
             if self._reader.in_body:
-                self._progress.moved(received_bytes, self._shared.clock.now_ms())
+                self._progress.record_bytes(received_bytes, self._shared.clock.now_ms())
             else:
                 self._progress = None  # the body is complete
 
@@ -110,7 +111,7 @@
             self._stop_buffering()  # the body is complete, or malformed
             return
         if self._progress is not None:
-            self._progress.moved(received_bytes, now_ms)
+            self._progress.record_bytes(received_bytes, now_ms)
         elif self._place is None and not self._reserved:
             self.since_ms = now_ms
             needed_bytes = self._needed_bytes(terms)
@@ -133,7 +134,7 @@
         self._reserved = self._needed_bytes(terms)
         self._booked_bytes += self._reserved
         self._progress = ProgressMonitor(terms.request.writer)
-        self._progress.wait(self._shared.clock.now_ms())
+        self._progress.start_waiting(self._shared.clock.now_ms())
 
     @staticmethod
     def _needed_bytes(terms: StreamTerms) -> int:
--- a/sandhatch/http1/body_endpoint.py
+++ b/sandhatch/http1/body_endpoint.py
@@ -1,7 +1,7 @@
 """Where a connection of HTTP/1.1 meets the flows: what client and server connections have in common.
 
 A connection is the source of one flow and the sink of the other. This decides nothing. Source:
-`sandhatch.streaming.flow` for the contracts, RFC 9112 section 7.1 for chunks.
+`sandhatch.streaming.interfaces` for the contracts, RFC 9112 section 7.1 for chunks.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 
 from sandhatch.http1.serializer import chunk, last_chunk
 from sandhatch.runtime.memory_budget import MemoryWaiter
-from sandhatch.streaming.flow import Piece
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Piece
 from sandhatch.streaming.socket_writer import SocketWriter
 
 
--- a/sandhatch/http1/events.py
+++ b/sandhatch/http1/events.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 
 from sandhatch.http1.message import Message
-from sandhatch.streaming.flow import Piece
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Piece
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/http1/message.py
+++ b/sandhatch/http1/message.py
@@ -7,8 +7,9 @@
 from __future__ import annotations
 
 from sandhatch.http1.errors import FramingError
-from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.terms import StreamTerms
 
 # Fields that concern one connection and are never forwarded; the framing is written anew.
 HOP_BY_HOP = frozenset(
--- a/sandhatch/http1/parser.py
+++ b/sandhatch/http1/parser.py
@@ -40,8 +40,8 @@
     MAX_STREAMED_FRAMING_BYTES,
 )
 from sandhatch.http1.message import Message
-from sandhatch.streaming.flow import Piece
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Piece
 
 NEVER = -1  # as a number of buffered bytes: the body is not streamed
 UNKNOWN = -1  # as a number of remaining bytes: httptools finds the end
--- a/sandhatch/http1/serializer.py
+++ b/sandhatch/http1/serializer.py
@@ -7,8 +7,8 @@
 
 from collections.abc import Iterable
 
-from sandhatch.streaming.flow import Piece
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Piece
 
 CHUNKED_AND_HEAD_END = b"Transfer-Encoding: chunked\r\n\r\n"
 
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -18,7 +18,7 @@
 from sandhatch.platform.graceful_shutdown import LastCall
 from sandhatch.runtime.logger import report_loop_errors
 from sandhatch.runtime.shared import SharedResources
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.streaming.terms import StreamTerms
 from sandhatch.telemetry.event_recorder import Recorder, requested_record
 
 OWN_DESCRIPTORS = 24  # what the process itself needs
--- a/sandhatch/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -24,7 +24,7 @@
 from sandhatch.routing.table import Answer, Query, Split, Target
 from sandhatch.runtime.shared import SharedResources
 from sandhatch.service.pools import RunningPool
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.streaming.terms import StreamTerms
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/streaming/__init__.py
+++ b/sandhatch/streaming/__init__.py
@@ -1,1 +1,1 @@
-"""A body on its way: flow control, progress limits and the socket writer."""
+"""A body on its way: flow control, progress limits, and the socket writer."""
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -1,130 +1,81 @@
-"""One direction of an exchange: the body's pieces, its trailers and its end, from a source to a sink.
+"""Flow control of one direction of an exchange: a body's pieces, trailers and end, from a source to a sink.
 
-Protocol-neutral and without I/O. The source may bring as many bytes as there is credit for; what the sink's
-side has not let go of, and what is kept for a repeat, is held against the credit. So a body of any length
-passes in bounded memory, at the pace of the slower side. Anchors: Envoy's watermarks (source/docs
-flow_control), HTTP/2 and HTTP/3 flow control (RFC 9113 section 5.2, RFC 9000 section 4).
+No I/O, no protocol and no clock of its own. Source: Envoy's watermarks (its docs on flow control), and the
+flow control of HTTP/2 and HTTP/3 (RFC 9113 section 5.2, RFC 9000 section 4).
 
-    source --push, end, fail--> Flow --write, finish, cut--> sink
-    source <--pause, resume---- Flow <-------drained-------- sink
+    source --push, end--------> Flow --write, finish--> sink
+    source <--pause, resume---- Flow <------drained---- sink
 
-The bytes sent are kept from the first while they are few (the replay buffer): until then another sink can be
-given all of it. `Watcher.unrepeatable` says when that has ended.
+The source may bring as many bytes as there is credit for: the ceiling, less what the flow has in memory. That
+is what the sink has not sent yet, and the replay buffer. So a body of any length passes in bounded memory, at
+the pace of the slower side.
+
+The replay buffer keeps the bytes from the first, while they are few: until it is released, another sink can
+be given the complete body. `Watcher.unrepeatable` notifies of the release.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import Protocol
 
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.progress import ProgressLimits, ProgressMonitor
-
-Piece = bytes | memoryview
-
-
-@dataclass(slots=True, frozen=True)
-class BodyTerms:
-    """What one direction may take. `most_bytes`: of the whole body. `hold_bytes`: so much is held before it
-    is passed on, a smaller body whole. `replay_bytes`: the sent part that is kept for a repeat.
-    `ceiling_bytes`: of memory, never passed. `reader` limits the side that takes the body, `writer` the one
-    that brings it.
-    """
-
-    most_bytes: int
-    hold_bytes: int
-    replay_bytes: int
-    ceiling_bytes: int
-    writer: ProgressLimits
-    reader: ProgressLimits
-
-
-@dataclass(slots=True, frozen=True)
-class StreamTerms:
-    """Both directions of a request. `total_ms`: of the whole exchange, from its begin. `room_wait_ms`: how
-    long a new one waits for memory. `answer_hold_ms`: an answer that has begun is passed on after so long,
-    however little of it has come.
-    """
-
-    request: BodyTerms
-    answer: BodyTerms
-    total_ms: float
-    room_wait_ms: float
-    answer_hold_ms: float
-
-
-class Ticks(Protocol):
-    """Tells the time."""
-
-    def now_ms(self) -> float: ...
-
-
-class Source(Protocol):
-    """Whence a body comes."""
-
-    def pause(self) -> None:
-        """Bring no more until `resume`."""
-
-    def resume(self) -> None: ...
-
-
-class Sink(Protocol):
-    """Where a body goes."""
-
-    @property
-    def unsent(self) -> int:
-        """Bytes that were written and that the system has not taken."""
-
-    def write(self, piece: Piece) -> None:
-        """Take the whole piece; it is not looked at again after the return."""
-
-    def finish(self, trailers: Headers) -> None:
-        """The body is whole."""
+from sandhatch.streaming.interfaces import Piece, Sink, Source, Ticks, Watcher
+from sandhatch.streaming.progress import ProgressMonitor
+from sandhatch.streaming.terms import BodyTerms
 
 
 class Side(Enum):
-    """Whose fault it is."""
+    """A side of a flow."""
 
     SOURCE = "source"
     SINK = "sink"
 
 
-class Watcher(Protocol):
-    """Whoever runs the exchange."""
+@dataclass(slots=True, frozen=True)
+class SlowSide:
+    """The side of a flow that violates its progress limits.
 
-    def unrepeatable(self) -> None:
-        """What was sent is no longer kept whole: no other sink can be given it."""
+    Attributes:
+        side: Which of the two.
+        reason: Which limit and by how much, for the log.
+    """
 
-    def passed_on(self) -> None:
-        """The whole body, with its end, has left through the sink."""
+    side: Side
+    reason: str
 
 
 class Flow:
-    """See the head of the module. `reserve` bytes are booked of the room already, and stay with it until what
-    it keeps for a repeat is let go; after that it stays sure of `LEAST`. One that `lends` has `LEAST` of them
-    for the body that goes the other way.
+    """One body on its way; see the head of the module.
+
+    Attributes:
+        terms: The body's limits.
+        source: Brings the body; None once all of it has come.
+        ended: Whether the source has brought all of it.
+        done: Whether all of it has left through the sink.
+        closed: Whether the flow has been closed, so that it takes nothing more.
+        trailers: Fields behind the body, once it has ended.
     """
 
-    LEAST = 16 * 1024  # of credit, for whoever has begun, however short memory is
+    LEAST = 16 * 1024  # bytes of credit for a body that has begun, however short memory is
 
     __slots__ = (
-        "_booked",
+        "_booked_bytes",
         "_clock",
-        "_kept",
-        "_kept_bytes",
         "_leased",
         "_memory_budget",
-        "_paused",
-        "_reader",
-        "_reserve",
-        "_seen_unsent",
+        "_replay_buffer",
+        "_replay_bytes",
+        "_reserved_bytes",
         "_sink",
+        "_sink_progress",
+        "_source_paused",
+        "_source_progress",
+        "_statistics",
+        "_unsent_bytes",
         "_watcher",
-        "_writer",
-        "account",
         "closed",
         "done",
         "ended",
@@ -138,67 +89,82 @@
         terms: BodyTerms,
         clock: Ticks,
         memory_budget: MemoryBudget,
-        account: FlowStatistics,
+        statistics: FlowStatistics,
         source: Source,
-        reserve: int,
+        reserved_bytes: int,
         lends: bool = True,
     ) -> None:
+        """Open a flow without a sink.
+
+        Args:
+            terms: The body's limits.
+            clock: Measures the progress of both sides.
+            memory_budget: Where the flow's memory is booked.
+            statistics: Counts all flows of the process.
+            source: Brings the body.
+            reserved_bytes: Booked already, and kept until the replay buffer is released; after that the flow
+                keeps `LEAST`.
+            lends: Whether `LEAST` of the reserved bytes are for the body of the other direction.
+        """
         self.terms = terms
-        self.account = account
         self.source: Source | None = source
+        self._statistics = statistics
         self._clock = clock
         self._memory_budget = memory_budget
-        self._reserve = self._booked = reserve
-        self._leased = not lends
+        self._reserved_bytes = reserved_bytes
+        self._booked_bytes = reserved_bytes
+        self._leased = not lends  # the other direction has been given its part
         self._watcher: Watcher | None = None
         self._sink: Sink | None = None
-        self._seen_unsent = 0
-        # Before the first sink this is what waits for it; afterwards what a second one would be given.
-        self._kept: list[bytes] | None = []
-        self._kept_bytes = 0
-        self._writer = ProgressMonitor(terms.writer)
-        self._reader = ProgressMonitor(terms.reader)
-        self._paused = False
-        self.ended = False  # the source has brought all of it
-        self.done = False  # the sink has let all of it go
+        self._unsent_bytes = 0  # of the sink, as last looked at
+        # Before the first sink this is what waits for it; afterwards what another one would be given.
+        self._replay_buffer: list[bytes] | None = []
+        self._replay_bytes = 0
+        self._source_progress = ProgressMonitor(terms.writer)
+        self._sink_progress = ProgressMonitor(terms.reader)
+        self._source_paused = False
+        self.ended = False
+        self.done = False
         self.closed = False
         self.trailers: Headers = []
-        account.open += 1
-        account.opened += 1
-        account.most_open = max(account.most_open, account.open)
-        self._writer.wait(clock.now_ms())
+        statistics.open += 1
+        statistics.opened += 1
+        statistics.most_open = max(statistics.most_open, statistics.open)
+        self._source_progress.start_waiting(clock.now_ms())
 
-    # ------------------------------------------------ the source's side
+    # ------------------------------------------------ called by the source
 
     @property
     def credit(self) -> int:
-        """Bytes that the source may bring now. A ceiling of its own bounds it, and what is left of the room;
-        whoever has begun keeps what it was promised.
+        """Bytes that the source may bring now.
+
+        Bounded by the body's ceiling and by the free memory; a flow keeps the credit of its reserved bytes
+        however short memory is.
         """
-        most = min(self.terms.ceiling_bytes, max(self._reserve, self._booked + self._memory_budget.free))
-        return max(0, most - self.held)
+        free_bytes = max(self._reserved_bytes, self._booked_bytes + self._memory_budget.free)
+        return max(0, min(self.terms.ceiling_bytes, free_bytes) - self.held)
 
     def push(self, piece: Piece) -> None:
-        """The next bytes of the body; a view is copied where it must outlast the call."""
+        """Take the next bytes of the body; a view is copied where it must outlast the call."""
         if self.closed:
             return
         size = len(piece)
-        now = self._clock.now_ms()
-        self.account.bytes += size
-        self._writer.moved(size, now)
-        if self._kept is not None:
-            if self._sink is None or self._kept_bytes + size <= self.terms.replay_bytes:
+        now_ms = self._clock.now_ms()
+        self._statistics.bytes += size
+        self._source_progress.record_bytes(size, now_ms)
+        if self._replay_buffer is not None:
+            if self._sink is None or self._replay_bytes + size <= self.terms.replay_bytes:
                 piece = bytes(piece)
-                self._kept.append(piece)
-                self._kept_bytes += size
+                self._replay_buffer.append(piece)
+                self._replay_bytes += size
             else:
-                self._let_go()
+                self._release_replay_buffer()
         if self._sink is not None:
             self._sink.write(piece)
-        self._settle()
+        self._update()
 
     def end(self, trailers: Headers) -> None:
-        """The source has brought all of the body."""
+        """Take the end: the source has brought all of the body."""
         if self.closed or self.ended:
             return
         self.ended = True
@@ -206,140 +172,155 @@
         self.source = None
         if self._sink is not None:
             self._sink.finish(trailers)
-        self._settle()
+        self._update()
 
-    # ------------------------------------------------ the sink's side
+    # ------------------------------------------------ called by the sink
 
     def drained(self) -> None:
-        """All that the sink was given has left."""
-        self._settle()
+        """Go on: all that the sink was given has been sent."""
+        self._update()
 
-    # ------------------------------------------------ whoever runs the exchange
+    # ------------------------------------------------ called by whoever runs the exchange
 
     @property
     def held(self) -> int:
-        """Bytes in memory on its behalf."""
-        return self._kept_bytes + (self._sink.unsent if self._sink is not None else 0)
+        """Bytes in memory on the body's behalf."""
+        return self._replay_bytes + (self._sink.unsent if self._sink is not None else 0)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a sink could be given all of it from its first byte."""
-        return self._kept is not None
+        """Whether a sink could be given the complete body."""
+        return self._replay_buffer is not None
 
     def watch(self, watcher: Watcher) -> None:
+        """Notify this watcher from now on, in place of any other."""
         self._watcher = watcher
 
     def attach(self, sink: Sink) -> None:
-        """Give the sink all from the first byte, and what comes from now on."""
-        if self._kept is None or self._sink is not None:
-            raise AssertionError("a flow that is not held whole, or has a sink, takes no other")
+        """Write the body to this sink, from its first byte."""
+        if self._replay_buffer is None or self._sink is not None:
+            raise AssertionError("a flow that has a sink, or has released its replay buffer, takes no sink")
         self._sink = sink
-        self._seen_unsent = 0
-        for piece in self._kept:
+        self._unsent_bytes = 0
+        for piece in self._replay_buffer:
             sink.write(piece)
-            if self._sink is not sink:  # it broke on the way
+            if self._sink is not sink:  # it broke, and was detached
                 return
-        if self._kept_bytes > self.terms.replay_bytes:
-            self._let_go()
+        if self._replay_bytes > self.terms.replay_bytes:
+            self._release_replay_buffer()
         if self.ended:
             sink.finish(self.trailers)
-        self._settle()
+        self._update()
 
     def detach(self, sink: Sink) -> None:
-        """The sink is of no further use."""
+        """Write no more to this sink."""
         if self._sink is sink:
             self._sink = None
             self.done = False
-            self._settle()
+            self._update()
 
     def close(self) -> None:
-        """Let everything go; what still comes is dropped."""
+        """Release everything; what the source still brings is discarded."""
         if self.closed:
             return
         self.closed = True
-        self._sink = self._watcher = self.source = None
-        self._kept = None
-        self._kept_bytes = 0
-        self._memory_budget.book(self._booked, 0)
-        self._booked = 0
-        self.account.open -= 1
-
-    def too_slow(self, now_ms: float) -> tuple[Side, str] | None:
-        """Which side has fallen behind its limits, and how; None if neither has."""
+        self._sink = None
+        self._watcher = None
+        self.source = None
+        self._replay_buffer = None
+        self._replay_bytes = 0
+        self._memory_budget.book(self._booked_bytes, 0)
+        self._booked_bytes = 0
+        self._statistics.open -= 1
+
+    def too_slow(self, now_ms: float) -> SlowSide | None:
+        """Returns which side violates its progress limits; None if neither does."""
         if self.closed:
             return None
-        self._note_sink(now_ms)
-        for side, pace in ((Side.SINK, self._reader), (Side.SOURCE, self._writer)):
-            why = pace.too_slow(now_ms)
-            if why:
-                return side, why
+        self._record_sink_progress(now_ms)
+        reason = self._sink_progress.violation(now_ms)
+        if reason is not None:
+            return SlowSide(Side.SINK, reason)
+        reason = self._source_progress.violation(now_ms)
+        if reason is not None:
+            return SlowSide(Side.SOURCE, reason)
         return None
 
     def lend(self) -> int:
-        """Of what is booked for it, `LEAST` for the body that goes the other way: whoever has begun is not
-        made to wait for the memory of its answer. Returns the bytes, which are booked. Another attempt's
-        answer gets as many, booked anew: what was lent before went back to the room.
+        """Hand `LEAST` of the reserved bytes over to the body of the other direction.
+
+        So a request that has begun does not wait for the memory of its answer. The answer of another attempt
+        gets as many, booked anew: what was handed over before went back to the budget.
+
+        Returns:
+            The bytes, which are booked.
         """
         if self._leased or self.closed:
             self._memory_budget.book(0, self.LEAST)
             return self.LEAST
         self._leased = True
-        self._reserve = max(0, self._reserve - self.LEAST)
-        self._booked -= self.LEAST
-        self._settle()
+        self._reserved_bytes = max(0, self._reserved_bytes - self.LEAST)
+        self._booked_bytes -= self.LEAST
+        self._update()
         return self.LEAST
 
     # ------------------------------------------------
 
-    def _let_go(self) -> None:
-        """What was sent is kept no longer."""
-        self._kept = None
-        self._kept_bytes = 0
-        self._reserve = min(self._reserve, self.LEAST if self._leased else 2 * self.LEAST)
+    def _release_replay_buffer(self) -> None:
+        """Keep what was sent no longer."""
+        self._replay_buffer = None
+        self._replay_bytes = 0
+        least_bytes = self.LEAST if self._leased else 2 * self.LEAST
+        self._reserved_bytes = min(self._reserved_bytes, least_bytes)
         if self._watcher is not None:
             self._watcher.unrepeatable()
 
-    def _note_sink(self, now_ms: float) -> None:
-        unsent = self._sink.unsent if self._sink is not None else 0
-        if unsent < self._seen_unsent:
-            self._reader.moved(self._seen_unsent - unsent, now_ms)
-        self._seen_unsent = unsent
+    def _record_sink_progress(self, now_ms: float) -> None:
+        unsent_bytes = self._sink.unsent if self._sink is not None else 0
+        if unsent_bytes < self._unsent_bytes:
+            self._sink_progress.record_bytes(self._unsent_bytes - unsent_bytes, now_ms)
+        self._unsent_bytes = unsent_bytes
 
-    def _settle(self) -> None:
-        """After any change: the account, whose turn it is, and whether the source may go on."""
+    def _update(self) -> None:
+        """After any change: book the memory, see which side is waited for, pause or resume the source."""
         if self.closed:
             return
-        now = self._clock.now_ms()
-        self._note_sink(now)
-        held = self._kept_bytes + self._seen_unsent
-        account = self.account
-        if held > account.peak_bytes:
-            account.peak_bytes = held
-        if held > self.terms.ceiling_bytes:
-            account.over += 1
-        booked = max(held, self._reserve)
-        if booked != self._booked:
-            before, self._booked = self._booked, booked
-            self._memory_budget.book(before, booked)
-        behind = self._seen_unsent > 0  # the sink is
-        if behind:
-            self._reader.wait(now)
+        now_ms = self._clock.now_ms()
+        self._record_sink_progress(now_ms)
+        self._update_booking()
+        sink_behind = self._unsent_bytes > 0
+        if sink_behind:
+            self._sink_progress.start_waiting(now_ms)
         else:
-            self._reader.rest(now)
-        if self._sink is None or behind or self.ended:
-            self._writer.rest(now)
+            self._sink_progress.stop_waiting(now_ms)
+        if self._sink is None or sink_behind or self.ended:
+            self._source_progress.stop_waiting(now_ms)
         else:
-            self._writer.wait(now)
-        self._steer(self._sink is None or behind or not self.credit)
-        if self.ended and not behind and self._sink is not None and not self.done:
+            self._source_progress.start_waiting(now_ms)
+        self._set_source_paused(self._sink is None or sink_behind or not self.credit)
+        if self.ended and not sink_behind and self._sink is not None and not self.done:
             self.done = True
             if self._watcher is not None:
                 self._watcher.passed_on()
 
-    def _steer(self, paused: bool) -> None:
-        if paused == self._paused or self.source is None:
+    def _update_booking(self) -> None:
+        """Book what the flow has in memory, or its reserved bytes where those are more."""
+        held_bytes = self._replay_bytes + self._unsent_bytes
+        statistics = self._statistics
+        if held_bytes > statistics.peak_bytes:
+            statistics.peak_bytes = held_bytes
+        if held_bytes > self.terms.ceiling_bytes:
+            statistics.over += 1
+        booked_bytes = max(held_bytes, self._reserved_bytes)
+        if booked_bytes != self._booked_bytes:
+            booked_before = self._booked_bytes
+            self._booked_bytes = booked_bytes
+            self._memory_budget.book(booked_before, booked_bytes)
+
+    def _set_source_paused(self, paused: bool) -> None:
+        if paused == self._source_paused or self.source is None:
             return
-        self._paused = paused
+        self._source_paused = paused
         if paused:
             self.source.pause()
         else:
--- a/sandhatch/streaming/headers.py
+++ b/sandhatch/streaming/headers.py
@@ -1,6 +1,9 @@
-"""Header fields as every protocol hands them on: of a message's head, and of a body's trailers."""
+"""Header fields as each protocol hands them on: of a message's head, and of a body's trailers.
+
+A type only. Source: RFC 9110 section 5.
+"""
 
 from __future__ import annotations
 
-# Names as they came and values, in their order.
+# Names and values as they were received, in their order.
 Headers = list[tuple[bytes, bytes]]
--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -24,8 +24,9 @@
 from sandhatch.runtime.clock import Clock, Timer
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.runtime.shared import Descriptors
-from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+from sandhatch.streaming.terms import StreamTerms
 
 LOAD_HEADER = b"endpoint-load-metrics"
 NEVER_RAN_HEADER = b"x-never-ran"
--- a/tests/bodies/test_flow.py
+++ b/tests/bodies/test_flow.py
@@ -10,9 +10,11 @@
 
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.memory_budget import MemoryBudget, MemoryWaiter
-from sandhatch.streaming.flow import BodyTerms, Flow, Piece, Side
+from sandhatch.streaming.flow import Flow, Side, SlowSide
 from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.interfaces import Piece
 from sandhatch.streaming.progress import ProgressLimits, ProgressMonitor
+from sandhatch.streaming.terms import BodyTerms
 
 KIB = 1024
 PATIENT = ProgressLimits(1e9, 0.0, 1e9)
@@ -202,7 +204,7 @@
     assert rig.flow.too_slow(rig.clock.now) is None
     rig.clock.now = 1_999.0
     found = rig.flow.too_slow(rig.clock.now)
-    assert found is not None and found[0] is Side.SOURCE
+    assert found is not None and found.side is Side.SOURCE
 
 
 def test_a_source_is_not_blamed_for_the_time_of_a_sink_that_is_behind() -> None:
@@ -217,7 +219,7 @@
     rig.clock.now = 50_900.0
     assert rig.flow.too_slow(rig.clock.now) is None
     rig.clock.now = 51_000.0
-    assert rig.flow.too_slow(rig.clock.now) == (Side.SOURCE, "no byte for 1000 ms")
+    assert rig.flow.too_slow(rig.clock.now) == SlowSide(Side.SOURCE, "no byte for 1000 ms")
 
 
 def test_a_sink_that_takes_nothing_is_found_and_one_that_takes_a_little_is_not() -> None:
@@ -230,7 +232,7 @@
         sink.let(KIB)
         assert rig.flow.too_slow(rig.clock.now) is None
     rig.clock.now += 1_000.0
-    assert rig.flow.too_slow(rig.clock.now) == (Side.SINK, "no byte for 1000 ms")
+    assert rig.flow.too_slow(rig.clock.now) == SlowSide(Side.SINK, "no byte for 1000 ms")
 
 
 def test_a_trickle_is_found_by_its_rate_however_fast_it_was_before() -> None:
@@ -242,7 +244,7 @@
         rig.clock.now += 250.0
         rig.flow.push(b"x")
         found = rig.flow.too_slow(rig.clock.now)
-    assert found == (Side.SOURCE, "4 bytes a second over 2000 ms")
+    assert found == SlowSide(Side.SOURCE, "4 bytes a second over 2000 ms")
     assert rig.clock.now == 4_000.0  # the window that began after the fast one
 
 
@@ -258,13 +260,13 @@
 
 def test_waited_time_counts_over_rests() -> None:
     pace = ProgressMonitor(ProgressLimits(1e9, 100.0, 1_000.0))
-    pace.wait(0.0)
-    pace.moved(10, 100.0)
-    pace.rest(600.0)
-    assert pace.too_slow(50_000.0) == ""
-    pace.wait(60_000.0)
-    assert pace.too_slow(60_399.0) == ""
-    assert pace.too_slow(60_400.0) == "10 bytes a second over 1000 ms"
+    pace.start_waiting(0.0)
+    pace.record_bytes(10, 100.0)
+    pace.stop_waiting(600.0)
+    assert pace.violation(50_000.0) is None
+    pace.start_waiting(60_000.0)
+    assert pace.violation(60_399.0) is None
+    assert pace.violation(60_400.0) == "10 bytes a second over 1000 ms"
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
