--- a/tests/test_floods.py
+++ b/tests/downstream/test_silent_clients.py
@@ -1,5 +1,5 @@
-"""Idle callers that take every descriptor they can get while discovery fails: the program as a process, under
-the system's own limit.
+"""Silent clients that take every descriptor they can get while discovery fails: the program as a process,
+under the system's own limit.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from tests.test_process import ready, spawn
 
 ASKED = SETTINGS | {"Discovery": "on_request"}
-OWED_S = 3.0  # in which a peer that says nothing has an error or a close
+SILENCE_LIMIT_S = 3.0  # within which a silent client gets an error or a close
 BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
 @asynccontextmanager
 async def flooded(port: int, peers: int) -> AsyncIterator[list[socket.socket]]:
-    """So many peers connect and say nothing; one that is closed is left so."""
+    """That many clients connect and send nothing; one that is closed is left so."""
     loop = asyncio.get_running_loop()
     peer_sockets = []
     for _ in range(peers):
@@ -45,22 +45,22 @@
 
 
 async def closed(peer: socket.socket) -> None:
-    """Its end or a reset; nothing was asked, so nothing is answered."""
+    """Expects its end or a reset: nothing was sent, so nothing is answered."""
     with suppress(ConnectionError):
         assert await asyncio.get_running_loop().sock_recv(peer, 100) == b""
 
 
 @pytest.mark.parametrize("fault", ["down", "refusing", "silent"])
 @pytest.mark.parametrize("limit", [256, 1024])
-def test_idle_callers_do_not_keep_it_from_discovery_from_servers_or_from_others(
+def test_silent_clients_block_neither_discovery_nor_servers_nor_other_clients(
     limit: int, fault: str, tmp_path: Path
 ) -> None:
-    """While discovery fails and after its return: `/ready` is answered, callers on new and on kept
-    connections are served, the list is heard, and those that say nothing are closed.
+    """While discovery fails and after its return: `/ready` is answered, clients on new and on reused
+    connections are served, the endpoint list is received, and silent connections are closed.
     """
 
     async def work() -> None:
-        assert grant_descriptors(2 * limit + 500) >= 2 * limit + 500  # of this process, for all sides
+        assert grant_descriptors(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
         one, two = await FakeUpstream().start(), await FakeUpstream().start()
         discovery = await FakeDiscovery([one.entry("a")]).start()
         port = free_port()
@@ -113,7 +113,7 @@
     run(work())
 
 
-def test_peers_that_say_nothing_are_closed_in_time_while_discovery_is_down(
+def test_silent_clients_time_out_while_discovery_is_down(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Under a clock that skips, so that it tells the program's own times."""
@@ -125,7 +125,7 @@
             async with flooded(balancer.port, 60) as peers:
                 began = loop.time()
                 await asyncio.gather(*map(closed, peers))
-                assert loop.time() - began <= OWED_S
+                assert loop.time() - began <= SILENCE_LIMIT_S
         upstream.close()
 
     skip(monkeypatch, work)
--- a/tests/bodies/test_framing.py
+++ b/tests/http1/test_parser.py
@@ -20,18 +20,18 @@
 from sandhatch.streaming.headers import Headers
 
 KIB = 1024
-MOST = 4096 * KIB
+MAX_BODY_BYTES = 4096 * KIB
 
 
-class Seen(NamedTuple):
-    """A message as it came, whether whole or in pieces."""
+class ParsedMessage(NamedTuple):
+    """A message as it was received, complete or in pieces."""
 
     method: bytes
     target: bytes
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    whole: bool
+    complete: bool
     trailers: tuple[tuple[bytes, bytes], ...]
 
 
@@ -40,10 +40,10 @@
 
     def __init__(self, reader: RequestReader | ResponseReader, hold: int) -> None:
         self.reader = reader
-        self.seen: list[Seen] = []
+        self.seen: list[ParsedMessage] = []
         self._open: Message | None = None
         self._parts: list[bytes] = []
-        reader.headed = lambda message: reader.stream(hold, MOST)
+        reader.headed = lambda message: reader.stream(hold, MAX_BODY_BYTES)
 
     def feed(self, data: bytes) -> None:
         for event in self.reader.feed(data):
@@ -61,12 +61,12 @@
             self._open = self.reader.open()
             self._parts = [self._open.body]
 
-    def _add(self, message: Message, body: bytes, whole: bool, trailers: Headers) -> None:
+    def _add(self, message: Message, body: bytes, complete: bool, trailers: Headers) -> None:
         fields = tuple(message.headers)
-        row = (message.method, message.target, message.status, fields, body, whole, tuple(trailers))
-        self.seen.append(Seen(*row))
+        row = (message.method, message.target, message.status, fields, body, complete, tuple(trailers))
+        self.seen.append(ParsedMessage(*row))
 
-    def last(self) -> Seen | None:
+    def last(self) -> ParsedMessage | None:
         """The message that is still open."""
         if self._open is None:
             return None
@@ -106,7 +106,7 @@
     return [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True) if b > a]
 
 
-def reader_of(request: bool) -> RequestReader | ResponseReader:
+def make_parser(request: bool) -> RequestReader | ResponseReader:
     return RequestReader() if request else ResponseReader()
 
 
@@ -115,18 +115,18 @@
 def test_random_splits_of_random_messages_give_the_same_events(seed: int, request: bool, hold: int) -> None:
     rng = Random(seed)
     data = messages(rng, request)
-    whole = Collected(reader_of(request), 1 << 40)  # never opened: each comes in one piece
+    unsplit = Collected(make_parser(request), 1 << 40)  # never opened: each comes in one piece
     for at in range(0, len(data), 50_000):
-        whole.feed(data[at : at + 50_000])
-    assert whole.reader.fault is None
-    parts = Collected(reader_of(request), hold)
+        unsplit.feed(data[at : at + 50_000])
+    assert unsplit.reader.fault is None
+    parts = Collected(make_parser(request), hold)
     for piece in split(rng, data):
         parts.feed(piece)
     assert parts.reader.fault is None
     assert not parts.reader.begun
-    # Trailers are passed on with a body in pieces, and of no use with one that came whole.
+    # Trailers are returned with a body in pieces, and dropped with a complete one.
     assert [row._replace(trailers=()) for row in parts.seen] == [
-        row._replace(trailers=()) for row in whole.seen
+        row._replace(trailers=()) for row in unsplit.seen
     ]
 
 
@@ -141,11 +141,11 @@
 )
 
 
-def by_h11(data: bytes, request: bool) -> tuple[list[Seen], str]:
+def parse_with_h11(data: bytes, request: bool) -> tuple[list[ParsedMessage], str]:
     """What h11 makes of it, and the fault that it found."""
-    rows: list[Seen] = []
+    rows: list[ParsedMessage] = []
     while data:
-        connection = h11.Connection(h11.SERVER if request else h11.CLIENT, MOST)
+        connection = h11.Connection(h11.SERVER if request else h11.CLIENT, MAX_BODY_BYTES)
         if not request:
             connection.send(h11.Request(method="POST", target="/", headers=[("host", "a")]))
             connection.send(h11.EndOfMessage())
@@ -168,7 +168,7 @@
         method = head.method if isinstance(head, h11.Request) else b""
         target = head.target if isinstance(head, h11.Request) else b""
         status = head.status_code if isinstance(head, h11.Response) else 0
-        rows.append(Seen(method, target, status, (), body, True, ()))
+        rows.append(ParsedMessage(method, target, status, (), body, True, ()))
         data = connection.trailing_data[0]
     return rows, ""
 
@@ -202,15 +202,15 @@
     data = messages(rng, request)
     if rng.random() < 0.8:
         data = damaged(rng, data)
-    ours = Collected(reader_of(request), rng.choice([0, 100, 64 * KIB]))
+    ours = Collected(make_parser(request), rng.choice([0, 100, 64 * KIB]))
     for piece in split(rng, data):
         ours.feed(piece)
-    theirs, fault = by_h11(data, request)
+    theirs, fault = parse_with_h11(data, request)
     if fault.startswith(FIRST_LINE):
         return
-    mine = [row._replace(headers=(), trailers=()) for row in ours.seen]
-    # Damage may leave a message open at the end, or refused; as far as both have read, they agree.
-    assert mine == theirs[: len(mine)], data[:500]
+    parsed = [row._replace(headers=(), trailers=()) for row in ours.seen]
+    # Damage may leave a message incomplete, or rejected; as far as both have read, they agree.
+    assert parsed == theirs[: len(parsed)], data[:500]
 
 
 @settings(max_examples=100, deadline=None, derandomize=True)
@@ -218,10 +218,10 @@
 def test_well_formed_messages_are_accepted_as_h11_does(seed: int, request: bool) -> None:
     rng = Random(seed)
     data = messages(rng, request)
-    ours = Collected(reader_of(request), 100)
+    ours = Collected(make_parser(request), 100)
     for piece in split(rng, data):
         ours.feed(piece)
-    theirs, fault = by_h11(data, request)
+    theirs, fault = parse_with_h11(data, request)
     assert not fault and ours.reader.fault is None
     assert [row._replace(headers=(), trailers=()) for row in ours.seen] == theirs
 
@@ -232,7 +232,7 @@
 def test_no_input_raises(data: bytes, seed: int) -> None:
     rng = Random(seed)
     for request in (True, False):
-        ours = Collected(reader_of(request), 0)
+        ours = Collected(make_parser(request), 0)
         for piece in split(rng, messages(rng, request)[: rng.randrange(400)] + data) or [data]:
             ours.feed(piece)
 
@@ -246,7 +246,7 @@
 def test_a_body_of_known_length_comes_as_views_of_what_was_read() -> None:
     """Nothing is copied on its way through the framing."""
     reader = RequestReader()
-    reader.headed = lambda message: reader.stream(0, MOST)
+    reader.headed = lambda message: reader.stream(0, MAX_BODY_BYTES)
     assert reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab") == []
     assert reader.openable
     assert reader.open().body == b"ab"
@@ -258,10 +258,10 @@
     piece.release()
 
 
-def test_framing_that_is_more_than_the_body_is_refused() -> None:
+def test_more_framing_than_body_is_rejected() -> None:
     found = opened(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
     fed = 0
-    while found.reader.fault is None and fed < 10 * MOST:
+    while found.reader.fault is None and fed < 10 * MAX_BODY_BYTES:
         found.feed(b"1\r\na\r\n" * 1000)
         fed += 6000
     assert found.reader.fault is not None and found.reader.fault.text == "more framing than body"
@@ -271,7 +271,7 @@
 @pytest.mark.parametrize(
     "endless", [b"5;" + b"x" * 100_000, b"0\r\nX: " + b"y" * 100_000], ids=["extension", "trailer"]
 )
-def test_an_extension_or_a_trailer_without_end_is_refused_before_it_is_held(endless: bytes) -> None:
+def test_an_endless_extension_or_trailer_is_rejected_before_it_is_buffered(endless: bytes) -> None:
     found = opened(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n")
     fed = 0
     for at in range(0, len(endless), 8 * KIB):
@@ -282,7 +282,7 @@
     assert found.reader.fault is not None and fed <= 48 * KIB
 
 
-def test_a_length_is_held_to_the_limit_at_the_head_and_chunks_where_they_pass_it() -> None:
+def test_a_stated_length_is_limited_at_the_head_and_chunks_where_they_exceed_it() -> None:
     for head, more in (
         (b"Content-Length: 11\r\n\r\n", b""),
         (b"Transfer-Encoding: chunked\r\n\r\n", b"a\r\n0123456789\r\n1\r\na\r\n"),
@@ -293,7 +293,7 @@
         assert reader.fault is not None and reader.fault.status == 413
 
 
-def test_a_front_that_refuses_at_the_head_is_heard() -> None:
+def test_a_rejection_at_the_head_becomes_the_fault() -> None:
     def reject(message: Message) -> None:
         raise FramingError(403, "not here")
 
--- a/tests/bodies/harness.py
+++ b/tests/streaming/harness.py
@@ -1,4 +1,4 @@
-"""A service that passes long bodies on, between servers and callers that bring and take them by script."""
+"""A service that streams long bodies between scripted servers and clients."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 KIB = 1024
 MIB = 1024 * KIB
 
-# Small, so that megabytes are long: 64 KiB are held and kept, and 192 KiB are the ceiling.
+# Small, so that a megabyte is a long body: 64 KiB are buffered and kept, and 192 KiB are the ceiling.
 DIRECTION = {"ceiling_bytes": 192 * KIB, "writer_stall_ms": 20_000, "reader_stall_ms": 20_000}
 
 
-class Ears:
-    """Between an engine and its balancer: keeps every event and action."""
+class DecisionRecorder:
+    """Between a dispatcher and its balancer: records every event and action."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
         self._inner: Decisions = dispatcher.balancer
@@ -52,17 +52,19 @@
 
 
 @dataclass
-class Stage:
+class Deployment:
+    """A running service, its servers, and the record of its decisions."""
+
     kept: Kept
     servers: list[BodyServer]
-    ears: Ears
+    decisions: DecisionRecorder
 
     @property
     def port(self) -> int:
         return self.kept.port
 
     @property
-    def account(self) -> FlowStatistics:
+    def flow_statistics(self) -> FlowStatistics:
         return self.kept.service.shared.flows
 
     def number(self, server: BodyServer) -> int:
@@ -71,8 +73,8 @@
     def server(self, number: int) -> BodyServer:
         return next(server for server in self.servers if self.number(server) == number)
 
-    async def settled(self) -> None:
-        """Until nothing is open, and everything that was held is let go."""
+    async def until_idle(self) -> None:
+        """Wait until no request is in flight and every flow is closed."""
         service = self.kept.service
         await self.kept.until(lambda: all(not pool.dispatcher.open for pool in service.pools.alive.values()))
         await self.kept.until(lambda: not service.shared.flows.open)
@@ -101,17 +103,17 @@
 
 
 @asynccontextmanager
-async def staged(
-    *serves: Serve, request: Any = None, answer: Any = None, **more: Any
-) -> AsyncIterator[Stage]:
-    servers = [await BodyServer(serve).start() for serve in serves]
+async def deployed(
+    *handlers: Serve, request: Any = None, answer: Any = None, **more: Any
+) -> AsyncIterator[Deployment]:
+    servers = [await BodyServer(serve).start() for serve in handlers]
     try:
         async with serving(config(servers, request or {}, answer or {}, **more)) as kept:
             pools = kept.service.pools.alive.values()
             await kept.until(lambda: all(pool.dispatcher.ready for pool in pools))
             for server in servers:
-                server.connections = 0  # without the one that tried whether it can be reached
-            yield Stage(kept, servers, Ears(next(iter(pools)).dispatcher))
+                server.connections = 0  # without the health check's
+            yield Deployment(kept, servers, DecisionRecorder(next(iter(pools)).dispatcher))
     finally:
         for server in servers:
             server.close()
@@ -126,16 +128,16 @@
     )
 
 
-def look_head(target: str = "/drawings", **headers: str) -> bytes:
+def download_head(target: str = "/drawings", **headers: str) -> bytes:
     trace = f"d0a2{next(TRACES):012x}"
     return head(f"GET {target} HTTP/1.1", **({"Host": "d", "X-Trace-Id": trace, "X-Qos": "look"} | headers))
 
 
 async def answer_head(client: HttpClient) -> tuple[int, dict[str, str]]:
     async with asyncio.timeout(PATIENCE_S):
-        came = await read_head(client.reader)
-    assert came is not None, "the connection ended without an answer"
-    return int(came[0].split()[1]), came[1]
+        received = await read_head(client.reader)
+    assert received is not None, "the connection ended without an answer"
+    return int(received[0].split()[1]), received[1]
 
 
 async def answer_of(client: HttpClient) -> tuple[int, Body]:
@@ -144,20 +146,20 @@
         return status, await read_body(client.reader, headers)
 
 
-async def say(upload: Upload, text: str, status: int = 200, **headers: str) -> None:
+async def answer_text(upload: Upload, text: str, status: int = 200, **headers: str) -> None:
     lines = {"Content-Length": str(len(text))} | headers
     await upload.talk.send(head(f"HTTP/1.1 {status} X", **lines) + text.encode())
 
 
-async def store(upload: Upload) -> None:
-    """Read all of it, and say what came."""
+async def store_upload(upload: Upload) -> None:
+    """Read the complete body, and answer with its size and checksum."""
     body = await upload.body()
     if body.whole:
-        await say(upload, f"{body.size} {body.crc}")
+        await answer_text(upload, f"{body.size} {body.crc}")
 
 
-def fetch(size: int, seed: int = 2, chunks: bool = False) -> Serve:
-    """Serve a body of that size to whoever asks."""
+def serve_body(size: int, seed: int = 2, chunks: bool = False) -> Serve:
+    """Answer each request with a body of that size."""
 
     async def serve(upload: Upload) -> None:
         framing = {"Transfer-Encoding": "chunked"} if chunks else {"Content-Length": str(size)}
@@ -170,7 +172,7 @@
 
 
 def run(work: Any) -> None:
-    """A test's work on the loop that the program runs on, bounded in time."""
+    """Run a test on the event loop that the program uses, bounded in time."""
 
     async def bounded() -> None:
         async with asyncio.timeout(90.0):
--- a/tests/bodies/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -1,4 +1,4 @@
-"""Memory short: the newest wait, or are refused with the time to come back; whoever has begun goes on."""
+"""While memory is short, new requests wait or are rejected with Retry-After; those that have begun go on."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from sandhatch.balancing.events import Outcome
 from testkit.bodies import Pattern, Upload
 from testkit.clients import HttpClient
-from tests.bodies.harness import (
+from tests.streaming.harness import (
     KIB,
     MIB,
-    Stage,
+    Deployment,
     answer_head,
     answer_of,
-    fetch,
-    look_head,
+    deployed,
+    download_head,
     run,
-    staged,
-    store,
+    serve_body,
+    store_upload,
     upload_head,
 )
 
@@ -26,14 +26,14 @@
 
 def test_a_thousand_uploads_begin_at_once_under_a_64_mb_limit() -> None:
     """Each of 96 KiB, so 1000 do not fit in what bodies may hold of 64 MB. Each is answered once; those that
-    do not fit even so are told when to come back.
+    do not fit even so are rejected with Retry-After.
     """
     count, size = 1000, 96 * KIB
     body = BODY.whole(size)
     results: dict[int, int] = {}
 
-    async def one(stage: Stage, n: int) -> None:
-        async with HttpClient(stage.port) as client:
+    async def one(deployment: Deployment, n: int) -> None:
+        async with HttpClient(deployment.port) as client:
             client.send(upload_head(size, Expect="100-continue") + body)
             status, headers = await answer_head(client)
             if status == 100:
@@ -45,10 +45,10 @@
     async def work() -> None:
         limits = {"memory_mb": 64, "sockets": 8192}
         bodies = {"room_wait_ms": 60_000}
-        async with staged(
-            store, limits=limits, bodies=bodies, pool={"tier": 1, "max_connections": 2_000}
-        ) as stage:
-            memory_budget = stage.kept.service.shared.memory_budget
+        async with deployed(
+            store_upload, limits=limits, bodies=bodies, pool={"tier": 1, "max_connections": 2_000}
+        ) as deployment:
+            memory_budget = deployment.kept.service.shared.memory_budget
             most = 0
             watch = memory_budget.book
 
@@ -59,34 +59,34 @@
                 return fits
 
             memory_budget.book = booked  # type: ignore[method-assign]
-            await asyncio.gather(*(one(stage, n) for n in range(count)))
+            await asyncio.gather(*(one(deployment, n) for n in range(count)))
             assert set(results.values()) <= {200, 503} and len(results) == count
             served = sum(status == 200 for status in results.values())
             assert served > 500
             assert (
                 most <= memory_budget.most + 64 * KIB
-            )  # a read that does not fit is booked, and let go at once
-            assert stage.account.most_open < count  # so some did wait
-            await stage.settled()
-            assert len(stage.servers[0].seen) == served  # whoever has begun goes on to its end
-            assert {end.outcome for end in stage.ears.ends} == {Outcome.OK}
+            )  # a read that does not fit is booked, and released at once
+            assert deployment.flow_statistics.most_open < count  # so some did wait
+            await deployment.until_idle()
+            assert len(deployment.servers[0].seen) == served  # whoever has begun goes on to its end
+            assert {end.outcome for end in deployment.decisions.ends} == {Outcome.OK}
 
     run(work())
 
 
-def test_a_newcomer_without_room_is_refused_with_the_time_to_come_back_and_the_begun_go_on() -> None:
+def test_without_memory_a_new_request_is_rejected_with_retry_after_and_begun_ones_go_on() -> None:
     async def work() -> None:
         bodies = {"room_wait_ms": 300}
-        async with staged(store, limits={"memory_mb": 16}, bodies=bodies) as stage:
+        async with deployed(store_upload, limits={"memory_mb": 16}, bodies=bodies) as deployment:
             size = MIB
-            begun = [await HttpClient(stage.port).__aenter__() for _ in range(4)]
+            begun = [await HttpClient(deployment.port).__aenter__() for _ in range(4)]
             for client in begun:
                 client.send(upload_head(size) + BODY.whole(65 * KIB))
-            await stage.kept.until(lambda: len(stage.servers[0].seen) == 4)
-            memory_budget = stage.kept.service.shared.memory_budget
+            await deployment.kept.until(lambda: len(deployment.servers[0].seen) == 4)
+            memory_budget = deployment.kept.service.shared.memory_budget
             rest = memory_budget.free - 32 * KIB
             memory_budget.book(0, rest)
-            async with HttpClient(stage.port) as late:
+            async with HttpClient(deployment.port) as late:
                 late.send(upload_head(size) + BODY.whole(32 * KIB))
                 status, headers = await answer_head(late)
                 assert status == 503 and headers["retry-after"] and headers["connection"] == "close"
@@ -95,29 +95,29 @@
                 assert (await answer_of(client))[0] == 200
                 await client.__aexit__()
             memory_budget.book(rest, 0)
-            await stage.settled()
-            assert {end.outcome for end in stage.ears.ends} == {Outcome.OK}
+            await deployment.until_idle()
+            assert {end.outcome for end in deployment.decisions.ends} == {Outcome.OK}
 
     run(work())
 
 
-def test_an_answer_waits_for_room_before_it_begins_and_not_after() -> None:
+def test_an_answer_waits_for_memory_before_it_begins_and_not_after() -> None:
     async def work() -> None:
-        async with staged(fetch(8 * MIB), limits={"memory_mb": 16}) as stage:
-            memory_budget = stage.kept.service.shared.memory_budget
+        async with deployed(serve_body(8 * MIB), limits={"memory_mb": 16}) as deployment:
+            memory_budget = deployment.kept.service.shared.memory_budget
             rest = memory_budget.free
             memory_budget.book(
                 0, rest - 40 * KIB
             )  # enough to read a head, and not for what is held of a body
-            async with HttpClient(stage.port) as client:
-                client.send(look_head())
-                await stage.servers[0].arrived.get()
-                dispatcher = next(iter(stage.kept.service.pools.alive.values())).dispatcher
+            async with HttpClient(deployment.port) as client:
+                client.send(download_head())
+                await deployment.servers[0].arrived.get()
+                dispatcher = next(iter(deployment.kept.service.pools.alive.values())).dispatcher
                 await asyncio.sleep(0.3)
-                assert stage.account.opened == 0 and dispatcher.unanswered == 1
+                assert deployment.flow_statistics.opened == 0 and dispatcher.unanswered == 1
                 memory_budget.book(rest - 40 * KIB, 0)
                 assert (await answer_of(client))[1].whole
-            await stage.settled()
+            await deployment.until_idle()
 
     run(work())
 
@@ -125,16 +125,16 @@
 def test_an_answer_that_waits_for_our_memory_is_not_held_against_its_server() -> None:
     async def work() -> None:
         times = {"aim_ms": 300, "deadline_ms": 1_000}
-        async with staged(fetch(8 * MIB), limits={"memory_mb": 16}, times=times) as stage:
-            memory_budget = stage.kept.service.shared.memory_budget
+        async with deployed(serve_body(8 * MIB), limits={"memory_mb": 16}, times=times) as deployment:
+            memory_budget = deployment.kept.service.shared.memory_budget
             rest = memory_budget.free - 40 * KIB
             memory_budget.book(0, rest)
-            async with HttpClient(stage.port) as client:
-                client.send(look_head())
+            async with HttpClient(deployment.port) as client:
+                client.send(download_head())
                 status, headers = await answer_head(client)
                 assert status == 503 and headers["retry-after"]
-            await stage.settled()
-            outcomes = {end.outcome for end in stage.ears.ends}
+            await deployment.until_idle()
+            outcomes = {end.outcome for end in deployment.decisions.ends}
             assert Outcome.CANCELLED in outcomes and Outcome.TIMEOUT not in outcomes
             memory_budget.book(rest, 0)
             assert memory_budget.used == 0
@@ -144,48 +144,48 @@
 
 def test_a_client_that_leaves_the_queue_for_memory_leaves_nothing_behind() -> None:
     async def work() -> None:
-        async with staged(store, limits={"memory_mb": 16}) as stage:
-            memory_budget = stage.kept.service.shared.memory_budget
+        async with deployed(store_upload, limits={"memory_mb": 16}) as deployment:
+            memory_budget = deployment.kept.service.shared.memory_budget
             rest = memory_budget.free - 8 * KIB
             memory_budget.book(0, rest)
-            async with HttpClient(stage.port) as client:
+            async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB) + BODY.whole(2 * KIB))
-                await stage.kept.until(lambda: memory_budget.free == 0)
-            await stage.kept.until(lambda: memory_budget.free > 0)
+                await deployment.kept.until(lambda: memory_budget.free == 0)
+            await deployment.kept.until(lambda: memory_budget.free > 0)
             memory_budget.book(rest, 0)
-            await stage.kept.until(lambda: memory_budget.used == 0)
-            assert not stage.servers[0].seen
+            await deployment.kept.until(lambda: memory_budget.used == 0)
+            assert not deployment.servers[0].seen
 
     run(work())
 
 
-def test_all_memory_is_given_back_whatever_became_of_the_bodies() -> None:
+def test_all_memory_is_released_however_the_bodies_end() -> None:
     async def fickle(upload: Upload) -> None:
         turn = int(upload.target[1:]) % 4
         if turn == 0:
-            await store(upload)
+            await store_upload(upload)
         elif turn == 1:
             await upload.body(stop_at=50 * KIB)
             upload.talk.reset()
         elif turn == 2:
             await upload.body()
-            await fetch(MIB)(upload)
+            await serve_body(MIB)(upload)
         else:
             await upload.body(stop_at=200 * KIB)
             upload.talk.writer.close()
 
-    async def one(stage: Stage, n: int) -> None:
-        async with HttpClient(stage.port) as client:
+    async def one(deployment: Deployment, n: int) -> None:
+        async with HttpClient(deployment.port) as client:
             client.send(upload_head(512 * KIB, f"/{n}", X_Qos="look" if n % 3 else "draw"))
             client.send(BODY.whole((512 if n % 5 else 300) * KIB))
             if n % 5:
                 await answer_of(client)
 
     async def work() -> None:
-        async with staged(fickle, fickle) as stage:
-            await asyncio.gather(*(one(stage, n) for n in range(60)))
-            await stage.settled()
-            await stage.kept.until(lambda: stage.kept.service.shared.memory_budget.used == 0)
-            assert len(stage.kept.records) == 60
+        async with deployed(fickle, fickle) as deployment:
+            await asyncio.gather(*(one(deployment, n) for n in range(60)))
+            await deployment.until_idle()
+            await deployment.kept.until(lambda: deployment.kept.service.shared.memory_budget.used == 0)
+            assert len(deployment.kept.records) == 60
 
     run(work())
--- /dev/null
+++ b/tests/streaming/test_rejected_bodies.py
@@ -0,0 +1,137 @@
+"""Bodies that are malformed, too long or unwanted: rejected once, and never read as a second request."""
+
+from __future__ import annotations
+
+import pytest
+
+from sandhatch.balancing.events import Outcome
+from testkit.bodies import Pattern, chunked
+from testkit.clients import HttpClient
+from tests.streaming.harness import (
+    KIB,
+    MIB,
+    answer_head,
+    answer_of,
+    deployed,
+    run,
+    store_upload,
+    upload_head,
+)
+
+BODY = Pattern(1)
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"zz\r\n",
+        b"5\r\nabcdeXX",
+        b"5;" + b"x" * (300 * KIB) + b"\r\nabcde\r\n",
+        b"1\r\na\r\n" * (100 * KIB),
+        b"0\r\n" + b"".join(b"X-%d: 1\r\n" % n for n in range(200)) + b"\r\n",
+        b"0\r\nX: " + b"y" * (300 * KIB) + b"\r\n\r\n",
+        b"FFFFFFFFFFFFFFFFF\r\n",
+        b"3\nabc\r\n",
+    ],
+    ids=["size", "end", "extension", "tiny", "trailers", "trailer", "overflow", "bare_lf"],
+)
+def test_malformed_chunks_end_the_request_and_its_connection(bad: bytes) -> None:
+    async def work() -> None:
+        async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
+            client.send(upload_head(None) + chunked(BODY.whole(100 * KIB)))
+            await deployment.servers[0].arrived.get()  # it has begun
+            client.send(bad + upload_head(3) + b"abc")
+            status, headers = await answer_head(client)
+            assert status in (400, 413, 431) and headers["connection"] == "close"
+            await deployment.until_idle()
+            assert len(deployment.servers[0].seen) == 1  # never a second request out of the rest
+            assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
+
+    run(work())
+
+
+def test_a_wrong_length_makes_neither_a_second_request_nor_a_complete_one() -> None:
+    async def work() -> None:
+        async with deployed(store_upload) as deployment:
+            async with HttpClient(deployment.port) as client:  # less than announced
+                client.send(upload_head(MIB) + BODY.whole(MIB - 1))
+                client.writer.write_eof()
+                await client.ended()
+            await deployment.until_idle()
+            assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
+            async with HttpClient(deployment.port) as client:  # more than announced: no request of its own
+                client.send(upload_head(MIB) + BODY.whole(MIB) + b"and some more\r\n\r\n")
+                status, _ = await answer_of(client)
+                assert status == 200
+                status, headers = await answer_head(client)
+                assert (status, headers["connection"]) == (400, "close")
+            await deployment.until_idle()
+            assert len(deployment.servers[0].seen) == 2
+
+    run(work())
+
+
+@pytest.mark.parametrize(
+    "lines",
+    [
+        b"Content-Length: 200000\r\nTransfer-Encoding: chunked\r\n",
+        b"Content-Length: 200000\r\nContent-Length: 200001\r\n",
+        b"Content-Length: +200000\r\n",
+        b"Transfer-Encoding: chunked, identity\r\n",
+        b"Transfer-Encoding: chunked\r\nX: a\r\n b\r\n",
+        b"Transfer-Encoding: chunked\nX: a\r\n",
+        b"Transfer-Encoding : chunked\r\n",
+    ],
+    ids=["both_lengths", "two_lengths", "plus", "codings", "obs_fold", "bare_lf", "space"],
+)
+def test_request_smuggling_is_rejected_and_the_connection_closed(lines: bytes) -> None:
+    async def work() -> None:
+        async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
+            client.send(b"POST /d HTTP/1.1\r\nHost: d\r\n" + lines + b"\r\n")
+            client.send(b"3\r\nabc\r\n0\r\n\r\n" + upload_head(3) + b"abc")
+            status, headers = await answer_head(client)
+            assert (status, headers["connection"]) == (400, "close")
+            await deployment.until_idle()
+            assert not deployment.servers[0].seen
+
+    run(work())
+
+
+def test_a_body_over_the_limit_is_rejected_by_its_length_or_where_it_exceeds_it() -> None:
+    async def work() -> None:
+        async with deployed(store_upload, request={"most_bytes": MIB}) as deployment:
+            async with HttpClient(deployment.port) as client:
+                client.send(upload_head(MIB + 1, Expect="100-continue"))
+                status, _ = await answer_head(client)
+                assert status == 413
+                assert not deployment.servers[0].seen
+            async with HttpClient(deployment.port) as client:
+                client.send(upload_head(None) + chunked(BODY.whole(MIB)) + chunked(b"x"))
+                status, headers = await answer_head(client)
+                assert (status, headers["connection"]) == (413, "close")
+            await deployment.until_idle()
+            assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
+
+    run(work())
+
+
+def test_100_continue_is_sent_once_and_not_before_a_rejection() -> None:
+    async def work() -> None:
+        answer = {"match": {"path": {"prefix": "/no"}}, "to": {"answer": {"status": 403, "body": "no"}}}
+        async with deployed(store_upload, routes=[{"name": "no"} | answer]) as deployment:
+            async with HttpClient(deployment.port) as client:
+                client.send(upload_head(MIB, Expect="100-continue"))
+                assert (await answer_head(client))[0] == 100
+                client.send(BODY.whole(MIB))
+                assert (await answer_head(client))[0] == 200
+                assert "expect" not in deployment.servers[0].seen[0].headers
+            for bad in ({"target": "/no/way"}, {"X_Qos": "nobody"}):
+                async with HttpClient(deployment.port) as client:
+                    client.send(upload_head(MIB, **{"Expect": "100-continue"} | bad))
+                    status, headers = await answer_head(client)
+                    assert status == (403 if "target" in bad else 400)
+                    assert headers["connection"] == "close"
+            await deployment.until_idle()
+            assert len(deployment.servers[0].seen) == 1
+
+    run(work())
