--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -150,12 +150,12 @@
         monkeypatch.setattr(Listener, "SWEEP_MS", 10.0)
         go = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: Incoming, talk: Talk) -> None:
             if request.target == "/api?held":
                 await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(answers_late).start()
 
         async def trickle(client: HttpClient) -> None:
             for byte in request_bytes("move", b"x" * 5000):
@@ -198,12 +198,12 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: Incoming, talk: Talk) -> None:
             if request.target == "/api?held":
                 await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(answers_late).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), machine=limits, script=Script([1])) as balancer:
             listener, budget = balancer.listener, balancer.shared.client_budget
@@ -246,12 +246,12 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: Incoming, talk: Talk) -> None:
             if request.body:
                 await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(answers_late).start()
         async with running(upstream.entry("a")) as balancer:
             memory_budget = balancer.dispatcher.memory_budget
             assert memory_budget.most == 48 * 1024 * 1024
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -88,11 +88,11 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: Incoming, talk: Talk) -> None:
             await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(answers_late).start()
         async with (
             running(upstream.entry("a")) as balancer,
             HttpClient(balancer.port) as good,
@@ -299,11 +299,11 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def held(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: Incoming, talk: Talk) -> None:
             await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(held).start()
+        upstream = await FakeUpstream(answers_late).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer, HttpClient(balancer.port) as good:
             good.ask("move", b"x", X_Trace_Id="aa")
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -50,6 +50,39 @@
         assert await asyncio.get_running_loop().sock_recv(peer, 100) == b""
 
 
+def break_discovery(discovery: FakeDiscovery, fault: str) -> None:
+    if fault == "down":
+        discovery.stop()
+    elif fault == "refusing":
+        discovery.garbage = [BUSY] * 1000
+    else:
+        discovery.silent = True
+
+
+async def restore_discovery(discovery: FakeDiscovery, fault: str) -> None:
+    discovery.garbage, discovery.silent = [], False
+    if fault == "down":
+        await discovery.start()
+
+
+@asynccontextmanager
+async def program(path: Path, descriptor_limit: int) -> AsyncIterator[None]:
+    """The program as a process of its own, which must still run at the end."""
+    process = await spawn(path, descriptor_limit)
+    try:
+        yield
+        assert process.returncode is None
+    finally:
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
+
+
+async def served(client: HttpClient) -> None:
+    client.ask()
+    assert (await client.answer()).status == 200
+
+
 @pytest.mark.parametrize("fault", ["down", "refusing", "silent"])
 @pytest.mark.parametrize("limit", [256, 1024])
 def test_silent_clients_block_neither_discovery_nor_servers_nor_other_clients(
@@ -59,58 +92,46 @@
     connections are served, the endpoint list is received, and silent connections are closed.
     """
 
-    async def work() -> None:
-        assert grant_descriptors(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
-        one, two = await FakeUpstream().start(), await FakeUpstream().start()
-        discovery = await FakeDiscovery([one.entry("a")]).start()
+    async def work(first: FakeUpstream, second: FakeUpstream, discovery: FakeDiscovery) -> None:
         port = free_port()
         data = config_data(
-            [one.entry("a")], discovery.port, listen=f"127.0.0.1:{port}", settings=ASKED, known={}
+            [first.entry("a")], discovery.port, listen=f"127.0.0.1:{port}", settings=ASKED, known={}
         )
         data["limits"]["sockets"] = limit
         path = tmp_path / "config.json"
         path.write_text(json.dumps(data))
-        process = await spawn(path, limit)
-        try:
+        async with program(path, limit):
             await ready(port)
-            async with HttpClient(port) as kept:
-                kept.ask()
-                assert (await kept.answer()).status == 200
-                if fault == "down":
-                    discovery.stop()
-                elif fault == "refusing":
-                    discovery.garbage = [BUSY] * 1000
-                else:
-                    discovery.silent = True
-                discovery.change(two.entry("b"), one.entry("a", lifecycle="leaving"))
+            async with HttpClient(port) as reused:
+                await served(reused)
+                break_discovery(discovery, fault)
+                discovery.change(second.entry("b"), first.entry("a", lifecycle="leaving"))
                 async with flooded(port, limit + 100) as peers, HttpClient(port) as fresh:
                     await ready(port)
-                    for client in (kept, fresh):
-                        client.ask()
-                        assert (await client.answer()).status == 200
+                    for client in (reused, fresh):
+                        await served(client)
                     # In the same moment that discovery is back, as many come again.
-                    discovery.garbage, discovery.silent = [], False
-                    if fault == "down":
-                        await discovery.start()
-                    async with flooded(port, limit + 100):
-                        async with asyncio.timeout(4.0 * PATIENCE_S):
-                            while not two.seen:
-                                kept.ask()
-                                assert (await kept.answer()).status == 200
-                                await asyncio.sleep(0.05)
+                    await restore_discovery(discovery, fault)
+                    async with flooded(port, limit + 100), asyncio.timeout(4.0 * PATIENCE_S):
+                        while not second.seen:
+                            await served(reused)
+                            await asyncio.sleep(0.05)
                     async with asyncio.timeout(PATIENCE_S):
                         await asyncio.gather(*map(closed, peers))
                 await ready(port)
-            assert process.returncode is None
+
+    async def with_servers() -> None:
+        assert grant_descriptors(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
+        first, second = await FakeUpstream().start(), await FakeUpstream().start()
+        discovery = await FakeDiscovery([first.entry("a")]).start()
+        try:
+            await work(first, second, discovery)
         finally:
-            if process.returncode is None:
-                process.kill()
-                await process.wait()
             discovery.stop()
-            one.close()
-            two.close()
+            first.close()
+            second.close()
 
-    run(work())
+    run(with_servers())
 
 
 def test_silent_clients_time_out_while_discovery_is_down(
