--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -76,7 +76,10 @@
             if self.ending:
                 return
         if events:
-            self._queue(cast(list[Message], events))  # pieces of a streamed body were taken out above
+            requests = cast(list[Message], events)  # pieces of a streamed body were taken out above
+            self.fresh = False
+            self._waiting.extend(requests)
+            self._request_bytes += sum(request.size for request in requests)
         if not self.fresh and (events or not had_partial_request) and self.has_partial_request:
             self.since_ms = self._shared.clock.now_ms()  # of its first byte: later ones don't renew it
         if self._body_terms is not None or self._progress is not None:
@@ -212,7 +215,15 @@
         self._processing = True
         try:
             while self._current is None and not self.ending and not self._write_paused:
-                if not self._process_next():
+                if self._waiting and self.has_disconnected():
+                    self.abort()  # nothing is begun for a client that has disconnected
+                elif self._waiting:
+                    self._begin(self._waiting.popleft())
+                elif self._reader.fault is not None:
+                    self._answer_fault(self._reader.fault)
+                elif self._reserved and self._reader.openable:
+                    self._begin_streamed_request()
+                else:
                     break
         finally:
             self._processing = False
@@ -225,20 +236,6 @@
         if self._transport is not None and not self.ending and not reading_paused:
             self._transport.resume_reading()
 
-    def _process_next(self) -> bool:
-        """Begin what is next; whether there was anything."""
-        if self._waiting and self.has_disconnected():
-            self.abort()  # nothing is begun for a client that has disconnected, whatever it sent before
-        elif self._waiting:
-            self._begin(self._waiting.popleft())
-        elif self._reader.fault is not None:
-            self._answer_fault(self._reader.fault)
-        elif self._reserved and self._reader.openable:
-            self._begin_streamed_request()
-        else:
-            return False
-        return True
-
     def _begin(self, message: Message) -> None:
         """Hand a request to the handler, or answer `/ready`."""
         self._current = message
@@ -303,11 +300,6 @@
         self._stop_buffering()
         self._update_booking()
 
-    def _queue(self, requests: list[Message]) -> None:
-        self.fresh = False
-        self._waiting.extend(requests)
-        self._request_bytes += sum(request.size for request in requests)
-
     def _discard_queued(self) -> None:
         self._request_bytes -= sum(message.size for message in self._waiting)
         self._waiting.clear()
