--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -20,8 +20,9 @@
 from pathlib import Path
 
 from benchmarks.checkouts import package_of
-from testkit.platform import config_data, entry
+from testkit.platform import config_data
 from testkit.ports import free_port
+from testkit.servers import entry
 
 ROOT = Path(__file__).parent.parent
 
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -13,7 +13,8 @@
 from sandhatch.http1.message import Message
 from sandhatch.http1.parser import ResponseReader
 from sandhatch.http1.serializer import encode_request
-from sandhatch.runtime.address import Address, ConfigError, label_of, parse_address, spell
+from sandhatch.runtime.address import Address, label_of, parse_address, spell
+from sandhatch.runtime.errors import ConfigError
 
 MAX_LIST = 4 * 1024 * 1024
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
--- a/sandhatch/downstream/interfaces.py
+++ b/sandhatch/downstream/interfaces.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from sandhatch.http1.message import Message
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.terms import StreamTerms
 
 if TYPE_CHECKING:  # for annotations only: the connection itself imports this module
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -15,7 +15,7 @@
 from sandhatch.downstream.interfaces import RequestHandler
 from sandhatch.downstream.socket_poll import waits
 from sandhatch.runtime.address import Address
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 
 BACKLOG = 1024  # connections that the system may hold for us
 # The system is short of descriptors or memory: accepting may succeed later.
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -12,7 +12,7 @@
 from sandhatch.balancing.settings import Effect, Settings
 from sandhatch.http1.errors import FramingError
 from sandhatch.http1.message import Message
-from sandhatch.runtime.shared import InFlightIds
+from sandhatch.runtime.in_flight_ids import InFlightIds
 from sandhatch.streaming.headers import Headers
 
 MAX_TRACE_BYTES = 128  # of a request's id
--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -22,8 +22,8 @@
 from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock, Timer
+from sandhatch.runtime.descriptor_budget import Descriptors
 from sandhatch.runtime.memory_budget import MemoryBudget
-from sandhatch.runtime.shared import Descriptors
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
 from sandhatch.streaming.terms import StreamTerms
--- a/tests/freshness/test_settings.py
+++ b/tests/freshness/test_settings.py
@@ -14,8 +14,9 @@
 from sandhatch.balancing.endpoint_freshness import LEAST_MS, NOTIFIED_MS, Freshness, notified_after_ms
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
-from sandhatch.runtime.address import ConfigError
-from testkit.platform import SETTINGS, config_data, entry
+from sandhatch.runtime.errors import ConfigError
+from testkit.platform import SETTINGS, config_data
+from testkit.servers import entry
 
 KEYS = ["DrainGraceMs", "AskWithinMs", "ColdMs", "FallMs", "PeersTotal"]
 NONSENSE = [-1, -0.5, "soon", None, True, [], {}, 1e400]
