--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -19,7 +19,7 @@
 from sandhatch.runtime.address import Address, parse_address
 from sandhatch.runtime.errors import ConfigError
 from sandhatch.runtime.process import grant_descriptors
-from sandhatch.simulator.codec import decode_settings
+from sandhatch.simulator.settings_decoder import decode_settings
 
 DEFAULT_MEMORY_MB = 64.0
 LEAST_MEMORY_MB = 16
