--- a/sandhatch/config/class_model.py
+++ b/sandhatch/config/class_model.py
@@ -11,8 +11,8 @@
 from pydantic import Field, model_validator
 
 from sandhatch.config.value_types import Milliseconds, Model
-from sandhatch.streaming.flow import BodyTerms, StreamTerms
 from sandhatch.streaming.progress import ProgressLimits
+from sandhatch.streaming.terms import BodyTerms, StreamTerms
 
 READ_BYTES = 32 * 1024  # what one read may add to a body that is being held
 
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -9,12 +9,13 @@
 
 from sandhatch.balancing.settings import Settings
 from sandhatch.dispatch.dispatcher import Dispatcher
-from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
+from sandhatch.downstream.client_connection import ClientConnection
+from sandhatch.downstream.interfaces import DisconnectCallback
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
 from sandhatch.http1.message import Message
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline
 from sandhatch.runtime.shared_resources import SharedResources
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.streaming.terms import StreamTerms
 
 API_PATH = b"/api"
 
@@ -56,9 +57,10 @@
         if message.method not in METHODS:
             client.answer(405, ALLOW, b"")
             return None
-        event, stated_time_left_ms, trace = self._requests.read(message)
-        reject_known(self._in_flight_ids, trace)
-        time_left_ms = self._shutdown_deadline.limit(stated_time_left_ms)
+        parsed = self._requests.read(message)
+        event = parsed.event
+        reject_known(self._in_flight_ids, parsed.trace_id)
+        time_left_ms = self._shutdown_deadline.limit(event.time_left_ms)
         event.time_left_ms = time_left_ms
-        exchange = self._dispatcher.arrive(client, message, time_left_ms, trace, event)
+        exchange = self._dispatcher.arrive(client, message, time_left_ms, parsed.trace_id, event)
         return partial(self._dispatcher.client_disconnected, exchange)
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -11,18 +11,19 @@
 from random import Random
 from uuid import uuid4
 
-from sandhatch.balancing.events import RequestArrived
 from sandhatch.dispatch.dispatcher import Exchange
-from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, reject_known
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.downstream.client_connection import ClientConnection
+from sandhatch.downstream.interfaces import DisconnectCallback
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, reject_known
+from sandhatch.http1.errors import FramingError
+from sandhatch.http1.message import Message
 from sandhatch.routing.route import Query
 from sandhatch.routing.targets import Answer, Split, Target
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_pool import RunningPool
 from sandhatch.service.running_version import RunningVersion
-from sandhatch.streaming.flow import StreamTerms
+from sandhatch.streaming.terms import StreamTerms
 
 
 class RequestHandler:
@@ -69,12 +70,12 @@
         target: Target = version.checked.table.default if route is None else route.target
         if isinstance(target, Answer):
             raise FramingError(target.status, target.body.decode("utf-8", "replace"))
-        event, _, trace = self._read(version, message)
-        reject_known(self._shared.in_flight_ids, trace)
-        return version.terms[event.class_index]
+        parsed = self._read(version, message)
+        reject_known(self._shared.in_flight_ids, parsed.trace_id)
+        return version.terms[parsed.event.class_index]
 
     @staticmethod
-    def _read(version: RunningVersion, message: Message) -> tuple[RequestArrived, float, bytes]:
+    def _read(version: RunningVersion, message: Message) -> ParsedRequest:
         requests = version.requests
         assert requests is not None  # there is a pool, so there are settings
         if not message.values(b"x-trace-id"):
@@ -139,7 +140,10 @@
         route: str,
         pool: RunningPool,
     ) -> DisconnectCallback:
-        event, time_left_ms, trace = self._read(version, message)
+        parsed = self._read(version, message)
+        event = parsed.event
+        trace = parsed.trace_id
+        time_left_ms = event.time_left_ms
         reject_known(self._shared.in_flight_ids, trace)
         terms = version.terms[event.class_index]
         message.terms = terms
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -10,7 +10,7 @@
 import socket
 from collections.abc import Callable
 
-from sandhatch.downstream.listener import waits
+from sandhatch.downstream.socket_poll import waits
 from testkit.servers import Behaviour, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
 
