--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -6,12 +6,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from sandhatch.balancing.actions import Send
-from sandhatch.balancing.events import AttemptEnded, Event, Outcome, ProbeEnded
+from sandhatch.balancing.events import AttemptEnded, Outcome, ProbeEnded
 from sandhatch.balancing.settings import ReportMode
-from sandhatch.dispatch.exchange import Exchange, ExchangeTable, TruncatedBy
+from sandhatch.dispatch.exchange import Exchange, ExchangeCallbacks, ExchangeTable, TruncatedBy
 from sandhatch.dispatch.plan import PoolPlan
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
 from sandhatch.http1.message import Message
@@ -154,9 +152,7 @@
         exchanges: ExchangeTable,
         connection_pool: ConnectionPool,
         bodies: StreamedBodies,
-        *,
-        deliver: Callable[[Event], None],
-        disconnect: Callable[[int, int], None],
+        callbacks: ExchangeCallbacks,
     ) -> None:
         """Create the runner of one pool.
 
@@ -166,8 +162,7 @@
             exchanges: the pool's open exchanges.
             connection_pool: the pool's connections.
             bodies: the pool's streamed bodies.
-            deliver: takes events for the balancer.
-            disconnect: closes the exchange of this number as its client has left, with this status.
+            callbacks: the dispatcher's.
         """
         settings = plan.settings
         self.clock = shared.clock
@@ -175,8 +170,8 @@
         self.bodies = bodies
         self._logger = shared.logger
         self._exchanges = exchanges
-        self._deliver = deliver
-        self._disconnect = disconnect
+        self._deliver = callbacks.deliver
+        self._disconnect = callbacks.disconnect
         self._max_attempts = settings.max_attempts
         self._probe_timeout_ms = self.PROBE_TIMEOUT_MS + settings.connect_timeout_ms
         has_reports = settings.report_mode is not ReportMode.OFF
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -40,7 +40,7 @@
 from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.dispatch.attempts import AttemptRunner
 from sandhatch.dispatch.endpoint_updates import EndpointUpdates
-from sandhatch.dispatch.exchange import DoneCallback, Exchange, ExchangeTable, TruncatedBy
+from sandhatch.dispatch.exchange import DoneCallback, Exchange, ExchangeCallbacks, ExchangeTable, TruncatedBy
 from sandhatch.dispatch.plan import PoolPlan
 from sandhatch.dispatch.protocols import Decisions, DownstreamClient, Observer, SourceFactory
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
@@ -85,40 +85,24 @@
         self.clock = shared.clock
         self.logger = shared.logger
         self.memory_budget = shared.memory_budget
-        self.connection_pool = ConnectionPool(
-            self.clock,
-            self.memory_budget,
-            shared.descriptors,
-            ConnectionLimits(
-                plan.sockets, settings.connection_idle_ms, settings.connect_timeout_ms, plan.drain_grace_ms
-            ),
+        limits = ConnectionLimits(
+            plan.sockets, settings.connection_idle_ms, settings.connect_timeout_ms, plan.drain_grace_ms
         )
+        self.connection_pool = ConnectionPool(self.clock, self.memory_budget, shared.descriptors, limits)
         self.source = source(self.on_listing, self.logger.line)
         self.balancer: Decisions = decisions or Balancer(settings, plan.seed)
         self.observer: Observer | None = None
         self._endpoints = EndpointUpdates(settings, self.connection_pool)
         self._exchanges = ExchangeTable(self.clock, shared.in_flight_ids)
         self._next_number = 1
-        self._bodies = StreamedBodies(
-            shared,
-            self._exchanges,
-            self.connection_pool,
-            deliver=self._deliver,
-            on_deadline=self._on_deadline,
-            disconnect=self.client_disconnected,
-        )
+        callbacks = ExchangeCallbacks(self._deliver, self._on_deadline, self.client_disconnected)
+        self._bodies = StreamedBodies(shared, self._exchanges, self.connection_pool, callbacks)
         self._attempts = AttemptRunner(
-            plan,
-            shared,
-            self._exchanges,
-            self.connection_pool,
-            self._bodies,
-            deliver=self._deliver,
-            disconnect=self.client_disconnected,
+            plan, shared, self._exchanges, self.connection_pool, self._bodies, callbacks
         )
         self._events: deque[Event] = deque()
         self._handling_event = False
-        self._on_guidance_rejected: Callable[[GuidanceRejected], None] = lambda rejected: None  # noqa: ARG005 - by default nobody is notified
+        self._on_guidance_rejected: Callable[[GuidanceRejected], None] | None = None
 
     @property
     def ready(self) -> bool:
@@ -243,9 +227,9 @@
         """Hand a planner's guidance to the balancer."""
         self._deliver(event)
 
-    def on_guidance_rejected(self, told: Callable[[GuidanceRejected], None]) -> None:
+    def on_guidance_rejected(self, callback: Callable[[GuidanceRejected], None]) -> None:
         """Set the callback for guidance that the balancer has rejected."""
-        self._on_guidance_rejected = told
+        self._on_guidance_rejected = callback
 
     def observe(self, observer: Observer) -> None:
         """Show an observer the present endpoint list, and everything from now on."""
@@ -320,7 +304,8 @@
             case Log(text):
                 self.logger.line(text)
             case GuidanceRejected():
-                self._on_guidance_rejected(action)
+                if self._on_guidance_rejected is not None:
+                    self._on_guidance_rejected(action)
             case _:
                 self.logger.line(f"the action {type(action).__name__} is not supported")
 
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from enum import StrEnum
 
-from sandhatch.balancing.events import Outcome
+from sandhatch.balancing.events import Event, Outcome
 from sandhatch.dispatch.protocols import DownstreamClient
 from sandhatch.http1.message import Message
 from sandhatch.runtime.clock import Clock, Timer
@@ -122,6 +123,22 @@
 DoneCallback = Callable[[Exchange], None]
 
 
+@dataclass(slots=True, frozen=True)
+class ExchangeCallbacks:
+    """What the parts of a dispatcher call back on.
+
+    Attributes:
+        deliver: takes an event for the balancer.
+        on_deadline: called for an exchange whose deadline has come.
+        disconnect: closes the exchange of a number, as its client has left, or with a status other than 0 as
+            its body is of no use.
+    """
+
+    deliver: Callable[[Event], None]
+    on_deadline: Callable[[Exchange], None]
+    disconnect: Callable[[int, int], None]
+
+
 class ExchangeTable(dict[int, Exchange]):
     """The open exchanges of one pool, by number: how they are added, answered and removed."""
 
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -6,13 +6,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
-from sandhatch.balancing.events import AnswerStarted, Event, Outcome, Unrepeatable
-from sandhatch.dispatch.exchange import Exchange, ExchangeTable, TruncatedBy
+from sandhatch.balancing.events import AnswerStarted, Outcome, Unrepeatable
+from sandhatch.dispatch.exchange import Exchange, ExchangeCallbacks, ExchangeTable, TruncatedBy
 from sandhatch.http1.message import Message
 from sandhatch.runtime.shared import SharedResources
-from sandhatch.streaming.flow import Flow, Side
+from sandhatch.streaming.flow import Flow, Side, StreamTerms
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection_pool import ConnectionPool
 from sandhatch.upstream.load_report import LOAD_HEADER
@@ -26,9 +24,11 @@
         self._exchange = exchange
 
     def unrepeatable(self) -> None:
+        """Note that what was sent is no longer kept."""
         self._bodies.on_unrepeatable(self._exchange)
 
     def passed_on(self) -> None:
+        """Note that all of the request has been sent."""
         self._bodies.on_request_sent(self._exchange)
 
 
@@ -43,6 +43,7 @@
         """Do nothing: an answer that has begun is the client's from its first byte."""
 
     def passed_on(self) -> None:
+        """Note that all of the answer has been sent."""
         self._bodies.on_answer_sent(self._exchange)
 
 
@@ -56,10 +57,7 @@
         shared: SharedResources,
         exchanges: ExchangeTable,
         connection_pool: ConnectionPool,
-        *,
-        deliver: Callable[[Event], None],
-        on_deadline: Callable[[Exchange], None],
-        disconnect: Callable[[int, int], None],
+        callbacks: ExchangeCallbacks,
     ) -> None:
         """Create the state with no body.
 
@@ -67,9 +65,7 @@
             shared: the clock, log, memory and statistics of the process.
             exchanges: the pool's open exchanges.
             connection_pool: the pool's connections.
-            deliver: takes events for the balancer.
-            on_deadline: called for an exchange whose deadline has come.
-            disconnect: closes the exchange of this number as if its client had left, with this status.
+            callbacks: the dispatcher's.
         """
         self._clock = shared.clock
         self._logger = shared.logger
@@ -77,9 +73,9 @@
         self._statistics = shared.flows
         self._exchanges = exchanges
         self._connection_pool = connection_pool
-        self._deliver = deliver
-        self._on_deadline = on_deadline
-        self._disconnect = disconnect
+        self._deliver = callbacks.deliver
+        self._on_deadline = callbacks.on_deadline
+        self._disconnect = callbacks.disconnect
         self._streaming: dict[Exchange, None] = {}  # exchanges with a flow, in the order of their start
         self._checking = False
 
@@ -120,14 +116,8 @@
         terms = exchange.message.terms
         if exchange.closed or answer.status != 200 or terms is None or exchange.answer_flow is not None:
             return None
-        for timer in (attempt.timer, exchange.deadline_timer):
-            if timer is not None:
-                timer.cancel()
         now_ms = self._clock.now_ms()
-        # Where the request was complete, the time allowed for a long body starts only now.
-        request_streamed = exchange.message.flow is not None
-        time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
-        exchange.deadline_timer = self._clock.after(time_left_ms, lambda: self._on_deadline(exchange))
+        self._restart_timers(exchange, attempt, terms, now_ms)
         assert attempt.connection is not None
         flow = Flow(
             terms.answer,
@@ -151,6 +141,18 @@
             flow.attach(exchange.client)
         return flow
 
+    def _restart_timers(
+        self, exchange: Exchange, attempt: Attempt, terms: StreamTerms, now_ms: float
+    ) -> None:
+        """Replace the timeout and the deadline of an exchange by the deadline of its streamed answer."""
+        for timer in (attempt.timer, exchange.deadline_timer):
+            if timer is not None:
+                timer.cancel()
+        # Where the request was complete, the time allowed for a long body starts only now.
+        request_streamed = exchange.message.flow is not None
+        time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
+        exchange.deadline_timer = self._clock.after(time_left_ms, lambda: self._on_deadline(exchange))
+
     def on_answer_sent(self, exchange: Exchange) -> None:
         """Close an exchange whose streamed answer has been sent completely."""
         if exchange.closed:
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -58,9 +58,11 @@
     """Takes the owner's place once an attempt has ended: nothing more is written or notified."""
 
     def make_request(self) -> Message:
+        """Raise an error: there is nothing to write."""
         raise AssertionError("an attempt that has ended is not written")
 
     def blocked_by(self) -> Outcome | None:
+        """Return that nothing may be written."""
         return Outcome.DISCARDED
 
     def on_answer_started(
@@ -69,9 +71,11 @@
         answer: Message,  # noqa: ARG002 - part of the protocol
         reserved_bytes: int,  # noqa: ARG002 - part of the protocol
     ) -> Flow | None:
+        """Return None: nobody wants the body."""
         return None
 
     def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+        """Raise an error: an attempt ends once."""
         raise AssertionError(f"an attempt ended twice, now with {outcome!r} and {answer!r}")
 
 
