--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -15,6 +15,7 @@
 from sandhatch.downstream.listener import ClientConnection
 from sandhatch.upstream.connection import ServerConnection
 from tests.crossings.harness import answers, dial, holds, until
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     FakeUpstream,
@@ -24,7 +25,6 @@
     running,
     status,
 )
-from tests.test_attempts import run
 
 LATER_MS = 100.0  # from which on nothing may be begun
 
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/crossings/test_kept_connections.py
@@ -10,8 +10,8 @@
 from sandhatch.balancing.events import Outcome
 from sandhatch.upstream.connection import ServerConnection
 from tests.crossings.harness import accepted, holds, until, until_unread
+from tests.event_loop import run
 from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
-from tests.test_attempts import run
 
 
 def own_end(connection: ServerConnection) -> int:
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -12,6 +12,7 @@
 from sandhatch.platform import graceful_shutdown as draining
 from sandhatch.platform.program import PlatformRequestHandler
 from tests.crossings.harness import dial, holds, until, until_unread
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     FakeUpstream,
@@ -23,7 +24,6 @@
     request_bytes,
     running,
 )
-from tests.test_attempts import run
 
 
 async def said(client: socket.socket) -> bytes:
--- a/tests/crossings/test_signals.py
+++ b/tests/crossings/test_signals.py
@@ -12,8 +12,8 @@
 
 from testkit.ports import free_port
 from tests.crossings.harness import holds
+from tests.event_loop import run
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
-from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
 
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -22,7 +22,7 @@
 from sandhatch.discovery.errors import DiscoveryError
 from testkit.servers import entry
 from testkit.wire import PATIENCE_S, ok, read_head
-from tests.test_attempts import run
+from tests.event_loop import run
 
 
 class Held:
--- a/tests/test_discovery.py
+++ b/tests/discovery/test_client.py
@@ -13,6 +13,7 @@
 from sandhatch.discovery.endpoint_list import parse_listing
 from sandhatch.discovery.errors import DiscoveryError
 from sandhatch.discovery.names import Names
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
@@ -24,7 +25,6 @@
     ok,
     running,
 )
-from tests.test_attempts import run
 
 
 def tells(event: object, kind: ListKind) -> bool:
--- a/tests/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -18,6 +18,7 @@
 from sandhatch.discovery.names import Names
 from sandhatch.http1.framing import ResponseReader
 from testkit.ports import free_port
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
@@ -29,7 +30,6 @@
     ok,
     running,
 )
-from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
 SERVERS = 1_500
--- /dev/null
+++ b/tests/dispatch/test_draining.py
@@ -0,0 +1,107 @@
+"""Servers that drain: what may still be sent to them, and until when."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import pytest
+
+from sandhatch.balancing.events import (
+    ListKind,
+    ListUpdate,
+    Outcome,
+    RequestArrived,
+    ServerEntry,
+    ServerState,
+)
+from sandhatch.discovery.endpoint_list import Listing
+from tests.event_loop import run
+from tests.fakes import (
+    PATIENCE_S,
+    FakeUpstream,
+    HttpClient,
+    Script,
+    running,
+)
+
+
+@pytest.mark.parametrize("change", ["leaving", "left"])
+def test_expired_drain_grace_stops_an_attempt_that_is_connecting(change: str) -> None:
+    """Guards the drain: told while the connection is on its way up, so that not a byte may be written."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            pool = balancer.dispatcher.connection_pool
+            pool._grace_ms = 0.0  # so that no test waits for it
+            connect, told = pool._connect, asyncio.Event()
+
+            async def late(call: Any) -> None:
+                await told.wait()
+                await connect(call)
+
+            pool._connect = late  # type: ignore[method-assign]
+            client.ask("move", b"x")
+            while not any(isinstance(e, RequestArrived) for e in script.events):
+                await script.told.get()
+            balancer.discovery.change(upstream.entry("a", lifecycle=change))
+            async with asyncio.timeout(PATIENCE_S):
+                while not isinstance(await script.told.get(), ListUpdate):
+                    pass
+            told.set()
+            assert (await script.ended()).outcome is Outcome.DISCARDED
+            assert (await client.answer()).status == 502
+        upstream.close()
+        assert upstream.seen == []
+
+    run(work())
+
+
+def test_drain_grace_runs_from_when_the_notice_counted_as_received() -> None:
+    """Guards the drain behind a list that grew old: its word came late, and a send still connecting would go
+    out within a grace that was over.
+    """
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        async with running(upstream.entry("a"), script=Script([1])) as balancer:
+            dispatcher, clock = balancer.dispatcher, balancer.shared.clock
+            for age_s, late in ((5.0, False), (6.6, True)):  # the grace is 0.5 s, told counts after 6 s
+                dispatcher._endpoints.current_since_ms = clock.now_ms() - 1_000.0 * age_s
+                row = ServerEntry(1, ServerState.DRAINING)
+                address = ("127.0.0.1", upstream.port)
+                dispatcher.on_listing(Listing(ListKind.DELTA, 2, (row,), (address,)))
+                assert dispatcher.connection_pool.grace_expired(dispatcher.connection_pool.table[1]) is late
+                ready = ServerEntry(1, ServerState.READY)
+                dispatcher.on_listing(Listing(ListKind.DELTA, 3, (ready,), (address,)))
+        upstream.close()
+
+    run(work())
+
+
+def test_nothing_new_goes_to_a_draining_server() -> None:
+    """Guards the drain with the module's own decisions: the next requests all go to the other one."""
+
+    async def work() -> None:
+        draining, other = await FakeUpstream().start(), await FakeUpstream().start()
+        async with (
+            running(draining.entry("a"), other.entry("b")) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            balancer.discovery.change(draining.entry("a", lifecycle="leaving"))
+            async with asyncio.timeout(PATIENCE_S):
+                while not balancer.dispatcher.connection_pool.table[1].notified_ms:
+                    await asyncio.sleep(0.01)
+            for _ in range(20):
+                client.ask()
+                assert (await client.answer()).status == 200
+        draining.close()
+        other.close()
+        assert draining.seen == [] and len(other.seen) == 20
+
+    run(work())
--- /dev/null
+++ b/tests/dispatch/test_forwarding.py
@@ -0,0 +1,245 @@
+"""Requests and answers on their way through the dispatcher, over loopback."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+from sandhatch.balancing.actions import Action, Cancel, Fail, Send
+from sandhatch.balancing.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    Event,
+    Outcome,
+    RequestArrived,
+)
+from tests.event_loop import run
+from tests.fakes import (
+    PATIENCE_S,
+    FakeUpstream,
+    HttpClient,
+    Incoming,
+    Script,
+    Talk,
+    ok,
+    running,
+)
+from tests.upstream.behaviours import (
+    resets,
+    stays_silent,
+)
+
+
+def test_request_is_forwarded_unchanged_but_for_hop_headers_and_time_left() -> None:
+    """Guards method, target, body and ids, which go on unchanged, and the time left, which does not grow."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        async with (
+            running(upstream.entry("a"), script=Script([1])) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            body = bytes(range(256)) * 8
+            client.ask(
+                "post",
+                body,
+                "/api?obj=%2f&x=1",
+                X_Expires_In_Ms="700",
+                Connection="X-Hop",
+                X_Hop="1",
+                X_Trace_Id="77aa03aa5c7e2d41",
+            )
+            assert (await client.answer()).body == b"served"
+        upstream.close()
+        (seen,) = upstream.seen
+        assert (seen.method, seen.target, seen.body) == ("POST", "/api?obj=%2f&x=1", body)
+        assert seen.headers["x-trace-id"] == "77aa03aa5c7e2d41"
+        assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
+        assert 0 < int(seen.headers["x-expires-in-ms"]) <= 700
+        assert "x-hop" not in seen.headers and "connection" not in seen.headers
+
+    run(work())
+
+
+def test_large_answer_is_forwarded_unchanged() -> None:
+    """Guards good answers above the protocol's 64 KiB, which were once taken for spoilt by every upstream in
+    turn; what they take of the room is given back.
+    """
+
+    async def work() -> None:
+        body = bytes(range(256)) * 4 * 400
+
+        async def large(request: Incoming, talk: Talk) -> None:
+            await talk.send(ok(body))
+
+        upstream = await FakeUpstream(large).start()
+        async with (
+            running(upstream.entry("a"), script=Script([1])) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            for _ in range(3):
+                client.ask("move", b"x")
+                answer = await client.answer()
+                assert answer.status == 200 and answer.body == body
+            client.writer.close()
+            async with asyncio.timeout(PATIENCE_S):
+                while balancer.listener._connections:
+                    await asyncio.sleep(0.01)
+            assert balancer.dispatcher.memory_budget.used == 0
+        upstream.close()
+        assert len(upstream.seen) == 3
+
+    run(work())
+
+
+def test_hedged_requests_lead_to_one_answer() -> None:
+    """Guards 'exactly one answer': both copies are served, the first goes out, the second is told."""
+
+    async def work() -> None:
+        go = [asyncio.Event(), asyncio.Event()]
+
+        def held(n: int) -> Any:
+            async def behave(request: Incoming, talk: Talk) -> None:
+                await go[n].wait()
+                await talk.send(ok(b"copy %d" % n))
+
+            return behave
+
+        ups = [await FakeUpstream(held(n)).start() for n in range(2)]
+        script = Script([1, 2])
+
+        def both(event: Event) -> list[Action] | None:
+            if isinstance(event, RequestArrived):
+                return [Send(event.request, 1, 0.0), Send(event.request, 2, 0.0)]
+            return [] if isinstance(event, AttemptEnded) else None
+
+        script.more = both
+        async with (
+            running(ups[0].entry("a"), ups[1].entry("b"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            for item in ups:
+                await item.arrived.get()
+            go[1].set()
+            assert (await client.answer()).body == b"copy 1"
+            go[0].set()
+            ends = [await script.ended(), await script.ended()]
+            assert [(e.attempt, e.outcome, e.final) for e in ends] == [
+                (1, Outcome.OK, True),
+                (0, Outcome.OK, True),
+            ]
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200  # and nothing of the second copy before it
+            assert not balancer.dispatcher._exchanges
+        for item in ups:
+            item.close()
+
+    run(work())
+
+
+def test_cancel_closes_the_connection_and_ends_the_attempt_once() -> None:
+    """Guards Cancel: one outcome, and the upstream sees the end."""
+
+    async def work() -> None:
+        ended = asyncio.Event()
+
+        async def wait(request: Incoming, talk: Talk) -> None:
+            await talk.ended()
+            ended.set()
+
+        upstream = await FakeUpstream(wait).start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            await upstream.arrived.get()
+            balancer.dispatcher._act(Cancel(1, 0))
+            assert (await script.ended()).outcome is Outcome.CANCELLED
+            async with asyncio.timeout(PATIENCE_S):
+                await ended.wait()
+            assert (await client.answer()).status == 502
+            assert len(script.ends()) == 1
+        upstream.close()
+
+    run(work())
+
+
+def test_client_disconnect_is_delivered_and_its_attempt_still_ends() -> None:
+    """Guards ClientGone: the request is over, and its attempt out still gets its one end, marked final."""
+
+    async def work() -> None:
+        go = asyncio.Event()
+
+        async def wait(request: Incoming, talk: Talk) -> None:
+            await go.wait()
+            await talk.send(ok())
+
+        upstream = await FakeUpstream(wait).start()
+        script = Script([1])
+        async with running(upstream.entry("a"), script=script) as balancer:
+            async with HttpClient(balancer.port) as client:
+                client.ask("move", b"x")
+                await upstream.arrived.get()
+            async with asyncio.timeout(PATIENCE_S):
+                while not isinstance(await script.told.get(), ClientDisconnected):
+                    pass
+            go.set()
+            event = await script.ended()
+            assert (event.outcome, event.final) == (Outcome.OK, True)
+            assert not balancer.dispatcher._exchanges
+        upstream.close()
+
+    run(work())
+
+
+def test_deadline_is_answered_once_by_the_dispatcher() -> None:
+    """Guards against decisions that never answer: the attempt out ends, then one answer goes."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream(stays_silent).start()
+        script = Script([1])
+        script.more = lambda event: [] if isinstance(event, AttemptEnded) else None
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x", X_Expires_In_Ms="150")
+            assert (await client.answer()).status == 504
+            event = await script.ended()
+            assert (event.outcome, event.final) == (Outcome.TIMEOUT, False)
+            client.ask(target="/ready")
+            assert (await client.answer()).status == 200
+            assert not balancer.dispatcher._exchanges
+        upstream.close()
+
+    run(work())
+
+
+def test_sends_past_the_cap_or_after_the_answer_are_discarded() -> None:
+    """Guards the attempt cap and late sends: told as moot, and nothing is written."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream(resets).start()
+        script = Script([1] * 6)
+
+        def more(event: Event) -> list[Action] | None:
+            if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
+                return [Fail(event.request), Send(event.request, 1, 0.0)]
+            return None
+
+        script.more = more
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            assert (await client.answer()).status == 502
+        upstream.close()
+        ends = [(e.attempt, e.outcome) for e in script.ends()]
+        assert ends[:5] == [(n, Outcome.RESET) for n in range(4)] + [(4, Outcome.DISCARDED)]
+        assert len(upstream.seen) == 4
+
+    run(work())
--- /dev/null
+++ b/tests/dispatch/test_probes.py
@@ -0,0 +1,72 @@
+"""Probes and the load reports that they bring."""
+
+from __future__ import annotations
+
+import asyncio
+
+from sandhatch.balancing.actions import Probe
+from sandhatch.balancing.events import (
+    Outcome,
+    ProbeEnded,
+)
+from tests.event_loop import run
+from tests.fakes import (
+    PATIENCE_S,
+    FakeUpstream,
+    Incoming,
+    Script,
+    Talk,
+    ok,
+    running,
+)
+from tests.upstream.behaviours import (
+    stays_silent,
+)
+
+
+def test_probe_reads_the_load_report() -> None:
+    """Guards probes: the report's values come in the settings' order, and a late one is no report."""
+
+    async def work() -> None:
+        async def load(request: Incoming, talk: Talk) -> None:
+            assert request.target == "/status/load"
+            await talk.send(ok(b"TEXT inflight=7, queue=2, util=0.61"))
+
+        upstream, silent = await FakeUpstream(load).start(), await FakeUpstream(stays_silent).start()
+        script = Script([1])
+        stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
+        async with running(upstream.entry("a"), silent.entry("b"), script=script, stats=stats) as balancer:
+            for server in (1, 2, 77):
+                balancer.dispatcher._act(Probe(server))
+            ends = {}
+            async with asyncio.timeout(PATIENCE_S):
+                while len(ends) < 3:
+                    event = await script.told.get()
+                    if isinstance(event, ProbeEnded):
+                        ends[event.server] = (event.outcome, tuple(event.report))
+        upstream.close()
+        silent.close()
+        assert ends == {
+            1: (Outcome.OK, (2.0, 7.0)),
+            2: (Outcome.TIMEOUT, ()),
+            77: (Outcome.CONNECT_FAILED, ()),
+        }
+
+    run(work())
+
+
+def test_probe_timeout_includes_the_connect_timeout() -> None:
+    """Guards sites with slow handshakes: a probe on a new connection must not end before that may be up."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        stats = {"How": "on_probe", "Fields": ["queue"]}
+        limits = {"ConnectTimeoutMs": 700}
+        async with running(upstream.entry("a"), script=Script([1]), stats=stats, limits=limits) as balancer:
+            given: list[float] = []
+            balancer.dispatcher.connection_pool.start = lambda call, timeout: given.append(timeout)  # type: ignore[method-assign]
+            balancer.dispatcher._act(Probe(1))
+            assert given == [750.0]
+        upstream.close()
+
+    run(work())
--- a/tests/test_floods.py
+++ b/tests/test_floods.py
@@ -18,8 +18,8 @@
 from testkit.ports import free_port
 from tests.crossings.skipping import SkippingLoop
 from tests.crossings.skipping import run as skip
+from tests.event_loop import run
 from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, config_data, running
-from tests.test_attempts import run
 from tests.test_process import ready, spawn
 
 ASKED = SETTINGS | {"Discovery": "on_request"}
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -16,6 +16,7 @@
 from sandhatch.http1.framing import RequestReader, ResponseReader
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection import ServerConnection
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     FakeUpstream,
@@ -27,7 +28,7 @@
     request_bytes,
     running,
 )
-from tests.test_attempts import run, silence
+from tests.upstream.behaviours import stays_silent as silence
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -16,6 +16,7 @@
 import pytest
 
 from testkit.ports import free_port
+from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
@@ -28,7 +29,6 @@
     ok,
     request_bytes,
 )
-from tests.test_attempts import run
 
 ROOT = Path(__file__).parent.parent
 
--- /dev/null
+++ b/tests/upstream/behaviours.py
@@ -0,0 +1,100 @@
+"""Behaviours of a fake server, and fake servers that the usual one does not cover."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Awaitable, Callable
+
+from tests.fakes import Incoming, Talk, ok, read_head
+
+
+def sends(data: bytes) -> Callable[[Incoming, Talk], Awaitable[None]]:
+    """Answer with these bytes."""
+
+    async def behave(request: Incoming, talk: Talk) -> None:
+        await talk.send(data)
+
+    return behave
+
+
+async def resets(request: Incoming, talk: Talk) -> None:
+    """Reset the connection in place of an answer."""
+    talk.reset()
+
+
+async def closes(request: Incoming, talk: Talk) -> None:
+    """Close the connection in place of an answer."""
+    talk.writer.close()
+
+
+async def resets_inside_the_answer(request: Incoming, talk: Talk) -> None:
+    """Send a part of an answer, then reset the connection."""
+    await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
+    talk.reset()
+
+
+async def ends_the_answer_by_closing(request: Incoming, talk: Talk) -> None:
+    """Send an answer without a length, then close the connection."""
+    await talk.send(b"HTTP/1.1 200 OK\r\n\r\nhow long is it")
+    talk.writer.close()
+
+
+async def stays_silent(request: Incoming, talk: Talk) -> None:
+    """Send nothing until the connection ends."""
+    await talk.ended()
+
+
+def listener_with_small_buffer() -> socket.socket:
+    """Listen with so small a buffer that a longer request stays with the balancer in part."""
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(1)
+    listener.setblocking(False)
+    return listener
+
+
+def listener_with_full_backlog() -> tuple[socket.socket, list[socket.socket]]:
+    """Listen with a full backlog: further connections never come up. The sockets that fill it are second."""
+    listener = socket.socket()
+    listener.bind(("127.0.0.1", 0))
+    listener.listen(0)
+    fillers = []
+    for _ in range(8):
+        filler = socket.socket()
+        filler.setblocking(False)
+        filler.connect_ex(listener.getsockname())
+        fillers.append(filler)
+    return listener, fillers
+
+
+class DeadAfterOneRequest:
+    """A server whose connections serve one request and are dead then, which shows only at the next write.
+
+    Attributes:
+        complete_requests: the requests that arrived complete.
+        connections: the connections that were opened.
+    """
+
+    def __init__(self) -> None:
+        self.complete_requests = 0
+        self.connections = 0
+
+    async def start(self) -> DeadAfterOneRequest:
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = int(self._server.sockets[0].getsockname()[1])
+        return self
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.connections += 1
+        head = await read_head(reader)
+        assert head is not None
+        await reader.readexactly(int(head[1].get("content-length", "0")))
+        self.complete_requests += 1
+        writer.write(ok())
+        if await reader.read(1):
+            writer.transport.abort()
+
+    def close(self) -> None:
+        self._server.close()
--- /dev/null
+++ b/tests/upstream/test_connection_reuse.py
@@ -0,0 +1,261 @@
+"""Which connections carry another request, and what is never written to them."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from sandhatch.balancing.actions import Probe
+from sandhatch.balancing.events import (
+    Outcome,
+    ProbeEnded,
+)
+from tests.event_loop import run
+from tests.fakes import (
+    PATIENCE_S,
+    FakeUpstream,
+    HttpClient,
+    Incoming,
+    Script,
+    Talk,
+    entry,
+    ok,
+    running,
+)
+from tests.upstream.behaviours import (
+    DeadAfterOneRequest,
+    resets,
+)
+
+
+def test_non_idempotent_request_on_a_reused_connection_that_breaks_is_sent_once() -> None:
+    """Guards against silent re-sends: the kept connection breaks once the request is on it."""
+
+    async def work() -> None:
+        ups = [await FakeUpstream().start() for _ in range(2)]
+        # With the module's own decisions: it must not try the other upstream either.
+        entries = [u.entry(f"u{n}") for n, u in enumerate(ups)]
+        async with running(*entries) as balancer, HttpClient(balancer.port) as client:
+            while not all(u.seen for u in ups):  # both have a kept connection
+                client.ask()
+                assert (await client.answer()).status == 200
+            warm = sum(len(u.seen) for u in ups)
+            for item in ups:
+                item.behave = resets
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
+        assert sum(len(u.seen) for u in ups) == warm + 1
+        assert [u.connections for u in ups] == [1, 1]
+        for item in ups:
+            item.close()
+
+    run(work())
+
+
+def test_connection_with_unread_bytes_or_an_end_is_not_reused() -> None:
+    """Guards against writing a request to a connection whose other side has spoken or closed."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            pool = balancer.dispatcher.connection_pool
+            for n, spoil in enumerate((b"HTTP/1.1 408 Request Timeout\r\n\r\n", b"")):
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 200
+                (kept,) = pool._idle[1]
+                raw = upstream.talks[-1].writer.get_extra_info("socket").fileno()
+                with socket.socket(fileno=socket.dup(raw)) as side:
+                    side.send(spoil) if spoil else side.shutdown(socket.SHUT_WR)
+                # Asked in the same turn of the loop, before it can have read what came.
+                assert not kept.usable()
+                client.ask("move", b"y")
+                assert (await client.answer()).status == 200
+                assert upstream.connections == n + 2
+        upstream.close()
+
+    run(work())
+
+
+def test_small_writes_are_sent_at_once() -> None:
+    """Guards latency: TCP_NODELAY is on, on both sides."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        async with (
+            running(upstream.entry("a"), script=Script([1])) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            assert (await client.answer()).status == 200
+            for connection in (*balancer.dispatcher.connection_pool._open, *balancer.listener._connections):
+                assert connection._transport is not None
+                fd = connection._transport.get_extra_info("socket").fileno()
+                with socket.socket(fileno=socket.dup(fd)) as raw:
+                    assert raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        upstream.close()
+
+    run(work())
+
+
+def test_connection_near_the_idle_limit_is_not_reused() -> None:
+    """Guards against the upstream closing a connection in the moment a request is written to it."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream().start()
+        async with (
+            running(upstream.entry("a"), script=Script([1])) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            await client.answer()
+            (kept,) = balancer.dispatcher.connection_pool._idle[1]
+            kept.idle_since_ms -= 58_000
+            client.ask()
+            await client.answer()
+            assert upstream.connections == 2
+        upstream.close()
+
+    run(work())
+
+
+def test_idle_connections_are_closed_before_the_limit() -> None:
+    """Guards the same without a request: the sweep closes them by itself."""
+
+    async def work() -> None:
+        ended = asyncio.Event()
+
+        async def once(request: Incoming, talk: Talk) -> None:
+            await talk.send(ok())
+            await talk.ended()
+            ended.set()
+
+        upstream = await FakeUpstream(once).start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script, limits={"ConnIdleMs": 1500}) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask()
+            await client.answer()
+            async with asyncio.timeout(PATIENCE_S):
+                await ended.wait()  # closed by the balancer: nothing else ends it
+        upstream.close()
+
+    run(work())
+
+
+def test_repeated_answer_one_read_later_answers_no_other_request() -> None:
+    """Guards a caller against the copy of another's answer: the connection rests after an answer, so that a
+    copy finds no new call on it, and is closed by what comes.
+    """
+
+    async def work() -> None:
+        async def name(request: Incoming, talk: Talk) -> None:
+            await talk.send(ok(request.target.encode()))
+
+        upstream = await FakeUpstream(name).start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script, rest_ms=60_000.0) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x", "/api?1")
+            assert (await client.answer()).body == b"/api?1"
+            client.ask("move", b"x", "/api?2")
+            assert (await client.answer()).body == b"/api?2"
+            assert upstream.connections == 2
+            (first, second) = upstream.talks
+            await first.send(ok(b"/api?1"))
+            await second.send(b"\x00noise")
+            async with asyncio.timeout(PATIENCE_S):
+                while balancer.dispatcher.connection_pool.sockets:
+                    await asyncio.sleep(0.01)
+            client.ask("move", b"x", "/api?3")
+            assert (await client.answer()).body == b"/api?3"
+            balancer.dispatcher.connection_pool.REST_MS = 0.0  # rested: it is used again
+            client.ask("move", b"x", "/api?4")
+            assert (await client.answer()).body == b"/api?4"
+            assert upstream.connections == 3
+        upstream.close()
+
+    run(work())
+
+
+def test_repeated_answer_to_a_probe_answers_no_request() -> None:
+    """Guards a caller against a load report: its copy comes when an attempt has taken the connection."""
+
+    async def work() -> None:
+        report = ok(b"TEXT inflight=7, queue=2, util=0.61")
+
+        async def twice(request: Incoming, talk: Talk) -> None:
+            await talk.send(report)  # the probe's answer, and instead of the attempt's its copy
+
+        upstream = await FakeUpstream(twice).start()
+        script = Script([1])
+        stats = {"How": "on_probe", "Fields": ["inflight"]}
+        async with (
+            running(upstream.entry("a"), script=script, stats=stats) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            balancer.dispatcher._act(Probe(1))
+            async with asyncio.timeout(PATIENCE_S):
+                while not isinstance(await script.told.get(), ProbeEnded):
+                    pass
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
+            assert upstream.connections == 1
+        upstream.close()
+        (end,) = script.ends()
+        assert end.outcome is Outcome.RESET
+
+    run(work())
+
+
+def test_request_on_a_dead_reused_connection_is_sent_on_a_new_one() -> None:
+    """Guards unsafe requests: after a reset of the whole request nobody may repeat them."""
+
+    async def work() -> None:
+        upstream = await DeadAfterOneRequest().start()
+        script = Script([1])
+        async with (
+            running(entry("a", upstream.port), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            balancer.dispatcher.connection_pool.HOLD_MS = (
+                5_000.0  # a loaded machine may take long to see the reset
+            )
+            for _ in range(5):
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 200
+        upstream.close()
+        assert [event.outcome for event in script.ends()] == [Outcome.OK] * 5
+        assert (upstream.complete_requests, upstream.connections) == (5, 5)
+
+    run(work())
+
+
+def test_dead_reused_connection_and_no_new_one_ends_as_connect_failed() -> None:
+    """Guards the row 'could not connect': the connection broke before the last byte was written."""
+
+    async def work() -> None:
+        upstream = await DeadAfterOneRequest().start()
+        script = Script([1])
+        async with (
+            running(entry("a", upstream.port), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            balancer.dispatcher.connection_pool.HOLD_MS = (
+                5_000.0  # a loaded machine may take long to see the reset
+            )
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 200
+            upstream.close()
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
+        assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.CONNECT_FAILED]
+
+    run(work())
--- /dev/null
+++ b/tests/upstream/test_outcomes.py
@@ -0,0 +1,267 @@
+"""The outcome of an attempt, over loopback: each row of the protocol's table."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from typing import Any
+
+import pytest
+
+from sandhatch.balancing.events import (
+    Outcome,
+)
+from tests.event_loop import run
+from tests.fakes import (
+    PATIENCE_S,
+    FakeUpstream,
+    HttpClient,
+    Incoming,
+    Script,
+    Talk,
+    entry,
+    ok,
+    running,
+    status,
+)
+from tests.upstream.behaviours import (
+    closes,
+    ends_the_answer_by_closing,
+    listener_with_full_backlog,
+    resets,
+    resets_inside_the_answer,
+    sends,
+)
+
+TABLE = [
+    ("a 200 and a body", sends(ok()), Outcome.OK),
+    (
+        "a 200 in chunks",
+        sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n"),
+        Outcome.OK,
+    ),
+    ("an interim answer first", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" + ok()), Outcome.OK),
+    ("500", sends(status(500)), Outcome.ERROR),
+    ("503 that proves it never ran", sends(status(503, "X-Never-Ran: 1\r\n")), Outcome.FULL),
+    ("504 that proves it never ran", sends(status(504, "X-Never-Ran: 1\r\n")), Outcome.FULL),
+    ("503 that proves nothing", sends(status(503)), Outcome.ERROR),
+    ("500 can't prove that it never ran", sends(status(500, "X-Never-Ran: 1\r\n")), Outcome.ERROR),
+    ("204", sends(b"HTTP/1.1 204 No Content\r\n\r\n"), Outcome.ERROR),
+    ("400", sends(status(400)), Outcome.CLIENT_ERROR),
+    (
+        "a length that is no number",
+        sends(b"HTTP/1.1 200 OK\r\nContent-Length: six\r\n\r\nserved"),
+        Outcome.RESET,
+    ),
+    ("3 GB", sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nserved"), Outcome.RESET),
+    ("an endless head", sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppppppppp\r\n" * 3000), Outcome.RESET),
+    ("another version", sends(ok().replace(b"1.1", b"2.0")), Outcome.RESET),
+    ("interim answers without end", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" * 60_000), Outcome.RESET),
+    ("noise behind", sends(ok() + b"\x00noise\r\n\r\n"), Outcome.OK),
+    ("a second copy behind", sends(ok() * 2), Outcome.OK),
+    (
+        "a load report that can't be read",
+        sends(ok(b"served", "Endpoint-Load-Metrics: \xff=\r\n")),
+        Outcome.OK,
+    ),
+    ("reset", resets, Outcome.RESET),
+    ("end without an answer", closes, Outcome.RESET),
+    ("reset inside the answer", resets_inside_the_answer, Outcome.RESET),
+    ("an answer whose end only the close shows", ends_the_answer_by_closing, Outcome.RESET),
+    ("no HTTP", sends(b"\x00\x01nonsense\r\n\r\n"), Outcome.RESET),
+    (
+        "two lengths",
+        sends(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
+        Outcome.RESET,
+    ),
+    ("a body over the limit", sends(ok(b"x" * (1024 * 1024 + 1))), Outcome.RESET),
+    (
+        "a switch of protocols",
+        sends(b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
+        Outcome.RESET,
+    ),
+]
+
+
+@pytest.mark.parametrize(("behave", "outcome"), [row[1:] for row in TABLE], ids=[row[0] for row in TABLE])
+def test_answer_leads_to_the_outcome_of_the_protocols_table(behave: Any, outcome: Outcome) -> None:
+    """Guards the outcome table: a wrong row lets an unsafe request run twice."""
+
+    async def work() -> None:
+        upstream = await FakeUpstream(behave).start()
+        script = Script([1])
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x")
+            answer = await client.answer()
+            event = await script.ended()
+        upstream.close()
+        assert event.outcome is outcome
+        assert event.final is (outcome is Outcome.OK)
+        assert (answer.status, answer.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
+        assert len(upstream.seen) == 1 and len(script.ends()) == 1
+
+    run(work())
+
+
+def test_refused_connection_ends_as_connect_failed() -> None:
+    """Guards the row 'could not connect': nothing listens at the address."""
+
+    async def work() -> None:
+        with socket.socket() as unused:
+            unused.bind(("127.0.0.1", 0))  # bound, never listening
+            script = Script([1])
+            async with (
+                running(entry("a", unused.getsockname()[1]), script=script) as balancer,
+                HttpClient(balancer.port) as client,
+            ):
+                client.ask("move", b"x")
+                assert (await client.answer()).status == 502
+                assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
+
+    run(work())
+
+
+def test_connection_that_never_comes_up_ends_as_connect_failed() -> None:
+    """Guards the row 'could not connect' against a machine that says nothing."""
+
+    async def work() -> None:
+        listener, fillers = listener_with_full_backlog()
+        script = Script([1])
+        async with (
+            running(
+                entry("a", listener.getsockname()[1]), script=script, limits={"ConnectTimeoutMs": 100}
+            ) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
+            assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
+        for item in (listener, *fillers):
+            item.close()
+
+    run(work())
+
+
+def test_timeout_closes_the_connection() -> None:
+    """Guards the row 'timed out': the attempt is given up by closing, and the request may have run."""
+
+    async def work() -> None:
+        closed = asyncio.Event()
+
+        async def wait(request: Incoming, talk: Talk) -> None:
+            await talk.ended()
+            closed.set()
+
+        upstream = await FakeUpstream(wait).start()
+        script = Script([1], timeout_ms=100)
+        async with (
+            running(upstream.entry("a"), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            client.ask("move", b"x")
+            assert (await client.answer()).status == 502
+            event = await script.ended()
+            assert event.outcome is Outcome.TIMEOUT and event.spent_ms >= 100
+            async with asyncio.timeout(PATIENCE_S):
+                await closed.wait()
+        upstream.close()
+
+    run(work())
+
+
+class _Wrapped:
+    """A call whose `write` is another."""
+
+    def __init__(self, call: Any, write: Any) -> None:
+        self._call, self.write = call, write
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._call, name)
+
+
+def test_break_before_the_last_byte_is_sent_ends_as_connect_failed() -> None:
+    """Guards the dividing line: an upstream that resets with part of the request unread and unwritten."""
+
+    async def work() -> None:
+        # Small buffers keep the last byte with the balancer: the body is larger than what the system takes.
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(1)
+        listener.setblocking(False)
+        script = Script([1])
+        async with (
+            running(entry("a", listener.getsockname()[1]), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            loop = asyncio.get_running_loop()
+            first = asyncio.ensure_future(loop.sock_accept(listener))
+            original = balancer.dispatcher.connection_pool._connect
+
+            # The system's own send buffer is cut as well, before anything is written.
+            async def small(call: Any) -> None:
+                write = call.write
+
+                def cut(connection: Any) -> bool:
+                    fd = connection._transport.get_extra_info("socket").fileno()
+                    with socket.socket(fileno=socket.dup(fd)) as raw:
+                        raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+                    return bool(write(connection))
+
+                wrapped = _Wrapped(call, cut)
+                await original(wrapped)  # type: ignore[arg-type]
+
+            balancer.dispatcher.connection_pool._connect = small  # type: ignore[method-assign]
+            client.ask("move", b"x" * 60_000)
+            connection, _ = await first
+            head = await loop.sock_recv(connection, 100)
+            assert head.startswith(b"POST")
+            connection.close()  # with bytes unread: a reset
+            assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
+            assert (await client.answer()).status == 502
+        listener.close()
+
+    run(work())
+
+
+@pytest.mark.parametrize("silent", [False, True], ids=["reset", "silent"])
+def test_any_byte_of_an_answer_means_the_request_may_have_run(silent: bool) -> None:
+    """Guards unsafe requests: an upstream that answers before it has read all proves nothing."""
+
+    async def work() -> None:
+        listener = socket.socket()
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(1)
+        listener.setblocking(False)
+        script = Script([1], timeout_ms=1_500.0 if silent else 0.0)
+        async with (
+            running(entry("a", listener.getsockname()[1]), script=script) as balancer,
+            HttpClient(balancer.port) as client,
+        ):
+            loop = asyncio.get_running_loop()
+            pool = balancer.dispatcher.connection_pool
+            client.ask("move", b"x" * 60_000)
+            connection, _ = await loop.sock_accept(listener)
+            async with asyncio.timeout(PATIENCE_S):
+                while not (pool._open and next(iter(pool._open))._call):
+                    await asyncio.sleep(0.001)
+            call = next(iter(pool._open))._call
+            assert call is not None
+            call.request_sent = False  # as with a body larger than what the system takes
+            await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
+            async with asyncio.timeout(PATIENCE_S):
+                while not call.answer_seen:
+                    await asyncio.sleep(0.001)
+            if not silent:
+                connection.close()
+            expected = Outcome.TIMEOUT if silent else Outcome.RESET
+            assert (await script.ended()).outcome is expected
+            assert (await client.answer()).status == 502
+            connection.close()
+        listener.close()
+
+    run(work())
