--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback: the list, the watch, broken answers, and down and back."""
+"""Discovery over loopback: the list, the watch, malformed answers, and discovery down and back."""
 
 from __future__ import annotations
 
@@ -6,13 +6,8 @@
 import json
 from typing import Any
 
-import pytest
-
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ListUpdate
-from sandhatch.discovery.endpoint_list import parse_listing
-from sandhatch.discovery.errors import DiscoveryError
-from sandhatch.discovery.names import Names
 from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
@@ -27,8 +22,8 @@
 )
 
 
-def tells(event: object, kind: ListKind) -> bool:
-    """Whether it is a list event of that kind; of changes, one that brings some."""
+def is_update(event: object, kind: ListKind) -> bool:
+    """Return whether it is a list event of that kind; of changes, one that has some."""
     return (
         isinstance(event, ListUpdate)
         and event.kind is kind
@@ -36,53 +31,54 @@
     )
 
 
-async def updates(script: Script, kind: ListKind) -> ListUpdate:
+async def next_update(script: Script, kind: ListKind) -> ListUpdate:
     async with asyncio.timeout(PATIENCE_S):
         while True:
             event = await script.told.get()
-            if tells(event, kind):
+            if is_update(event, kind):
                 assert isinstance(event, ListUpdate)
                 return event
 
 
-async def called(running_: Any, part: str) -> str:
+async def next_call(balancer: Any, part: str) -> str:
     async with asyncio.timeout(PATIENCE_S):
         while True:
-            call: str = await running_.discovery.calls.get()
+            call: str = await balancer.discovery.calls.get()
             if part in call:
                 return call
 
 
-def test_known_counts_first_and_changes_follow() -> None:
+def test_known_list_is_published_first_and_changes_follow() -> None:
     """Guards the start: a request is served from `known`, and the watch goes on from its generation."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
-            first = await updates(script, ListKind.CACHED)
-            assert [item.server for item in first.entries] == [1]
-            assert "after=1&" in await called(balancer, "after=")
+            first = await next_update(script, ListKind.CACHED)
+            assert [row.server for row in first.entries] == [1]
+            assert "after=1&" in await next_call(balancer, "after=")
             balancer.discovery.change(entry("b", 9, zone="south", startedAtMs=123))
-            change = await updates(script, ListKind.DELTA)
-            assert [(e.server, e.zone, e.started_ms) for e in change.entries] == [(2, 1, 123.0)]
-            assert "after=2&" in await called(balancer, "after=")
+            change = await next_update(script, ListKind.DELTA)
+            assert [(row.server, row.zone, row.started_ms) for row in change.entries] == [(2, 1, 123.0)]
+            assert "after=2&" in await next_call(balancer, "after=")
         upstream.close()
 
     run(work())
 
 
-def test_one_id_keeps_its_number_when_its_address_changes() -> None:
-    """Guards an upstream that moves: the same number, and requests go to the new address only."""
+def test_server_keeps_its_number_when_its_address_changes() -> None:
+    """Guards a server whose address changes: requests go to the new address only."""
 
     async def work() -> None:
-        old, new = await FakeUpstream().start(), await FakeUpstream().start()
+        old = await FakeUpstream().start()
+        new = await FakeUpstream().start()
         script = Script([1])
         async with running(old.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
             client.ask()
             assert (await client.answer()).status == 200
             balancer.discovery.change(new.entry("a"))
-            await updates(script, ListKind.DELTA)
+            await next_update(script, ListKind.DELTA)
             client.ask()
             assert (await client.answer()).status == 200
             assert len(old.seen) == len(new.seen) == 1
@@ -92,8 +88,8 @@
     run(work())
 
 
-def test_a_restarted_upstream_gets_new_connections() -> None:
-    """Guards against connections that lead to a process that has died."""
+def test_restarted_server_gets_new_connections() -> None:
+    """Guards against connections that lead to a process that has ended."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -105,7 +101,7 @@
             client.ask()
             await client.answer()
             balancer.discovery.change(upstream.entry("a", startedAtMs=5000))
-            await updates(script, ListKind.DELTA)
+            await next_update(script, ListKind.DELTA)
             client.ask()
             await client.answer()
             assert upstream.connections == 2
@@ -114,18 +110,18 @@
     run(work())
 
 
-def test_no_list_no_ready() -> None:
-    """Guards /ready: 503 without a list, 200 once discovery has given one."""
+def test_ready_only_once_there_is_a_list() -> None:
+    """Guards /ready: 503 without a list, 200 once discovery has answered with one."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1])
         async with running(script=script, known={}) as balancer, HttpClient(balancer.port) as client:
-            await updates(script, ListKind.FULL)
+            await next_update(script, ListKind.FULL)
             client.ask(target="/ready")
             assert (await client.answer()).status == 503
             balancer.discovery.change(upstream.entry("a"))
-            await updates(script, ListKind.DELTA)
+            await next_update(script, ListKind.DELTA)
             client.ask(target="/ready")
             assert (await client.answer()).status == 200
         upstream.close()
@@ -133,21 +129,22 @@
     run(work())
 
 
-def test_absent_from_a_whole_list_is_gone() -> None:
-    """Guards the drain of an upstream that a whole list no longer names."""
+def test_server_absent_from_a_complete_list_is_removed() -> None:
+    """Guards the removal of a server that a complete list no longer names."""
 
     async def work() -> None:
-        a, b = await FakeUpstream().start(), await FakeUpstream().start()
+        a = await FakeUpstream().start()
+        b = await FakeUpstream().start()
         script = Script([1])
         async with running(a.entry("a"), b.entry("b"), script=script) as balancer:
-            await called(balancer, "after=")
+            await next_call(balancer, "after=")
             only_b = {"generation": 9, "reset": True, "instances": [b.entry("b")]}
             balancer.discovery.garbage.append(ok(json.dumps(only_b).encode()))
             balancer.discovery.generation = 9
             balancer.discovery.wake()
-            # The watch that was out answers with changes (none); the next one with the whole list.
-            full = await updates(script, ListKind.FULL)
-            assert [item.server for item in full.entries] == [2]
+            # The pending watch answers with no changes; the next one with the complete list.
+            full = await next_update(script, ListKind.FULL)
+            assert [row.server for row in full.entries] == [2]
             assert set(balancer.dispatcher.connection_pool.table) == {2}
         a.close()
         b.close()
@@ -155,26 +152,26 @@
     run(work())
 
 
-def test_a_generation_that_goes_back_fetches_the_whole_list() -> None:
+def test_generation_that_goes_back_fetches_the_complete_list() -> None:
     """Guards against applying changes to another list than the one they belong to."""
 
     async def work() -> None:
         a = await FakeUpstream().start()
         script = Script([1])
         async with running(a.entry("a"), script=script, generation=40) as balancer:
-            await called(balancer, "after=40")
+            await next_call(balancer, "after=40")
             balancer.discovery.generation = 3
             balancer.discovery.wake()
-            full = await updates(script, ListKind.FULL)
+            full = await next_update(script, ListKind.FULL)
             assert full.version == 3
-            assert not any(tells(e, ListKind.DELTA) for e in script.events)
+            assert not any(is_update(event, ListKind.DELTA) for event in script.events)
         a.close()
 
     run(work())
 
 
-def test_broken_answers_are_failed_calls_and_the_list_holds() -> None:
-    """Guards against half-understood lists: nothing of a broken answer counts, and the watch goes on."""
+def test_malformed_answers_are_failed_calls_and_the_list_stays() -> None:
+    """Guards against lists valid in part: nothing of a malformed answer counts, and the watch goes on."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -183,7 +180,7 @@
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            await called(balancer, "after=")
+            await next_call(balancer, "after=")
             bad_entry = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
             balancer.discovery.garbage += [
                 b"\x00nonsense\r\n\r\n",
@@ -201,14 +198,14 @@
             client.ask()
             assert (await client.answer()).status == 200
             balancer.discovery.change(entry("b", 9))
-            change = await updates(script, ListKind.DELTA)
-            assert [item.server for item in change.entries] == [2]  # no number was spent on broken answers
+            change = await next_update(script, ListKind.DELTA)
+            assert [row.server for row in change.entries] == [2]  # no number was used up by malformed answers
         upstream.close()
 
     run(work())
 
 
-def test_discovery_down_and_back() -> None:
+def test_changes_while_discovery_is_down_follow_once_it_is_back() -> None:
     """Guards service while discovery is down, and the watch's return with what changed meanwhile."""
 
     async def work() -> None:
@@ -218,71 +215,74 @@
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            await called(balancer, "after=")
+            await next_call(balancer, "after=")
             balancer.discovery.stop()
             client.ask()
             assert (await client.answer()).status == 200
             balancer.discovery.change(entry("b", 9))
             await balancer.discovery.start()
-            change = await updates(script, ListKind.DELTA)
-            assert [item.server for item in change.entries] == [2]
-        failed = [e for e in script.events if isinstance(e, ListUpdate) and e.kind is ListKind.FAILED]
-        assert failed and all(e.version == 1 and not e.entries and e.call for e in failed)
+            change = await next_update(script, ListKind.DELTA)
+            assert [row.server for row in change.entries] == [2]
+        failed = [
+            event
+            for event in script.events
+            if isinstance(event, ListUpdate) and event.kind is ListKind.FAILED
+        ]
+        assert failed and all(event.version == 1 and not event.entries and event.call for event in failed)
         upstream.close()
 
     run(work())
 
 
-def test_where_discovery_is_asked_a_failure_is_told_and_the_decisions_ask_again() -> None:
-    """Guards on-request discovery: no call before it is asked for, FAILED when it breaks."""
+def test_polled_discovery_publishes_a_failure_and_is_polled_again() -> None:
+    """Guards polled discovery: no call before it is ordered, FAILED when it breaks."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         script = Script([1], follows=False)
         settings = SETTINGS | {"Discovery": "on_request"}
         async with running(upstream.entry("a"), script=script, base=settings) as balancer:
-            await updates(script, ListKind.CACHED)
+            await next_update(script, ListKind.CACHED)
             assert balancer.discovery.calls.empty()
             balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
-            await called(balancer, "after=1")
+            await next_call(balancer, "after=1")
             balancer.discovery.stop()
-            await updates(script, ListKind.FAILED)
+            await next_update(script, ListKind.FAILED)
             await balancer.discovery.start()
             balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
-            await called(balancer, "after=1")
+            await next_call(balancer, "after=1")
         upstream.close()
 
     run(work())
 
 
-def test_no_late_answer_of_an_agent_that_was_left_counts() -> None:
-    """Guards the move to another agent: the held list serves until the new one has told its own, the old
-    connection ends, and what the old agent writes in that moment is dropped.
+def test_no_late_answer_from_the_previous_address_counts() -> None:
+    """Guards the move to another address: the present list stays valid until the new one has arrived, the old
+    connection ends, and what the old service writes in that moment is dropped.
     """
 
     async def work() -> None:
-        a, b = await FakeUpstream().start(), await FakeUpstream().start()
+        a = await FakeUpstream().start()
+        b = await FakeUpstream().start()
         new = await FakeDiscovery([b.entry("b")]).start()
         script = Script([1])
         async with running(a.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
-            await called(balancer, "after=1")
+            await next_call(balancer, "after=1")
             balancer.discovery.change(entry("late", 9))  # on its way when the move is made
             balancer.watch.move(("127.0.0.1", new.port))
             client.ask()
             assert (await client.answer()).status == 200
-            full = await updates(script, ListKind.FULL)
+            full = await next_update(script, ListKind.FULL)
             assert (
-                set(balancer.dispatcher.connection_pool.table)
-                == {item.server for item in full.entries}
-                == {2}
+                set(balancer.dispatcher.connection_pool.table) == {row.server for row in full.entries} == {2}
             )
             async with asyncio.timeout(PATIENCE_S):
                 while balancer.discovery._writers:  # the old connection is closed
                     await asyncio.sleep(0.01)
             new.change(b.entry("b", lifecycle="leaving"))
-            change = await updates(script, ListKind.DELTA)
-            assert [item.server for item in change.entries] == [2]
-            deltas = [e for e in script.events if tells(e, ListKind.DELTA)]
+            change = await next_update(script, ListKind.DELTA)
+            assert [row.server for row in change.entries] == [2]
+            deltas = [event for event in script.events if is_update(event, ListKind.DELTA)]
             assert deltas == [change]
             balancer.watch.stop()
             balancer.watch.move(("127.0.0.1", balancer.discovery.port))  # too late: no call
@@ -295,36 +295,9 @@
     run(work())
 
 
-def test_numbers_are_kept_for_good() -> None:
-    """Guards the decisions' memory of an upstream: gone and back, it is the same one."""
-    names = Names(("north",), ("box",))
-    assert [names.server(name) for name in ("a", "b", "a", "c", "b")] == [1, 2, 1, 3, 2]
-
-
-@pytest.mark.parametrize(
-    "change",
-    [
-        {"hostPort": "nowhere"},
-        {"hostPort": "127.0.0.1:99999"},
-        {"lifecycle": "resting"},
-        {"startedAtMs": "soon"},
-        {"startedAtMs": -1},
-        {"startedAtMs": True},
-        {"weight": None},
-        {"instanceId": 5},
-        {"zone": 3},
-    ],
-)
-def test_an_entry_that_makes_no_sense_fails_the_whole_answer(change: dict[str, Any]) -> None:
-    """Guards the list against entries that are only half right."""
-    data = {"generation": 1, "reset": True, "instances": [entry("a", 80), entry("b", 81) | change]}
-    with pytest.raises(DiscoveryError):
-        parse_listing(data, Names(("north",), ("box",)))
-
-
-def test_a_whole_list_may_take_as_long_as_discovery_keeps_a_call() -> None:
+def test_complete_list_may_take_as_long_as_discovery_keeps_a_call() -> None:
     """Guards the list after a reload: a call given up early loses its turn in discovery's queue, and the next
-    one comes too late for what was told meanwhile.
+    one comes too late for what changed meanwhile.
     """
 
     async def work() -> None:
@@ -334,7 +307,7 @@
         slow.delay_s = 2.2
         async with running(script=script) as balancer:
             balancer.watch.move(("127.0.0.1", slow.port))
-            listing = await updates(script, ListKind.FULL)
+            listing = await next_update(script, ListKind.FULL)
             assert len(listing.entries) == 1
             assert slow.calls.get_nowait() == "/v1/endpoints"
             assert slow.calls.empty() or "after=" in slow.calls.get_nowait()
@@ -344,9 +317,9 @@
     run(work())
 
 
-def test_a_watch_asked_for_anew_leaves_the_silent_one_and_its_connection() -> None:
-    """Guards against a watch that hears nothing more: asked on the same connection, behind the answer that
-    never comes, the new one would be as silent.
+def test_new_watch_replaces_a_silent_one_and_its_connection() -> None:
+    """Guards against a watch that receives nothing more: a new one on the same connection, behind the answer
+    that never comes, would be as silent.
     """
 
     async def work() -> None:
@@ -354,16 +327,16 @@
         script = Script([1], follows=False)
         settings = SETTINGS | {"Discovery": "on_request"}
         async with running(upstream.entry("a"), script=script, base=settings) as balancer:
-            await updates(script, ListKind.CACHED)
+            await next_update(script, ListKind.CACHED)
             discovery = balancer.discovery
             discovery.silent = True
             balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
-            await called(balancer, "after=1")
+            await next_call(balancer, "after=1")
             discovery.change(entry("b", 9))
             discovery.silent = False
             balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
-            told = await updates(script, ListKind.DELTA)
-            assert [item.server for item in told.entries] == [2]
+            told = await next_update(script, ListKind.DELTA)
+            assert [row.server for row in told.entries] == [2]
             assert not any(
                 event.kind is ListKind.FAILED for event in script.events if isinstance(event, ListUpdate)
             )
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of over a thousand servers: no cap, whole in any form, and within the memory of a small copy."""
+"""Lists of over a thousand servers: no cap, complete in any form, within the memory of a small instance."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize("indent", [None, 4])
-def test_a_list_in_single_bytes_is_whole_whatever_its_size(indent: int | None) -> None:
+def test_large_list_that_arrives_in_single_bytes_is_complete(indent: int | None) -> None:
     data = {"generation": 7, "reset": True, "instances": rows(SERVERS, entry("a", 9))}
     payload = ok(json.dumps(data, indent=indent).encode())
     assert len(payload) < MAX_LIST_BYTES
@@ -52,7 +52,7 @@
     assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVERS
 
 
-def test_every_server_of_a_large_list_is_drawn() -> None:
+def test_every_server_of_a_large_list_is_used() -> None:
     settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.IDEMPOTENT)], instances=230, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
     data = {"generation": 7, "reset": True, "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVERS)]}
@@ -62,10 +62,10 @@
     for number in range(SERVERS):
         actions = balancer.handle(2.0 + number / 1e6, RequestArrived(number, 0, 1_000.0))
         used |= {action.server for action in actions if isinstance(action, Send)}
-    assert len(used) == SERVERS  # each holds a token until it has a call
+    assert len(used) == SERVERS  # each has a token until it has an attempt
 
 
-def test_a_change_within_a_large_list_is_heard() -> None:
+def test_change_within_a_large_list_is_applied() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         listed = rows(SERVERS, upstream.entry("a"))
@@ -86,8 +86,8 @@
     run(work())
 
 
-def test_a_large_list_fits_a_small_copy(tmp_path: Path) -> None:
-    """As known at the start, and as the whole list that discovery tells."""
+def test_large_list_fits_a_small_instance(tmp_path: Path) -> None:
+    """As known at the start, and as the complete list that discovery answers with."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -17,18 +17,12 @@
 )
 from sandhatch.discovery.endpoint_list import Listing
 from tests.event_loop import run
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    HttpClient,
-    Script,
-    running,
-)
+from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Script, running
 
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
 def test_expired_drain_grace_stops_an_attempt_that_is_connecting(change: str) -> None:
-    """Guards the drain: told while the connection is on its way up, so that not a byte may be written."""
+    """Guards the drain: notified while the connection comes up, so that not a byte may be written."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -39,21 +33,22 @@
         ):
             pool = balancer.dispatcher.connection_pool
             pool._grace_ms = 0.0  # so that no test waits for it
-            connect, told = pool._connect, asyncio.Event()
+            connect = pool._connect
+            notified = asyncio.Event()
 
-            async def late(call: Any) -> None:
-                await told.wait()
-                await connect(call)
+            async def connect_once_notified(attempt: Any) -> None:
+                await notified.wait()
+                await connect(attempt)
 
-            pool._connect = late  # type: ignore[method-assign]
+            pool._connect = connect_once_notified  # type: ignore[method-assign]
             client.ask("move", b"x")
-            while not any(isinstance(e, RequestArrived) for e in script.events):
+            while not any(isinstance(event, RequestArrived) for event in script.events):
                 await script.told.get()
             balancer.discovery.change(upstream.entry("a", lifecycle=change))
             async with asyncio.timeout(PATIENCE_S):
                 while not isinstance(await script.told.get(), ListUpdate):
                     pass
-            told.set()
+            notified.set()
             assert (await script.ended()).outcome is Outcome.DISCARDED
             assert (await client.answer()).status == 502
         upstream.close()
@@ -63,20 +58,23 @@
 
 
 def test_drain_grace_runs_from_when_the_notice_counted_as_received() -> None:
-    """Guards the drain behind a list that grew old: its word came late, and a send still connecting would go
-    out within a grace that was over.
+    """Guards the drain behind a list that grew old: its notice came late, and an attempt that is connecting
+    would be sent within a grace period that was over.
     """
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
         async with running(upstream.entry("a"), script=Script([1])) as balancer:
-            dispatcher, clock = balancer.dispatcher, balancer.shared.clock
-            for age_s, late in ((5.0, False), (6.6, True)):  # the grace is 0.5 s, told counts after 6 s
+            dispatcher = balancer.dispatcher
+            clock = balancer.shared.clock
+            address = ("127.0.0.1", upstream.port)
+            # The grace period is 0.5 s, and a change counts as received after 6 s.
+            for age_s, expired in ((5.0, False), (6.6, True)):
                 dispatcher._endpoints.current_since_ms = clock.now_ms() - 1_000.0 * age_s
-                row = ServerEntry(1, ServerState.DRAINING)
-                address = ("127.0.0.1", upstream.port)
-                dispatcher.on_listing(Listing(ListKind.DELTA, 2, (row,), (address,)))
-                assert dispatcher.connection_pool.grace_expired(dispatcher.connection_pool.table[1]) is late
+                draining = ServerEntry(1, ServerState.DRAINING)
+                dispatcher.on_listing(Listing(ListKind.DELTA, 2, (draining,), (address,)))
+                server = dispatcher.connection_pool.table[1]
+                assert dispatcher.connection_pool.grace_expired(server) is expired
                 ready = ServerEntry(1, ServerState.READY)
                 dispatcher.on_listing(Listing(ListKind.DELTA, 3, (ready,), (address,)))
         upstream.close()
@@ -85,10 +83,11 @@
 
 
 def test_nothing_new_goes_to_a_draining_server() -> None:
-    """Guards the drain with the module's own decisions: the next requests all go to the other one."""
+    """Guards the drain with the real balancer: the next requests all go to the other server."""
 
     async def work() -> None:
-        draining, other = await FakeUpstream().start(), await FakeUpstream().start()
+        draining = await FakeUpstream().start()
+        other = await FakeUpstream().start()
         async with (
             running(draining.entry("a"), other.entry("b")) as balancer,
             HttpClient(balancer.port) as client,
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -6,13 +6,7 @@
 from typing import Any
 
 from sandhatch.balancing.actions import Action, Cancel, Fail, Send
-from sandhatch.balancing.events import (
-    AttemptEnded,
-    ClientDisconnected,
-    Event,
-    Outcome,
-    RequestArrived,
-)
+from sandhatch.balancing.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
@@ -24,10 +18,7 @@
     ok,
     running,
 )
-from tests.upstream.behaviours import (
-    resets,
-    stays_silent,
-)
+from tests.upstream.behaviours import resets, stays_silent
 
 
 def test_request_is_forwarded_unchanged_but_for_hop_headers_and_time_left() -> None:
@@ -62,17 +53,17 @@
 
 
 def test_large_answer_is_forwarded_unchanged() -> None:
-    """Guards good answers above the protocol's 64 KiB, which were once taken for spoilt by every upstream in
-    turn; what they take of the room is given back.
+    """Guards good answers above the protocol's 64 KiB, which once counted as malformed from every server; the
+    memory that they take is released.
     """
 
     async def work() -> None:
         body = bytes(range(256)) * 4 * 400
 
-        async def large(request: Incoming, talk: Talk) -> None:
+        async def answers_at_length(request: Incoming, talk: Talk) -> None:
             await talk.send(ok(body))
 
-        upstream = await FakeUpstream(large).start()
+        upstream = await FakeUpstream(answers_at_length).start()
         async with (
             running(upstream.entry("a"), script=Script([1])) as balancer,
             HttpClient(balancer.port) as client,
@@ -93,53 +84,53 @@
 
 
 def test_hedged_requests_lead_to_one_answer() -> None:
-    """Guards 'exactly one answer': both copies are served, the first goes out, the second is told."""
+    """Guards 'exactly one answer': both attempts are served, the first is forwarded, the second only ends."""
 
     async def work() -> None:
-        go = [asyncio.Event(), asyncio.Event()]
+        may_answer = [asyncio.Event(), asyncio.Event()]
 
-        def held(n: int) -> Any:
+        def answers_when_allowed(index: int) -> Any:
             async def behave(request: Incoming, talk: Talk) -> None:
-                await go[n].wait()
-                await talk.send(ok(b"copy %d" % n))
+                await may_answer[index].wait()
+                await talk.send(ok(b"answer %d" % index))
 
             return behave
 
-        ups = [await FakeUpstream(held(n)).start() for n in range(2)]
+        servers = [await FakeUpstream(answers_when_allowed(index)).start() for index in range(2)]
         script = Script([1, 2])
 
-        def both(event: Event) -> list[Action] | None:
+        def send_to_both(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived):
                 return [Send(event.request, 1, 0.0), Send(event.request, 2, 0.0)]
             return [] if isinstance(event, AttemptEnded) else None
 
-        script.more = both
+        script.more = send_to_both
         async with (
-            running(ups[0].entry("a"), ups[1].entry("b"), script=script) as balancer,
+            running(servers[0].entry("a"), servers[1].entry("b"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             client.ask()
-            for item in ups:
-                await item.arrived.get()
-            go[1].set()
-            assert (await client.answer()).body == b"copy 1"
-            go[0].set()
+            for server in servers:
+                await server.arrived.get()
+            may_answer[1].set()
+            assert (await client.answer()).body == b"answer 1"
+            may_answer[0].set()
             ends = [await script.ended(), await script.ended()]
-            assert [(e.attempt, e.outcome, e.final) for e in ends] == [
+            assert [(end.attempt, end.outcome, end.final) for end in ends] == [
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
             client.ask(target="/ready")
-            assert (await client.answer()).status == 200  # and nothing of the second copy before it
+            assert (await client.answer()).status == 200  # and nothing of the second attempt before it
             assert not balancer.dispatcher._exchanges
-        for item in ups:
-            item.close()
+        for server in servers:
+            server.close()
 
     run(work())
 
 
 def test_cancel_closes_the_connection_and_ends_the_attempt_once() -> None:
-    """Guards Cancel: one outcome, and the upstream sees the end."""
+    """Guards Cancel: one outcome, and the server sees the end."""
 
     async def work() -> None:
         ended = asyncio.Event()
@@ -168,16 +159,16 @@
 
 
 def test_client_disconnect_is_delivered_and_its_attempt_still_ends() -> None:
-    """Guards ClientGone: the request is over, and its attempt out still gets its one end, marked final."""
+    """Guards ClientDisconnected: the request is over, and its attempt still ends once, marked final."""
 
     async def work() -> None:
-        go = asyncio.Event()
+        may_answer = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
-            await go.wait()
+        async def answers_when_allowed(request: Incoming, talk: Talk) -> None:
+            await may_answer.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(wait).start()
+        upstream = await FakeUpstream(answers_when_allowed).start()
         script = Script([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             async with HttpClient(balancer.port) as client:
@@ -186,7 +177,7 @@
             async with asyncio.timeout(PATIENCE_S):
                 while not isinstance(await script.told.get(), ClientDisconnected):
                     pass
-            go.set()
+            may_answer.set()
             event = await script.ended()
             assert (event.outcome, event.final) == (Outcome.OK, True)
             assert not balancer.dispatcher._exchanges
@@ -196,7 +187,7 @@
 
 
 def test_deadline_is_answered_once_by_the_dispatcher() -> None:
-    """Guards against decisions that never answer: the attempt out ends, then one answer goes."""
+    """Guards against decisions that never answer: the pending attempt ends, then one answer is sent."""
 
     async def work() -> None:
         upstream = await FakeUpstream(stays_silent).start()
@@ -219,18 +210,18 @@
 
 
 def test_sends_past_the_cap_or_after_the_answer_are_discarded() -> None:
-    """Guards the attempt cap and late sends: told as moot, and nothing is written."""
+    """Guards the attempt cap and late sends: they end as DISCARDED, and nothing is written."""
 
     async def work() -> None:
         upstream = await FakeUpstream(resets).start()
         script = Script([1] * 6)
 
-        def more(event: Event) -> list[Action] | None:
+        def send_after_the_answer(event: Event) -> list[Action] | None:
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
                 return [Fail(event.request), Send(event.request, 1, 0.0)]
             return None
 
-        script.more = more
+        script.more = send_after_the_answer
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
@@ -238,8 +229,8 @@
             client.ask()
             assert (await client.answer()).status == 502
         upstream.close()
-        ends = [(e.attempt, e.outcome) for e in script.ends()]
-        assert ends[:5] == [(n, Outcome.RESET) for n in range(4)] + [(4, Outcome.DISCARDED)]
+        ends = [(end.attempt, end.outcome) for end in script.ends()]
+        assert ends[:5] == [(number, Outcome.RESET) for number in range(4)] + [(4, Outcome.DISCARDED)]
         assert len(upstream.seen) == 4
 
     run(work())
--- a/tests/dispatch/test_probes.py
+++ b/tests/dispatch/test_probes.py
@@ -5,34 +5,22 @@
 import asyncio
 
 from sandhatch.balancing.actions import Probe
-from sandhatch.balancing.events import (
-    Outcome,
-    ProbeEnded,
-)
+from sandhatch.balancing.events import Outcome, ProbeEnded
 from tests.event_loop import run
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    Incoming,
-    Script,
-    Talk,
-    ok,
-    running,
-)
-from tests.upstream.behaviours import (
-    stays_silent,
-)
+from tests.fakes import PATIENCE_S, FakeUpstream, Incoming, Script, Talk, ok, running
+from tests.upstream.behaviours import stays_silent
 
 
 def test_probe_reads_the_load_report() -> None:
-    """Guards probes: the report's values come in the settings' order, and a late one is no report."""
+    """Guards probes: the report's values come in the settings' order, and a late one does not count."""
 
     async def work() -> None:
-        async def load(request: Incoming, talk: Talk) -> None:
+        async def answers_with_report(request: Incoming, talk: Talk) -> None:
             assert request.target == "/status/load"
             await talk.send(ok(b"TEXT inflight=7, queue=2, util=0.61"))
 
-        upstream, silent = await FakeUpstream(load).start(), await FakeUpstream(stays_silent).start()
+        upstream = await FakeUpstream(answers_with_report).start()
+        silent = await FakeUpstream(stays_silent).start()
         script = Script([1])
         stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
         async with running(upstream.entry("a"), silent.entry("b"), script=script, stats=stats) as balancer:
@@ -63,10 +51,11 @@
         stats = {"How": "on_probe", "Fields": ["queue"]}
         limits = {"ConnectTimeoutMs": 700}
         async with running(upstream.entry("a"), script=Script([1]), stats=stats, limits=limits) as balancer:
-            given: list[float] = []
-            balancer.dispatcher.connection_pool.start = lambda call, timeout: given.append(timeout)  # type: ignore[method-assign]
+            timeouts_ms: list[float] = []
+            pool = balancer.dispatcher.connection_pool
+            pool.start = lambda attempt, timeout_ms: timeouts_ms.append(timeout_ms)  # type: ignore[method-assign]
             balancer.dispatcher._act(Probe(1))
-            assert given == [750.0]
+            assert timeouts_ms == [750.0]
         upstream.close()
 
     run(work())
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -6,10 +6,7 @@
 import socket
 
 from sandhatch.balancing.actions import Probe
-from sandhatch.balancing.events import (
-    Outcome,
-    ProbeEnded,
-)
+from sandhatch.balancing.events import Outcome, ProbeEnded
 from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
@@ -22,38 +19,38 @@
     ok,
     running,
 )
-from tests.upstream.behaviours import (
-    DeadAfterOneRequest,
-    resets,
-)
+from tests.upstream.behaviours import DeadAfterOneRequest, resets
+
+# A loaded machine may take long to see a reset, and the last byte must not go out before.
+LONG_HOLD_MS = 5_000.0
 
 
 def test_non_idempotent_request_on_a_reused_connection_that_breaks_is_sent_once() -> None:
-    """Guards against silent re-sends: the kept connection breaks once the request is on it."""
+    """Guards against silent retries: the pooled connection breaks once the request is on it."""
 
     async def work() -> None:
-        ups = [await FakeUpstream().start() for _ in range(2)]
-        # With the module's own decisions: it must not try the other upstream either.
-        entries = [u.entry(f"u{n}") for n, u in enumerate(ups)]
+        servers = [await FakeUpstream().start() for _ in range(2)]
+        # With the real balancer: it must not try the other server either.
+        entries = [server.entry(f"u{index}") for index, server in enumerate(servers)]
         async with running(*entries) as balancer, HttpClient(balancer.port) as client:
-            while not all(u.seen for u in ups):  # both have a kept connection
+            while not all(server.seen for server in servers):  # both have a pooled connection
                 client.ask()
                 assert (await client.answer()).status == 200
-            warm = sum(len(u.seen) for u in ups)
-            for item in ups:
-                item.behave = resets
+            requests_before = sum(len(server.seen) for server in servers)
+            for server in servers:
+                server.behave = resets
             client.ask("move", b"x")
             assert (await client.answer()).status == 502
-        assert sum(len(u.seen) for u in ups) == warm + 1
-        assert [u.connections for u in ups] == [1, 1]
-        for item in ups:
-            item.close()
+        assert sum(len(server.seen) for server in servers) == requests_before + 1
+        assert [server.connections for server in servers] == [1, 1]
+        for server in servers:
+            server.close()
 
     run(work())
 
 
 def test_connection_with_unread_bytes_or_an_end_is_not_reused() -> None:
-    """Guards against writing a request to a connection whose other side has spoken or closed."""
+    """Guards against writing a request to a connection whose other side has sent or closed."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -63,18 +60,21 @@
             HttpClient(balancer.port) as client,
         ):
             pool = balancer.dispatcher.connection_pool
-            for n, spoil in enumerate((b"HTTP/1.1 408 Request Timeout\r\n\r\n", b"")):
+            for index, unread_bytes in enumerate((b"HTTP/1.1 408 Request Timeout\r\n\r\n", b"")):
                 client.ask("move", b"x")
                 assert (await client.answer()).status == 200
-                (kept,) = pool._idle[1]
-                raw = upstream.talks[-1].writer.get_extra_info("socket").fileno()
-                with socket.socket(fileno=socket.dup(raw)) as side:
-                    side.send(spoil) if spoil else side.shutdown(socket.SHUT_WR)
-                # Asked in the same turn of the loop, before it can have read what came.
-                assert not kept.usable()
+                (idle_connection,) = pool._idle[1]
+                descriptor = upstream.talks[-1].writer.get_extra_info("socket").fileno()
+                with socket.socket(fileno=socket.dup(descriptor)) as server_socket:
+                    if unread_bytes:
+                        server_socket.send(unread_bytes)
+                    else:
+                        server_socket.shutdown(socket.SHUT_WR)
+                # Checked in the same turn of the event loop, before it can have read what arrived.
+                assert not idle_connection.usable()
                 client.ask("move", b"y")
                 assert (await client.answer()).status == 200
-                assert upstream.connections == n + 2
+                assert upstream.connections == index + 2
         upstream.close()
 
     run(work())
@@ -93,16 +93,16 @@
             assert (await client.answer()).status == 200
             for connection in (*balancer.dispatcher.connection_pool._open, *balancer.listener._connections):
                 assert connection._transport is not None
-                fd = connection._transport.get_extra_info("socket").fileno()
-                with socket.socket(fileno=socket.dup(fd)) as raw:
-                    assert raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+                descriptor = connection._transport.get_extra_info("socket").fileno()
+                with socket.socket(fileno=socket.dup(descriptor)) as raw_socket:
+                    assert raw_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
         upstream.close()
 
     run(work())
 
 
 def test_connection_near_the_idle_limit_is_not_reused() -> None:
-    """Guards against the upstream closing a connection in the moment a request is written to it."""
+    """Guards against the server closing a connection in the moment when a request is written to it."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
@@ -112,8 +112,8 @@
         ):
             client.ask()
             await client.answer()
-            (kept,) = balancer.dispatcher.connection_pool._idle[1]
-            kept.idle_since_ms -= 58_000
+            (idle_connection,) = balancer.dispatcher.connection_pool._idle[1]
+            idle_connection.idle_since_ms -= 58_000
             client.ask()
             await client.answer()
             assert upstream.connections == 2
@@ -128,12 +128,12 @@
     async def work() -> None:
         ended = asyncio.Event()
 
-        async def once(request: Incoming, talk: Talk) -> None:
+        async def answers_once(request: Incoming, talk: Talk) -> None:
             await talk.send(ok())
             await talk.ended()
             ended.set()
 
-        upstream = await FakeUpstream(once).start()
+        upstream = await FakeUpstream(answers_once).start()
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script, limits={"ConnIdleMs": 1500}) as balancer,
@@ -149,15 +149,15 @@
 
 
 def test_repeated_answer_one_read_later_answers_no_other_request() -> None:
-    """Guards a caller against the copy of another's answer: the connection rests after an answer, so that a
-    copy finds no new call on it, and is closed by what comes.
+    """Guards a client against another's answer: a connection rests after an answer, so that a repeated one
+    finds no new attempt on it and closes it.
     """
 
     async def work() -> None:
-        async def name(request: Incoming, talk: Talk) -> None:
+        async def answers_with_target(request: Incoming, talk: Talk) -> None:
             await talk.send(ok(request.target.encode()))
 
-        upstream = await FakeUpstream(name).start()
+        upstream = await FakeUpstream(answers_with_target).start()
         script = Script([1])
         async with (
             running(upstream.entry("a"), script=script, rest_ms=60_000.0) as balancer,
@@ -186,15 +186,15 @@
 
 
 def test_repeated_answer_to_a_probe_answers_no_request() -> None:
-    """Guards a caller against a load report: its copy comes when an attempt has taken the connection."""
+    """Guards a client against a load report that is repeated once an attempt has taken the connection."""
 
     async def work() -> None:
         report = ok(b"TEXT inflight=7, queue=2, util=0.61")
 
-        async def twice(request: Incoming, talk: Talk) -> None:
-            await talk.send(report)  # the probe's answer, and instead of the attempt's its copy
+        async def answers_with_report(request: Incoming, talk: Talk) -> None:
+            await talk.send(report)  # to the probe, and repeated in place of the attempt's answer
 
-        upstream = await FakeUpstream(twice).start()
+        upstream = await FakeUpstream(answers_with_report).start()
         script = Script([1])
         stats = {"How": "on_probe", "Fields": ["inflight"]}
         async with (
@@ -209,14 +209,14 @@
             assert (await client.answer()).status == 502
             assert upstream.connections == 1
         upstream.close()
-        (end,) = script.ends()
-        assert end.outcome is Outcome.RESET
+        (attempt_ended,) = script.ends()
+        assert attempt_ended.outcome is Outcome.RESET
 
     run(work())
 
 
 def test_request_on_a_dead_reused_connection_is_sent_on_a_new_one() -> None:
-    """Guards unsafe requests: after a reset of the whole request nobody may repeat them."""
+    """Guards non-idempotent requests: after a reset of the complete request nobody may retry them."""
 
     async def work() -> None:
         upstream = await DeadAfterOneRequest().start()
@@ -225,9 +225,7 @@
             running(entry("a", upstream.port), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            balancer.dispatcher.connection_pool.HOLD_MS = (
-                5_000.0  # a loaded machine may take long to see the reset
-            )
+            balancer.dispatcher.connection_pool.HOLD_MS = LONG_HOLD_MS
             for _ in range(5):
                 client.ask("move", b"x")
                 assert (await client.answer()).status == 200
@@ -248,9 +246,7 @@
             running(entry("a", upstream.port), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            balancer.dispatcher.connection_pool.HOLD_MS = (
-                5_000.0  # a loaded machine may take long to see the reset
-            )
+            balancer.dispatcher.connection_pool.HOLD_MS = LONG_HOLD_MS
             client.ask("move", b"x")
             assert (await client.answer()).status == 200
             upstream.close()
--- a/tests/upstream/test_load_report.py
+++ b/tests/upstream/test_load_report.py
@@ -11,5 +11,5 @@
     "text", [b"", b"7,2", b"TEXT inflight=7", b"TEXT inflight=x, queue=1", b"TEXT inflight=nan, queue=1"]
 )
 def test_malformed_report_counts_as_absent(text: bytes) -> None:
-    """Guards decisions against half a report: values in the wrong place would call a busy server idle."""
+    """Guards decisions against a part of a report: values in the wrong order make a busy server idle."""
     assert parse_report(text, ("inflight", "queue")) == ()
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -8,9 +8,7 @@
 
 import pytest
 
-from sandhatch.balancing.events import (
-    Outcome,
-)
+from sandhatch.balancing.events import Outcome
 from tests.event_loop import run
 from tests.fakes import (
     PATIENCE_S,
@@ -28,55 +26,56 @@
     closes,
     ends_the_answer_by_closing,
     listener_with_full_backlog,
+    listener_with_small_buffer,
     resets,
     resets_inside_the_answer,
     sends,
 )
 
 TABLE = [
-    ("a 200 and a body", sends(ok()), Outcome.OK),
+    ("200 and a body", sends(ok()), Outcome.OK),
     (
-        "a 200 in chunks",
+        "200 in chunks",
         sends(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n6\r\nserved\r\n0\r\n\r\n"),
         Outcome.OK,
     ),
-    ("an interim answer first", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" + ok()), Outcome.OK),
+    ("interim answer first", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" + ok()), Outcome.OK),
     ("500", sends(status(500)), Outcome.ERROR),
-    ("503 that proves it never ran", sends(status(503, "X-Never-Ran: 1\r\n")), Outcome.FULL),
-    ("504 that proves it never ran", sends(status(504, "X-Never-Ran: 1\r\n")), Outcome.FULL),
+    ("503 that proves it has not run", sends(status(503, "X-Never-Ran: 1\r\n")), Outcome.FULL),
+    ("504 that proves it has not run", sends(status(504, "X-Never-Ran: 1\r\n")), Outcome.FULL),
     ("503 that proves nothing", sends(status(503)), Outcome.ERROR),
-    ("500 can't prove that it never ran", sends(status(500, "X-Never-Ran: 1\r\n")), Outcome.ERROR),
+    ("500 cannot prove that it has not run", sends(status(500, "X-Never-Ran: 1\r\n")), Outcome.ERROR),
     ("204", sends(b"HTTP/1.1 204 No Content\r\n\r\n"), Outcome.ERROR),
     ("400", sends(status(400)), Outcome.CLIENT_ERROR),
     (
-        "a length that is no number",
+        "length that is no number",
         sends(b"HTTP/1.1 200 OK\r\nContent-Length: six\r\n\r\nserved"),
         Outcome.RESET,
     ),
-    ("3 GB", sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nserved"), Outcome.RESET),
-    ("an endless head", sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppppppppp\r\n" * 3000), Outcome.RESET),
-    ("another version", sends(ok().replace(b"1.1", b"2.0")), Outcome.RESET),
+    ("length of 3 GB", sends(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nserved"), Outcome.RESET),
+    ("endless head", sends(b"HTTP/1.1 200 OK\r\n" + b"X-Pad: ppppppppp\r\n" * 3000), Outcome.RESET),
+    ("another HTTP version", sends(ok().replace(b"1.1", b"2.0")), Outcome.RESET),
     ("interim answers without end", sends(b"HTTP/1.1 103 Early Hints\r\n\r\n" * 60_000), Outcome.RESET),
-    ("noise behind", sends(ok() + b"\x00noise\r\n\r\n"), Outcome.OK),
-    ("a second copy behind", sends(ok() * 2), Outcome.OK),
+    ("noise after the answer", sends(ok() + b"\x00noise\r\n\r\n"), Outcome.OK),
+    ("answer repeated", sends(ok() * 2), Outcome.OK),
     (
-        "a load report that can't be read",
+        "malformed load report",
         sends(ok(b"served", "Endpoint-Load-Metrics: \xff=\r\n")),
         Outcome.OK,
     ),
     ("reset", resets, Outcome.RESET),
     ("end without an answer", closes, Outcome.RESET),
     ("reset inside the answer", resets_inside_the_answer, Outcome.RESET),
-    ("an answer whose end only the close shows", ends_the_answer_by_closing, Outcome.RESET),
+    ("answer whose end only the close shows", ends_the_answer_by_closing, Outcome.RESET),
     ("no HTTP", sends(b"\x00\x01nonsense\r\n\r\n"), Outcome.RESET),
     (
         "two lengths",
         sends(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab"),
         Outcome.RESET,
     ),
-    ("a body over the limit", sends(ok(b"x" * (1024 * 1024 + 1))), Outcome.RESET),
+    ("body over the limit", sends(ok(b"x" * (1024 * 1024 + 1))), Outcome.RESET),
     (
-        "a switch of protocols",
+        "switch of protocols",
         sends(b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n"),
         Outcome.RESET,
     ),
@@ -85,7 +84,7 @@
 
 @pytest.mark.parametrize(("behave", "outcome"), [row[1:] for row in TABLE], ids=[row[0] for row in TABLE])
 def test_answer_leads_to_the_outcome_of_the_protocols_table(behave: Any, outcome: Outcome) -> None:
-    """Guards the outcome table: a wrong row lets an unsafe request run twice."""
+    """Guards the outcome table: a wrong row lets a non-idempotent request run twice."""
 
     async def work() -> None:
         upstream = await FakeUpstream(behave).start()
@@ -125,7 +124,7 @@
 
 
 def test_connection_that_never_comes_up_ends_as_connect_failed() -> None:
-    """Guards the row 'could not connect' against a machine that says nothing."""
+    """Guards the row 'could not connect': the machine does not answer."""
 
     async def work() -> None:
         listener, fillers = listener_with_full_backlog()
@@ -139,14 +138,14 @@
             client.ask("move", b"x")
             assert (await client.answer()).status == 502
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
-        for item in (listener, *fillers):
-            item.close()
+        for opened in (listener, *fillers):
+            opened.close()
 
     run(work())
 
 
 def test_timeout_closes_the_connection() -> None:
-    """Guards the row 'timed out': the attempt is given up by closing, and the request may have run."""
+    """Guards the row 'timed out': the attempt is cancelled by closing, and the request may have run."""
 
     async def work() -> None:
         closed = asyncio.Event()
@@ -172,51 +171,45 @@
     run(work())
 
 
-class _Wrapped:
-    """A call whose `write` is another."""
+class _AttemptWithWrite:
+    """An attempt whose `write` is replaced."""
 
-    def __init__(self, call: Any, write: Any) -> None:
-        self._call, self.write = call, write
+    def __init__(self, attempt: Any, write: Any) -> None:
+        self._attempt = attempt
+        self.write = write
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._call, name)
+        return getattr(self._attempt, name)
 
 
 def test_break_before_the_last_byte_is_sent_ends_as_connect_failed() -> None:
-    """Guards the dividing line: an upstream that resets with part of the request unread and unwritten."""
+    """Guards the dividing line: a server that resets with part of the request unread and unsent."""
 
     async def work() -> None:
         # Small buffers keep the last byte with the balancer: the body is larger than what the system takes.
-        listener = socket.socket()
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        listener.bind(("127.0.0.1", 0))
-        listener.listen(1)
-        listener.setblocking(False)
+        listener = listener_with_small_buffer()
         script = Script([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             loop = asyncio.get_running_loop()
-            first = asyncio.ensure_future(loop.sock_accept(listener))
-            original = balancer.dispatcher.connection_pool._connect
-
-            # The system's own send buffer is cut as well, before anything is written.
-            async def small(call: Any) -> None:
-                write = call.write
+            accepting = asyncio.ensure_future(loop.sock_accept(listener))
+            connect = balancer.dispatcher.connection_pool._connect
 
-                def cut(connection: Any) -> bool:
-                    fd = connection._transport.get_extra_info("socket").fileno()
-                    with socket.socket(fileno=socket.dup(fd)) as raw:
-                        raw.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
-                    return bool(write(connection))
+            # The system's own send buffer is made small as well, before anything is written.
+            async def connect_with_small_buffer(attempt: Any) -> None:
+                def write(connection: Any) -> bool:
+                    descriptor = connection._transport.get_extra_info("socket").fileno()
+                    with socket.socket(fileno=socket.dup(descriptor)) as raw_socket:
+                        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
+                    return bool(attempt.write(connection))
 
-                wrapped = _Wrapped(call, cut)
-                await original(wrapped)  # type: ignore[arg-type]
+                await connect(_AttemptWithWrite(attempt, write))  # type: ignore[arg-type]
 
-            balancer.dispatcher.connection_pool._connect = small  # type: ignore[method-assign]
+            balancer.dispatcher.connection_pool._connect = connect_with_small_buffer  # type: ignore[method-assign]
             client.ask("move", b"x" * 60_000)
-            connection, _ = await first
+            connection, _ = await accepting
             head = await loop.sock_recv(connection, 100)
             assert head.startswith(b"POST")
             connection.close()  # with bytes unread: a reset
@@ -229,14 +222,10 @@
 
 @pytest.mark.parametrize("silent", [False, True], ids=["reset", "silent"])
 def test_any_byte_of_an_answer_means_the_request_may_have_run(silent: bool) -> None:
-    """Guards unsafe requests: an upstream that answers before it has read all proves nothing."""
+    """Guards non-idempotent requests: a server that answers before it has read all proves nothing."""
 
     async def work() -> None:
-        listener = socket.socket()
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-        listener.bind(("127.0.0.1", 0))
-        listener.listen(1)
-        listener.setblocking(False)
+        listener = listener_with_small_buffer()
         script = Script([1], timeout_ms=1_500.0 if silent else 0.0)
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
@@ -249,12 +238,12 @@
             async with asyncio.timeout(PATIENCE_S):
                 while not (pool._open and next(iter(pool._open))._call):
                     await asyncio.sleep(0.001)
-            call = next(iter(pool._open))._call
-            assert call is not None
-            call.request_sent = False  # as with a body larger than what the system takes
+            attempt = next(iter(pool._open))._call
+            assert attempt is not None
+            attempt.request_sent = False  # as with a body larger than what the system takes
             await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
             async with asyncio.timeout(PATIENCE_S):
-                while not call.answer_seen:
+                while not attempt.answer_seen:
                     await asyncio.sleep(0.001)
             if not silent:
                 connection.close()
