--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -98,22 +98,27 @@
 class ProbeContext:
     """The owner of one probe: what the probe calls back on."""
 
-    __slots__ = ("_runner", "_server", "_started_ms")
+    __slots__ = ("_request", "_runner", "_server", "_started_ms")
 
-    def __init__(self, runner: AttemptRunner, server: UpstreamServer, started_ms: float) -> None:
-        """Create the owner of a probe that is about to start, at this time in Unix milliseconds."""
+    def __init__(
+        self, runner: AttemptRunner, server: UpstreamServer, request: Message, started_ms: float
+    ) -> None:
+        """Create the owner of a probe that is about to start.
+
+        Args:
+            runner: the runner that starts it.
+            server: the server that it goes to.
+            request: its request.
+            started_ms: the present time, in Unix milliseconds.
+        """
         self._runner = runner
         self._server = server
+        self._request = request
         self._started_ms = started_ms
 
     def make_request(self) -> Message:
-        """Build the probe's request."""
-        host, port = self._server.address
-        request = Message()
-        request.method = b"GET"
-        request.target = self._runner.probe_target
-        request.add(b"Host", f"{host}:{port}".encode())
-        return request
+        """Return the probe's request, which names no time that is left."""
+        return self._request
 
     def blocked_by(self) -> Outcome | None:
         """Return DISCARDED if the server has drained for too long."""
@@ -140,7 +145,6 @@
         clock: the process's clock.
         connection_pool: the pool's connections.
         bodies: the pool's streamed bodies.
-        probe_target: the target of a probe's request.
     """
 
     PROBE_TIMEOUT_MS = 50.0  # for its answer; a new connection may take its own time before that
@@ -177,7 +181,7 @@
         has_reports = settings.report_mode is not ReportMode.OFF
         self._report_names = plan.report_names if has_reports else ()
         self._inline_reports = settings.report_mode is ReportMode.INLINE
-        self.probe_target = b"/status/load" if has_reports else b"/health"
+        self._probe_target = b"/status/load" if has_reports else b"/health"
 
     def check_client(self, exchange: Exchange) -> None:
         """Close an exchange whose client has left, before anything is started for it.
@@ -268,7 +272,12 @@
         if server is None:
             self._deliver(ProbeEnded(server_number, Outcome.CONNECT_FAILED))
             return
-        attempt = Attempt(server, ProbeContext(self, server, now_ms), now_ms, probe=True)
+        host, port = server.address
+        request = Message()
+        request.method = b"GET"
+        request.target = self._probe_target
+        request.add(b"Host", f"{host}:{port}".encode())
+        attempt = Attempt(server, ProbeContext(self, server, request, now_ms), now_ms, probe=True)
         self.connection_pool.start(attempt, self._probe_timeout_ms)
 
     def end_probe(
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -118,6 +118,21 @@
             return None
         now_ms = self._clock.now_ms()
         self._restart_timers(exchange, attempt, terms, now_ms)
+        flow = exchange.answer_flow = self._open_answer_flow(exchange, attempt, terms, reserved_bytes)
+        exchange.answering_attempt = attempt_number
+        exchange.status = answer.status
+        self._check_progress_of(exchange)
+        spent_ms = now_ms - attempt.sent_ms
+        self._deliver(AnswerStarted(exchange.number, attempt_number, attempt.server.number, spent_ms))
+        headers = answer.passed_on(LOAD_HEADER)
+        exchange.client.begin_answer(answer.status, headers, answer.length, flow)
+        if not flow.closed:
+            flow.attach(exchange.client)
+        return flow
+
+    def _open_answer_flow(
+        self, exchange: Exchange, attempt: Attempt, terms: StreamTerms, reserved_bytes: int
+    ) -> Flow:
         assert attempt.connection is not None
         flow = Flow(
             terms.answer,
@@ -129,16 +144,6 @@
             lends=False,
         )
         flow.watch(_AnswerWatcher(self, exchange))
-        exchange.answer_flow = flow
-        exchange.answering_attempt = attempt_number
-        exchange.status = answer.status
-        self._check_progress_of(exchange)
-        spent_ms = now_ms - attempt.sent_ms
-        self._deliver(AnswerStarted(exchange.number, attempt_number, attempt.server.number, spent_ms))
-        headers = answer.passed_on(LOAD_HEADER)
-        exchange.client.begin_answer(answer.status, headers, answer.length, flow)
-        if not flow.closed:
-            flow.attach(exchange.client)
         return flow
 
     def _restart_timers(
