--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -410,7 +410,7 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
 
-    def move(self, pool: ConnectionPool, server: UpstreamServer) -> None:
-        """Move it to another pool, while it carries no attempt."""
+    def migrate(self, pool: ConnectionPool, server: UpstreamServer) -> None:
+        """Migrate it to another pool, while it carries no attempt."""
         self._pool = pool
         self.server = server
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -281,7 +281,7 @@
             for connection in [candidate for candidate in idle if candidate.address == server.address]:
                 idle.remove(connection)
                 self._open.discard(connection)
-                connection.move(successor, server)
+                connection.migrate(successor, server)
                 successor.adopt(connection)
             numbers.append(number)
         return numbers
