--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -147,6 +147,15 @@
         """Whether the server may have begun the request."""
         return self.request_sent or self.answer_seen
 
+    @property
+    def bytes_before_streaming(self) -> int:
+        """How many bytes of a long answer are buffered before it is streamed; only with `terms`.
+
+        The answer to a request that is streamed itself has its part of the memory already, and never waits.
+        """
+        assert self.terms is not None
+        return Flow.LEAST if self.flow is not None else max(Flow.LEAST, self.terms.answer.hold_bytes)
+
     def write(self, connection: ServerConnection) -> bool:
         """Send the request on a connection that is up, unless the attempt is over.
 
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -97,7 +97,7 @@
         attempt = self._call
         if attempt is not None and attempt.terms is not None:
             if self._buffering:
-                return SCRATCH[: max(1, self._bytes_before_streaming(attempt) - self._reader.size)]
+                return SCRATCH[: max(1, attempt.bytes_before_streaming - self._reader.size)]
             return SCRATCH[: Flow.LEAST]
         return SCRATCH
 
@@ -169,19 +169,10 @@
         if answer.length is not None and answer.length <= terms.hold_bytes:
             self._reader.stream(-1, terms.hold_bytes)
             return
-        self._reader.stream(self._bytes_before_streaming(attempt), terms.most_bytes)
+        self._reader.stream(attempt.bytes_before_streaming, terms.most_bytes)
         self._buffering = True
         self._pool.after(attempt.terms.answer_hold_ms, partial(self._on_buffered_long, attempt))
 
-    @staticmethod
-    def _bytes_before_streaming(attempt: Attempt) -> int:
-        """Return how much of a long answer is buffered before it is streamed.
-
-        The answer to a request that is streamed itself has its part of the memory already, and never waits.
-        """
-        assert attempt.terms is not None
-        return Flow.LEAST if attempt.flow is not None else max(Flow.LEAST, attempt.terms.answer.hold_bytes)
-
     def _on_buffered_long(self, attempt: Attempt) -> None:
         """Stream an answer that has been buffered for long enough, however little of it has arrived."""
         if self._call is attempt and self._streamed_answer is None and self._reader.in_body:
@@ -196,7 +187,7 @@
         if attempt.flow is not None:
             self._on_reserved(attempt.flow.lend())
             return
-        needed_bytes = self._bytes_before_streaming(attempt)
+        needed_bytes = attempt.bytes_before_streaming
         self._place = self._pool.memory_budget.reserve(needed_bytes, partial(self._on_granted, attempt))
         if self._place is None:
             self._on_reserved(needed_bytes)
@@ -206,7 +197,7 @@
     def _on_granted(self, attempt: Attempt) -> None:
         """Go on with an answer that waited in the queue for memory."""
         self._place = None
-        self._on_reserved(self._bytes_before_streaming(attempt))
+        self._on_reserved(attempt.bytes_before_streaming)
         self.resume()
         if self._reader.openable:
             self._start_streaming(attempt)
@@ -284,14 +275,9 @@
             attempt.flow.detach(self)
         self._call = None
         self._socket_writer = None
-        repeated_body = self._probe_body
+        probe_body = self._probe_body
         self._probe_body = answer.body if attempt.probe else None
-        if (
-            not attempt.probe
-            and repeated_body is not None
-            and answer.body == repeated_body
-            and repeated_body.strip()
-        ):
+        if probe_body and not attempt.probe and answer.body == probe_body and probe_body.strip():
             # The probe's answer repeated, after this request was written: its own answer is still to come.
             self.abort()
             attempt.connection = None
@@ -319,8 +305,6 @@
             self.abort()
         attempt.end(outcome_of(answer), answer)
 
-    # ------------------------------------------------ memory
-
     def _book(self, buffered_bytes: int) -> bool:
         """Book what is buffered, or what is reserved if that is more; return whether it fits the budget."""
         booked_bytes = max(buffered_bytes, self._reserved)
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -335,8 +335,8 @@
             discovery.change(entry("b", 9))
             discovery.silent = False
             balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
-            told = await next_update(script, ListKind.DELTA)
-            assert [row.server for row in told.entries] == [2]
+            change = await next_update(script, ListKind.DELTA)
+            assert [row.server for row in change.entries] == [2]
             assert not any(
                 event.kind is ListKind.FAILED for event in script.events if isinstance(event, ListUpdate)
             )
