--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -207,30 +207,20 @@
         exchange.attempts.append(None)
         exchange.servers.append(action.server)
         exchange.pending_attempts += 1
-        if (
-            server is None
-            or timeout_ms <= 0.0
-            or attempt_number >= self._max_attempts
-            or not self._may_start(exchange)
-        ):
+        flow = exchange.message.flow
+        # A streamed body goes to one server at a time, and to another only while all of it is kept.
+        body_unavailable = flow is not None and (not flow.repeatable or exchange.pending_attempts > 1)
+        is_over = exchange.closed or exchange.answer_flow is not None or timeout_ms <= 0.0
+        if server is None or is_over or body_unavailable or attempt_number >= self._max_attempts:
             self.end_attempt(exchange, attempt_number, action.server, Outcome.DISCARDED, now_ms, None)
             return
         context = AttemptContext(self, exchange, attempt_number, server, now_ms, timeout_ms)
         attempt = Attempt(server, context, now_ms)
-        attempt.flow = exchange.message.flow
+        attempt.flow = flow
         attempt.terms = exchange.message.terms
         exchange.attempts[attempt_number] = attempt
         self.connection_pool.start(attempt, timeout_ms)
 
-    @staticmethod
-    def _may_start(exchange: Exchange) -> bool:
-        """Return whether the state of an exchange allows an attempt, the new one counted as pending."""
-        if exchange.closed or exchange.answer_flow is not None:
-            return False
-        flow = exchange.message.flow
-        # A streamed body goes to one server at a time, and to another only while all of it is kept.
-        return flow is None or (flow.repeatable and exchange.pending_attempts == 1)
-
     def end_attempt(
         self,
         exchange: Exchange,
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -206,24 +206,21 @@
 
     def put(self, connection: ServerConnection) -> None:
         """Keep a connection for reuse, if it still leads to a server that takes new requests."""
-        if connection not in self._open or not self._leads_to_ready_server(connection):
+        server = connection.server
+        leads_to_server = (
+            self.table.get(server.number) is server
+            and server.address == connection.address
+            and server.started_ms == connection.started_ms
+        )
+        if not leads_to_server or connection not in self._open or server.state is not ServerState.READY:
             connection.abort()
             return
         connection.idle_since_ms = self._clock.now_ms()
-        self._idle.setdefault(connection.server.number, []).append(connection)
+        self._idle.setdefault(server.number, []).append(connection)
         if not self._sweeping:
             self._sweeping = True
             self._clock.after(self.SWEEP_MS, self._sweep)
 
-    def _leads_to_ready_server(self, connection: ServerConnection) -> bool:
-        server = connection.server
-        return (
-            self.table.get(server.number) is server
-            and server.address == connection.address
-            and server.started_ms == connection.started_ms
-            and server.state is ServerState.READY
-        )
-
     def _sweep(self) -> None:
         """Close connections that have been idle for nearly as long as the server keeps them."""
         oldest_ms = self._clock.now_ms() - self._reuse_within_ms + self.SWEEP_MS
