--- a/sandhatch/discovery/endpoint_list.py
+++ b/sandhatch/discovery/endpoint_list.py
@@ -12,7 +12,8 @@
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
 from sandhatch.discovery.errors import DiscoveryError, MalformedListError
 from sandhatch.discovery.names import Names
-from sandhatch.runtime.address import Address, ConfigError, label_of, parse_address, spell
+from sandhatch.runtime.address import Address, label_of, parse_address, spell
+from sandhatch.runtime.errors import ConfigError
 
 # The words of the protocol's `lifecycle`.
 STATES = {"active": ServerState.READY, "leaving": ServerState.DRAINING, "left": ServerState.GONE}
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -13,7 +13,7 @@
 from sandhatch.dispatch.plan import PoolPlan
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
 from sandhatch.http1.message import Message
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection_pool import ConnectionPool
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -46,7 +46,7 @@
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
 from sandhatch.http1.message import Message
 from sandhatch.runtime.address import spell
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.connection_pool import ConnectionLimits, ConnectionPool
 
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -14,7 +14,7 @@
 from sandhatch.dispatch.protocols import DownstreamClient
 from sandhatch.http1.message import Message
 from sandhatch.runtime.clock import Clock, Timer
-from sandhatch.runtime.shared import InFlightIds
+from sandhatch.runtime.in_flight_ids import InFlightIds
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.attempt import Attempt
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -9,7 +9,7 @@
 from sandhatch.balancing.events import AnswerStarted, Outcome, Unrepeatable
 from sandhatch.dispatch.exchange import Exchange, ExchangeCallbacks, ExchangeTable, TruncatedBy
 from sandhatch.http1.message import Message
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow, Side, StreamTerms
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection_pool import ConnectionPool
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -14,8 +14,8 @@
 from sandhatch.balancing.events import Outcome, ServerState
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock
+from sandhatch.runtime.descriptor_budget import Descriptors
 from sandhatch.runtime.memory_budget import MemoryBudget
-from sandhatch.runtime.shared import Descriptors
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection import ServerConnection
 from sandhatch.upstream.server import UpstreamServer
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -30,7 +30,7 @@
     ok,
     running,
 )
-from tests.test_process import ready, spawn
+from tests.platform.harness import ready, spawn
 
 SERVERS = 1_500
 MEMORY_MB = 64
--- a/tests/dispatch/test_endpoint_updates.py
+++ b/tests/dispatch/test_endpoint_updates.py
@@ -10,7 +10,7 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.dispatch.endpoint_updates import EndpointUpdates
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.upstream.connection_pool import ConnectionLimits, ConnectionPool
 from tests.event_loop import run
 
--- a/tests/dispatch/test_exchange.py
+++ b/tests/dispatch/test_exchange.py
@@ -7,7 +7,7 @@
 
 from sandhatch.dispatch.exchange import Exchange, ExchangeTable
 from sandhatch.http1.message import Message
-from sandhatch.runtime.shared import SharedResources
+from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow, Piece
 from sandhatch.streaming.headers import Headers
 from tests.event_loop import run
