--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -11,7 +11,9 @@
 
 from sandhatch.config.platform import Config
 from sandhatch.discovery.client import Discovery, DiscoveryPlan
-from sandhatch.dispatch.dispatcher import Decisions, Dispatcher, PoolPlan
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.plan import PoolPlan
+from sandhatch.dispatch.protocols import Decisions
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline, drain
 from sandhatch.platform.request_handler import PlatformRequestHandler
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -19,9 +19,12 @@
 from sandhatch.config.check import Checked
 from sandhatch.config.pool_model import Pool
 from sandhatch.config.pool_settings import pool_settings
-from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
+from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.discovery.static import StaticServer, StaticSource
-from sandhatch.dispatch.dispatcher import Dispatcher, PoolPlan, Source
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.plan import PoolPlan
+from sandhatch.dispatch.protocols import Source
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.running_pool import RunningPool, pool_fingerprints
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -11,7 +11,7 @@
 from random import Random
 from uuid import uuid4
 
-from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.dispatch.exchange import Exchange
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.interfaces import DisconnectCallback
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, reject_known
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from sandhatch.discovery.client import Names
+from sandhatch.discovery.names import Names
 
 
 class ServerRegistry:
--- a/tests/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of over a thousand servers: no cap, whole in any form, and within the memory of a small copy."""
+"""Lists of over a thousand servers: no cap, complete in any form, within the memory of a small instance."""
 
 from __future__ import annotations
 
@@ -13,7 +13,9 @@
 from sandhatch.balancing.actions import Send
 from sandhatch.balancing.events import ListKind, ListUpdate, RequestArrived
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.discovery.client import MAX_LIST, Names, parse_listing
+from sandhatch.discovery.connection import MAX_LIST_BYTES
+from sandhatch.discovery.endpoint_list import parse_listing
+from sandhatch.discovery.names import Names
 from sandhatch.http1.parser import ResponseReader
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
@@ -21,9 +23,9 @@
 from testkit.ports import free_port
 from testkit.servers import FakeUpstream
 from testkit.wire import PATIENCE_S, ok
+from tests.event_loop import run
 from tests.fakes import running
 from tests.platform.harness import ready, spawn
-from tests.test_attempts import run
 
 SERVERS = 1_500
 MEMORY_MB = 64
@@ -34,18 +36,18 @@
 
 
 @pytest.mark.parametrize("indent", [None, 4])
-def test_a_list_in_single_bytes_is_whole_whatever_its_size(indent: int | None) -> None:
+def test_large_list_that_arrives_in_single_bytes_is_complete(indent: int | None) -> None:
     data = {"generation": 7, "reset": True, "instances": rows(SERVERS, entry("a", 9))}
     payload = ok(json.dumps(data, indent=indent).encode())
-    assert len(payload) < MAX_LIST
-    reader = ResponseReader(MAX_LIST)
+    assert len(payload) < MAX_LIST_BYTES
+    reader = ResponseReader(MAX_LIST_BYTES)
     answers = [event for byte in payload for event in reader.feed(bytes([byte]))]
     assert len(answers) == 1 and reader.fault is None
     listing = parse_listing(json.loads(answers[0].body), Names((), ()))
     assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVERS
 
 
-def test_every_server_of_a_large_list_is_drawn() -> None:
+def test_every_server_of_a_large_list_is_used() -> None:
     settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.IDEMPOTENT)], instances=230, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
     data = {"generation": 7, "reset": True, "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVERS)]}
@@ -55,10 +57,10 @@
     for number in range(SERVERS):
         actions = balancer.handle(2.0 + number / 1e6, RequestArrived(number, 0, 1_000.0))
         used |= {action.server for action in actions if isinstance(action, Send)}
-    assert len(used) == SERVERS  # each holds a token until it has a call
+    assert len(used) == SERVERS  # each has a token until it has an attempt
 
 
-def test_a_change_within_a_large_list_is_heard() -> None:
+def test_change_within_a_large_list_is_applied() -> None:
     async def work() -> None:
         upstream = await FakeUpstream().start()
         listed = rows(SERVERS, upstream.entry("a"))
@@ -79,8 +81,8 @@
     run(work())
 
 
-def test_a_large_list_fits_a_small_copy(tmp_path: Path) -> None:
-    """As known at the start, and as the whole list that discovery tells."""
+def test_large_list_fits_a_small_instance(tmp_path: Path) -> None:
+    """As known at the start, and as the complete list that discovery answers with."""
 
     async def work() -> None:
         upstream = await FakeUpstream().start()
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -9,16 +9,18 @@
 
 import pytest
 
-from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.dispatch.exchange import Exchange
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.listener import Listener
 from sandhatch.http1.parser import RequestReader, ResponseReader
-from sandhatch.upstream.pool import Attempt, ServerConnection
+from sandhatch.upstream.attempt import Attempt
+from sandhatch.upstream.connection import ServerConnection
 from testkit.clients import HttpClient, request_bytes
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.event_loop import run
 from tests.fakes import Script, running
-from tests.test_attempts import run, silence
+from tests.upstream.behaviours import stays_silent
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 
@@ -112,7 +114,7 @@
     """Past the budget an attempt ends as never sent, at once."""
 
     async def work() -> None:
-        upstream = await FakeUpstream(silence).start()
+        upstream = await FakeUpstream(stays_silent).start()
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
         async with running(upstream.entry("a"), script=Script([1]), machine=limits) as balancer:
             pool = balancer.dispatcher.connection_pool
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -12,8 +12,9 @@
 from testkit.clients import HttpClient, request_bytes
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import Incoming, ok
+from tests.event_loop import run
 from tests.fakes import Script, running
-from tests.test_attempts import run, silence
+from tests.upstream.behaviours import stays_silent
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
@@ -236,7 +237,7 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream(silence).start()
+        upstream = await FakeUpstream(stays_silent).start()
         script = Script([1])
 
         def twice(event: Event) -> list[Action] | None:
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -20,11 +20,11 @@
 from testkit.ports import free_port
 from testkit.servers import FakeUpstream
 from testkit.wire import PATIENCE_S
+from tests.event_loop import run
 from tests.fakes import running
 from tests.platform.harness import ready, spawn
 from tests.race_conditions.skipping_clock import SkippingLoop
 from tests.race_conditions.skipping_clock import run as skip
-from tests.test_attempts import run
 
 ASKED = SETTINGS | {"Discovery": "on_request"}
 SILENCE_LIMIT_S = 3.0  # within which a silent client gets an error or a close
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -19,8 +19,8 @@
 from testkit.ports import free_port
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.event_loop import run
 from tests.platform.harness import ROOT, exit_code, ready, running_program, spawn, started
-from tests.test_attempts import run
 
 
 async def check_served(port: int) -> None:
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -13,13 +13,13 @@
 from sandhatch.balancing.actions import Action, Send
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived, TimerFired
 from sandhatch.downstream.client_connection import ClientConnection
-from sandhatch.upstream.pool import ServerConnection
+from sandhatch.upstream.connection import ServerConnection
 from testkit.clients import request_bytes
 from testkit.servers import FakeUpstream
 from testkit.wire import PATIENCE_S, status
+from tests.event_loop import run
 from tests.fakes import Running, Script, running
 from tests.race_conditions.harness import answers_when, connect_client, serves_when, wait_until
-from tests.test_attempts import run
 
 MAX_NOTICE_MS = 100.0  # after that no attempt may begin
 
@@ -176,7 +176,7 @@
                 create_task = staticmethod(loop.create_task)
 
             monkeypatch.setattr(
-                "sandhatch.upstream.pool.asyncio.get_running_loop", lambda: LateConnectingLoop
+                "sandhatch.upstream.connection_pool.asyncio.get_running_loop", lambda: LateConnectingLoop
             )
             client = connect_client(balancer.port)
             client.sendall(request_bytes("move", b"x"))
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -17,10 +17,13 @@
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import NO_VERSION, ListKind, ServerState
-from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
+from sandhatch.discovery.connection import DiscoveryConnection
+from sandhatch.discovery.endpoint_list import Listing
+from sandhatch.discovery.errors import DiscoveryError
 from testkit.platform import entry
 from testkit.wire import PATIENCE_S, ok, read_head
-from tests.test_attempts import run
+from tests.event_loop import run
 
 
 class ManualDiscovery:
@@ -157,7 +160,7 @@
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        connection = _Connection()
+        connection = DiscoveryConnection()
         await asyncio.get_running_loop().create_connection(lambda: connection, *listener.getsockname())
         accepted, _ = listener.accept()
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -8,14 +8,14 @@
 from collections.abc import Callable
 
 from sandhatch.balancing.events import Outcome
-from sandhatch.upstream.pool import ServerConnection
+from sandhatch.upstream.connection import ServerConnection
 from testkit.clients import HttpClient
 from testkit.platform import entry
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.event_loop import run
 from tests.fakes import Script, running
 from tests.race_conditions.harness import accept_request, block_until_readable, serves_when, wait_until
-from tests.test_attempts import run
 
 
 def balancer_descriptor(connection: ServerConnection) -> int:
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -16,9 +16,9 @@
 from testkit.clients import HttpClient, request_bytes
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.event_loop import run
 from tests.fakes import Running, running
 from tests.race_conditions.harness import block_until_readable, connect_client, serves_when, wait_until
-from tests.test_attempts import run
 
 
 async def read_until_close(client: socket.socket) -> bytes:
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -13,9 +13,9 @@
 from testkit.ports import free_port
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
+from tests.event_loop import run
 from tests.platform.harness import exit_code, ready, started
 from tests.race_conditions.harness import serves_when
-from tests.test_attempts import run
 
 
 def test_sigterm_before_the_program_is_ready_ends_it(tmp_path: Path) -> None:
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -13,7 +13,7 @@
 from sandhatch.config.version import State, Version
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.service import Service
-from sandhatch.upstream.pool import ConnectionPool
+from sandhatch.upstream.connection_pool import ConnectionPool
 from testkit.request_log import Books
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
