--- a/sandhatch/planning/grant_ledger.py
+++ b/sandhatch/planning/grant_ledger.py
@@ -16,15 +16,14 @@
 
 import math
 from collections.abc import Mapping
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from sandhatch.planning.lessors import NOTHING, RampAmount
 
 PREVIOUS_INCARNATION_VERSION = 0  # below that of any advice, so that the first applied advice supersedes it
 
 
-@dataclass(slots=True, frozen=True)
-class Grant:
+class Grant(NamedTuple):
     """One grant: the version of the advice that carried it, its amount and its end."""
 
     version: int
@@ -120,9 +119,11 @@
         if not grants:
             del self._grants[forwarder]
             return NOTHING
-        most_rate = max(grant.amount.rate for grant in grants)
-        most_burst = max(grant.amount.burst for grant in grants)
-        most = RampAmount(most_rate, most_burst)
+        most = grants[0].amount
+        if len(grants) > 1:
+            most_rate = max([grant.amount.rate for grant in grants])
+            most_burst = max([grant.amount.burst for grant in grants])
+            most = RampAmount(most_rate, most_burst)
         self._max_held[forwarder] = most
         self._total_rate += most.rate
         self._total_burst += most.burst
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -7,16 +7,18 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from sandhatch.balancing.guidance import safe_part
 
 CLOCK_DRIFT = 0.01  # fraction of a lease by which two machines' clocks may differ in rate
 
 
-@dataclass(slots=True, frozen=True)
-class RampAmount:
-    """A share in a warm-up ramp: a fraction of its rate, and attempts that may be sent at once."""
+class RampAmount(NamedTuple):
+    """A share in a warm-up ramp: a fraction of its rate, and attempts that may be sent at once.
+
+    A named tuple, since each advice creates several for every server that is warming up.
+    """
 
     rate: float
     burst: float
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -159,38 +159,26 @@
         Yields:
             The grants, by the session's numbers of the servers.
         """
+        assert self.lessors is not None
         load = self.load.members[forwarder]
+        views = load.numbering.views
         for number in load.warming_up:
-            view = load.numbering.views[number]
+            view = views[number]
+            shares = self.ramp_shares.get(view.address)
+            if not learning and (shares is None or forwarder not in shares):
+                continue
             ledger = self.ledger(view)
-            granted = self._grant(ledger, view, forwarder, version, learning, now_ms, until_ms)
-            if granted is not None and granted.burst:
+            leased = self.lessors.leased(ledger.label, until_ms)
+            if learning or shares is None:
+                wanted = ledger.held(forwarder, now_ms)
+            else:
+                # A whole burst stays an integer: it is encoded as one on the wire.
+                burst = max(1.0, math.floor(leased.burst / len(shares)))
+                wanted = RampAmount(shares[forwarder] * leased.rate, burst)
+            granted = ledger.grant(forwarder, version, wanted, leased, now_ms, until_ms)
+            if granted.burst:
                 yield PartRow(number, granted.rate, granted.burst)
 
-    def _grant(
-        self,
-        ledger: GrantLedger,
-        view: ServerView,
-        forwarder: str,
-        version: int,
-        learning: bool,
-        now_ms: float,
-        until_ms: float,
-    ) -> RampAmount | None:
-        """Grant a forwarder its share in one ramp; None if it has none."""
-        assert self.lessors is not None
-        shares = self.ramp_shares.get(view.address, {})
-        if not learning and forwarder not in shares:
-            return None
-        leased = self.lessors.leased(ledger.label, until_ms)
-        if learning:
-            wanted = ledger.held(forwarder, now_ms)
-        else:
-            # A whole burst stays an integer: it is encoded as one on the wire.
-            burst = max(1.0, math.floor(leased.burst / len(shares)))
-            wanted = RampAmount(shares[forwarder] * leased.rate, burst)
-        return ledger.grant(forwarder, version, wanted, leased, now_ms, until_ms)
-
     # ------------------------------------------------ assignment
 
     def assign_ramp_shares(self, now_ms: float, until_ms: float) -> None:
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import json
-import os
 import signal
 import sys
 from io import StringIO
@@ -38,73 +37,90 @@
     return answer
 
 
-def test_a_planner_and_a_forwarder_started_from_the_command_line_find_each_other(tmp_path: Path) -> None:
-    planner_key, forwarder_key = str(tmp_path / "planner.key"), str(tmp_path / "forwarder.key")
-    publics = []
-    for path in (planner_key, forwarder_key):
-        code, out, _ = run_command("planner", "key", path)
-        assert code == 0
-        publics.append(out.split()[-1])
-        assert os.stat(path).st_mode & 0o777 == 0o600
-        assert run_command("planner", "public", path)[1].split() == [publics[-1]]
-    code, _, err = run_command("planner", "key", planner_key)
-    assert code == 1 and "File exists" in err
-    port = free_port()
-    planner_file, control = tmp_path / "planner.yaml", str(tmp_path / "p.sock")
-    planner_file.write_text(
-        f"format: 1\nname: p0\nlisten: 127.0.0.1:{port}\nprivate_key_file: {planner_key}\n"
-        f"forwarders:\n  web-1: '{publics[1]}'\n"
+def new_key(path: Path) -> str:
+    """Make a key file; returns the public key."""
+    code, out, _ = run_command("planner", "key", str(path))
+    assert code == 0
+    public_key = out.split()[-1]
+    assert path.stat().st_mode & 0o777 == 0o600
+    assert run_command("planner", "public", str(path))[1].split() == [public_key]
+    return public_key
+
+
+def write_planner_file(tmp_path: Path, port: int, forwarder_public_key: str) -> Path:
+    file = tmp_path / "planner.yaml"
+    file.write_text(
+        f"format: 1\nname: p0\nlisten: 127.0.0.1:{port}\nprivate_key_file: {tmp_path}/planner.key\n"
+        f"forwarders:\n  web-1: '{forwarder_public_key}'\n"
     )
-    assert run_command("planner", "check", str(planner_file))[0] == 0
+    assert run_command("planner", "check", str(file))[0] == 0
+    return file
+
+
+def write_forwarder_file(
+    tmp_path: Path, farm: Farm, listen_port: int, planner_port: int, planner_public_key: str
+) -> Path:
+    planning = {
+        "name": "web-1",
+        "place": 1,
+        "private_key_file": str(tmp_path / "forwarder.key"),
+        "most_lease_ms": 3_100,
+        "planners": {"p0": {"address": f"127.0.0.1:{planner_port}", "public_key": planner_public_key}},
+    }
+    pool = farm.pool("w1", "w2", copies=2, ramp_per_s=50)
+    data = farm.config(pool, farm.pool("o1", planned=False), planning=planning)
+    data["listeners"] = {"front": {"address": f"127.0.0.1:{listen_port}"}}
+    file = tmp_path / "forwarder.json"
+    file.write_text(json.dumps(data))
+    return file
+
+
+async def check_status(planner_control: str, forwarder_control: str, address: str) -> None:
+    """Check what the verbs on both control sockets say of the server at this address."""
+    planner_status = ("planner", "status", "--control", planner_control)
+    status = await query("status", "--control", forwarder_control)
+    assert status["planning"]["lends_to"] == "p0"
+    known = await query(*planner_status)
+    assert [row["name"] for row in known["forwarders"]] == ["web-1"]
+    assert [(row["pool"], row["of"]) for row in known["pools"]] == [("web", 2)]
+    (explained,) = (await query(*planner_status, "--explain", address))["servers"]
+    assert (explained["listed_by"], explained["weight"]) == (1, 1.0)
+    for arguments in (
+        ("status", "--control", forwarder_control),
+        planner_status,
+        (*planner_status, "--explain", address),
+    ):
+        code, out, err = await asyncio.to_thread(run_command, *arguments)
+        assert code == 0 and out and not err
+    code, _, err = await asyncio.to_thread(run_command, *planner_status, "--explain", "10.9.9.9:1")
+    assert code == 1 and "no forwarder has named server 10.9.9.9:1" in err
+
+
+def test_a_planner_and_a_forwarder_started_from_the_command_line_connect(tmp_path: Path) -> None:
+    planner_public_key = new_key(tmp_path / "planner.key")
+    forwarder_public_key = new_key(tmp_path / "forwarder.key")
+    code, _, err = run_command("planner", "key", str(tmp_path / "planner.key"))
+    assert code == 1 and "File exists" in err
+    planner_port, listen_port = free_port(), free_port()
+    planner_file = write_planner_file(tmp_path, planner_port, forwarder_public_key)
+    planner_control, forwarder_control = str(tmp_path / "p.sock"), str(tmp_path / "f.sock")
 
     async def work() -> None:
         farm = await Farm().start("w1", "w2", "o1")
-        front = free_port()
-        pool = farm.pool("w1", "w2", copies=2, ramp_per_s=50)
-        planning = {
-            "name": "web-1",
-            "place": 1,
-            "private_key_file": forwarder_key,
-            "most_lease_ms": 3_100,
-            "planners": {"p0": {"address": f"127.0.0.1:{port}", "public_key": publics[0]}},
-        }
-        data = farm.config(pool, farm.pool("o1", planned=False), planning=planning)
-        data["listeners"] = {"front": {"address": f"127.0.0.1:{front}"}}
-        file, socket = tmp_path / "forwarder.json", str(tmp_path / "f.sock")
-        file.write_text(json.dumps(data))
-        planner = await spawn("planner", "run", str(planner_file), "--control", control)
-        forwarder = await spawn("serve", str(file), "--control", socket)
+        forwarder_file = write_forwarder_file(tmp_path, farm, listen_port, planner_port, planner_public_key)
+        planner = await spawn("planner", "run", str(planner_file), "--control", planner_control)
+        forwarder = await spawn("serve", str(forwarder_file), "--control", forwarder_control)
         assert planner.stderr is not None and forwarder.stderr is not None
         try:
             async with asyncio.timeout(3 * PATIENCE_S):
                 assert b"planner p0 at 127.0.0.1" in await planner.stderr.readline()
                 while b"leases its own shares to planner p0" not in await forwarder.stderr.readline():
                     pass
-            async with HttpClient(front) as client:
+            async with HttpClient(listen_port) as client:
                 for _ in range(4):
                     client.ask()
                     assert (await client.answer()).status == 200
-            status = await query("status", "--control", socket)
-            assert status["planning"]["lends_to"] == "p0"
-            known = await query("planner", "status", "--control", control)
-            assert [row["name"] for row in known["forwarders"]] == ["web-1"]
-            assert [(row["pool"], row["of"]) for row in known["pools"]] == [("web", 2)]
-            address = farm.address("w1")
-            (told,) = (await query("planner", "status", "--control", control, "--explain", address))[
-                "servers"
-            ]
-            assert (told["listed_by"], told["weight"]) == (1, 1.0)
-            for arguments in (
-                ("status", "--control", socket),
-                ("planner", "status", "--control", control),
-                ("planner", "status", "--control", control, "--explain", address),
-            ):
-                code, out, err = await asyncio.to_thread(run_command, *arguments)
-                assert code == 0 and out and not err
-            code, _, err = await asyncio.to_thread(
-                run_command, "planner", "status", "--control", control, "--explain", "10.9.9.9:1"
-            )
-            assert code == 1 and "no forwarder has named server 10.9.9.9:1" in err
+            await check_status(planner_control, forwarder_control, farm.address("w1"))
         finally:
             for process in (planner, forwarder):
                 process.send_signal(signal.SIGTERM)
--- /dev/null
+++ b/tests/planning/test_observer.py
@@ -0,0 +1,39 @@
+"""What a forwarder observes of a pool."""
+
+from __future__ import annotations
+
+from sandhatch.balancing.actions import Send
+from sandhatch.balancing.events import AttemptEnded, ListKind, ListUpdate, Outcome, ServerEntry, ServerState
+from sandhatch.planning.observer import Observer
+from sandhatch.planning.readiness import Readiness
+
+
+def test_readiness_follows_the_endpoint_list_and_the_warm_up_time() -> None:
+    observer = Observer(["view"], 10_000.0)
+    rows = [ServerEntry(0), ServerEntry(1, started_ms=5_000.0), ServerEntry(2, ServerState.DRAINING)]
+    observer.on_endpoint_list(ListUpdate(ListKind.FULL, 1, rows), ["a:1", "b:1", "c:1"])
+    assert observer.readiness(0, 6_000.0) is Readiness.WARM
+    assert observer.readiness(1, 6_000.0) is Readiness.WARMING_UP
+    assert observer.readiness(1, 15_000.0) is Readiness.WARM
+    assert observer.readiness(2, 6_000.0) is Readiness.NOT_READY
+    assert observer.readiness(9, 6_000.0) is Readiness.NOT_READY
+
+
+def test_an_attempt_that_began_before_the_observer_is_not_counted() -> None:
+    observer = Observer(["view"], 10_000.0)
+    observer.saw(AttemptEnded(1, 0, 0, Outcome.OK, True, 10.0), [])
+    assert observer.totals == {}
+
+
+def test_an_observer_fits_only_the_same_classes_and_warm_up_time() -> None:
+    observer = Observer(["view"], 10_000.0)
+    assert observer.fits(["view"], 10_000.0)
+    assert not observer.fits(["view", "order"], 10_000.0)
+    assert not observer.fits(["view"], 1_000.0)
+
+
+def test_an_attempt_at_a_server_is_marked_for_every_reporter() -> None:
+    observer = Observer(["view"], 10_000.0)
+    first, second = observer.tell(), observer.tell()
+    observer.saw(AttemptEnded(1, 0, 0, Outcome.OK, True, 10.0), [Send(2, 4, 100.0)])
+    assert first.changed == second.changed == {4}
