--- a/sandhatch/planning/numbering.py
+++ b/sandhatch/planning/numbering.py
@@ -62,8 +62,14 @@
 
     @staticmethod
     def _row(reduced: _ReducedServer) -> WeightRow:
-        found = reduced.assessment
-        return WeightRow(reduced.number, found.weight, found.reason, round(found.ratio, 3), found.reports)
+        assessment = reduced.assessment
+        return WeightRow(
+            reduced.number,
+            assessment.weight,
+            assessment.reason,
+            round(assessment.ratio, 3),
+            assessment.reports,
+        )
 
 
 class NumberingTable:
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -173,7 +173,7 @@
     def apply(self, advice: Advice, valid_until_ms: float, now_ms: float) -> None:
         """Record advice as applied."""
         self.applied_before = self.applied
-        # Until the planner knows that its advice arrives, it cannot grant: it is told at once.
+        # The planner cannot grant before it knows that its advice arrives: report that at once.
         if self.applied.epoch != self.epoch or self.learning != advice.learning:
             self.report_now = True
         self.applied = AdviceId(advice.epoch, advice.version)
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -171,8 +171,8 @@
             terms: The planner's settings.
             bytes_per_s: Maximum rate of bytes from each forwarder.
             max_connections: Maximum number of connections.
-            epoch: Number of this incarnation; by default the system's time in milliseconds, so that a later
-                process has a higher one. If the system's time was set back, forwarders say so.
+            epoch: Number of this incarnation; by default the system's time in milliseconds, which is higher
+                in a later process. If it was set back, forwarders report the epoch that they know.
         """
         self.identity = identity
         self.clock = clock
--- a/sandhatch/planning/terms.py
+++ b/sandhatch/planning/terms.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class ForwarderTerms:
-    """Settings of a forwarder's side of the link.
+    """Settings of a forwarder's end of the link.
 
     Attributes:
         report_ms: Interval between two reports to a planner.
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -8,7 +8,7 @@
 import sys
 from io import StringIO
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from sandhatch.cli.commands import main
 from testkit.clients import HttpClient
@@ -17,10 +17,18 @@
 from tests.service.harness import Farm, run
 
 
-def run_command(*arguments: str) -> tuple[int, str, str]:
+class CommandResult(NamedTuple):
+    """A verb's exit code and what it printed."""
+
+    code: int
+    out: str
+    err: str
+
+
+def run_command(*arguments: str) -> CommandResult:
     out, err = StringIO(), StringIO()
     code = main(arguments, out, err)
-    return code, out.getvalue(), err.getvalue()
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 async def spawn(*arguments: str) -> asyncio.subprocess.Process:
@@ -43,7 +51,7 @@
     assert code == 0
     public_key = out.split()[-1]
     assert path.stat().st_mode & 0o777 == 0o600
-    assert run_command("planner", "public", str(path))[1].split() == [public_key]
+    assert run_command("planner", "public", str(path)).out.split() == [public_key]
     return public_key
 
 
@@ -53,7 +61,7 @@
         f"format: 1\nname: p0\nlisten: 127.0.0.1:{port}\nprivate_key_file: {tmp_path}/planner.key\n"
         f"forwarders:\n  web-1: '{forwarder_public_key}'\n"
     )
-    assert run_command("planner", "check", str(file))[0] == 0
+    assert run_command("planner", "check", str(file)).code == 0
     return file
 
 
@@ -157,7 +165,7 @@
         "format: 1\nname: p0\nlisten: 127.0.0.1:0\nshared_key_file: k\nlease: 3\n"
     )
     assert "holds no mapping" in errors("- 1\n")
-    assert "No such file" in run_command("planner", "check", str(tmp_path / "none"))[2]
+    assert "No such file" in run_command("planner", "check", str(tmp_path / "none")).err
 
 
 def test_a_planner_whose_key_file_cannot_be_read_does_not_start(tmp_path: Path) -> None:
@@ -168,4 +176,4 @@
 
 
 def test_a_status_query_without_a_running_planner_has_its_own_exit_code(tmp_path: Path) -> None:
-    assert run_command("planner", "status", "--control", str(tmp_path / "none"))[0] == 3
+    assert run_command("planner", "status", "--control", str(tmp_path / "none")).code == 3
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -44,58 +44,63 @@
     run(work())
 
 
+async def check_request_is_served(client: HttpClient) -> None:
+    client.ask()
+    assert (await client.answer()).status == 200
+
+
+async def change_a_pool(
+    farm: Farm, key: Path, planner: PlannerServer, kept: Kept, client: HttpClient
+) -> None:
+    """Check that the link stays and still observes the pool, and that the other pool leaves it."""
+    link = kept.service.forwarding.link
+    data = with_planner(farm, key, planner.port)
+    data["pools"]["web"]["max_attempts"] = 3
+    data["pools"]["orders"]["planned"] = False
+    await kept.confirmed(data)
+    assert link is not None
+    assert kept.service.forwarding.link is link and link.pools == ["web"]
+    await check_request_is_served(client)
+    pools = planner.planner.pools
+    await until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
+    await until(lambda: not pools["orders"].load.members)
+
+
+async def replace_the_link(farm: Farm, key: Path, planner: PlannerServer, kept: Kept) -> None:
+    """Check that the new link knows until when the shares are leased."""
+    link = kept.service.forwarding.link
+    assert link is not None
+    await until(lambda: link.machine.leased_to == "p0")
+    lease_end_ms = link.machine.bound_ms
+    await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
+    replacement = kept.service.forwarding.link
+    assert replacement is not None and replacement is not link
+    assert replacement.machine.bound_ms >= lease_end_ms - 1.0
+    await until(lambda: "other" in planner.planner.members)
+
+
 def test_planners_are_added_changed_and_removed_while_requests_are_served(tmp_path: Path) -> None:
     key = key_file(tmp_path)
 
-    async def request_is_served(client: HttpClient) -> None:
-        client.ask()
-        assert (await client.answer()).status == 200
-
-    async def pool_changes(farm: Farm, planner: PlannerServer, kept: Kept, client: HttpClient) -> None:
-        """The link stays, and still observes the pool; the other pool is planned no more."""
-        link = kept.service.forwarding.link
-        data = with_planner(farm, key, planner.port)
-        data["pools"]["web"]["max_attempts"] = 3
-        data["pools"]["orders"]["planned"] = False
-        await kept.confirmed(data)
-        assert link is not None
-        assert kept.service.forwarding.link is link and link.pools == ["web"]
-        await request_is_served(client)
-        pools = planner.planner.pools
-        await until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
-        await until(lambda: not pools["orders"].load.members)
-
-    async def link_is_replaced(farm: Farm, planner: PlannerServer, kept: Kept) -> None:
-        """The link that replaces another knows until when the shares are leased."""
-        link = kept.service.forwarding.link
-        assert link is not None
-        await until(lambda: link.machine.leased_to == "p0")
-        lease_end_ms = link.machine.bound_ms
-        await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
-        replacement = kept.service.forwarding.link
-        assert replacement is not None and replacement is not link
-        assert replacement.machine.bound_ms >= lease_end_ms - 1.0
-        await until(lambda: "other" in planner.planner.members)
-
     async def work() -> None:
         farm = await Farm().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
         async with planner_server() as planner, serving(plain) as kept, HttpClient(kept.port) as client:
             forwarding = kept.service.forwarding
-            await request_is_served(client)
+            await check_request_is_served(client)
             assert forwarding.status() is None
             await kept.confirmed(with_planner(farm, key, planner.port))
             assert forwarding.link is not None and set(forwarding.link.pools) == {"web", "orders"}
             await until(lambda: "web" in planner.planner.pools)
             assert list(planner.planner.members) == ["forwarder-0"]
-            await request_is_served(client)
+            await check_request_is_served(client)
             load = planner.planner.pools["web"].load
             await until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
-            await pool_changes(farm, planner, kept, client)
-            await link_is_replaced(farm, planner, kept)
+            await change_a_pool(farm, key, planner, kept, client)
+            await replace_the_link(farm, key, planner, kept)
             await kept.confirmed(plain)
             assert forwarding.link is None
-            await request_is_served(client)
+            await check_request_is_served(client)
         farm.close()
 
     run(work())
