--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -164,15 +164,14 @@
 
         Args:
             name: The planner's name.
-            address: Address and port to listen on.
+            address: Where to listen.
             identity: The planner's key.
             clock: The process's clock.
             log: Writes a line to the log.
             terms: The planner's settings.
-            bytes_per_s: Maximum rate of bytes from each forwarder.
+            bytes_per_s: Maximum rate from each forwarder.
             max_connections: Maximum number of connections.
-            epoch: Number of this incarnation; by default the system's time in milliseconds, which is higher
-                in a later process. If it was set back, forwarders report the epoch that they know.
+            epoch: Number of this incarnation; by default the system's time in milliseconds.
         """
         self.identity = identity
         self.clock = clock
@@ -181,6 +180,7 @@
         self._log = log
         self._address = address
         self._terms = terms or PlannerTerms()
+        # A later process has a higher time; if it was set back, forwarders report the epoch that they know.
         first_epoch = int(time.time() * 1000.0) if epoch is None else epoch
         self.planner = Planner(name, first_epoch, clock.now_ms(), self._terms)
         self._connections: dict[_ForwarderConnection, None] = {}
