--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -184,13 +184,13 @@
     def assign_ramp_shares(self, now_ms: float, until_ms: float) -> None:
         """Decide which forwarders get which fraction of each ramp, by demand.
 
-        All ramps are assigned again each `plan_ms` and when the number of forwarders changes; that of a
+        All ramps are assigned again each `assignment_interval_ms` and when the number of forwarders changes; that of a
         server that just started is assigned at once.
         """
         assert self.lessors is not None
         previous: dict[str, dict[str, float]] = {}
         members = len(self.load.members)
-        is_due = now_ms - self._assigned_ms >= self._terms.plan_ms
+        is_due = now_ms - self._assigned_ms >= self._terms.assignment_interval_ms
         if is_due or members != self._members_at_assignment:
             self._assigned_ms = now_ms
             self._members_at_assignment = members
@@ -230,7 +230,7 @@
         if not lessor_count or not self._total_demand:
             return None
         even = 1.0 / self.lessors.instances
-        floor = self._terms.own_part_floor
+        floor = self._terms.own_share_floor
         divisible = lessor_count * even * (1.0 - floor)
         own = floor * even + divisible * self._demands.get(forwarder, 0.0) / self._total_demand
         return min(own, GuidanceState.MOST_PART * even, 1.0)
--- a/sandhatch/planning/terms.py
+++ b/sandhatch/planning/terms.py
@@ -19,9 +19,9 @@
         look_ms: Interval at which server weights are updated.
         lost_ms: Silence after which a forwarder is no longer a member.
         enough: Fraction of a pool's forwarders that must report before weights are advised.
-        plan_ms: Interval at which ramp shares are assigned anew.
+        assignment_interval_ms: Interval at which ramp shares are assigned anew.
         most_holders: Maximum number of forwarders with a share in one server's warm-up ramp.
-        own_part_floor: Fraction of a forwarder's even share of the tier's capacity that is never given to
+        own_share_floor: Fraction of a forwarder's even share of the tier's capacity that is never given to
             other forwarders.
     """
 
@@ -30,9 +30,9 @@
     look_ms: float = 250.0
     lost_ms: float = 3_000.0
     enough: float = 0.5
-    plan_ms: float = 1_000.0
+    assignment_interval_ms: float = 1_000.0
     most_holders: int = 64
-    own_part_floor: float = 0.5
+    own_share_floor: float = 0.5
 
 
 @dataclass(frozen=True)
