--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -184,7 +184,7 @@
     def assign_ramp_shares(self, now_ms: float, until_ms: float) -> None:
         """Decide which forwarders get which fraction of each ramp, by demand.
 
-        All ramps are assigned again each `assignment_interval_ms` and when the number of forwarders changes; that of a
+        All ramps are assigned again at each interval and when the number of forwarders changes; that of a
         server that just started is assigned at once.
         """
         assert self.lessors is not None
