--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -25,8 +25,9 @@
 import uvloop
 
 from benchmarks.checkouts import package_of
-from testkit.platform import config_data, entry
+from testkit.platform import config_data
 from testkit.ports import free_port
+from testkit.servers import entry
 
 ROOT = Path(__file__).parent.parent
 BODY = b"x" * 200
--- a/sandhatch/control/call.py
+++ b/sandhatch/control/call.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from sandhatch.config.transactions import Refusal, RejectedError
+from sandhatch.config.errors import Refusal, RejectedError
 
 MAX_DURATION_MS = 86_400_000.0  # a day
 
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sandhatch.config.transactions import Refusal, RejectedError
+from sandhatch.config.errors import Refusal, RejectedError
 from sandhatch.control.call import Call
 from sandhatch.control.proposal_calls import ProposalCalls
 from sandhatch.control.status_calls import StatusCalls
--- a/sandhatch/control/version_row.py
+++ b/sandhatch/control/version_row.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from sandhatch.config.transactions import State, Version
+from sandhatch.config.version import State, Version
 
 
 def version_row(version: Version, now_ms: float) -> dict[str, Any]:
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, RampShare, ServerWeight
-from sandhatch.balancing.guidance import ramp_burst
+from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.actions import Action, Advise, Drop, Note, SendReport
 from sandhatch.planning.lessors import CLOCK_DRIFT
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -9,7 +9,7 @@
 import math
 from collections.abc import Container, Iterator
 
-from sandhatch.balancing.guidance import GuidanceState
+from sandhatch.balancing.guidance.state import GuidanceState
 from sandhatch.planning.grant_ledger import GrantLedger
 from sandhatch.planning.lessors import Lessors, RampAmount
 from sandhatch.planning.load import PoolLoad
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -8,7 +8,7 @@
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import diff
 from sandhatch.config.goodput_watch import Fall, GoodputWatch
-from sandhatch.config.transactions import Version
+from sandhatch.config.version import Version
 from sandhatch.runtime.clock import Clock
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_version import RunningVersion
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from sandhatch.config.transactions import Version
+from sandhatch.config.version import Version
 from sandhatch.downstream.listener import Listener
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.shared_resources import SharedResources
--- a/sandhatch/service/running_version.py
+++ b/sandhatch/service/running_version.py
@@ -5,11 +5,12 @@
 
 from __future__ import annotations
 
-from sandhatch.config.check import Checked, pool_settings
-from sandhatch.config.transactions import Version
+from sandhatch.config.check import Checked
+from sandhatch.config.pool_settings import pool_settings
+from sandhatch.config.version import Version
 from sandhatch.downstream.request_parsing import Requests
 from sandhatch.http1.message import Message
-from sandhatch.routing.table import Query
+from sandhatch.routing.route import Query
 from sandhatch.service.running_pool import RunningPool
 
 
--- a/sandhatch/service/validation.py
+++ b/sandhatch/service/validation.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from sandhatch.config.check import Checked, check, check_text
-from sandhatch.config.document import CheckError, Document
-from sandhatch.config.transactions import Refusal, RejectedError
+from sandhatch.config.document import Document
+from sandhatch.config.errors import CheckError, Refusal, RejectedError
 
 
 def check_data(data: dict[str, Any]) -> Checked:
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -11,8 +11,9 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from sandhatch.config import transactions as tx
-from sandhatch.config.transactions import State, Transactions, Version
+from sandhatch.config.actions import Action, Apply, Retire, Save, Say, Stage, Unstage, Unwatch, Watch
+from sandhatch.config.transactions import Transactions
+from sandhatch.config.version import State, Version
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.forwarding import Forwarding
@@ -76,23 +77,23 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def _execute(self, action: tx.Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case tx.Stage(version=version):
+            case Stage(version=version):
                 self._start_task(self._stage(version))
-            case tx.Unstage(version=version):
+            case Unstage(version=version):
                 self._unstage(version)
-            case tx.Save(step=step, version=saved_version):
+            case Save(step=step, version=saved_version):
                 self._store.queue_save(step, saved_version)
-            case tx.Apply(version=version):
+            case Apply(version=version):
                 self.activate(version)
-            case tx.Retire(version=version):
+            case Retire(version=version):
                 self._retire(version)
-            case tx.Watch(version=version):
+            case Watch(version=version):
                 self._goodput.begin(version, self._transactions.confirmed)
-            case tx.Unwatch(version=version):
+            case Unwatch(version=version):
                 self._end_watch(version)
-            case tx.Say(text=text):
+            case Say(text=text):
                 self._shared.logger.line(text)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from sandhatch.config.transactions import State
+from sandhatch.config.version import State
 from sandhatch.planning.server import PlannerServer
 from testkit.clients import HttpClient
 from tests.planning.harness import planner_server, until
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -76,7 +76,7 @@
         for forwarder in tier.forwarders:
             ramp = forwarder.balancer.guidance_state.ramp
             assert ramp is not None
-            rates.append(ramp.part(forwarder.balancer.fleet.servers[0], tier.now)[0])
+            rates.append(ramp.part(forwarder.balancer.fleet.servers[0], tier.now).rate)
         granted[tier.now - 1_000_000.0] = rates
 
     for at in (13_900.0, 15_000.0, 16_500.0):
--- a/tests/planning/test_lessors.py
+++ b/tests/planning/test_lessors.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sandhatch.balancing.guidance import safe_part
+from sandhatch.balancing.guidance.ramp_allocation import safe_part
 from sandhatch.planning.lessors import Lessors
 
 
@@ -30,8 +30,8 @@
     indices = {index for index in indices if index < instances}
     own = [safe_part(instances, index, burst, label) for index in indices]
     leased = lessors_of(instances, burst, *indices).leased(label, 1_000.0)
-    assert math.isclose(leased.rate, sum(rate for rate, _ in own), abs_tol=1e-9)
-    assert math.isclose(leased.burst, sum(calls for _, calls in own), abs_tol=1e-9)
+    assert math.isclose(leased.rate, sum(allocation.rate for allocation in own), abs_tol=1e-9)
+    assert math.isclose(leased.burst, sum(allocation.burst for allocation in own), abs_tol=1e-9)
 
 
 def test_an_instance_counts_only_if_its_lease_lasts_as_long_as_the_grant_may() -> None:
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -258,8 +258,8 @@
             scripted_planner(answers_each_report(second_weights), "p1") as second,
             linked_forwarder({"p0": first.port, "p1": second.port}) as forwarder,
         ):
-            slides = forwarder.dispatcher.balancer.guidance_state._slides
-            await until(lambda: [slides[n].to for n in sorted(slides)] == [0.6] * 4)
+            changes = forwarder.dispatcher.balancer.guidance_state.weights.changes
+            await until(lambda: [changes[n].target for n in sorted(changes)] == [0.6] * 4)
             assert forwarder.dispatcher.rejected == []
 
     run(work())
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -11,6 +11,7 @@
 
 import pytest
 
+from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, ramp_burst, safe_part
 from testkit.tier import POOL, Tier, TierPlan, over_ramp, random_faults
 
 # The load exceeds the ramp, so that it binds; with few servers, many draws hit the one that warms up.
@@ -57,10 +58,11 @@
 def test_instances_that_do_not_share_the_ramp_exceed_it() -> None:
     """What the other tests would detect if each forwarder used the complete ramp."""
     tier = Tier(replace(PLAN, planners=0), 1)
+    complete = safe_part(1, 0, ramp_burst(tier.settings), 0)
     for forwarder in tier.forwarders:
         ramp = forwarder.balancer.guidance_state.ramp
         assert ramp is not None
-        ramp._settings = replace(ramp._settings, instances=1, instance_index=0)
+        ramp._own_allocation = lambda server: complete
     tier.at(RESTART_MS, lambda: tier.restart(0))
     tier.run(RESTART_MS + PLAN.cold_ms)
     node = tier.servers[0]
@@ -182,7 +184,7 @@
     assert restarted.machine is not None and restarted.machine.bound_ms >= begin + 3_000.0
     ramp = restarted.balancer.guidance_state.ramp
     assert ramp is not None
-    assert ramp.part(restarted.balancer.fleet.servers[0], begin + 2_000.0) == (0.0, 0.0)
+    assert ramp.part(restarted.balancer.fleet.servers[0], begin + 2_000.0) == RampAllocation(0.0, 0.0)
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from sandhatch.config.check import CheckError
-from sandhatch.config.transactions import Refusal, RejectedError, State
+from sandhatch.config.errors import CheckError, Refusal, RejectedError
+from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.load import Load
 from testkit.servers import Talk
