--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -17,7 +17,7 @@
 from multiprocessing import Pool
 from statistics import mean
 
-from sandhatch.planning.planner import PlannerTerms
+from sandhatch.planning.terms import PlannerTerms
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.ramp_check import over_ramp
 from testkit.simulation.tier import Tier
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -22,7 +22,7 @@
 from typing import cast
 
 from benchmarks.planning_scale_model import STEP_S, Model, ModelForwarder
-from sandhatch.planning.forwarder import Action
+from sandhatch.planning.actions import Action
 from sandhatch.planning.messages import Advice, Report, decode, encode
 from sandhatch.planning.planner import Planner
 from testkit.simulation.clock import START_MS, SimulatedClock
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -13,9 +13,11 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, ServerState
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.forwarder import Action, Advise, Drop, Forwarder, ForwarderTerms, SendReport
+from sandhatch.planning.actions import Action, Advise, Drop, SendReport
+from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import PartRow, PoolReport, Row
 from sandhatch.planning.observer import Observer
+from sandhatch.planning.terms import ForwarderTerms
 from sandhatch.runtime.address import label_of
 from testkit.simulation.clock import START_MS
 from testkit.simulation.plan import POOL, REQUEST_CLASS, TierPlan
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -14,9 +14,10 @@
 from sandhatch.control.errors import ControlError
 from sandhatch.control.framing import fault
 from sandhatch.control.server import ControlServer
-from sandhatch.planning.keys import BadKeyError, identity
-from sandhatch.planning.planner import PlannerTerms
+from sandhatch.planning.errors import BadKeyError
+from sandhatch.planning.keys import identity
 from sandhatch.planning.server import PlannerServer
+from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.clock import Clock
 from sandhatch.runtime.logger import Logger, report_loop_errors
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -16,9 +16,9 @@
 from sandhatch.service.running_pool import RunningPool
 
 if TYPE_CHECKING:
-    from sandhatch.planning.forwarder import ForwarderTerms
     from sandhatch.planning.keys import Identity
     from sandhatch.planning.link import ForwarderLink
+    from sandhatch.planning.terms import ForwarderTerms
 
 
 class Forwarding:
@@ -45,7 +45,8 @@
     @staticmethod
     def _read_identity(spec: Planning) -> Identity:
         try:
-            from sandhatch.planning.keys import BadKeyError, identity
+            from sandhatch.planning.errors import BadKeyError
+            from sandhatch.planning.keys import identity
         except ImportError as problem:
             raise StageError(f"planning.planners: {problem}; install the extra `planning`") from None
         peers = {name: peer.public_key for name, peer in spec.planners.items() if peer.public_key is not None}
@@ -117,7 +118,7 @@
 
 
 def _link_terms(spec: Planning) -> ForwarderTerms:
-    from sandhatch.planning.forwarder import ForwarderTerms
+    from sandhatch.planning.terms import ForwarderTerms
 
     return ForwarderTerms(
         report_ms=spec.report_ms,
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -11,9 +11,10 @@
 from contextlib import suppress
 from typing import ClassVar
 
+from sandhatch.planning.errors import SessionError
 from sandhatch.planning.keys import Identity
 from sandhatch.planning.messages import Advice, Bye, PoolAdvice, Report
-from sandhatch.planning.session import PlannerSession, SessionError
+from sandhatch.planning.session import PlannerSession
 from testkit.listening import ListeningFake
 
 READ_BYTES = 65536
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -14,8 +14,9 @@
 from sandhatch.balancing.actions import Action, Fail, GuidanceRejected, Reject, Send, SetTimer, WatchList
 from sandhatch.balancing.events import Event, ListUpdate, TimerFired
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.forwarder import Action as PlanningAction
-from sandhatch.planning.forwarder import Advise, Drop, Forwarder, Note, SendReport
+from sandhatch.planning.actions import Action as PlanningAction
+from sandhatch.planning.actions import Advise, Drop, Note, SendReport
+from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Report
 from sandhatch.planning.observer import Observer
 from testkit.simulation.clock import SimulatedClock
--- a/testkit/simulation/plan.py
+++ b/testkit/simulation/plan.py
@@ -8,8 +8,7 @@
 from dataclasses import dataclass, field
 
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.forwarder import ForwarderTerms
-from sandhatch.planning.planner import PlannerTerms
+from sandhatch.planning.terms import ForwarderTerms, PlannerTerms
 
 POOL = "core"  # the name of the tier's one pool
 REQUEST_CLASS = "view"  # the name of its one class
--- a/testkit/simulation/protocols.py
+++ b/testkit/simulation/protocols.py
@@ -9,7 +9,7 @@
 
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import Event, ListUpdate
-from sandhatch.planning.forwarder import Action as PlanningAction
+from sandhatch.planning.actions import Action as PlanningAction
 from sandhatch.planning.forwarder import Forwarder
 
 
--- /dev/null
+++ b/tests/planning/test_configuration_versions.py
@@ -0,0 +1,106 @@
+"""Planners in a configuration that changes while requests are served."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+from sandhatch.config.version import State
+from sandhatch.planning.server import PlannerServer
+from testkit.clients import HttpClient
+from tests.planning.harness import planner_server, until
+from tests.service.harness import Farm, Kept, run, serving
+
+
+def with_planner(farm: Farm, key: Path, port: int, **more: Any) -> dict[str, Any]:
+    spec = {
+        "shared_key_file": str(key),
+        "planners": {"p0": {"address": f"127.0.0.1:{port}"}},
+        "most_lease_ms": 3_100,
+        "report_ms": 50,
+    }
+    return farm.config(farm.pool("w1", "w2"), farm.pool("o1"), planning=spec | more)
+
+
+def key_file(tmp_path: Path) -> Path:
+    key = tmp_path / "key"
+    key.write_text((b"k" * 32).hex())
+    key.chmod(0o600)
+    return key
+
+
+def test_a_version_whose_key_file_cannot_be_read_is_not_applied_and_states_the_reason(tmp_path: Path) -> None:
+    async def work() -> None:
+        farm = await Farm().start("w1", "w2", "o1")
+        plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
+        async with serving(plain) as kept, HttpClient(kept.port) as client:
+            version = await kept.commit(with_planner(farm, tmp_path / "none", 1))
+            assert version.state is State.FAILED
+            assert "planning: " in version.why and "No such file or directory" in version.why
+            client.ask()
+            assert (await client.answer()).status == 200
+        farm.close()
+
+    run(work())
+
+
+async def check_request_is_served(client: HttpClient) -> None:
+    client.ask()
+    assert (await client.answer()).status == 200
+
+
+async def change_a_pool(
+    farm: Farm, key: Path, planner: PlannerServer, kept: Kept, client: HttpClient
+) -> None:
+    """Check that the link stays and still observes the pool, and that the other pool leaves it."""
+    link = kept.service.forwarding.link
+    data = with_planner(farm, key, planner.port)
+    data["pools"]["web"]["max_attempts"] = 3
+    data["pools"]["orders"]["planned"] = False
+    await kept.confirmed(data)
+    assert link is not None
+    assert kept.service.forwarding.link is link and link.pools == ["web"]
+    await check_request_is_served(client)
+    pools = planner.planner.pools
+    await until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
+    await until(lambda: not pools["orders"].load.members)
+
+
+async def replace_the_link(farm: Farm, key: Path, planner: PlannerServer, kept: Kept) -> None:
+    """Check that the new link knows until when the shares are leased."""
+    link = kept.service.forwarding.link
+    assert link is not None
+    await until(lambda: link.machine.leased_to == "p0")
+    lease_end_ms = link.machine.bound_ms
+    await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
+    replacement = kept.service.forwarding.link
+    assert replacement is not None and replacement is not link
+    assert replacement.machine.bound_ms >= lease_end_ms - 1.0
+    await until(lambda: "other" in planner.planner.members)
+
+
+def test_planners_are_added_changed_and_removed_while_requests_are_served(tmp_path: Path) -> None:
+    key = key_file(tmp_path)
+
+    async def work() -> None:
+        farm = await Farm().start("w1", "w2", "o1")
+        plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
+        async with planner_server() as planner, serving(plain) as kept, HttpClient(kept.port) as client:
+            forwarding = kept.service.forwarding
+            await check_request_is_served(client)
+            assert forwarding.status() is None
+            await kept.confirmed(with_planner(farm, key, planner.port))
+            assert forwarding.link is not None and set(forwarding.link.pools) == {"web", "orders"}
+            await until(lambda: "web" in planner.planner.pools)
+            assert list(planner.planner.members) == ["forwarder-0"]
+            await check_request_is_served(client)
+            load = planner.planner.pools["web"].load
+            await until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
+            await change_a_pool(farm, key, planner, kept, client)
+            await replace_the_link(farm, key, planner, kept)
+            await kept.confirmed(plain)
+            assert forwarding.link is None
+            await check_request_is_served(client)
+        farm.close()
+
+    run(work())
