--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -22,8 +22,8 @@
 from benchmarks.processes import resident_bytes
 from benchmarks.services import note_activation_times, silence_log
 from sandhatch.config.version import State
-from testkit.load_generator import Load
-from tests.service.harness import Farm, Kept, serving
+from testkit.load_generator import LoadGenerator
+from tests.service.harness import FakeServers, RunningService, serving
 from tests.service.version_churn import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
 
 QUIET_S = 5.0  # under load, before the first commit
@@ -38,7 +38,7 @@
     return statistics.quantiles(values, n=100)[98] if len(values) > 100 else max(values)
 
 
-def lateness_ms(kept: Kept, entered_ms: dict[int, float]) -> float:
+def lateness_ms(kept: RunningService, entered_ms: dict[int, float]) -> float:
     """The longest from a version's end to a request that still came to it.
 
     Versions that come back are left out.
@@ -50,7 +50,7 @@
     order = sorted((time_ms, number) for number, time_ms in entered_ms.items())
     worst = 0.0
     for (_, number), (end_ms, _) in pairwise(order):
-        came_ms = [record.came_ms for record in kept.records if record.version == number]
+        came_ms = [record.received_at_ms for record in kept.records if record.version == number]
         if came_ms:
             worst = max(worst, max(came_ms) - end_ms)
     return max(0.0, worst)
@@ -58,13 +58,13 @@
 
 async def commit_under_load(commits: int, seed: int, pause_s: float) -> str:
     """Commits at random under load; returns a line of figures."""
-    farm = await Farm().start(*SERVERS)
+    farm = await FakeServers().start(*SERVERS)
     choices = variants(farm)
     async with serving(choices[0]) as kept:
         silence_log(kept.service)
         entered_ms: dict[int, float] = {}
         note_activation_times(kept.service, entered_ms)
-        load = Load(kept.port, farm.books, choose, clients=CLIENTS, pause_s=CLIENT_PAUSE_S)
+        load = LoadGenerator(kept.port, farm.books, choose, clients=CLIENTS, pause_s=CLIENT_PAUSE_S)
         await asyncio.sleep(QUIET_S)
         quiet = len(kept.records)
         started_s = time.perf_counter()
@@ -86,16 +86,16 @@
     )
 
 
-def check_records(kept: Kept, farm: Farm, data_of: dict[int, dict[str, Any]]) -> None:
+def check_records(kept: RunningService, farm: FakeServers, data_of: dict[int, dict[str, Any]]) -> None:
     """Fails if a request met a mixture of versions or broke a rule of the platform."""
     check_no_mixture(kept, farm, data_of)
     faults = farm.books.faults(NON_IDEMPOTENT)
     assert not faults, faults[:5]
 
 
-def format_p99(kept: Kept, quiet: int, busy: int) -> str:
+def format_p99(kept: RunningService, quiet: int, busy: int) -> str:
     """The p99 of records up to number `quiet`, and of those up to `busy`, with the ratio of both."""
-    waits_ms = [record.answered_ms - record.came_ms for record in kept.records]
+    waits_ms = [record.answered_at_ms - record.received_at_ms for record in kept.records]
     without_ms = p99(waits_ms[:quiet])
     with_ms = p99(waits_ms[quiet:busy])
     return f"p99 {with_ms:.1f} ms with commits, {without_ms:.1f} ms without, ratio {with_ms / without_ms:.2f}"
@@ -103,7 +103,7 @@
 
 async def measure_memory(commits: int) -> str:
     """Resident memory after a tenth, and after all, of many commits without load."""
-    farm = await Farm().start("a1", "a2", "o1")
+    farm = await FakeServers().start("a1", "a2", "o1")
     configurations = [farm.config(farm.pool(name), farm.pool("o1")) for name in ("a1", "a2")]
     async with serving(configurations[0]) as kept:
         service = kept.service
@@ -112,7 +112,7 @@
         texts = [json.dumps(configurations[1]).encode(), json.dumps(configurations[0]).encode()]
         for number in range(commits):
             version = service.commit(service.propose(texts[number % 2], None).number)
-            await service.settled(version, over=True)
+            await service.wait_until_decided(version, over=True)
             assert version.state is State.CONFIRMED, version.why
             if number == commits // 10:
                 early_mib = resident_bytes() / MIB
--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -13,8 +13,8 @@
 from time import perf_counter
 
 from benchmarks.relay import RelaySide
-from testkit.bodies import BLOCK, Body, Pattern, head, read_body
-from testkit.streaming_server import BodyServer, Upload
+from testkit.bodies import BLOCK, Body, SeededBody, head, read_body
+from testkit.streaming_server import StreamedRequest, StreamingServer
 from testkit.wire import read_head
 
 MIB = 1024 * 1024
@@ -65,7 +65,7 @@
 # ------------------------------------------------ throttled
 
 
-async def serve(upload: Upload) -> None:
+async def serve(upload: StreamedRequest) -> None:
     """Reads a POST's body and responds with its size and checksum, or sends the body that a GET requests."""
     throttle = Throttle(float(upload.headers["x-server-speed"]))
     if upload.method == "POST":
@@ -76,7 +76,7 @@
     size = int(upload.headers["x-size"])
     seed = int(upload.headers["x-seed"])
     await upload.talk.send(head("HTTP/1.1 200 OK", Content_Length=str(size)))
-    for piece in Pattern(seed).pieces(size):
+    for piece in SeededBody(seed).pieces(size):
         await upload.talk.send(bytes(piece))
         await throttle.after(len(piece))
 
@@ -87,7 +87,7 @@
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: RelaySide(port=relay_to), "127.0.0.1", port)
     else:
-        server = BodyServer(serve)
+        server = StreamingServer(serve)
         server.port = port
         await server.start()
     await asyncio.Event().wait()
@@ -113,7 +113,7 @@
         self._server_speed = draw_speed(rng)
         self._is_upload = number % 2 == 0
         self._trace = f"{seed:x}-{number:x}"
-        self._pattern = Pattern(number)
+        self._pattern = SeededBody(number)
 
     async def run(self) -> tuple[str, int]:
         """How it went (`ANSWERED`, a status or an error), and the body's bytes that passed."""
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -13,12 +13,12 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, ServerState
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.actions import Action, Advise, Drop, SendReport
+from sandhatch.planning.actions import Action, Drop, GuideBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
-from sandhatch.planning.messages import PartRow, PoolReport, Row
+from sandhatch.planning.messages import PoolReport, RampShareRow, Row
 from sandhatch.planning.observer import Observer
 from sandhatch.planning.terms import ForwarderTerms
-from sandhatch.runtime.address import label_of
+from sandhatch.runtime.address import server_label
 from testkit.simulation.clock import START_MS
 from testkit.simulation.plan import POOL, REQUEST_CLASS, TierPlan
 
@@ -35,7 +35,7 @@
         """Creates a server that has been warm for long."""
         self.id = number
         self.address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
-        self.label = label_of(self.address)
+        self.label = server_label(self.address)
         self.started_ms = 0.0
         self.state = ServerState.READY
         self.sent_ms: list[float] = []
@@ -78,7 +78,7 @@
         pool: str,
         now_ms: float,  # noqa: ARG002 - the machine gives it
         budget: int,
-        held: Iterable[PartRow] = (),
+        held: Iterable[RampShareRow] = (),
     ) -> tuple[PoolReport, int]:
         """The pool's part of a report, and what is left of the budget of rows."""
         model = self._model
@@ -155,7 +155,7 @@
             match action:
                 case SendReport():
                     reports.append(action)
-                case Advise():
+                case GuideBalancer():
                     self._apply(action.event, now_ms)
                 case Drop():
                     raise AssertionError(f"{action.planner} was dropped: {action.why}")
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -23,11 +23,11 @@
 from benchmarks.services import silence_log
 from sandhatch.config.version import State, Version
 from testkit.behaviours import fails_with
-from testkit.load_generator import Load
+from testkit.load_generator import LoadGenerator
 from testkit.request_log import Entry
-from testkit.servers import Talk
-from testkit.wire import Incoming, ok
-from tests.service.harness import Farm, serving
+from testkit.servers import FakeConnection
+from testkit.wire import ReceivedRequest, ok
+from tests.service.harness import FakeServers, serving
 
 # Keys of the configuration: the watch of a bad change, and the shorter one of a good change.
 WATCH = {"window_ms": 10_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
@@ -46,7 +46,7 @@
 fails = fails_with(500)
 
 
-async def responds_late(request: Incoming, talk: Talk) -> None:  # noqa: ARG001 - a `Behaviour`
+async def responds_late(request: ReceivedRequest, talk: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds past the latency objective."""
     await asyncio.sleep(LATE_S)
     await talk.send(ok())
@@ -68,7 +68,7 @@
             await asyncio.sleep(self._rng.uniform(0.05, 0.4))
             self._bursting = False
 
-    async def behave(self, request: Incoming, talk: Talk) -> None:
+    async def behave(self, request: ReceivedRequest, talk: FakeConnection) -> None:
         """Fails during a burst more often than not."""
         if self._bursting and self._rng.random() < 0.6:
             await fails(request, talk)
@@ -103,7 +103,7 @@
 
 async def make_bad_change(kind: str, watched: bool) -> BadChange:
     """Moves a pool under load to servers that fail or are late."""
-    farm = await Farm().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
+    farm = await FakeServers().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
     behaviour = responds_late if kind == LATE else fails
     for name in SERVERS_AFTER[: 2 if kind == HALF_FAILS else 4]:
         farm.behave[name] = behaviour
@@ -111,7 +111,7 @@
     first = with_classes(farm.config(farm.pool(*SERVERS_BEFORE), farm.pool("o1"), watch=watch))
     async with serving(first) as kept:
         silence_log(kept.service)
-        load = Load(
+        load = LoadGenerator(
             kept.port,
             farm.books,
             lambda rng: ("order" if rng.random() < 0.5 else "look", "/cart"),
@@ -122,7 +122,7 @@
         change = deepcopy(first)
         change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
         version = kept.service.commit(kept.propose(change))
-        await kept.service.settled(version)
+        await kept.service.wait_until_decided(version)
         since = len(farm.books.entries)
         rolled_back_after_s = await wait_for_rollback(version)
         entries = list(farm.books.entries.values())[since:]
@@ -136,7 +136,7 @@
     started_s = time.perf_counter()
     rolled_back_after_s: float | None = None
     while time.perf_counter() < started_s + AFTER_S:
-        if rolled_back_after_s is None and version.state is State.TAKEN_BACK:
+        if rolled_back_after_s is None and version.state is State.ROLLED_BACK:
             rolled_back_after_s = time.perf_counter() - started_s
         await asyncio.sleep(0.01)
     return rolled_back_after_s
@@ -157,7 +157,7 @@
 
 async def make_good_changes(changes: int, seed: int) -> GoodChanges:
     """Commits harmless changes one after another, while servers fail in bursts all along."""
-    farm = await Farm().start("a1", "a2", "o1")
+    farm = await FakeServers().start("a1", "a2", "o1")
     failures = BurstingFailures(Random(seed))
     farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
     data = with_classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=SHORT_WATCH))
@@ -165,7 +165,7 @@
     async with serving(data) as kept:
         silence_log(kept.service)
         bursts = asyncio.create_task(failures.run())
-        load = Load(
+        load = LoadGenerator(
             kept.port,
             farm.books,
             lambda rng: ("order", "/cart"),  # noqa: ARG005 - a `Choose`
@@ -178,8 +178,8 @@
             change = deepcopy(data)
             change["pools"]["web"]["max_connections"] = 100 + number
             version = kept.service.commit(kept.propose(change))
-            await kept.service.settled(version, over=True)
-            rolled_back += version.state is State.TAKEN_BACK
+            await kept.service.wait_until_decided(version, over=True)
+            rolled_back += version.state is State.ROLLED_BACK
             if version.why:
                 print(f"taken back: {version.why}", flush=True)
         await load.stop()
--- a/sandhatch/__main__.py
+++ b/sandhatch/__main__.py
@@ -11,31 +11,31 @@
 
 import uvloop
 
-from sandhatch.config.platform import Config, load
+from sandhatch.config.platform import PlatformConfig, load
 from sandhatch.platform.program import PlatformProgram
 from sandhatch.platform.reload import DiscoveryReload
-from sandhatch.runtime.address import spell
+from sandhatch.runtime.address import format_address
 from sandhatch.runtime.errors import ConfigError
-from sandhatch.runtime.process import settle_collector, stop_event
+from sandhatch.runtime.process import freeze_garbage_collector, shutdown_event
 
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2  # the file, a value in it, or the address to listen on
 
 
-async def serve(config: Config) -> int:
+async def serve(config: PlatformConfig) -> int:
     """Run the platform's program until SIGTERM or SIGINT; the exit code."""
     loop = asyncio.get_running_loop()
-    stopping = stop_event(loop)
+    stopping = shutdown_event(loop)
     program = PlatformProgram(config, loop)
     reload = DiscoveryReload(program.discovery, program.shared.logger)
     loop.add_signal_handler(signal.SIGHUP, reload.trigger)
     try:
         program.listener.start()
     except OSError as problem:
-        print(f"sandhatch: listen: {spell(config.listen)}: {problem}", file=sys.stderr)
+        print(f"sandhatch: listen: {format_address(config.listen)}: {problem}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     program.discovery.start()
-    settle_collector()
+    freeze_garbage_collector()
     await stopping.wait()
     await program.drain()
     return EXIT_OK
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -21,7 +21,7 @@
 from sandhatch.runtime.address import parse_address
 from sandhatch.runtime.clock import Clock
 from sandhatch.runtime.logger import Logger, report_loop_errors
-from sandhatch.runtime.process import grant_descriptors, settle_collector, stop_event
+from sandhatch.runtime.process import freeze_garbage_collector, raise_descriptor_limit, shutdown_event
 
 OWN_DESCRIPTORS = 64  # not for forwarders: log, control socket, event loop
 LAST_MESSAGES_S = 0.05  # for what is written at the end to be sent
@@ -36,7 +36,7 @@
         console: Where errors are reported.
     """
     loop = asyncio.get_running_loop()
-    stopping = stop_event(loop)
+    stopping = shutdown_event(loop)
     logger = Logger(config.name)
     report_loop_errors(loop, logger)
     try:
@@ -47,7 +47,7 @@
     except (BadKeyError, ControlError, OSError) as problem:
         console.error(problem)
         return ExitCode.FAILED
-    settle_collector()
+    freeze_garbage_collector()
     host, _ = parse_address(config.listen, "listen")
     logger.line(f"planner {config.name} at {host}:{server.port}; control at {control_path}")
     await stopping.wait()
@@ -58,7 +58,7 @@
 
 
 def _server(config: PlannerConfig, clock: Clock, logger: Logger) -> PlannerServer:
-    descriptors = grant_descriptors(config.most_forwarders + OWN_DESCRIPTORS)
+    descriptors = raise_descriptor_limit(config.most_forwarders + OWN_DESCRIPTORS)
     return PlannerServer(
         config.name,
         parse_address(config.listen, "listen"),
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -17,7 +17,7 @@
 from sandhatch.control.errors import ControlError
 from sandhatch.control.server import ControlServer
 from sandhatch.runtime.logger import report_loop_errors
-from sandhatch.runtime.process import settle_collector, stop_event
+from sandhatch.runtime.process import freeze_garbage_collector, shutdown_event
 from sandhatch.service.access_log import AccessLog
 from sandhatch.service.errors import StageError
 from sandhatch.service.reload import Reload
@@ -34,7 +34,7 @@
         console: Where start and errors are reported.
     """
     loop = asyncio.get_running_loop()
-    stopping = stop_event(loop)
+    stopping = shutdown_event(loop)
     try:
         service = _service(args, checked, console, loop)
         access_log = AccessLog(args.access_log, service) if args.access_log else None
@@ -45,8 +45,8 @@
         console.error(problem)
         return ExitCode.FAILED
     loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).ask)
-    settle_collector()
-    service.logger.line(f"version {service.transactions.in_force.number} in force; control at {args.control}")
+    freeze_garbage_collector()
+    service.logger.line(f"version {service.transactions.active.number} in force; control at {args.control}")
     await stopping.wait()
     await control.stop()
     await service.drain()
@@ -75,6 +75,6 @@
 def _report_saved(saved: Saved, args: argparse.Namespace, console: Console) -> None:
     for note in saved.notes:
         console.error(note)
-    if saved.lost:
-        console.error(f"version {saved.lost} was not confirmed and is not used")
+    if saved.lost_version:
+        console.error(f"version {saved.lost_version} was not confirmed and is not used")
     console.error(f"version {saved.confirmed} of {args.state} goes before {args.file}")
--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unstage:
+class DiscardStaged:
     """Release what was built for a version that will not become active."""
 
     version: Version
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Unwatch:
+class EndWatch:
     """End the comparison: the version is confirmed or rolled back."""
 
     version: Version
@@ -69,4 +69,4 @@
     text: str
 
 
-Action = Stage | Unstage | Save | Apply | Retire | Watch | Unwatch | Say
+Action = Stage | DiscardStaged | Save | Apply | Retire | Watch | EndWatch | Say
--- a/sandhatch/config/errors.py
+++ b/sandhatch/config/errors.py
@@ -70,7 +70,7 @@
     """The state directory can't be used, or none of its state files is intact."""
 
 
-class Refusal(Enum):
+class RejectionReason(Enum):
     """Why a call on the transactions was rejected.
 
     The values are part of the control protocol (`why` in an answer) and are shown by the command line.
@@ -89,18 +89,22 @@
     """A call on the transactions that changed nothing.
 
     Attributes:
-        why: The kind of rejection.
+        reason: The kind of rejection.
         text: One line for the user.
         keys: The dotted paths of the keys in conflict.
         problems: The errors of the configuration, one line each.
     """
 
     def __init__(
-        self, why: Refusal, text: str, keys: list[str] | None = None, problems: list[str] | None = None
+        self,
+        reason: RejectionReason,
+        text: str,
+        keys: list[str] | None = None,
+        problems: list[str] | None = None,
     ) -> None:
         """Take the kind of rejection, its one line of text and its details."""
         super().__init__(text)
-        self.why = why
+        self.reason = reason
         self.text = text
         self.keys = keys or []
         self.problems = problems or []
--- a/sandhatch/config/goodput_watch.py
+++ b/sandhatch/config/goodput_watch.py
@@ -148,7 +148,7 @@
     def _block_number(self, time_ms: float) -> int:
         return int(time_ms // self._block_ms)
 
-    def came(self, arrived_ms: float, name: str, pool: str, priority_weight: float) -> None:
+    def request_arrived(self, arrived_ms: float, name: str, pool: str, priority_weight: float) -> None:
         """Count a request that has arrived.
 
         Args:
@@ -167,13 +167,13 @@
             tally.received += priority_weight
             tally.requests += 1
 
-    def over(
+    def request_ended(
         self, arrived_ms: float, name: str, pool: str, priority_weight: float, in_time: bool, rejected: bool
     ) -> None:
         """Count the end of a request: it is answered, or its client has disconnected.
 
-        One whose block is closed already ended too late to count. The arguments are those of `came`, and
-        whether it was answered in time, and rejected.
+        One whose block is closed already ended too late to count. The arguments are those of
+        `request_arrived`, and whether it was answered in time, and rejected.
         """
         block = self._open.get(self._block_number(arrived_ms))
         if block is None:
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -43,7 +43,7 @@
         confirmed: The number of the last confirmed version, which is to be used.
         data: Its content.
         next_number: The number of the next version.
-        lost: The number of the version that was never confirmed; 0 for none.
+        lost_version: The number of the version that was never confirmed; 0 for none.
         rows: The rows of the history, oldest first; see `Version.row`.
         notes: Warnings about damaged files that were not used.
     """
@@ -51,7 +51,7 @@
     confirmed: int
     data: dict[str, Any]
     next_number: int
-    lost: int = 0
+    lost_version: int = 0
     rows: list[dict[str, Any]] = field(default_factory=list)
     notes: list[str] = field(default_factory=list)
 
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -18,7 +18,7 @@
 from sandhatch.balancing.settings import Settings
 from sandhatch.runtime.address import Address, parse_address
 from sandhatch.runtime.errors import ConfigError
-from sandhatch.runtime.process import grant_descriptors
+from sandhatch.runtime.process import raise_descriptor_limit
 from sandhatch.simulator.settings_decoder import decode_settings
 
 DEFAULT_MEMORY_MB = 64.0
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Config:
+class PlatformConfig:
     """The configuration of the platform's program.
 
     Attributes:
@@ -40,10 +40,11 @@
         memory_mb: The memory budget.
         settings: Those of the balancer.
         zones: The names of the zones, by their number.
-        kinds: The names of the machine types, by their number.
+        machine_types: The names of the machine types, by their number.
         report_names: The names of a load report's values, in the order of the settings.
         drain_grace_ms: From the notice that a server is draining to the last attempt that may be sent to it.
-        known: The endpoint list as this instance last had it, in the form of discovery; empty for none.
+        known_endpoints: The endpoint list as this instance last had it, in the form of discovery; empty for
+            none.
     """
 
     name: str
@@ -54,13 +55,13 @@
     memory_mb: float
     settings: Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    machine_types: tuple[str, ...]
     report_names: tuple[str, ...]
     drain_grace_ms: float
-    known: dict[str, Any] = field(default_factory=dict)
+    known_endpoints: dict[str, Any] = field(default_factory=dict)
 
 
-def decode(text: str, env: Mapping[str, str], again: bool = False) -> Config:
+def decode(text: str, env: Mapping[str, str], again: bool = False) -> PlatformConfig:
     """Decode the file's text and the environment, which goes first where both give the same.
 
     Args:
@@ -80,7 +81,7 @@
     settings_data = _object(data.get("settings"), "settings")
     settings = _settings(settings_data)
     drain_grace_ms = _drain_grace_ms(settings_data)
-    return Config(
+    return PlatformConfig(
         name=str(env.get("GW_NAME") or data.get("name", "")),
         listen=parse_address(env.get("GW_LISTEN") or data.get("listen"), "listen"),
         discovery=_discovery(data, env, again),
@@ -89,14 +90,14 @@
         memory_mb=_memory_mb(_limits(data)),
         settings=settings,
         zones=_names(settings_data, "Zones"),
-        kinds=_names(settings_data, "MachineTypes"),
+        machine_types=_names(settings_data, "MachineTypes"),
         report_names=_names(_object(settings_data.get("Stats", {}), "settings.Stats"), "Fields"),
         drain_grace_ms=drain_grace_ms,
-        known=_object(data.get("known") or {}, "known"),
+        known_endpoints=_object(data.get("known") or {}, "known"),
     )
 
 
-def load(env: Mapping[str, str] = os.environ, again: bool = False) -> Config:
+def load(env: Mapping[str, str] = os.environ, again: bool = False) -> PlatformConfig:
     """Read and decode the file that GW_CONFIG names; the arguments and errors are those of `decode`."""
     path = env.get("GW_CONFIG")
     if not path:
@@ -160,7 +161,7 @@
     configured: Any = limits.get("sockets", soft_limit)
     if isinstance(configured, bool) or not isinstance(configured, int) or configured < LEAST_SOCKETS:
         raise ConfigError(f"limits.sockets: {configured!r} is not a whole number of at least {LEAST_SOCKETS}")
-    return grant_descriptors(configured)
+    return raise_descriptor_limit(configured)
 
 
 def _memory_mb(limits: dict[str, Any]) -> float:
--- a/sandhatch/config/proposals.py
+++ b/sandhatch/config/proposals.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sandhatch.config.check import Checked
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 
 MOST_PROPOSALS = 256
 MOST_PROPOSED_BYTES = 64 * 1024 * 1024
@@ -62,7 +62,7 @@
         self._expire(now_ms)
         count = len(self.by_number)
         if count >= MOST_PROPOSALS or self._total_bytes + size_bytes > MOST_PROPOSED_BYTES:
-            raise RejectedError(Refusal.FULL, f"{count} proposals wait; abort some")
+            raise RejectedError(RejectionReason.FULL, f"{count} proposals wait; abort some")
 
     @property
     def next_number(self) -> int:
@@ -83,7 +83,7 @@
         """
         proposal = self.by_number.get(number)
         if proposal is None:
-            raise RejectedError(Refusal.UNKNOWN, f"there is no proposal {number}")
+            raise RejectedError(RejectionReason.UNKNOWN, f"there is no proposal {number}")
         return proposal
 
     def remove(self, number: int) -> None:
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -11,7 +11,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import merge
-from sandhatch.config.errors import MergeError, Refusal, RejectedError
+from sandhatch.config.errors import MergeError, RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.version import Version
 
@@ -46,7 +46,7 @@
     except ValueError as problem:
         lines = [str(line) for line in getattr(problem, "problems", [problem])]
         raise RejectedError(
-            Refusal.CONFLICT, f"merged with version {active.number} it has errors", problems=lines
+            RejectionReason.CONFLICT, f"merged with version {active.number} it has errors", problems=lines
         ) from None
 
 
@@ -55,4 +55,4 @@
     shown = ", ".join(keys[:MOST_KEYS_IN_TEXT])
     advice = f"both touch {shown}" if keys else "it can be merged"
     text = f"made from version {proposal.base}, but version {other.number} is {other.state.value}; {advice}"
-    return RejectedError(Refusal.CONFLICT, text, keys)
+    return RejectedError(RejectionReason.CONFLICT, text, keys)
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -27,10 +27,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from sandhatch.config.actions import Action, Apply, Retire, Save, Say, Stage, Unstage, Unwatch, Watch
+from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import Change, diff, overlap
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal, ProposalStore
 from sandhatch.config.rebase import CheckFunction, conflict, rebase
 from sandhatch.config.version import RUNNING, State, Version
@@ -60,7 +60,7 @@
 
     Attributes:
         versions: The last versions by number, oldest first.
-        in_force: The active version; every new request belongs to it.
+        active: The active version; every new request belongs to it.
         confirmed: The version that a rollback or a restart goes back to.
         pending: The version in progress, from STAGING to its final state; None if there is none.
         actions: What the owner has not taken yet.
@@ -77,7 +77,7 @@
         first.state = State.CONFIRMED
         self._check = check
         self.versions: OrderedDict[int, Version] = OrderedDict({first.number: first})
-        self.in_force = first
+        self.active = first
         self.confirmed = first
         self.pending: Version | None = None
         self.actions: list[Action] = []
@@ -91,7 +91,7 @@
         """The waiting proposals by number, oldest first."""
         return self._proposals.by_number
 
-    def take(self) -> list[Action]:
+    def take_actions(self) -> list[Action]:
         """Return the actions since the last call, to be carried out in their order."""
         actions = self.actions
         self.actions = []
@@ -104,7 +104,7 @@
         pending = 0
         if self.pending is not None:
             match self.pending.state:
-                case State.SAVING | State.IN_FORCE:
+                case State.SAVING | State.ACTIVE:
                     pending = self.pending.number
                 case State.CONFIRMING:
                     # Counts as confirmed on disk first: once that is written it is final.
@@ -152,17 +152,17 @@
 
     def _reject_if_stopping(self) -> None:
         if self._stopping:
-            raise RejectedError(Refusal.STOPPING, "the process is ending")
+            raise RejectedError(RejectionReason.STOPPING, "the process is ending")
 
     def _base(self, number: int) -> Version:
         version = self.versions.get(number)
         if version is None or version.state in (State.FAILED, State.STAGING, State.SAVING):
-            raise RejectedError(Refusal.UNKNOWN, f"there is no version {number} to start from")
+            raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number} to start from")
         return version
 
     def _rebase(self, proposal: Proposal) -> Checked:
         """Return what the proposal would activate now: itself, or merged with what came since its base."""
-        return rebase(proposal, self._base(proposal.base), self.in_force, self._check)
+        return rebase(proposal, self._base(proposal.base), self.active, self._check)
 
     # -------------------------------------------- committing
 
@@ -185,10 +185,12 @@
         proposal = self._proposals.get(number)
         self._reject_if_busy(proposal)
         checked = self._rebase(proposal)
-        changes = diff(self.in_force.data, checked.data)
+        changes = diff(self.active.data, checked.data)
         self.discard(number)
         if not changes:
-            raise RejectedError(Refusal.NOTHING, f"version {self.in_force.number} says the same already")
+            raise RejectedError(
+                RejectionReason.NOTHING, f"version {self.active.number} says the same already"
+            )
         return self._begin(now_ms, proposal, checked, changes, confirm_within_ms, watched)
 
     def _reject_if_busy(self, proposal: Proposal) -> None:
@@ -200,7 +202,7 @@
         if keys:
             raise conflict(proposal, pending, keys)
         waits = " and is watched or waits to be confirmed" if pending.awaits_confirmation else ""
-        raise RejectedError(Refusal.BUSY, f"version {pending.number} is {pending.state.value}{waits}")
+        raise RejectedError(RejectionReason.BUSY, f"version {pending.number} is {pending.state.value}{waits}")
 
     def _begin(
         self,
@@ -214,7 +216,7 @@
         watch = checked.model.watch
         version = Version(
             number=self._next_number,
-            base=self.in_force.number,
+            base=self.active.number,
             checked=checked,
             state=State.STAGING,
             author=proposal.author,
@@ -233,7 +235,7 @@
 
     def _trim(self) -> None:
         """Forget the oldest versions beyond MOST_RECORDS, except those still needed."""
-        needed = {self.in_force.number, self.confirmed.number}
+        needed = {self.active.number, self.confirmed.number}
         for number in list(self.versions):
             if len(self.versions) <= MOST_RECORDS:
                 break
@@ -243,7 +245,7 @@
     def staged(self, version: Version) -> None:
         """Report that `Stage` succeeded."""
         if version is not self.pending or version.state is not State.STAGING:
-            self.actions.append(Unstage(version))  # rolled back meanwhile
+            self.actions.append(DiscardStaged(version))  # rolled back meanwhile
             return
         version.transition(State.SAVING)
         self._save(version)
@@ -253,7 +255,7 @@
         if version is self.pending and version.state in (State.STAGING, State.SAVING):
             version.transition(State.FAILED, why)
             self.pending = None
-            self.actions += [Unstage(version), Say(f"version {version.number} not applied: {why}")]
+            self.actions += [DiscardStaged(version), Say(f"version {version.number} not applied: {why}")]
 
     def _save(self, version: Version | None) -> None:
         self._last_save += 1
@@ -280,8 +282,8 @@
             self._roll_back(version, f"its confirmation can't be saved: {why}")
 
     def _activate(self, now_ms: float, version: Version) -> None:
-        version.transition(State.IN_FORCE)
-        self.in_force = version
+        version.transition(State.ACTIVE)
+        self.active = version
         self.actions += [Apply(version), Say(f"version {version.number} is in force")]
         if version.confirm_within_ms is not None:
             version.confirm_by_ms = version.confirm_within_ms + now_ms
@@ -296,7 +298,7 @@
     def tick(self, now_ms: float) -> None:
         """Confirm or roll back the active version if its watch or its time to be confirmed is over."""
         version = self.pending
-        if version is None or version.state is not State.IN_FORCE:
+        if version is None or version.state is not State.ACTIVE:
             return
         if version.confirm_by_ms is not None:
             if now_ms >= version.confirm_by_ms:
@@ -308,9 +310,9 @@
         """Return the pending version, which must be active and have that number if one is given."""
         version = self.pending
         if version is None or (number is not None and version.number != number):
-            raise RejectedError(Refusal.NOTHING, "no such version waits to be confirmed")
-        if version.state is not State.IN_FORCE:
-            raise RejectedError(Refusal.BUSY, f"version {version.number} is {version.state.value}")
+            raise RejectedError(RejectionReason.NOTHING, "no such version waits to be confirmed")
+        if version.state is not State.ACTIVE:
+            raise RejectedError(RejectionReason.BUSY, f"version {version.number} is {version.state.value}")
         return version
 
     def confirm(self, number: int | None = None) -> Version:
@@ -335,7 +337,7 @@
 
     def _begin_confirmation(self, version: Version) -> None:
         if version.watch_until_ms is not None:
-            self.actions.append(Unwatch(version))
+            self.actions.append(EndWatch(version))
         version.transition(State.CONFIRMING)
         self._save(version)
 
@@ -347,9 +349,9 @@
         self.actions += [Retire(predecessor), Say(f"version {version.number} is confirmed")]
         self._trim()
 
-    def fell(self, version: Version, why: str) -> None:
+    def goodput_fell(self, version: Version, why: str) -> None:
         """Report that the watch has seen the goodput fall."""
-        if version is self.pending and version.state is State.IN_FORCE:
+        if version is self.pending and version.state is State.ACTIVE:
             self._roll_back(version, why)
 
     def rollback(self, now_ms: float, author: str = "", to: int | None = None) -> Version | Proposal:
@@ -379,9 +381,9 @@
             return pending
         target = self._confirmed_before() if to is None else self.versions.get(to)
         if target is None or target.state is not State.CONFIRMED:
-            raise RejectedError(Refusal.UNKNOWN, "there is no such confirmed version to go back to")
+            raise RejectedError(RejectionReason.UNKNOWN, "there is no such confirmed version to go back to")
         comment = f"back to version {target.number}"
-        proposal = self.propose(now_ms, self.in_force.number, target.checked, author, comment)
+        proposal = self.propose(now_ms, self.active.number, target.checked, author, comment)
         proposal.restores = target.number
         return proposal
 
@@ -394,10 +396,10 @@
         return max(older, key=lambda version: version.number, default=None)
 
     def _roll_back(self, version: Version, why: str) -> None:
-        if version.watch_until_ms is not None and version.state is State.IN_FORCE:
-            self.actions.append(Unwatch(version))
-        version.transition(State.TAKEN_BACK, why)
-        self.in_force = self.confirmed
+        if version.watch_until_ms is not None and version.state is State.ACTIVE:
+            self.actions.append(EndWatch(version))
+        version.transition(State.ROLLED_BACK, why)
+        self.active = self.confirmed
         self.pending = None
         self.actions += [
             Apply(self.confirmed, back=True),
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -19,26 +19,26 @@
 
     STAGING = "staging"
     SAVING = "saving"
-    IN_FORCE = "in force"  # active, and may still be rolled back
+    ACTIVE = "in force"  # active, and may still be rolled back
     CONFIRMING = "confirming"
     CONFIRMED = "confirmed"
     FAILED = "failed"
-    TAKEN_BACK = "taken back"  # rolled back
+    ROLLED_BACK = "taken back"  # rolled back
     LOST = "lost"  # the process ended before it was confirmed
 
 
 TRANSITIONS: Mapping[State, frozenset[State]] = {
     State.STAGING: frozenset((State.SAVING, State.FAILED)),
-    State.SAVING: frozenset((State.IN_FORCE, State.FAILED)),
-    State.IN_FORCE: frozenset((State.CONFIRMING, State.TAKEN_BACK, State.LOST)),
-    State.CONFIRMING: frozenset((State.CONFIRMED, State.TAKEN_BACK, State.LOST)),
+    State.SAVING: frozenset((State.ACTIVE, State.FAILED)),
+    State.ACTIVE: frozenset((State.CONFIRMING, State.ROLLED_BACK, State.LOST)),
+    State.CONFIRMING: frozenset((State.CONFIRMED, State.ROLLED_BACK, State.LOST)),
     State.CONFIRMED: frozenset(),
     State.FAILED: frozenset(),
-    State.TAKEN_BACK: frozenset(),
+    State.ROLLED_BACK: frozenset(),
     State.LOST: frozenset(),
 }
 OVER = frozenset(state for state, targets in TRANSITIONS.items() if not targets)
-RUNNING = frozenset((State.IN_FORCE, State.CONFIRMING))
+RUNNING = frozenset((State.ACTIVE, State.CONFIRMING))
 
 
 @dataclass(slots=True)
--- a/sandhatch/control/call.py
+++ b/sandhatch/control/call.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 
 MAX_DURATION_MS = 86_400_000.0  # a day
 
@@ -36,7 +36,8 @@
         unknown = sorted(self.arguments.keys() - known)
         if unknown:
             raise RejectedError(
-                Refusal.INVALID, f"{unknown[0]}: no such argument; there are: {', '.join(sorted(known))}"
+                RejectionReason.INVALID,
+                f"{unknown[0]}: no such argument; there are: {', '.join(sorted(known))}",
             )
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -64,7 +65,7 @@
             raise _wrong_type(key, value, float)
         if not 0.0 < value <= MAX_DURATION_MS:
             raise RejectedError(
-                Refusal.INVALID, f"{key}: {value:g} is not a time of up to a day, in milliseconds"
+                RejectionReason.INVALID, f"{key}: {value:g} is not a time of up to a day, in milliseconds"
             )
         return value
 
@@ -76,7 +77,7 @@
         if key in self.arguments:
             return self.arguments[key]
         if default is None:
-            raise RejectedError(Refusal.INVALID, f"{key} is wanted")
+            raise RejectedError(RejectionReason.INVALID, f"{key} is wanted")
         return default
 
     def _of_type(self, key: str, kind: type[T], default: T | None = None) -> T:
@@ -87,4 +88,4 @@
 
 
 def _wrong_type(key: str, value: Any, kind: type) -> RejectedError:
-    return RejectedError(Refusal.INVALID, f"{key}: {value!r:.60} is not of type {kind.__name__}")
+    return RejectedError(RejectionReason.INVALID, f"{key}: {value!r:.60} is not of type {kind.__name__}")
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.control.call import Call
 from sandhatch.control.proposal_calls import ProposalCalls
 from sandhatch.control.status_calls import StatusCalls
@@ -66,7 +66,7 @@
         except RejectedError as rejected:
             return {
                 "ok": False,
-                "why": rejected.why.value,
+                "why": rejected.reason.value,
                 "text": rejected.text,
                 "keys": rejected.keys,
                 "problems": rejected.problems,
@@ -76,5 +76,5 @@
         operation = self._operations.get(name) if isinstance(name, str) else None
         if operation is None:
             known = ", ".join(self._operations)
-            raise RejectedError(Refusal.INVALID, f"op: {name!r:.60} is none; there are: {known}")
+            raise RejectedError(RejectionReason.INVALID, f"op: {name!r:.60} is none; there are: {known}")
         return operation
--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -10,7 +10,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import diff
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.control.call import Call
 from sandhatch.service.service import Service
 from sandhatch.service.validation import checked_text
@@ -49,7 +49,7 @@
     async def diff(self, call: Call) -> dict[str, Any]:
         """Compare a version with a text, a proposal or another version."""
         transactions = self._service.transactions
-        before = self._service.version_data(call.integer("before", transactions.in_force.number))
+        before = self._service.version_data(call.integer("before", transactions.active.number))
         after = await self._data_to_compare(call)
         return {"changes": [f"{change!s:.{MAX_SHOWN_CHARS}}" for change in diff(before, after)]}
 
@@ -59,7 +59,7 @@
         if "proposal" in call.arguments:
             proposal = self._service.transactions.proposals.get(call.integer("proposal"))
             if proposal is None:
-                raise RejectedError(Refusal.UNKNOWN, "there is no such proposal")
+                raise RejectedError(RejectionReason.UNKNOWN, "there is no such proposal")
             return proposal.checked.data
         return self._service.version_data(call.integer("after"))
 
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -25,10 +25,10 @@
         pending = transactions.pending
         return {
             "name": service.shared.name,
-            "in_force": transactions.in_force.number,
+            "in_force": transactions.active.number,
             "confirmed": transactions.confirmed.number,
             "pending": version_row(pending, service.now_ms) if pending else None,
-            "ready": service.front.ready,
+            "ready": service.request_handler.ready,
             "versions": {str(number): version.open for number, version in service.running.items()},
             "pools": service.pools.status(),
             "bodies": service.shared.flows.snapshot(),
@@ -36,8 +36,8 @@
             "proposals": self._proposal_rows(),
             "planning": service.forwarding.status(),
             "memory": {
-                "held_bytes": service.shared.memory_budget.used,
-                "most_bytes": service.shared.memory_budget.most,
+                "held_bytes": service.shared.memory_budget.used_bytes,
+                "most_bytes": service.shared.memory_budget.limit_bytes,
             },
         }
 
@@ -60,10 +60,10 @@
 
     async def history(self, _call: Call) -> dict[str, Any]:
         """The versions there were, oldest first."""
-        return {"versions": self._service.rows()}
+        return {"versions": self._service.history_rows()}
 
     async def show(self, call: Call) -> dict[str, Any]:
         """A version's configuration as YAML; the active version's if none is named."""
-        number = call.integer("version", self._service.transactions.in_force.number)
+        number = call.integer("version", self._service.transactions.active.number)
         data = self._service.version_data(number)
         return {"version": number, "text": yaml.safe_dump(data, sort_keys=False)}
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -47,5 +47,5 @@
         return await self._settled_row(version, call.flag("wait", False))
 
     async def _settled_row(self, version: Version, wait: bool) -> dict[str, Any]:
-        await self._service.settled(version, over=wait)
+        await self._service.wait_until_decided(version, over=wait)
         return version_row(version, self._service.now_ms)
--- a/sandhatch/control/version_row.py
+++ b/sandhatch/control/version_row.py
@@ -18,7 +18,7 @@
         "changes": version.changes,
         "why": version.why,
     }
-    if version.state is State.IN_FORCE:
+    if version.state is State.ACTIVE:
         if version.confirm_by_ms is not None:
             row["confirm_in_ms"] = max(0, round(version.confirm_by_ms - now_ms))
         if version.watch_until_ms is not None:
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -28,7 +28,7 @@
 from sandhatch.discovery.connection import DiscoveryConnection
 from sandhatch.discovery.endpoint_list import Listing, parse_listing
 from sandhatch.discovery.errors import DiscoveryError
-from sandhatch.discovery.names import Names
+from sandhatch.discovery.names import EndpointNumbering
 from sandhatch.http1.message import Message
 from sandhatch.runtime.address import Address
 
@@ -65,7 +65,7 @@
         plan: DiscoveryPlan,
         publish: Callable[[Listing], None],
         log: Callable[[str], None],
-        names: Names | None = None,
+        names: EndpointNumbering | None = None,
     ) -> None:
         """Create a client that has not started.
 
@@ -76,7 +76,7 @@
             names: gives the servers' numbers; by default a numbering of its own.
         """
         self._set_address(plan.address)
-        self._names = names or Names(plan.zones, plan.kinds)
+        self._names = names or EndpointNumbering(plan.zones, plan.kinds)
         self._known = plan.known
         self._publish = publish
         self._log = log
@@ -124,7 +124,7 @@
         """Fetch the complete list anew."""
         self.fetch()
 
-    def move(self, address: Address) -> None:
+    def relocate(self, address: Address) -> None:
         """Go on at another address, with its complete list first.
 
         The present list stays valid until that has arrived. Calls pending at the old address end here, so
--- a/sandhatch/discovery/connection.py
+++ b/sandhatch/discovery/connection.py
@@ -10,7 +10,7 @@
 
 from sandhatch.discovery.errors import DiscoveryError
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import ResponseReader
+from sandhatch.http1.parser import ResponseParser
 from sandhatch.http1.serializer import encode_request
 
 MAX_LIST_BYTES = 4 * 1024 * 1024
@@ -25,7 +25,7 @@
 
     def __init__(self) -> None:
         """Create the protocol of a connection that is not up yet."""
-        self._reader = ResponseReader(MAX_LIST_BYTES)
+        self._reader = ResponseParser(MAX_LIST_BYTES)
         self._transport: asyncio.Transport | None = None
         self._pending_answer: asyncio.Future[Message] | None = None
         self.open = False
@@ -42,7 +42,7 @@
     def data_received(self, data: bytes) -> None:
         """Complete the pending call, and close the connection if it can carry no other."""
         answers = [event for event in self._reader.feed(data) if isinstance(event, Message)]
-        has_rest = self._reader.fault is not None or self._reader.begun
+        has_rest = self._reader.fault is not None or self._reader.has_partial_message
         pending_answer = self._pending_answer
         if answers and pending_answer is not None and not pending_answer.done():
             pending_answer.set_result(answers[0])
--- a/sandhatch/discovery/endpoint_list.py
+++ b/sandhatch/discovery/endpoint_list.py
@@ -11,8 +11,8 @@
 
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
 from sandhatch.discovery.errors import DiscoveryError, MalformedListError
-from sandhatch.discovery.names import Names
-from sandhatch.runtime.address import Address, label_of, parse_address, spell
+from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.runtime.address import Address, format_address, parse_address, server_label
 from sandhatch.runtime.errors import ConfigError
 
 # The words of the protocol's `lifecycle`.
@@ -56,7 +56,7 @@
     started_ms: float
 
 
-def parse_listing(data: Any, names: Names) -> Listing:
+def parse_listing(data: Any, names: EndpointNumbering) -> Listing:
     """Turn discovery's answer into a listing.
 
     Args:
@@ -108,11 +108,11 @@
     )
 
 
-def _entry_of(row: _Row, names: Names) -> ServerEntry:
+def _entry_of(row: _Row, names: EndpointNumbering) -> ServerEntry:
     return ServerEntry(
         server=names.server(row.instance_id),
         state=row.state,
-        label=label_of(spell(row.address)),
+        label=server_label(format_address(row.address)),
         started_ms=row.started_ms,
         weight=row.weight,
         zone=names.zone(row.zone),
--- a/sandhatch/discovery/names.py
+++ b/sandhatch/discovery/names.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 
-class Names:
+class EndpointNumbering:
     """Numbers for the ids and words that discovery uses; an id keeps its number for good."""
 
     MOST = 100_000  # ids; past that the one seen longest ago is forgotten, and its number never used again
--- a/sandhatch/discovery/static.py
+++ b/sandhatch/discovery/static.py
@@ -11,7 +11,7 @@
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
 from sandhatch.discovery.endpoint_list import Listing
-from sandhatch.runtime.address import Address, label_of, spell
+from sandhatch.runtime.address import Address, format_address, server_label
 
 
 @dataclass(slots=True, frozen=True)
@@ -62,7 +62,7 @@
                 state=server.state,
                 started_ms=server.started_ms,
                 weight=server.weight,
-                label=label_of(spell(server.address)),
+                label=server_label(format_address(server.address)),
             )
             for server in self.servers
         )
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -65,7 +65,7 @@
         request = Message()
         request.method = message.method
         request.target = message.target
-        headers = request.headers = message.passed_on(TIME_LEFT_HEADER)
+        headers = request.headers = message.forwarded_headers(TIME_LEFT_HEADER)
         # Only written from here on, so `Message.names`, which serves look-ups, is not kept.
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, int(time_left_ms))))
         request.body = message.body
@@ -245,7 +245,7 @@
                 self.bodies.abort_answer(exchange, TruncatedBy.SERVER)
         elif outcome is Outcome.OK and answer is not None and not exchange.closed:
             self._exchanges.close(exchange, 200)
-            exchange.client.answer(200, answer.passed_on(LOAD_HEADER), answer.body)
+            exchange.client.answer(200, answer.forwarded_headers(LOAD_HEADER), answer.body)
         exchange.pending_attempts -= 1
         report = report_of(answer, self._report_names, from_body=False) if self._inline_reports else ()
         final = exchange.closed or exchange.answer_flow is not None
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -45,7 +45,7 @@
 from sandhatch.dispatch.protocols import Decisions, DownstreamClient, Observer, SourceFactory
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
 from sandhatch.http1.message import Message
-from sandhatch.runtime.address import spell
+from sandhatch.runtime.address import format_address
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.connection_pool import ConnectionLimits, ConnectionPool
@@ -121,7 +121,7 @@
 
     # ------------------------------------------------ clients
 
-    def arrive(
+    def start_request(
         self,
         client: DownstreamClient,
         message: Message,
@@ -149,7 +149,7 @@
         event.request = number
         exchange = Exchange(number, client, message, self.clock.now_ms() + time_left_ms, trace, done)
         self._exchanges.add(exchange)
-        exchange.deadline_timer = self.clock.after(time_left_ms, lambda: self._on_deadline(exchange))
+        exchange.deadline_timer = self.clock.call_after(time_left_ms, lambda: self._on_deadline(exchange))
         if message.flow is not None:
             self._bodies.start_request(exchange, message.flow)
         self._deliver(event)
@@ -167,7 +167,7 @@
             return
         is_streamed = bool(exchange.open_flows)
         if is_streamed:
-            exchange.cut = TruncatedBy.CLIENT
+            exchange.truncated_by = TruncatedBy.CLIENT
         self._exchanges.close(exchange, status)
         self._deliver(ClientDisconnected(number))
         if is_streamed:  # what its attempts send or receive has lost its other end
@@ -180,7 +180,7 @@
             if exchange.answer_flow is not None:
                 self._bodies.abort_answer(exchange, TruncatedBy.TIME)
             else:  # the time went on the body's transfer, in which either side may have been slow
-                exchange.cut = TruncatedBy.TIME
+                exchange.truncated_by = TruncatedBy.TIME
                 self._exchanges.answer(exchange, 504)
             exchange.end_attempts(Outcome.CANCELLED)
             return
@@ -200,7 +200,7 @@
 
     def _show_list(self, update: ListUpdate, listing: Listing) -> None:
         if self.observer is not None:
-            self.observer.on_endpoint_list(update, list(map(spell, listing.addresses)), listing.why)
+            self.observer.on_endpoint_list(update, list(map(format_address, listing.addresses)), listing.why)
 
     def withdraw(self, keep: frozenset[int], notified_ms: float) -> None:
         """Send nothing new to any server but some, until `restore`.
@@ -223,7 +223,7 @@
 
     # ------------------------------------------------ planners and observers
 
-    def advise(self, event: Guidance | OwnSharesLeased) -> None:
+    def apply_guidance(self, event: Guidance | OwnSharesLeased) -> None:
         """Hand a planner's guidance to the balancer."""
         self._deliver(event)
 
@@ -255,7 +255,7 @@
         try:
             actions = self.balancer.handle(self.clock.now_ms(), event)
             if self.observer is not None:
-                self.observer.saw(event, actions)
+                self.observer.on_event(event, actions)
             for action in actions:
                 self._act(action)
         except Exception as problem:
@@ -280,7 +280,7 @@
             case Send():
                 self._attempts.send(action)
             case SetTimer(cookie, delay_ms):
-                self.clock.after(max(0.0, delay_ms), lambda: self._deliver(TimerFired(cookie)))
+                self.clock.call_after(max(0.0, delay_ms), lambda: self._deliver(TimerFired(cookie)))
             case Cancel(request, attempt_number):
                 self._cancel(request, attempt_number)
             case Reject(request, wait_ms):
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -48,7 +48,7 @@
         answered_ms: when it was closed, in Unix milliseconds.
         answer_flow: the body of its answer, while that is streamed.
         answering_attempt: the number of the attempt that the streamed answer comes from, -1 for none.
-        cut: why its body or its answer was truncated.
+        truncated_by: why its body or its answer was truncated.
     """
 
     __slots__ = (
@@ -58,7 +58,6 @@
         "attempts",
         "client",
         "closed",
-        "cut",
         "deadline_ms",
         "deadline_timer",
         "message",
@@ -68,6 +67,7 @@
         "servers",
         "status",
         "trace",
+        "truncated_by",
     )
 
     def __init__(
@@ -95,7 +95,7 @@
         self.answered_ms = 0.0
         self.answer_flow: Flow | None = None
         self.answering_attempt = -1
-        self.cut = TruncatedBy.NOTHING
+        self.truncated_by = TruncatedBy.NOTHING
 
     @property
     def trace_text(self) -> str:
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -76,7 +76,7 @@
 class Observer(Protocol):
     """Sees what a balancer receives and what it decides; it changes nothing."""
 
-    def saw(self, event: Event, actions: Sequence[Action]) -> None:
+    def on_event(self, event: Event, actions: Sequence[Action]) -> None:
         """Note an event, and the actions that it led to."""
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -125,7 +125,7 @@
         self._check_progress_of(exchange)
         spent_ms = now_ms - attempt.sent_ms
         self._deliver(AnswerStarted(exchange.number, attempt_number, attempt.server.number, spent_ms))
-        headers = answer.passed_on(LOAD_HEADER)
+        headers = answer.forwarded_headers(LOAD_HEADER)
         exchange.client.begin_answer(answer.status, headers, answer.length, flow)
         if not flow.closed:
             flow.attach(exchange.client)
@@ -157,7 +157,7 @@
         # Where the request was complete, the time allowed for a long body starts only now.
         request_streamed = exchange.message.flow is not None
         time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
-        exchange.deadline_timer = self._clock.after(time_left_ms, lambda: self._on_deadline(exchange))
+        exchange.deadline_timer = self._clock.call_after(time_left_ms, lambda: self._on_deadline(exchange))
 
     def on_answer_sent(self, exchange: Exchange) -> None:
         """Close an exchange whose streamed answer has been sent completely."""
@@ -171,7 +171,7 @@
         """Abort the streamed answer of an exchange before its end."""
         if exchange.closed:
             return
-        exchange.cut = reason
+        exchange.truncated_by = reason
         self._exchanges.close(exchange, exchange.status)
         exchange.client.cut()
 
@@ -181,7 +181,7 @@
         self._streaming[exchange] = None
         if not self._checking:
             self._checking = True
-            self._clock.after(self.CHECK_INTERVAL_MS, self._check_progress)
+            self._clock.call_after(self.CHECK_INTERVAL_MS, self._check_progress)
 
     def _check_progress(self) -> None:
         """Give up exchanges in which one side makes too little progress."""
@@ -191,12 +191,12 @@
             if not flows:
                 self._streaming.pop(exchange, None)
             for flow in flows:
-                violation = flow.too_slow(now_ms)
+                violation = flow.slow_side(now_ms)
                 if violation is not None:
                     self._on_too_slow(exchange, flow, violation.side, violation.reason)
         self._checking = bool(self._streaming)
         if self._checking:
-            self._clock.after(self.CHECK_INTERVAL_MS, self._check_progress)
+            self._clock.call_after(self.CHECK_INTERVAL_MS, self._check_progress)
 
     def _on_too_slow(self, exchange: Exchange, flow: Flow, side: Side, why: str) -> None:
         """End an exchange on behalf of the side that is too slow."""
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -19,7 +19,7 @@
 from sandhatch.downstream.answer_sender import AnswerSender, error_body
 from sandhatch.downstream.connection_state import ConnectionState
 from sandhatch.downstream.interfaces import ConnectionOwner
-from sandhatch.downstream.socket_poll import waits
+from sandhatch.downstream.socket_poll import has_pending_event
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.message import Message
 from sandhatch.streaming.headers import Headers
@@ -69,7 +69,7 @@
         if self.ending:
             self._discard_received(nbytes)
             return
-        had_partial_request = self._reader.begun
+        had_partial_request = self._reader.has_partial_message
         events = self._reader.feed(SCRATCH[:nbytes])
         if self._request_flow is not None:
             events = self._stream_to(self._request_flow, events)
@@ -86,7 +86,7 @@
             self._track_body(nbytes)
         if not self._update_booking():
             self._reject_for_memory()
-        if self.crowded and self._transport is not None:
+        if self.queue_full and self._transport is not None:
             self._transport.pause_reading()  # bounds a client that sends and never reads
             self._listener.watch_disconnect(self)
         if self._reader.expects_continue:
@@ -131,14 +131,14 @@
         return self._current is None and not self._waiting and not self._write_paused
 
     @property
-    def crowded(self) -> bool:
+    def queue_full(self) -> bool:
         """Whether the queue is full, so that nothing is read, the client's end included."""
         return len(self._waiting) >= self.AHEAD
 
     @property
     def has_partial_request(self) -> bool:
         """Whether it is idle but for a request that was received in part."""
-        return self.idle and self._reader.begun
+        return self.idle and self._reader.has_partial_message
 
     @property
     def state(self) -> ConnectionState:
@@ -149,11 +149,11 @@
             return ConnectionState.ANSWER_UNREAD
         if self._current is not None or self._waiting:
             return ConnectionState.SERVING
-        if self._place is not None:
+        if self._memory_waiter is not None:
             return ConnectionState.WAITING_FOR_MEMORY
         if self._progress is not None:
             return ConnectionState.RECEIVING_BODY
-        if self._reader.begun:
+        if self._reader.has_partial_message:
             return ConnectionState.READING
         return ConnectionState.FRESH if self.fresh else ConnectionState.IDLE
 
@@ -204,7 +204,7 @@
 
     def is_quiet(self) -> bool:
         """Whether it is idle and nothing waits unread in the system."""
-        return self.idle and self._transport is not None and not waits(self._descriptor)
+        return self.idle and self._transport is not None and not has_pending_event(self._descriptor)
 
     # ------------------------------------------------ requests
 
@@ -221,14 +221,14 @@
                     self._begin(self._waiting.popleft())
                 elif self._reader.fault is not None:
                     self._answer_fault(self._reader.fault)
-                elif self._reserved and self._reader.openable:
+                elif self._reserved_bytes and self._reader.openable:
                     self._begin_streamed_request()
                 else:
                     break
         finally:
             self._processing = False
         self._listener.state_changed(self)
-        reading_paused = self._request_flow is not None or self._place is not None or self.crowded
+        reading_paused = self._request_flow is not None or self._memory_waiter is not None or self.queue_full
         if self._body_terms is not None and self._reader.openable:
             reading_paused = True  # its turn has not come; no more of it is buffered until then
             if self._transport is not None:
@@ -319,7 +319,7 @@
 
     def _update_booking(self) -> bool:
         """Book what it holds of the memory budget now; whether the budget allows that much."""
-        held_bytes = max(self._reader.held, self._reserved) + self._request_bytes
+        held_bytes = max(self._reader.buffered_bytes, self._reserved_bytes) + self._request_bytes
         if self._transport is not None and self._answer_flow is None:  # else the flow books it
             held_bytes += self._transport.get_write_buffer_size()
         booked_before = self._booked_bytes
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -13,7 +13,7 @@
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.eviction import find_evictable
 from sandhatch.downstream.interfaces import RequestHandler
-from sandhatch.downstream.socket_poll import waits
+from sandhatch.downstream.socket_poll import has_pending_event
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.shared_resources import SharedResources
 
@@ -31,7 +31,7 @@
     SWEEP_MS = 250.0
     # Between two polls for disconnects of clients whose connections are not read: from 0.1 s after its
     # disconnect on, nothing may be begun for a client.
-    END_MS = 50.0
+    DISCONNECT_POLL_MS = 50.0
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         return self._listening and not self.closing and self.request_handler.ready
 
     @property
-    def taking(self) -> int:
+    def open_count(self) -> int:
         """Connections on which an answer may still be due, and the listening socket itself.
 
         Counts all connections but those that were closed while quiet. After the last answer, a connection
@@ -119,7 +119,7 @@
         self._socket.listen(BACKLOG)
         self._listening = True
         self._loop.add_reader(self._socket, self._accept)
-        self.shared.clock.after(self.SWEEP_MS, self._sweep)
+        self.shared.clock.call_after(self.SWEEP_MS, self._sweep)
 
     def stop_accepting(self) -> None:
         """Accept the backlog, and close the listening socket once that is empty.
@@ -133,11 +133,11 @@
         if self._listening:  # one that is only bound would report a connection to accept for ever
             while self._accept():
                 pass
-            if waits(self._socket.fileno()):
+            if has_pending_event(self._socket.fileno()):
                 return
         self._close_socket()
 
-    def end_idle(self) -> None:
+    def close_idle(self) -> None:
         """Close the connections that are quiet; to be called repeatedly once accepting is to stop."""
         if self._stopping:
             self.stop_accepting()
@@ -175,7 +175,7 @@
         if self._socket is None:
             return False
         if self.shared.clients >= self.shared.client_budget:
-            if not waits(self._socket.fileno()):
+            if not has_pending_event(self._socket.fileno()):
                 return False
             if not self._make_room():
                 self._pause_accepting()
@@ -266,19 +266,19 @@
     def watch_disconnect(self, connection: ClientConnection) -> None:
         """Poll for the client's disconnect for as long as nothing is read from the connection."""
         if not self._crowded:
-            self.shared.clock.after(self.END_MS, self._poll_disconnects)
+            self.shared.clock.call_after(self.DISCONNECT_POLL_MS, self._poll_disconnects)
         self._crowded[connection] = None
 
     # ------------------------------------------------ timers
 
     def _poll_disconnects(self) -> None:
         for connection in list(self._crowded):
-            if not connection.crowded or connection.ending:
+            if not connection.queue_full or connection.ending:
                 del self._crowded[connection]
             elif connection.has_disconnected():
                 connection.abort()
         if self._crowded:
-            self.shared.clock.after(self.END_MS, self._poll_disconnects)
+            self.shared.clock.call_after(self.DISCONNECT_POLL_MS, self._poll_disconnects)
 
     def _sweep(self) -> None:
         """Enforce the time limits of all connections."""
@@ -287,4 +287,4 @@
         now_ms = self.shared.clock.now_ms()
         for connection in list(self._connections):
             connection.check(now_ms)
-        self.shared.clock.after(self.SWEEP_MS, self._sweep)
+        self.shared.clock.call_after(self.SWEEP_MS, self._sweep)
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -35,7 +35,7 @@
     trace_id: bytes
 
 
-def reject_known(in_flight_ids: InFlightIds, trace: bytes) -> None:
+def reject_duplicate_id(in_flight_ids: InFlightIds, trace: bytes) -> None:
     """Rejects a second request under the id of one that is in flight, or was until lately.
 
     Protects the first: the two could not be told apart.
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -18,7 +18,7 @@
 from sandhatch.http1.errors import Fault
 from sandhatch.http1.events import End, Event
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import NEVER, RequestReader
+from sandhatch.http1.parser import NEVER, RequestParser
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.socket_writer import SCRATCH
@@ -44,8 +44,8 @@
         self._shared = listener.shared
         self.since_ms = listener.shared.clock.now_ms()  # from when the time of its state counts
         self._booked_bytes = 0  # of the memory budget, as last booked
-        self._reader = RequestReader(max_messages=max_queued)
-        self._reader.headed = self._on_head
+        self._reader = RequestParser(max_messages=max_queued)
+        self._reader.on_head = self._on_head
         self._continue_sent = False  # for the request that is being received
         self._body_terms: StreamTerms | None = None  # of a body whose first part is being buffered
         self._progress: ProgressMonitor | None = None  # of a body that is being buffered
@@ -112,17 +112,17 @@
             return
         if self._progress is not None:
             self._progress.record_bytes(received_bytes, now_ms)
-        elif self._place is None and not self._reserved:
+        elif self._memory_waiter is None and not self._reserved_bytes:
             self.since_ms = now_ms
             needed_bytes = self._needed_bytes(terms)
-            self._place = self._shared.memory_budget.reserve(needed_bytes, self._on_memory_granted)
-            if self._place is None:
+            self._memory_waiter = self._shared.memory_budget.reserve(needed_bytes, self._on_memory_granted)
+            if self._memory_waiter is None:
                 self._start_buffering(terms)
             else:
                 self.pause()
 
     def _on_memory_granted(self) -> None:
-        self._place = None
+        self._memory_waiter = None
         if self._body_terms is None or self._transport is None or self.ending:
             raise AssertionError("memory was granted to a request that does not wait for it")
         self._start_buffering(self._body_terms)
@@ -131,8 +131,8 @@
         self._process_requests()
 
     def _start_buffering(self, terms: StreamTerms) -> None:
-        self._reserved = self._needed_bytes(terms)
-        self._booked_bytes += self._reserved
+        self._reserved_bytes = self._needed_bytes(terms)
+        self._booked_bytes += self._reserved_bytes
         self._progress = ProgressMonitor(terms.request.writer)
         self._progress.start_waiting(self._shared.clock.now_ms())
 
@@ -142,17 +142,17 @@
 
         With both reserved, a request that has begun never waits for memory.
         """
-        return terms.request.hold_bytes + 2 * Flow.LEAST
+        return terms.request.hold_bytes + 2 * Flow.MIN_CREDIT_BYTES
 
     def _stop_buffering(self) -> None:
         """Release the buffered part's reservation, or stop waiting for it."""
-        self._leave_queue()
+        self._cancel_memory_wait()
         self._body_terms = None
         self._progress = None
 
     def _send_continue(self) -> None:
         """Send 100 (Continue) once the request's body may be received and its turn has come."""
-        admitted = self._body_terms is None or self._reserved > 0
+        admitted = self._body_terms is None or self._reserved_bytes > 0
         wanted = self._reader.expects_continue and not self._continue_sent
         if wanted and admitted and self._is_next_to_begin():
             self._continue_sent = True
@@ -165,8 +165,10 @@
         terms = self._body_terms
         assert terms is not None
         shared = self._shared
-        flow = Flow(terms.request, shared.clock, shared.memory_budget, shared.flows, self, self._reserved)
-        self._booked_bytes -= self._reserved  # the flow's from here on
+        flow = Flow(
+            terms.request, shared.clock, shared.memory_budget, shared.flows, self, self._reserved_bytes
+        )
+        self._booked_bytes -= self._reserved_bytes  # the flow's from here on
         self._stop_buffering()
         self._request_flow = flow
         return flow
--- a/sandhatch/downstream/socket_poll.py
+++ b/sandhatch/downstream/socket_poll.py
@@ -8,7 +8,7 @@
 import select
 
 
-def waits(descriptor: int, events: int = select.POLLIN) -> bool:
+def has_pending_event(descriptor: int, events: int = select.POLLIN) -> bool:
     """Whether any of the events is pending: by default unread bytes, an end, or a connection to accept."""
     poll = select.poll()
     poll.register(descriptor, events)
--- a/sandhatch/http1/body_endpoint.py
+++ b/sandhatch/http1/body_endpoint.py
@@ -25,16 +25,16 @@
         """Make an endpoint that neither sends a body nor waits for memory."""
         self._socket_writer: SocketWriter | None = None  # while a body is sent
         self._chunked = False  # whether that is in chunks
-        self._place: MemoryWaiter | None = None  # in the queue for memory
-        self._reserved = 0  # bytes booked for a body that is buffered until it may begin
+        self._memory_waiter: MemoryWaiter | None = None  # in the queue for memory
+        self._reserved_bytes = 0  # bytes booked for a body that is buffered until it may begin
 
-    def _leave_queue(self) -> None:
+    def _cancel_memory_wait(self) -> None:
         """Stop waiting for memory, and forget the reservation; the subclass books it back."""
-        if self._place is not None:
-            waiter = self._place
-            self._place = None
+        if self._memory_waiter is not None:
+            waiter = self._memory_waiter
+            self._memory_waiter = None
             waiter.leave()
-        self._reserved = 0
+        self._reserved_bytes = 0
 
     # ------------------------------------------------ as a source
 
--- a/sandhatch/http1/message.py
+++ b/sandhatch/http1/message.py
@@ -40,7 +40,7 @@
         target: Of a request, else empty.
         status: Of an answer, else 0.
         headers: The fields in their order.
-        names: The fields' names in lower case: looked up many times, converted once.
+        lower_names: The fields' names in lower case: looked up many times, converted once.
         body: The complete body, unless `flow` brings it.
         flow: Brings a body that is streamed; None if it is complete.
         terms: Limits under which the bodies may be streamed; None if they may not.
@@ -56,8 +56,8 @@
         "is_http_1_0",
         "keep_alive",
         "length",
+        "lower_names",
         "method",
-        "names",
         "status",
         "target",
         "terms",
@@ -69,7 +69,7 @@
         self.target = b""
         self.status = 0
         self.headers: Headers = []
-        self.names: list[bytes] = []
+        self.lower_names: list[bytes] = []
         self.body = b""
         self.flow: Flow | None = None
         self.terms: StreamTerms | None = None
@@ -86,13 +86,15 @@
     def add(self, name: bytes, value: bytes) -> None:
         """Append a header field."""
         self.headers.append((name, value))
-        self.names.append(name.lower())
+        self.lower_names.append(name.lower())
 
     def values(self, name: bytes) -> list[bytes]:
         """Returns all values of a header, which is named in lower case."""
-        if name not in self.names:
+        if name not in self.lower_names:
             return []
-        return [field[1] for lower, field in zip(self.names, self.headers, strict=True) if lower == name]
+        return [
+            field[1] for lower, field in zip(self.lower_names, self.headers, strict=True) if lower == name
+        ]
 
     def value(self, name: bytes) -> bytes | None:
         """Returns the only value of a header, which is named in lower case; None if it is absent.
@@ -100,20 +102,20 @@
         Raises:
             FramingError: The header comes more than once.
         """
-        count = self.names.count(name)
+        count = self.lower_names.count(name)
         if count > 1:
             raise FramingError(400, f"header {name.decode('latin-1')} comes more than once")
-        return self.headers[self.names.index(name)][1] if count else None
+        return self.headers[self.lower_names.index(name)][1] if count else None
 
-    def passed_on(self, without: bytes = b"") -> Headers:
+    def forwarded_headers(self, without: bytes = b"") -> Headers:
         """Returns the fields to forward to the other side.
 
         Args:
             without: A field to leave out, named in lower case.
         """
         excluded: frozenset[bytes] | set[bytes] = HOP_BY_HOP
-        if b"connection" in self.names:
+        if b"connection" in self.lower_names:
             listed = (name for value in self.values(b"connection") for name in value.split(b","))
             excluded = HOP_BY_HOP.union(name.strip().lower() for name in listed)
-        fields = zip(self.names, self.headers, strict=True)
+        fields = zip(self.lower_names, self.headers, strict=True)
         return [field for lower, field in fields if lower not in excluded and lower != without]
--- a/sandhatch/http1/parser.py
+++ b/sandhatch/http1/parser.py
@@ -4,7 +4,7 @@
 
 Theory of operation. `feed` takes the bytes of one read and returns the events that they complete. By default
 a message comes complete, with its body. Its owner may let the body be streamed instead: the parser calls
-`headed` with each head behind which a body follows; the owner calls `stream` from there, and later `open`
+`on_head` with each head behind which a body follows; the owner calls `stream` from there, and later `open`
 once the parser is `openable`. `open` returns the head with what was buffered of the body; from then on each
 read brings pieces of it, and at last an `End`.
 
@@ -78,7 +78,7 @@
         self._remaining_bytes = UNKNOWN  # of an opened body of known length
         self._opened = False
         # Called with each head behind which a body follows, before any of the body is looked at.
-        self.headed: Callable[[Message], None] | None = None
+        self.on_head: Callable[[Message], None] | None = None
         self.fault: Fault | None = None
 
     def _make_parser(self) -> httptools.HttpRequestParser | httptools.HttpResponseParser:
@@ -87,12 +87,12 @@
     # ------------------------------------------------ what has been received
 
     @property
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Whether bytes of an incomplete message have been received."""
         return self._message_bytes > 0
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """About the bytes that the incomplete message takes in memory."""
         if self._opened or not self._message_bytes:
             return 0
@@ -109,7 +109,7 @@
         return self._body_bytes
 
     @property
-    def most_body(self) -> int:
+    def max_body_bytes(self) -> int:
         """The limit of the present body in bytes."""
         return self._max_body_bytes
 
@@ -126,7 +126,7 @@
         )
 
     def stream(self, open_at_bytes: int, max_body_bytes: int) -> None:
-        """Set how the present body is received; called from `headed`.
+        """Set how the present body is received; called from `on_head`.
 
         Args:
             open_at_bytes: Buffered bytes of body from which it may be opened; negative: it is never opened.
@@ -181,7 +181,7 @@
 
     def fail(self, fault: Fault) -> None:
         """Read no further: what follows is never parsed, and the incomplete message is discarded."""
-        had_partial_message = self.begun
+        had_partial_message = self.has_partial_message
         self.fault = fault
         self.close()
         self._message_bytes = int(had_partial_message)
@@ -189,7 +189,7 @@
     def close(self) -> None:
         """Read nothing more, and release what is held of an incomplete message."""
         self._parser = None
-        self.headed = None
+        self.on_head = None
         self._message = Message()
         self._body_parts = []
         self._events = []
@@ -255,7 +255,7 @@
             raise FramingError(431, "the head has too many fields")
         lower = name.lower()
         headers.append((name, value))
-        message.names.append(lower)
+        message.lower_names.append(lower)
         if lower == b"content-length":
             if message.length is not None:
                 raise FramingError(400, "Content-Length comes more than once")
@@ -290,8 +290,8 @@
     def _announce_body(self) -> None:
         """Let the owner choose how the body is received, then apply its limit to a stated length."""
         message = self._message
-        if self.headed is not None and message.length != 0:
-            self.headed(message)
+        if self.on_head is not None and message.length != 0:
+            self.on_head(message)
         if message.length is not None and message.length > self._max_body_bytes:
             raise FramingError(413, "the body is too long")  # rejected before the body is received
 
@@ -334,7 +334,7 @@
         self._max_body_bytes = self._default_max_body_bytes
 
 
-class RequestReader(MessageParser):
+class RequestParser(MessageParser):
     """Parses requests.
 
     Attributes:
@@ -374,7 +374,7 @@
         super().on_message_complete()
 
 
-class ResponseReader(MessageParser):
+class ResponseParser(MessageParser):
     """Parses answers.
 
     An answer whose end only the close of the connection would mark never completes: it can't be told from a
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Advise:
+class GuideBalancer:
     """Give an event to a pool's balancer; if it rejects the event, `Forwarder.rejected` must be called."""
 
     pool: str
@@ -43,4 +43,4 @@
     text: str
 
 
-Action = SendReport | Advise | Drop | Note
+Action = SendReport | GuideBalancer | Drop | Note
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -15,9 +15,9 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, RampShare, ServerWeight
 from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Advise, Drop, Note, SendReport
+from sandhatch.planning.actions import Action, Drop, GuideBalancer, Note, SendReport
 from sandhatch.planning.lessors import CLOCK_DRIFT
-from sandhatch.planning.messages import Advice, PartRow, PoolAdvice, Report, WeightRow
+from sandhatch.planning.messages import Advice, PoolAdvice, RampShareRow, Report, WeightRow
 from sandhatch.planning.observer import Observer
 from sandhatch.planning.planner_peer import PlannerPeer
 from sandhatch.planning.planner_selection import PlannerSelection
@@ -55,7 +55,7 @@
     Attributes:
         name: The forwarder's name.
         terms: Its settings.
-        sides: The planners by name, in the order in which they are preferred.
+        peers: The planners by name, in the order in which they are preferred.
         pools: The pools by name.
     """
 
@@ -79,10 +79,10 @@
         """
         self.name = name
         self.terms = terms or ForwarderTerms()
-        self.sides = {planner: PlannerPeer(planner, rank) for rank, planner in enumerate(planners)}
+        self.peers = {planner: PlannerPeer(planner, rank) for rank, planner in enumerate(planners)}
         self.pools: dict[str, _Pool] = {}
         quiet_ms = self.terms.most_lease_ms * (1.0 + CLOCK_DRIFT) if quiet_ms is None else quiet_ms
-        self._selection = PlannerSelection(self.sides, self.terms.hold_ms, now_ms + quiet_ms)
+        self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + quiet_ms)
         self._ramp_shares: dict[str, Sequence[RampShare]] = {}  # granted last, by pool
         self._ramp_shares_until_ms = -math.inf
 
@@ -103,26 +103,26 @@
         known = self.pools.get(name)
         if known is not None and known.observer is observer:
             known.settings = settings
-            return [Advise(name, OwnSharesLeased(self.bound_ms))]
+            return [GuideBalancer(name, OwnSharesLeased(self.bound_ms))]
         self.drop_pool(name)
         self.pools[name] = _Pool(name, settings, observer)
-        for peer in self.sides.values():
+        for peer in self.peers.values():
             if peer.connected:
                 peer.reporters[name] = observer.tell()
-        return [Advise(name, OwnSharesLeased(self.bound_ms))]
+        return [GuideBalancer(name, OwnSharesLeased(self.bound_ms))]
 
     def drop_pool(self, name: str) -> None:
         """Remove a pool."""
         if self.pools.pop(name, None) is None:
             return
-        for peer in self.sides.values():
+        for peer in self.peers.values():
             reporter = peer.reporters.pop(name, None)
             if reporter is not None:
                 reporter.close()
 
     def connected(self, planner: str, epoch: int, now_ms: float) -> list[Action]:
         """A session with a planner begins; one of an earlier epoch than was seen of it is rejected."""
-        peer = self.sides[planner]
+        peer = self.peers[planner]
         if epoch < peer.epoch:
             reason = f"epoch {epoch} is before {peer.epoch}"
             return [*self._fault(peer, reason, now_ms), Drop(planner, reason)]
@@ -132,17 +132,17 @@
 
     def lost(self, planner: str) -> None:
         """The session has ended; what was advised counts until it expires."""
-        self.sides[planner].end_session()
+        self.peers[planner].end_session()
 
     def may_connect(self, planner: str, now_ms: float) -> bool:
         """Whether the planner's circuit is closed."""
-        return now_ms >= self.sides[planner].backoff_until_ms
+        return now_ms >= self.peers[planner].backoff_until_ms
 
     # ------------------------------------------------ advice
 
     def advice(self, planner: str, advice: Advice, now_ms: float) -> list[Action]:
         """Apply a planner's advice, unless it is invalid, expired or out of order."""
-        peer = self.sides[planner]
+        peer = self.peers[planner]
         if not peer.connected:
             return []
         peer.advices += 1
@@ -166,7 +166,7 @@
             pool = self.pools.get(pool_advice.pool)
             reporter = peer.reporters.get(pool_advice.pool)
             if pool is not None and reporter is not None:
-                actions.append(Advise(pool.name, self._guidance(applied, pool_advice, reporter)))
+                actions.append(GuideBalancer(pool.name, self._guidance(applied, pool_advice, reporter)))
         if has_lease:
             self._ramp_shares_until_ms = until_ms
         return actions
@@ -193,13 +193,13 @@
 
     def rejected(self, planner: str, why: str, now_ms: float) -> list[Action]:
         """A balancer rejected what this planner advised last."""
-        peer = self.sides[planner]
+        peer = self.peers[planner]
         peer.revert()
         return self._fault(peer, why, now_ms)
 
     def broken(self, planner: str, why: str, now_ms: float) -> list[Action]:
         """A planner has violated the protocol."""
-        return self._fault(self.sides[planner], why, now_ms)
+        return self._fault(self.peers[planner], why, now_ms)
 
     @staticmethod
     def _note(peer: PlannerPeer, note: str) -> list[Action]:
@@ -228,7 +228,7 @@
         """Select a planner and send the reports that are due; to be called several times an interval."""
         change = self._selection.update(now_ms)
         actions: list[Action] = [] if change is None else [Note(change)]
-        for peer in self.sides.values():
+        for peer in self.peers.values():
             if not peer.connected:
                 continue
             if peer.report_now or now_ms - peer.reported_ms >= self.terms.report_ms:
@@ -247,7 +247,7 @@
         if leases_shares:
             lease_end_ms = peer.applied_ms + peer.share_lease_ms * (1.0 + CLOCK_DRIFT)
             if self._selection.extend(lease_end_ms):
-                actions += [Advise(pool, OwnSharesLeased(self.bound_ms)) for pool in self.pools]
+                actions += [GuideBalancer(pool, OwnSharesLeased(self.bound_ms)) for pool in self.pools]
         self._add_pools(report, peer, now_ms)
         actions.append(SendReport(peer.name, report))
         return actions
@@ -261,7 +261,8 @@
         budget_bytes = int(peer.credit_bytes) - REPORT_OVERHEAD_BYTES
         for name, pool in self.pools.items():
             held = [
-                PartRow(share.server, share.rate, share.burst) for share in self._ramp_shares.get(name, ())
+                RampShareRow(share.server, share.rate, share.burst)
+                for share in self._ramp_shares.get(name, ())
             ]
             pool_budget_bytes = max(0, budget_bytes - POOL_OVERHEAD_BYTES)
             pool_report, remaining_bytes = peer.reporters[name].report(
@@ -285,7 +286,7 @@
             "forwarder": self.name,
             "lends_to": self.leased_to,
             "own_parts_in_ms": own_shares_in_ms,
-            "planners": [peer.status(now_ms) for peer in self.sides.values()],
+            "planners": [peer.status(now_ms) for peer in self.peers.values()],
         }
 
 
@@ -299,7 +300,7 @@
     return weights
 
 
-def _ramp_shares(rows: Iterable[PartRow], reporter: PoolReporter) -> list[RampShare]:
+def _ramp_shares(rows: Iterable[RampShareRow], reporter: PoolReporter) -> list[RampShare]:
     """Ramp shares by the balancer's numbers; servers that the session has not named are left out."""
     ramp_shares = []
     for row in rows:
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Event, Guidance, ListUpdate, OwnSharesLeased
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Advise, Drop, Note, SendReport
+from sandhatch.planning.actions import Action, Drop, GuideBalancer, Note, SendReport
 from sandhatch.planning.backoff import Backoff
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.keys import Identity
@@ -36,7 +36,7 @@
 class BalancerObserver(Protocol):
     """Receives what a dispatcher's balancer does; see `observer.Observer`."""
 
-    def saw(self, event: Event, actions: Sequence[Decision]) -> None:
+    def on_event(self, event: Event, actions: Sequence[Decision]) -> None:
         """The balancer received an event and answered with these actions."""
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
@@ -51,7 +51,7 @@
     def on_guidance_rejected(self, callback: Callable[[GuidanceRejected], None], /) -> None:
         """Call back whenever the balancer rejects guidance."""
 
-    def advise(self, event: Guidance | OwnSharesLeased, /) -> None:
+    def apply_guidance(self, event: Guidance | OwnSharesLeased, /) -> None:
         """Hand an event to the balancer."""
 
     def observe(self, observer: BalancerObserver, /) -> None:
@@ -62,7 +62,7 @@
     """Observes the attempts that a replaced dispatcher still has in flight, and not its endpoint list."""
 
     def __init__(self, observer: Observer) -> None:
-        self.saw = observer.saw
+        self.on_event = observer.on_event
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
         """Ignore it: the list belongs to the dispatcher that replaced this one."""
@@ -73,7 +73,7 @@
 
     Attributes:
         clock: The process's clock.
-        machine: The state machine that decides.
+        forwarder: The state machine that decides.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self._log = log
         self._identity = identity
         self._addresses = dict(planners)
-        self.machine = Forwarder(name, list(planners), clock.now_ms(), terms, quiet_ms)
+        self.forwarder = Forwarder(name, list(planners), clock.now_ms(), terms, quiet_ms)
         self._dispatchers: dict[str, GuidedDispatcher] = {}
         self._observers: dict[str, Observer] = {}
         self._connections: dict[str, PlannerConnection] = {}
@@ -144,13 +144,13 @@
         self._dispatchers[pool] = dispatcher
         dispatcher.on_guidance_rejected(self._on_guidance_rejected)
         dispatcher.observe(observer)
-        self._carry_out(self.machine.add_pool(pool, settings, observer))
+        self._carry_out(self.forwarder.add_pool(pool, settings, observer))
 
     def detach(self, pool: str) -> None:
         """Remove a pool."""
         if self._dispatchers.pop(pool, None) is not None:
             self._observers.pop(pool, None)
-            self.machine.drop_pool(pool)
+            self.forwarder.drop_pool(pool)
 
     @property
     def pools(self) -> Sequence[str]:
@@ -158,7 +158,7 @@
         return list(self._dispatchers)
 
     def _on_guidance_rejected(self, rejected: GuidanceRejected) -> None:
-        self._carry_out(self.machine.rejected(rejected.planner, rejected.why, self.clock.now_ms()))
+        self._carry_out(self.forwarder.rejected(rejected.planner, rejected.why, self.clock.now_ms()))
 
     # ------------------------------------------------ timers and actions
 
@@ -169,20 +169,20 @@
         for planner in self._addresses:
             is_idle = planner not in self._connections and planner not in self._connecting
             is_due = now_ms >= self._reconnect_ms[planner]
-            if is_idle and is_due and self.machine.may_connect(planner, now_ms):
+            if is_idle and is_due and self.forwarder.may_connect(planner, now_ms):
                 self._connect(planner)
-        self._carry_out(self.machine.tick(now_ms))
-        self.clock.after(TICK_MS, self._tick)
+        self._carry_out(self.forwarder.tick(now_ms))
+        self.clock.call_after(TICK_MS, self._tick)
 
     def _carry_out(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case SendReport():
                     self._send(action)
-                case Advise():
+                case GuideBalancer():
                     dispatcher = self._dispatchers.get(action.pool)
                     if dispatcher is not None:
-                        dispatcher.advise(action.event)
+                        dispatcher.apply_guidance(action.event)
                 case Drop():
                     self._drop(action)
                 case Note():
@@ -207,8 +207,8 @@
         task.add_done_callback(lambda _: self._connecting.pop(planner, None))
 
     async def _open_connection(self, planner: str) -> None:
-        known_epoch = self.machine.sides[planner].epoch
-        session = ForwarderSession(self._identity, self.machine.name, planner, known_epoch)
+        known_epoch = self.forwarder.peers[planner].epoch
+        session = ForwarderSession(self._identity, self.forwarder.name, planner, known_epoch)
         create_protocol = partial(PlannerConnection, self, planner, session)
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_MS / 1000.0):
@@ -235,17 +235,17 @@
         """A connection's handshake is complete."""
         self._logged_reasons.pop(connection.planner, None)
         now_ms = self.clock.now_ms()
-        self._carry_out(self.machine.connected(connection.planner, event.epoch, now_ms))
+        self._carry_out(self.forwarder.connected(connection.planner, event.epoch, now_ms))
 
     def advised(self, connection: PlannerConnection, advice: Advice) -> None:
         """A connection received advice."""
         self._backoff[connection.planner].reset()
-        self._carry_out(self.machine.advice(connection.planner, advice, self.clock.now_ms()))
+        self._carry_out(self.forwarder.advice(connection.planner, advice, self.clock.now_ms()))
 
     def broken(self, connection: PlannerConnection, why: str) -> None:
         """A connection's planner violated the protocol; before its key is proven, that is no fault of its."""
         if connection.established:
-            self._carry_out(self.machine.broken(connection.planner, why, self.clock.now_ms()))
+            self._carry_out(self.forwarder.broken(connection.planner, why, self.clock.now_ms()))
 
     def closed(self, connection: PlannerConnection, why: str) -> None:
         """A connection has ended."""
@@ -253,7 +253,7 @@
             del self._connections[connection.planner]
         if connection.established:
             connection.established = False
-            self.machine.lost(connection.planner)
+            self.forwarder.lost(connection.planner)
         if not self._stopped:
             self._reconnect_later(connection.planner, why)
 
@@ -261,4 +261,4 @@
 
     def status(self) -> dict[str, Any]:
         """The links, as values for JSON; see `Forwarder.status`."""
-        return self.machine.status(self.clock.now_ms())
+        return self.forwarder.status(self.clock.now_ms())
--- a/sandhatch/planning/link_connection.py
+++ b/sandhatch/planning/link_connection.py
@@ -63,7 +63,7 @@
             PLANNER_FRAMES_PER_S, PLANNER_BYTES_PER_S, PLANNER_BURST_S, owner.clock.now_ms()
         )
         self._transport: asyncio.Transport | None = None
-        self._deadline = owner.clock.after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
+        self._deadline = owner.clock.call_after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the first frame of the handshake."""
--- a/sandhatch/planning/messages.py
+++ b/sandhatch/planning/messages.py
@@ -50,7 +50,7 @@
     sketch: list[Count] = []
 
 
-class PartRow(Struct, array_like=True, frozen=True):
+class RampShareRow(Struct, array_like=True, frozen=True):
     """A share in a server's warm-up ramp: a fraction of its rate, and a number of attempts at once."""
 
     server: Count
@@ -87,7 +87,7 @@
     warm: list[Count] = []
     not_ready: list[Count] = field(default_factory=list, name="left")
     demand: dict[Name, Count] = {}
-    held: list[PartRow] = []
+    held: list[RampShareRow] = []
     anew: bool = False
 
 
@@ -142,7 +142,7 @@
 
     pool: Name
     weights: list[WeightRow] | None = None
-    ramp_shares: list[PartRow] = field(default_factory=list, name="parts")
+    ramp_shares: list[RampShareRow] = field(default_factory=list, name="parts")
     own_share: float | None = field(default=None, name="own_part")
 
 
--- a/sandhatch/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -84,7 +84,7 @@
 
     # ------------------------------------------------ events
 
-    def saw(self, event: Event, actions: Sequence[Action]) -> None:
+    def on_event(self, event: Event, actions: Sequence[Action]) -> None:
         """Record an event that the balancer received, and its answer."""
         if isinstance(event, RequestArrived):
             self._request_counts[event.class_index] += 1
--- a/sandhatch/planning/planner_status.py
+++ b/sandhatch/planning/planner_status.py
@@ -11,7 +11,7 @@
 from sandhatch.planning.lessors import NOTHING
 from sandhatch.planning.membership import Member
 from sandhatch.planning.pool_plan import PoolPlan
-from sandhatch.runtime.address import label_of
+from sandhatch.runtime.address import server_label
 
 
 def explain_server(plan: PoolPlan, address: str, now_ms: float, until_ms: float) -> dict[str, Any] | None:
@@ -35,7 +35,7 @@
         granted = {name: ledger.held(name, now_ms) for name in ledger.holders}
     leased = NOTHING
     if plan.lessors is not None:
-        leased = plan.lessors.leased(label_of(address), until_ms)
+        leased = plan.lessors.leased(server_label(address), until_ms)
     return {
         "pool": plan.load.name,
         "server": address,
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -13,11 +13,11 @@
 from sandhatch.planning.grant_ledger import GrantLedger
 from sandhatch.planning.lessors import Lessors, RampAmount
 from sandhatch.planning.load import PoolLoad
-from sandhatch.planning.messages import PartRow, PoolReport
+from sandhatch.planning.messages import PoolReport, RampShareRow
 from sandhatch.planning.ramp_assignment import assign_ramp, is_similar
 from sandhatch.planning.server_view import ServerView
 from sandhatch.planning.terms import PlannerTerms
-from sandhatch.runtime.address import label_of
+from sandhatch.runtime.address import server_label
 
 TOLERANCE = 1e-9  # for sums of shares that were divided
 
@@ -110,7 +110,7 @@
         """The grants on a server's ramp."""
         ledger = self.ledgers.get(view.address)
         if ledger is None:
-            ledger = GrantLedger(label_of(view.address), self._applied_versions)
+            ledger = GrantLedger(server_label(view.address), self._applied_versions)
             self.ledgers[view.address] = ledger
         return ledger
 
@@ -146,7 +146,7 @@
 
     def grant_ramp_shares(
         self, forwarder: str, version: int, learning: bool, now_ms: float, until_ms: float
-    ) -> Iterator[PartRow]:
+    ) -> Iterator[RampShareRow]:
         """Grant a forwarder its shares of the ramps of the servers that it reports to be warming up.
 
         Args:
@@ -177,7 +177,7 @@
                 wanted = RampAmount(shares[forwarder] * leased.rate, burst)
             granted = ledger.grant(forwarder, version, wanted, leased, now_ms, until_ms)
             if granted.burst:
-                yield PartRow(number, granted.rate, granted.burst)
+                yield RampShareRow(number, granted.rate, granted.burst)
 
     # ------------------------------------------------ assignment
 
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -10,7 +10,7 @@
 from heapq import nlargest
 from typing import NamedTuple, Protocol
 
-from sandhatch.planning.messages import PartRow, PoolReport, Row
+from sandhatch.planning.messages import PoolReport, RampShareRow, Row
 from sandhatch.planning.readiness import Readiness
 from sandhatch.planning.server_totals import ServerTotals
 
@@ -104,7 +104,7 @@
         self._reported_totals.pop(server, None)
 
     def report(
-        self, pool: str, now_ms: float, budget_bytes: int, held: Iterable[PartRow] = ()
+        self, pool: str, now_ms: float, budget_bytes: int, held: Iterable[RampShareRow] = ()
     ) -> BudgetedReport:
         """Report what changed, as much of it as fits.
 
@@ -124,7 +124,7 @@
         for share in held:
             number = self._numbers.get(share.server)
             if number is not None and remaining_bytes >= RAMP_SHARE_BYTES:
-                report.held.append(PartRow(number, share.rate, share.burst))
+                report.held.append(RampShareRow(number, share.rate, share.burst))
                 remaining_bytes -= RAMP_SHARE_BYTES
         return BudgetedReport(report, self._add_rows(report, remaining_bytes))
 
--- a/sandhatch/planning/ramp_assignment.py
+++ b/sandhatch/planning/ramp_assignment.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from heapq import nsmallest
 
-from sandhatch.runtime.address import label_of
+from sandhatch.runtime.address import server_label
 
 MIN_SIMILAR_RATIO = 0.75  # changes of a share that are attributed to chance
 MAX_SIMILAR_RATIO = 1.33
@@ -51,5 +51,5 @@
 
 def _score(name: str, label: int, weight: float) -> float:
     """Weighted rendezvous hash of a forwarder and a server; the lowest scores are chosen."""
-    uniform = (label_of(f"{name} {label}") + 0.5) / 2.0**32
+    uniform = (server_label(f"{name} {label}") + 0.5) / 2.0**32
     return -math.log(uniform) / weight
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -49,7 +49,7 @@
         self.last_report_ms = now_ms
         self._limit = ReceiveLimit(FORWARDER_FRAMES_PER_S, server.bytes_per_s, FORWARDER_BURST_S, now_ms)
         self._transport: asyncio.Transport | None = None
-        self._deadline = server.clock.after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
+        self._deadline = server.clock.call_after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Admit the connection, or close it if there are too many."""
@@ -125,7 +125,7 @@
         self._server.remove(self)
         if transport is not None:
             transport.close()
-            self._server.clock.after(CLOSE_TIMEOUT_MS, transport.abort)
+            self._server.clock.call_after(CLOSE_TIMEOUT_MS, transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of asyncio's protocol
         """The forwarder or the network closed the connection."""
@@ -265,7 +265,7 @@
         ]
         for connection in silent:
             connection.leave("no report for too long")
-        self.clock.after(TICK_MS, self._tick)
+        self.clock.call_after(TICK_MS, self._tick)
 
     # ------------------------------------------------ for operators
 
--- a/sandhatch/platform/graceful_shutdown.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -73,7 +73,7 @@
         for listener in listeners:
             # A connection that this leaves open has an unanswered request; one that is unread in the system's
             # buffers counts as received.
-            listener.end_idle()
-        if not has_unanswered() and not any(listener.taking for listener in listeners):
+            listener.close_idle()
+        if not has_unanswered() and not any(listener.open_count for listener in listeners):
             break
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -9,7 +9,7 @@
 import os
 from functools import partial
 
-from sandhatch.config.platform import Config
+from sandhatch.config.platform import PlatformConfig
 from sandhatch.discovery.client import Discovery, DiscoveryPlan
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.dispatch.plan import PoolPlan
@@ -37,7 +37,7 @@
     """
 
     def __init__(
-        self, config: Config, loop: asyncio.AbstractEventLoop, decisions: Decisions | None = None
+        self, config: PlatformConfig, loop: asyncio.AbstractEventLoop, decisions: Decisions | None = None
     ) -> None:
         """Assemble the program.
 
@@ -61,7 +61,9 @@
         pool_plan = PoolPlan(
             settings, config.seed, connection_descriptors // 2, config.drain_grace_ms, config.report_names
         )
-        discovery_plan = DiscoveryPlan(config.discovery, config.zones, config.kinds, config.known)
+        discovery_plan = DiscoveryPlan(
+            config.discovery, config.zones, config.machine_types, config.known_endpoints
+        )
         self.dispatcher = Dispatcher(pool_plan, self.shared, partial(Discovery, discovery_plan), decisions)
         source = self.dispatcher.source
         assert isinstance(source, Discovery)
@@ -73,7 +75,7 @@
         )
         self.listener = Listener(config.listen, self.shared, request_handler)
 
-    def _record_events(self, config: Config) -> None:
+    def _record_events(self, config: PlatformConfig) -> None:
         record = requested_record(os.environ, self.shared.logger.line)
         if record is None:
             return
--- a/sandhatch/platform/reload.py
+++ b/sandhatch/platform/reload.py
@@ -9,7 +9,7 @@
 
 from sandhatch.config.platform import load
 from sandhatch.discovery.client import Discovery
-from sandhatch.runtime.address import spell
+from sandhatch.runtime.address import format_address
 from sandhatch.runtime.coalescing_runner import CoalescingRunner
 from sandhatch.runtime.errors import ConfigError
 from sandhatch.runtime.logger import Logger
@@ -31,5 +31,5 @@
         except ConfigError as problem:
             self._logger.line(f"reload: {problem}; the configuration read before stays in use")
             return
-        self._logger.line(f"reload: discovery is {spell(config.discovery)}")
-        self._discovery.move(config.discovery)
+        self._logger.line(f"reload: discovery is {format_address(config.discovery)}")
+        self._discovery.relocate(config.discovery)
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -11,7 +11,7 @@
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.interfaces import DisconnectCallback
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_duplicate_id
 from sandhatch.http1.message import Message
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline
 from sandhatch.runtime.shared_resources import SharedResources
@@ -59,8 +59,8 @@
             return None
         parsed = self._requests.read(message)
         event = parsed.event
-        reject_known(self._in_flight_ids, parsed.trace_id)
+        reject_duplicate_id(self._in_flight_ids, parsed.trace_id)
         time_left_ms = self._shutdown_deadline.limit(event.time_left_ms)
         event.time_left_ms = time_left_ms
-        exchange = self._dispatcher.arrive(client, message, time_left_ms, parsed.trace_id, event)
+        exchange = self._dispatcher.start_request(client, message, time_left_ms, parsed.trace_id, event)
         return partial(self._dispatcher.client_disconnected, exchange)
--- a/sandhatch/runtime/address.py
+++ b/sandhatch/runtime/address.py
@@ -41,11 +41,11 @@
         raise ConfigError(f"{key}: {text!r} is not an IPv4 address and port") from None
 
 
-def spell(address: Address) -> str:
+def format_address(address: Address) -> str:
     """The address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
-def label_of(address: str) -> int:
+def server_label(address: str) -> int:
     """A number of the server at `host:port` on which all instances and planners agree."""
     return crc32(address.encode())
--- a/sandhatch/runtime/clock.py
+++ b/sandhatch/runtime/clock.py
@@ -55,7 +55,7 @@
         """Unix milliseconds."""
         return self._offset_ms + time.monotonic() * 1000.0
 
-    def after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
+    def call_after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
         """Call once, `delay_ms` from now."""
         timer = Timer(self.now_ms() + delay_ms, call)
         self._serial += 1
--- a/sandhatch/runtime/descriptor_budget.py
+++ b/sandhatch/runtime/descriptor_budget.py
@@ -16,17 +16,17 @@
         """Close the connection that has been idle for longest; False if none is idle."""
 
 
-class Descriptors:
+class DescriptorBudget:
     """The descriptors that all pools' connections to servers may use together.
 
     Attributes:
-        most: How many.
+        limit: How many.
         holders: The pools' connections; each pool adds and removes its own.
     """
 
     def __init__(self) -> None:
         """An empty budget; its size is set by `SharedResources.share_descriptors`."""
-        self.most = 0
+        self.limit = 0
         self.holders: dict[DescriptorHolder, None] = {}
 
     @property
@@ -34,8 +34,8 @@
         """Descriptors in use."""
         return sum(holder.sockets for holder in self.holders)
 
-    def make_room(self) -> bool:
+    def ensure_one_free(self) -> bool:
         """Whether one more may be used; if none is free, an idle connection of any pool is closed for it."""
-        if self.used < self.most:
+        if self.used < self.limit:
             return True
         return any(holder.close_oldest() for holder in self.holders)
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -17,15 +17,15 @@
     of them.
 
     Attributes:
-        used: Bytes that are counted now; may exceed `most`, see `book`.
-        most: Bytes that may be reserved.
+        used_bytes: Bytes that are counted now; may exceed `limit_bytes`, see `book`.
+        limit_bytes: Bytes that may be reserved.
     """
 
     SHARE = 0.25  # of the memory limit; the rest is for the program, its tables, and the system's reserves
 
     def __init__(self, memory_mb: float) -> None:
         """An empty budget; `memory_mb` is the memory limit of the process."""
-        self.used = 0
+        self.used_bytes = 0
         self._waiters: dict[MemoryWaiter, None] = {}  # in the order of their requests
         self._granting = False
         self.set_limit(memory_mb)
@@ -35,13 +35,13 @@
 
         Bytes counted over a lower limit stay; nothing more is granted until it fits.
         """
-        self.most = int(memory_mb * BYTES_PER_MB * self.SHARE)
+        self.limit_bytes = int(memory_mb * BYTES_PER_MB * self.SHARE)
         self._grant_waiters()
 
     @property
     def free(self) -> int:
         """Bytes that may still be used; 0 while there are waiters."""
-        return 0 if self._waiters else max(0, self.most - self.used)
+        return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
     def book(self, before: int, now: int) -> bool:
         """Count a change in the bytes that one holder buffers.
@@ -56,10 +56,10 @@
         Returns:
             Whether the holder may keep that much; False if it has grown and the budget is exceeded.
         """
-        self.used += now - before
+        self.used_bytes += now - before
         if now < before and self._waiters:
             self._grant_waiters()
-        return now <= before or self.used <= self.most
+        return now <= before or self.used_bytes <= self.limit_bytes
 
     def reserve(self, size: int, granted: Callable[[], None]) -> MemoryWaiter | None:
         """Count `size` bytes before they are buffered, now or as soon as they are free.
@@ -73,8 +73,8 @@
             None if the bytes were free and are counted now; `granted` is not called then. Otherwise a waiter,
             which can leave.
         """
-        if not self._waiters and self.used + size <= self.most:
-            self.used += size
+        if not self._waiters and self.used_bytes + size <= self.limit_bytes:
+            self.used_bytes += size
             return None
         waiter = MemoryWaiter(self, size, granted)
         self._waiters[waiter] = None
@@ -92,10 +92,10 @@
         try:
             while self._waiters:
                 waiter = next(iter(self._waiters))
-                if self.used + waiter.size > self.most:
+                if self.used_bytes + waiter.size > self.limit_bytes:
                     break
                 del self._waiters[waiter]
-                self.used += waiter.size
+                self.used_bytes += waiter.size
                 waiter.granted()
         finally:
             self._granting = False
--- a/sandhatch/runtime/process.py
+++ b/sandhatch/runtime/process.py
@@ -13,7 +13,7 @@
 GC_THRESHOLDS = (20_000, 20, 100)
 
 
-def grant_descriptors(wanted: int) -> int:
+def raise_descriptor_limit(wanted: int) -> int:
     """Raise the soft limit of open descriptors to `wanted`, as far as the hard limit allows.
 
     Returns:
@@ -26,7 +26,7 @@
     return wanted if soft_limit == resource.RLIM_INFINITY else min(wanted, soft_limit)
 
 
-def stop_event(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
+def shutdown_event(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
     """An event that SIGTERM and SIGINT set from now on."""
     stopping = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -34,7 +34,7 @@
     return stopping
 
 
-def settle_collector() -> None:
+def freeze_garbage_collector() -> None:
     """Keep garbage collections short and rare; called once the program is assembled.
 
     What exists now lives as long as the process and is never looked at again by the collector.
--- a/sandhatch/runtime/shared_resources.py
+++ b/sandhatch/runtime/shared_resources.py
@@ -8,7 +8,7 @@
 import asyncio
 
 from sandhatch.runtime.clock import Clock
-from sandhatch.runtime.descriptor_budget import Descriptors
+from sandhatch.runtime.descriptor_budget import DescriptorBudget
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.in_flight_ids import InFlightIds
 from sandhatch.runtime.logger import Logger
@@ -56,7 +56,7 @@
         self.memory_budget = MemoryBudget(memory_mb)
         self.flows = FlowStatistics()
         self.in_flight_ids = InFlightIds(id_retention_ms)
-        self.descriptors = Descriptors()
+        self.descriptors = DescriptorBudget()
         self.share_descriptors(connection_descriptors)
 
     def share_descriptors(self, connection_descriptors: int) -> None:
@@ -65,4 +65,4 @@
         If more are in use than that, the limits count from the next connection on.
         """
         self.client_budget = connection_descriptors * 9 // 20
-        self.descriptors.most = connection_descriptors // 2
+        self.descriptors.limit = connection_descriptors // 2
--- a/sandhatch/service/access_log.py
+++ b/sandhatch/service/access_log.py
@@ -28,25 +28,25 @@
         self._file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - open for as long as the process
         self._service = service
         self.dropped = 0
-        service.record = self._write
+        service.on_request_finished = self._write
         self._flush()
 
     def _row(self, record: RequestRecord) -> dict[str, Any]:
         """The line's keys and values; the keys are part of the log's format."""
         server_name = self._service.pools.book.name
         row = {
-            "t": round(record.came_ms, 3),
-            "ms": round(record.answered_ms - record.came_ms, 3),
+            "t": round(record.received_at_ms, 3),
+            "ms": round(record.answered_at_ms - record.received_at_ms, 3),
             "version": record.version,
             "route": record.route,
             "pool": record.pool,
             "servers": [server_name(number) for number in record.servers],
             "class": record.request_class,
-            "id": record.trace.decode("latin-1"),
+            "id": record.trace_id.decode("latin-1"),
             "status": record.status,
         }
-        if record.cut:
-            row["cut"] = record.cut
+        if record.truncated_by:
+            row["cut"] = record.truncated_by
         return row
 
     def _write(self, record: RequestRecord) -> None:
@@ -64,7 +64,7 @@
         except OSError:
             self.dropped += 1
         if not self._service.stopping:
-            self._service.clock.after(FLUSH_INTERVAL_MS, self._flush)
+            self._service.clock.call_after(FLUSH_INTERVAL_MS, self._flush)
 
     def close(self) -> None:
         """Flush what is buffered and close the file."""
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -72,7 +72,7 @@
     def _replace_link(self, spec: Planning | None) -> None:
         now_ms = self._shared.clock.now_ms()
         if self.link is not None:
-            self._earlier_leases_until_ms = self.link.machine.bound_ms
+            self._earlier_leases_until_ms = self.link.forwarder.bound_ms
             self.link.stop()
             self.link = None
         self._spec = spec
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -46,16 +46,20 @@
         self, received_at_ms: float, class_name: str, pool: str, version: RunningVersion
     ) -> None:
         """Count a request that goes to a pool."""
-        self.watch.came(received_at_ms, class_name, pool, version.checked.model.classes[class_name].worth)
+        self.watch.request_arrived(
+            received_at_ms, class_name, pool, version.checked.model.classes[class_name].worth
+        )
 
     def request_finished(self, record: RequestRecord, version: RunningVersion) -> None:
         """Count the end of a request, if it went to a pool."""
         if not record.pool:
             return
         request_class = version.checked.model.classes[record.request_class]
-        in_time = record.status == 200 and record.answered_ms <= record.came_ms + request_class.aim_ms
-        self.watch.over(
-            record.came_ms,
+        in_time = (
+            record.status == 200 and record.answered_at_ms <= record.received_at_ms + request_class.aim_ms
+        )
+        self.watch.request_ended(
+            record.received_at_ms,
             record.request_class,
             record.pool,
             request_class.worth,
--- a/sandhatch/service/limits.py
+++ b/sandhatch/service/limits.py
@@ -10,7 +10,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.runtime.in_flight_ids import retention_ms
-from sandhatch.runtime.process import grant_descriptors
+from sandhatch.runtime.process import raise_descriptor_limit
 from sandhatch.runtime.shared_resources import SharedResources
 
 OWN_DESCRIPTORS = 64  # the process's own: listeners, control, discovery, files
@@ -19,7 +19,9 @@
 
 def connection_descriptors(checked: Checked) -> int:
     """The descriptors for clients and servers together, within what the system lets this process have."""
-    return max(MIN_CONNECTION_DESCRIPTORS, grant_descriptors(checked.model.limits.sockets) - OWN_DESCRIPTORS)
+    return max(
+        MIN_CONNECTION_DESCRIPTORS, raise_descriptor_limit(checked.model.limits.sockets) - OWN_DESCRIPTORS
+    )
 
 
 def id_retention_ms(checked: Checked) -> float:
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -96,7 +96,7 @@
         listener = self.active.pop(key)
         listener.closing = True
         listener.stop_accepting()
-        listener.end_idle()
+        listener.close_idle()
         self._closing.append(listener)
 
     def _open(self, listener: Listener, key: str) -> None:
@@ -111,13 +111,13 @@
             listener.start()
         except OSError as problem:
             self._shared.logger.line(f"listener {listener.name}: {problem.strerror}; retrying")
-            self._shared.clock.after(REOPEN_MS, lambda: self._open(listener, key))
+            self._shared.clock.call_after(REOPEN_MS, lambda: self._open(listener, key))
 
     def end_idle(self) -> None:
         """Close idle connections of closing listeners, and forget those without connections."""
         self._closing = [listener for listener in self._closing if listener.connections]
         for listener in self._closing:
-            listener.end_idle()
+            listener.close_idle()
 
     def close(self) -> None:
         """Close all listeners and their connections."""
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -121,7 +121,7 @@
 
     @staticmethod
     def _transfer_state(previous: RunningPool, successor: RunningPool) -> None:
-        moved_servers = previous.dispatcher.connection_pool.hand_over(successor.dispatcher.connection_pool)
+        moved_servers = previous.dispatcher.connection_pool.migrate_idle(successor.dispatcher.connection_pool)
         previous_balancer = previous.dispatcher.balancer
         balancer = successor.dispatcher.balancer
         if isinstance(balancer, Balancer) and isinstance(previous_balancer, Balancer):
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -36,7 +36,7 @@
             for problem in failure.problems[:MAX_LOGGED_PROBLEMS]:
                 logger.line(f"reload: {problem}")
         except RejectedError as rejected:
-            logger.line(f"reload: {rejected.why.value}: {rejected.text}")
+            logger.line(f"reload: {rejected.reason.value}: {rejected.text}")
 
     def _commit(self, checked: Checked) -> None:
         proposal = self._service.propose_checked(checked, None, AUTHOR, f"reload of {self._path}")
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -14,7 +14,7 @@
 from sandhatch.dispatch.exchange import Exchange
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.interfaces import DisconnectCallback
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, reject_known
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, reject_duplicate_id
 from sandhatch.http1.errors import FramingError
 from sandhatch.http1.message import Message
 from sandhatch.routing.route import Query
@@ -71,7 +71,7 @@
         if isinstance(target, Answer):
             raise FramingError(target.status, target.body.decode("utf-8", "replace"))
         parsed = self._read(version, message)
-        reject_known(self._shared.in_flight_ids, parsed.trace_id)
+        reject_duplicate_id(self._shared.in_flight_ids, parsed.trace_id)
         return version.terms[parsed.event.class_index]
 
     @staticmethod
@@ -124,11 +124,11 @@
             route=route,
             pool="",
             servers=(),
-            trace=trace[0] if trace else b"",
+            trace_id=trace[0] if trace else b"",
             request_class=query.request_class,
             status=answer.status,
-            came_ms=now_ms,
-            answered_ms=now_ms,
+            received_at_ms=now_ms,
+            answered_at_ms=now_ms,
         )
         self.on_request_finished(record, version)
 
@@ -144,7 +144,7 @@
         event = parsed.event
         trace = parsed.trace_id
         time_left_ms = event.time_left_ms
-        reject_known(self._shared.in_flight_ids, trace)
+        reject_duplicate_id(self._shared.in_flight_ids, trace)
         terms = version.terms[event.class_index]
         message.terms = terms
         if message.flow is not None:
@@ -157,7 +157,7 @@
         version.open += 1
         self.on_request_received(received_at_ms, class_name, pool.name, version)
         finish = partial(self._finish, version, route, pool.name, class_name, received_at_ms)
-        exchange = pool.dispatcher.arrive(client, message, time_left_ms, trace, event, finish)
+        exchange = pool.dispatcher.start_request(client, message, time_left_ms, trace, event, finish)
         return partial(pool.dispatcher.client_disconnected, exchange)
 
     def _finish(
@@ -179,7 +179,7 @@
             exchange.status,
             received_at_ms,
             exchange.answered_ms,
-            exchange.cut,
+            exchange.truncated_by,
         )
         version.open -= 1
         try:
--- a/sandhatch/service/request_record.py
+++ b/sandhatch/service/request_record.py
@@ -14,21 +14,21 @@
         route: Name of the matched route, "default" if none matched.
         pool: Name of the pool, empty if the route gave a fixed answer.
         servers: Numbers of the servers of its attempts, in order.
-        trace: Its X-Trace-Id.
+        trace_id: Its X-Trace-Id.
         request_class: Name of its request class.
         status: Status of the answer; 0 if the client disconnected before one was sent.
-        came_ms: When it was received.
-        answered_ms: When its answer was sent.
-        cut: Why its body or answer was aborted: "client", "server" or "time"; else empty.
+        received_at_ms: When it was received.
+        answered_at_ms: When its answer was sent.
+        truncated_by: Why its body or answer was aborted: "client", "server" or "time"; else empty.
     """
 
     version: int
     route: str
     pool: str
     servers: tuple[int, ...]
-    trace: bytes
+    trace_id: bytes
     request_class: str
     status: int
-    came_ms: float
-    answered_ms: float
-    cut: str = ""
+    received_at_ms: float
+    answered_at_ms: float
+    truncated_by: str = ""
--- a/sandhatch/service/running_version.py
+++ b/sandhatch/service/running_version.py
@@ -28,7 +28,7 @@
         terms: Limits of bodies, by class index.
         longest_deadline_ms: The longest deadline of its classes.
         longest_request_ms: The longest that a request may take once no new ones are accepted.
-        longest_aim_ms: The longest latency objective of its classes.
+        longest_objective_ms: The longest latency objective of its classes.
     """
 
     def __init__(self, version: Version, pools: dict[str, RunningPool]) -> None:
@@ -47,7 +47,7 @@
         self.terms = [item.bodies.terms() for item in model.classes.values()]
         self.longest_deadline_ms = max(item.deadline_ms for item in model.classes.values())
         self.longest_request_ms = max(self.longest_deadline_ms, model.limits.drain_ms)
-        self.longest_aim_ms = max(item.aim_ms for item in model.classes.values())
+        self.longest_objective_ms = max(item.aim_ms for item in model.classes.values())
 
     @property
     def ready(self) -> bool:
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from sandhatch.discovery.names import Names
+from sandhatch.discovery.names import EndpointNumbering
 
 
 class ServerRegistry:
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         """Start without any server."""
-        self.names = Names((), ())
+        self.names = EndpointNumbering((), ())
         self._listed_since_ms: dict[str, float] = {}
         self._name_by_number: dict[int, str] = {}
 
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sandhatch.config.check import Checked
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.history import History, Saved
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.transactions import Transactions
@@ -41,12 +41,12 @@
     Attributes:
         shared: Clock, logger, budgets and in-flight ids.
         transactions: Versions and proposals, and what may be done with them.
-        front: Request handler of all listeners.
+        request_handler: Request handler of all listeners.
         pools: Pools of all versions that run.
         forwarding: The link to the planners.
         goodput: Comparison of a new version's goodput with that before.
         changes: Carries out changes of the version.
-        record: Called with each finished request.
+        on_request_finished: Called with each finished request.
         stopping: Whether the process ends.
     """
 
@@ -70,25 +70,25 @@
         self.clock = self.shared.clock
         self.logger = self.shared.logger
         self.transactions = self._first_transactions(first, saved)
-        self.front = RequestHandler(self.shared, seed)
+        self.request_handler = RequestHandler(self.shared, seed)
         self.pools = Pools(self.shared)
         self.forwarding = Forwarding(self.shared, seed)
         self.goodput = GoodputMonitor(self.clock, first)
-        self._listener_set = ListenerSet(self.shared, self.front)
+        self._listener_set = ListenerSet(self.shared, self.request_handler)
         self._store = VersionStore(self.shared, self.transactions, history, saved)
         self.changes = VersionChanges(
             self.shared,
             self.transactions,
-            self.front,
+            self.request_handler,
             self.pools,
             self._listener_set,
             self.forwarding,
             self._store,
             self.goodput,
         )
-        self.front.on_request_received = self.goodput.request_received
-        self.front.on_request_finished = self._request_finished
-        self.record: Callable[[RequestRecord], None] = lambda _record: None
+        self.request_handler.on_request_received = self.goodput.request_received
+        self.request_handler.on_request_finished = self._request_finished
+        self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
     def _first_transactions(self, first: Checked, saved: Saved | None) -> Transactions:
@@ -120,7 +120,7 @@
         Raises:
             StageError: Its listeners can't be bound, or its keys can't be read.
         """
-        version = self.transactions.in_force
+        version = self.transactions.active
         running = self.changes.build(version)
         # There is no earlier version to stay with: the first one starts with the servers that there are.
         for pool in running.pools.values():
@@ -130,7 +130,7 @@
                 self.logger.line(f"warning: {problem}")
         self.changes.activate(version, first=True)
         self._store.queue_save(0, None)
-        self.clock.after(TICK_MS, self._tick)
+        self.clock.call_after(TICK_MS, self._tick)
 
     async def drain(self) -> None:
         """Shut down gracefully: accept for a while, answer what was received, then close."""
@@ -191,7 +191,7 @@
         size: int = 0,
     ) -> Proposal:
         """As `propose`, of a configuration that has been checked; `size` is that of its text in bytes."""
-        number = self.transactions.in_force.number if base is None else base
+        number = self.transactions.active.number if base is None else base
         return self.transactions.propose(self.now_ms, number, checked, author, comment, merge, size)
 
     def commit(self, proposal: int, confirm_within_ms: float | None = None, watched: bool = True) -> Version:
@@ -229,7 +229,7 @@
     def _propose_saved(self, number: int, author: str) -> Proposal:
         data = self._store.confirmed_content(number)
         if data is None:
-            raise RejectedError(Refusal.UNKNOWN, f"there is no confirmed version {number}")
+            raise RejectedError(RejectionReason.UNKNOWN, f"there is no confirmed version {number}")
         with reject_invalid():
             checked = check_data(data)
         return self.propose_checked(checked, None, author, f"back to version {number}")
@@ -246,14 +246,14 @@
         """
         version = self.transactions.versions.get(number)
         if version is None:
-            raise RejectedError(Refusal.UNKNOWN, f"there is no version {number}")
+            raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number}")
         return version.data
 
-    def rows(self) -> list[dict[str, Any]]:
+    def history_rows(self) -> list[dict[str, Any]]:
         """The history of versions, oldest first."""
         return self._store.rows()
 
-    async def settled(self, version: Version, over: bool = False) -> Version:
+    async def wait_until_decided(self, version: Version, over: bool = False) -> Version:
         """Wait until a version is active or has ended; with `over`, until it has ended."""
         while version.state not in OVER and (over or version.state not in RUNNING):
             await self.changes.changed.wait()
@@ -263,18 +263,18 @@
 
     def _request_finished(self, record: RequestRecord, version: RunningVersion) -> None:
         self.goodput.request_finished(record, version)
-        self.record(record)
+        self.on_request_finished(record)
 
     def _tick(self) -> None:
         now_ms = self.now_ms
-        current = self.front.current
+        current = self.request_handler.current
         if current is not None:
-            fall = self.goodput.check(now_ms, current.longest_aim_ms)
+            fall = self.goodput.check(now_ms, current.longest_objective_ms)
             if fall is not None and self.transactions.pending is not None:
-                self.transactions.fell(self.transactions.pending, str(fall))
+                self.transactions.goodput_fell(self.transactions.pending, str(fall))
             self.pools.withdraw_unlisted(current.pools, now_ms)
         self.transactions.tick(now_ms)
         self.changes.carry_out()
         self._listener_set.end_idle()
         if not self.stopping:
-            self.clock.after(TICK_MS, self._tick)
+            self.clock.call_after(TICK_MS, self._tick)
--- a/sandhatch/service/validation.py
+++ b/sandhatch/service/validation.py
@@ -8,7 +8,7 @@
 
 from sandhatch.config.check import Checked, check, check_text
 from sandhatch.config.document import Document
-from sandhatch.config.errors import CheckError, Refusal, RejectedError
+from sandhatch.config.errors import CheckError, RejectedError, RejectionReason
 
 
 def check_data(data: dict[str, Any]) -> Checked:
@@ -27,7 +27,7 @@
         yield
     except CheckError as failure:
         errors = [str(problem) for problem in failure.problems]
-        raise RejectedError(Refusal.INVALID, f"{len(errors)} problems", problems=errors) from None
+        raise RejectedError(RejectionReason.INVALID, f"{len(errors)} problems", problems=errors) from None
 
 
 def checked_text(text: bytes) -> Checked:
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -11,7 +11,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from sandhatch.config.actions import Action, Apply, Retire, Save, Say, Stage, Unstage, Unwatch, Watch
+from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
 from sandhatch.config.transactions import Transactions
 from sandhatch.config.version import State, Version
 from sandhatch.runtime.shared_resources import SharedResources
@@ -69,7 +69,7 @@
             return
         self._carrying_out = True
         try:
-            while actions := self._transactions.take():
+            while actions := self._transactions.take_actions():
                 for action in actions:
                     self._execute(action)
         finally:
@@ -81,7 +81,7 @@
         match action:
             case Stage(version=version):
                 self._start_task(self._stage(version))
-            case Unstage(version=version):
+            case DiscardStaged(version=version):
                 self._unstage(version)
             case Save(step=step, version=saved_version):
                 self._store.queue_save(step, saved_version)
@@ -91,7 +91,7 @@
                 self._retire(version)
             case Watch(version=version):
                 self._goodput.begin(version, self._transactions.confirmed)
-            case Unwatch(version=version):
+            case EndWatch(version=version):
                 self._end_watch(version)
             case Say(text=text):
                 self._shared.logger.line(text)
@@ -170,7 +170,7 @@
             self._pools.release(version.pools)
 
     def _end_watch(self, version: Version) -> None:
-        if version.state is State.TAKEN_BACK:
+        if version.state is State.ROLLED_BACK:
             self._goodput.watch.forget()
         else:
             self._goodput.watch.end()
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -11,7 +11,7 @@
 the pace of the slower side.
 
 The replay buffer keeps the bytes from the first, while they are few: until it is released, another sink can
-be given the complete body. `Watcher.unrepeatable` notifies of the release.
+be given the complete body. `FlowObserver.unrepeatable` notifies of the release.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.interfaces import Piece, Sink, Source, Ticks, Watcher
+from sandhatch.streaming.interfaces import FlowObserver, MonotonicClock, Piece, Sink, Source
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.terms import BodyTerms
 
@@ -59,7 +59,7 @@
         trailers: Fields behind the body, once it has ended.
     """
 
-    LEAST = 16 * 1024  # bytes of credit for a body that has begun, however short memory is
+    MIN_CREDIT_BYTES = 16 * 1024  # bytes of credit for a body that has begun, however short memory is
 
     __slots__ = (
         "_booked_bytes",
@@ -87,7 +87,7 @@
     def __init__(
         self,
         terms: BodyTerms,
-        clock: Ticks,
+        clock: MonotonicClock,
         memory_budget: MemoryBudget,
         statistics: FlowStatistics,
         source: Source,
@@ -103,8 +103,8 @@
             statistics: Counts all flows of the process.
             source: Brings the body.
             reserved_bytes: Booked already, and kept until the replay buffer is released; after that the flow
-                keeps `LEAST`.
-            lends: Whether `LEAST` of the reserved bytes are for the body of the other direction.
+                keeps `MIN_CREDIT_BYTES`.
+            lends: Whether `MIN_CREDIT_BYTES` of the reserved bytes are for the body of the other direction.
         """
         self.terms = terms
         self.source: Source | None = source
@@ -114,7 +114,7 @@
         self._reserved_bytes = reserved_bytes
         self._booked_bytes = reserved_bytes
         self._leased = not lends  # the other direction has been given its part
-        self._watcher: Watcher | None = None
+        self._watcher: FlowObserver | None = None
         self._sink: Sink | None = None
         self._unsent_bytes = 0  # of the sink, as last looked at
         # Before the first sink this is what waits for it; afterwards what another one would be given.
@@ -142,7 +142,7 @@
         however short memory is.
         """
         free_bytes = max(self._reserved_bytes, self._booked_bytes + self._memory_budget.free)
-        return max(0, min(self.terms.ceiling_bytes, free_bytes) - self.held)
+        return max(0, min(self.terms.ceiling_bytes, free_bytes) - self.memory_bytes)
 
     def push(self, piece: Piece) -> None:
         """Take the next bytes of the body; a view is copied where it must outlast the call."""
@@ -183,7 +183,7 @@
     # ------------------------------------------------ called by whoever runs the exchange
 
     @property
-    def held(self) -> int:
+    def memory_bytes(self) -> int:
         """Bytes in memory on the body's behalf."""
         return self._replay_bytes + (self._sink.unsent if self._sink is not None else 0)
 
@@ -192,7 +192,7 @@
         """Whether a sink could be given the complete body."""
         return self._replay_buffer is not None
 
-    def watch(self, watcher: Watcher) -> None:
+    def watch(self, watcher: FlowObserver) -> None:
         """Notify this watcher from now on, in place of any other."""
         self._watcher = watcher
 
@@ -233,7 +233,7 @@
         self._booked_bytes = 0
         self._statistics.open -= 1
 
-    def too_slow(self, now_ms: float) -> SlowSide | None:
+    def slow_side(self, now_ms: float) -> SlowSide | None:
         """Returns which side violates its progress limits; None if neither does."""
         if self.closed:
             return None
@@ -246,8 +246,8 @@
             return SlowSide(Side.SOURCE, reason)
         return None
 
-    def lend(self) -> int:
-        """Hand `LEAST` of the reserved bytes over to the body of the other direction.
+    def lease_to_answer(self) -> int:
+        """Hand `MIN_CREDIT_BYTES` of the reserved bytes over to the body of the other direction.
 
         So a request that has begun does not wait for the memory of its answer. The answer of another attempt
         gets as many, booked anew: what was handed over before went back to the budget.
@@ -256,13 +256,13 @@
             The bytes, which are booked.
         """
         if self._leased or self.closed:
-            self._memory_budget.book(0, self.LEAST)
-            return self.LEAST
+            self._memory_budget.book(0, self.MIN_CREDIT_BYTES)
+            return self.MIN_CREDIT_BYTES
         self._leased = True
-        self._reserved_bytes = max(0, self._reserved_bytes - self.LEAST)
-        self._booked_bytes -= self.LEAST
+        self._reserved_bytes = max(0, self._reserved_bytes - self.MIN_CREDIT_BYTES)
+        self._booked_bytes -= self.MIN_CREDIT_BYTES
         self._update()
-        return self.LEAST
+        return self.MIN_CREDIT_BYTES
 
     # ------------------------------------------------
 
@@ -270,7 +270,7 @@
         """Keep what was sent no longer."""
         self._replay_buffer = None
         self._replay_bytes = 0
-        least_bytes = self.LEAST if self._leased else 2 * self.LEAST
+        least_bytes = self.MIN_CREDIT_BYTES if self._leased else 2 * self.MIN_CREDIT_BYTES
         self._reserved_bytes = min(self._reserved_bytes, least_bytes)
         if self._watcher is not None:
             self._watcher.unrepeatable()
--- a/sandhatch/streaming/interfaces.py
+++ b/sandhatch/streaming/interfaces.py
@@ -13,7 +13,7 @@
 Piece = bytes | memoryview
 
 
-class Ticks(Protocol):
+class MonotonicClock(Protocol):
     """A monotonic clock."""
 
     def now_ms(self) -> float:
@@ -44,7 +44,7 @@
         """Take the end: the body is complete."""
 
 
-class Watcher(Protocol):
+class FlowObserver(Protocol):
     """Is notified of a flow's progress; whoever runs the exchange."""
 
     def unrepeatable(self) -> None:
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -87,15 +87,15 @@
 
     def on_endpoint_list(
         self,
-        update: ListUpdate,  # noqa: ARG002 - part of the observer's protocol; `saw` is given it too
+        update: ListUpdate,  # noqa: ARG002 - part of the observer's protocol; `on_event` is given it too
         addresses: Sequence[str],
         why: str = "",
     ) -> None:
-        """Notes the addresses of the list that `saw` is given next, and why a poll failed."""
+        """Notes the addresses of the list that `on_event` is given next, and why a poll failed."""
         self._addresses = addresses
         self._list_failure = why
 
-    def saw(self, event: Event, actions: Sequence[Action]) -> None:
+    def on_event(self, event: Event, actions: Sequence[Action]) -> None:
         """Records an event with the actions that answered it."""
         if isinstance(event, ListUpdate):
             self._write_sends()
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -155,7 +155,11 @@
         The answer to a request that is streamed itself has its part of the memory already, and never waits.
         """
         assert self.terms is not None
-        return Flow.LEAST if self.flow is not None else max(Flow.LEAST, self.terms.answer.hold_bytes)
+        return (
+            Flow.MIN_CREDIT_BYTES
+            if self.flow is not None
+            else max(Flow.MIN_CREDIT_BYTES, self.terms.answer.hold_bytes)
+        )
 
     def write(self, connection: ServerConnection) -> bool:
         """Send the request on a connection that is up, unless the attempt is over.
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -27,7 +27,7 @@
 from sandhatch.http1.body_endpoint import BodyEndpoint
 from sandhatch.http1.events import End, Event
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import ResponseReader
+from sandhatch.http1.parser import ResponseParser
 from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
@@ -59,9 +59,10 @@
         self.address = server.address
         self.started_ms = server.started_ms
         self._transport: asyncio.Transport | None = None
-        self._reader = ResponseReader()
-        self._call: Attempt | None = None  # the attempt that it carries
-        self._withheld = b""  # the last byte of the attempt's request: see `ConnectionPool.HOLD_MS`
+        self._reader = ResponseParser()
+        self._attempt: Attempt | None = None  # the attempt that it carries
+        # The last byte of the attempt's request: see `ConnectionPool.LAST_BYTE_DELAY_MS`.
+        self._withheld = b""
         self._used = False  # it has carried an attempt before
         self._booked_bytes = 0  # in the memory budget that all connections share
         self._probe_body: bytes | None = None  # the body of the answer before, if that was a probe's
@@ -84,7 +85,7 @@
 
     def resume_writing(self) -> None:
         """Note that the system has taken all that was written."""
-        attempt = self._call
+        attempt = self._attempt
         if attempt is None:
             return
         if attempt.flow is not None:
@@ -96,16 +97,16 @@
         """Provide the buffer of the next read: no larger than what may be buffered or streamed now."""
         if self._answer_flow is not None:
             return SCRATCH[: max(1, self._answer_flow.credit)]
-        attempt = self._call
+        attempt = self._attempt
         if attempt is not None and attempt.terms is not None:
             if self._buffering:
                 return SCRATCH[: max(1, attempt.bytes_before_streaming - self._reader.size)]
-            return SCRATCH[: Flow.LEAST]
+            return SCRATCH[: Flow.MIN_CREDIT_BYTES]
         return SCRATCH
 
     def buffer_updated(self, nbytes: int) -> None:
         """Parse what was read, and act on it."""
-        attempt = self._call
+        attempt = self._attempt
         if attempt is None:  # there is nothing to answer
             self.abort()
             return
@@ -119,7 +120,7 @@
         if self._streamed_answer is not None:
             self._on_streamed_events(attempt, events)
             return
-        fits = self._book(self._reader.held)
+        fits = self._book(self._reader.buffered_bytes)
         if events:  # no pieces: they come only once an answer is being streamed
             self._on_complete_answers(attempt, cast(list[Message], events))
         elif self._reader.fault is not None or not fits:
@@ -127,7 +128,7 @@
             attempt.connection_failed()
         elif self._buffering:
             self._reserve_memory(attempt)
-            if self._reserved and self._reader.openable:
+            if self._reserved_bytes and self._reader.openable:
                 self._start_streaming(attempt)
 
     def eof_received(self) -> None:
@@ -144,7 +145,7 @@
         self._fail_attempt()
 
     def _fail_attempt(self) -> None:
-        attempt = self._call
+        attempt = self._attempt
         if attempt is None:
             return
         if self._withheld:
@@ -155,7 +156,7 @@
     def _return_attempt(self, attempt: Attempt) -> None:
         """Have the pool send the request on a new connection; on this one, no server had all of it."""
         self._withheld = b""
-        self._call = None
+        self._attempt = None
         attempt.connection = None
         self.abort()
         self._pool.start_on_new_connection(attempt)
@@ -164,7 +165,7 @@
 
     def _on_answer_head(self, answer: Message) -> None:
         """Decide whether an answer with a body may be streamed, now that its head has arrived."""
-        attempt = self._call
+        attempt = self._attempt
         if attempt is None or attempt.terms is None or answer.status != 200:
             return
         terms = attempt.terms.answer
@@ -177,53 +178,55 @@
 
     def _on_buffered_long(self, attempt: Attempt) -> None:
         """Stream an answer that has been buffered for long enough, however little of it has arrived."""
-        if self._call is attempt and self._streamed_answer is None and self._reader.in_body:
-            self._reader.stream(0, self._reader.most_body)
-            if self._reserved and self._reader.openable:
+        if self._attempt is attempt and self._streamed_answer is None and self._reader.in_body:
+            self._reader.stream(0, self._reader.max_body_bytes)
+            if self._reserved_bytes and self._reader.openable:
                 self._start_streaming(attempt)
 
     def _reserve_memory(self, attempt: Attempt) -> None:
         """Reserve the memory that a long answer needs, or wait in the queue for it."""
-        if self._reserved or self.waits_for_memory:
+        if self._reserved_bytes or self.waits_for_memory:
             return
         if attempt.flow is not None:
-            self._on_reserved(attempt.flow.lend())
+            self._on_reserved(attempt.flow.lease_to_answer())
             return
         needed_bytes = attempt.bytes_before_streaming
-        self._place = self._pool.memory_budget.reserve(needed_bytes, partial(self._on_granted, attempt))
-        if self._place is None:
+        self._memory_waiter = self._pool.memory_budget.reserve(
+            needed_bytes, partial(self._on_granted, attempt)
+        )
+        if self._memory_waiter is None:
             self._on_reserved(needed_bytes)
         else:
             self.pause()
 
     def _on_granted(self, attempt: Attempt) -> None:
         """Go on with an answer that waited in the queue for memory."""
-        self._place = None
+        self._memory_waiter = None
         self._on_reserved(attempt.bytes_before_streaming)
         self.resume()
         if self._reader.openable:
             self._start_streaming(attempt)
 
     def _on_reserved(self, reserved_bytes: int) -> None:
-        self._reserved = reserved_bytes
+        self._reserved_bytes = reserved_bytes
         self._booked_bytes += reserved_bytes
-        self._book(self._reader.held)
+        self._book(self._reader.buffered_bytes)
 
     def _start_streaming(self, attempt: Attempt) -> None:
         """Forward the head of the answer; the memory reserved for its body becomes the flow's."""
         answer = self._streamed_answer = self._reader.open()
         buffered_body = answer.body
         answer.body = b""
-        reserved_bytes = self._reserved
+        reserved_bytes = self._reserved_bytes
         flow = attempt.start_answer(answer, reserved_bytes)
         if flow is None:
             self._book(0)
             attempt.end(outcome_of(answer), answer)
             return
         self._booked_bytes -= reserved_bytes
-        self._reserved = 0
+        self._reserved_bytes = 0
         self._buffering = False
-        if self._call is attempt and not flow.closed:
+        if self._attempt is attempt and not flow.closed:
             self._book(0)
             self._answer_flow = flow
             flow.push(buffered_body)
@@ -240,7 +243,7 @@
                 return
             if not isinstance(event, Message):
                 flow.push(event)
-        if self._reader.fault is not None and self._call is attempt:
+        if self._reader.fault is not None and self._attempt is attempt:
             self.abort()
             attempt.connection_failed()
 
@@ -250,7 +253,7 @@
         assert answer is not None  # its head came before its end
         self._streamed_answer = None
         self._answer_flow = None
-        self._call = None
+        self._attempt = None
         reusable = self._is_reusable(attempt, nothing_follows)
         if attempt.flow is not None:
             attempt.flow.detach(self)
@@ -265,7 +268,7 @@
     @property
     def waits_for_memory(self) -> bool:
         """Whether an answer waits in the queue for memory."""
-        return self._place is not None
+        return self._memory_waiter is not None
 
     def _on_complete_answers(self, attempt: Attempt, answers: list[Message]) -> None:
         """End the attempt with the first of the answers."""
@@ -275,7 +278,7 @@
         reusable = self._is_reusable(attempt, nothing_follows=len(answers) == 1)
         if attempt.flow is not None:
             attempt.flow.detach(self)
-        self._call = None
+        self._attempt = None
         self._socket_writer = None
         probe_body = self._probe_body
         self._probe_body = answer.body if attempt.probe else None
@@ -295,7 +298,9 @@
         """
         reader = self._reader
         request_complete = attempt.request_sent and (attempt.flow is None or attempt.flow.done)
-        return request_complete and nothing_follows and reader.fault is None and not reader.begun
+        return (
+            request_complete and nothing_follows and reader.fault is None and not reader.has_partial_message
+        )
 
     def _end_attempt(self, attempt: Attempt, answer: Message, reusable: bool) -> None:
         """End the attempt with its answer, and pool the connection if it can be used again."""
@@ -309,29 +314,29 @@
 
     def _book(self, buffered_bytes: int) -> bool:
         """Book what is buffered, or what is reserved if that is more; return whether it fits the budget."""
-        booked_bytes = max(buffered_bytes, self._reserved)
+        booked_bytes = max(buffered_bytes, self._reserved_bytes)
         fits = self._pool.memory_budget.book(self._booked_bytes, booked_bytes)
         self._booked_bytes = booked_bytes
         return fits
 
     def _stop_buffering(self) -> None:
         """Release the memory reserved for an answer, or stop waiting for it."""
-        self._leave_queue()
+        self._cancel_memory_wait()
         self._buffering = False
-        self._book(self._reader.held)
+        self._book(self._reader.buffered_bytes)
 
     # ------------------------------------------------ called by the pool and by attempts
 
     def send(self, attempt: Attempt, request: Message) -> None:
         """Write the request of an attempt.
 
-        On a connection that was used before, its last byte follows `ConnectionPool.HOLD_MS` later. A streamed
-        body has no last byte that could wait, so it is never sent on such a connection.
+        On a connection that was used before, its last byte follows `ConnectionPool.LAST_BYTE_DELAY_MS`
+        later. A streamed body has no last byte that could wait, so it is never sent on such a connection.
         """
         assert self._transport is not None
-        self._call = attempt
+        self._attempt = attempt
         if attempt.terms is not None:
-            self._reader.headed = self._on_answer_head
+            self._reader.on_head = self._on_answer_head
         if attempt.flow is not None:
             self._send_streamed(attempt, attempt.flow, request)
             return
@@ -356,7 +361,7 @@
 
     def _send_withheld(self, attempt: Attempt) -> None:
         """Write the last byte of a request, if the attempt and the connection are still good."""
-        if self._call is not attempt or not self._withheld or not attempt.may_be_written():
+        if self._attempt is not attempt or not self._withheld or not attempt.may_be_written():
             return
         if not self.usable():
             # Its end is there and not yet read: timers run before what waits to be read.
@@ -368,15 +373,15 @@
 
     def _write(self, data: bytes) -> None:
         assert self._transport is not None
-        assert self._call is not None
+        assert self._attempt is not None
         self._transport.write(data)
         if not self._withheld and self._transport.get_write_buffer_size() == 0:
-            self._call.request_sent = True
+            self._attempt.request_sent = True
 
     def release(self, attempt: Attempt) -> None:
         """Cancel an attempt that has ended without an answer, by closing the connection."""
-        if self._call is attempt:
-            self._call = None
+        if self._attempt is attempt:
+            self._attempt = None
             self._streamed_answer = None
             self._answer_flow = None
             self._withheld = b""
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -14,7 +14,7 @@
 from sandhatch.balancing.events import Outcome, ServerState
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock
-from sandhatch.runtime.descriptor_budget import Descriptors
+from sandhatch.runtime.descriptor_budget import DescriptorBudget
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection import ServerConnection
@@ -51,11 +51,11 @@
     # closes it: guards against a repeated answer, or noise, that arrives one read later and would be taken
     # for the answer to the next request. A probe comes just before an attempt, so its connection does not
     # rest: there an answer that repeats the probe's is recognized by its body.
-    REST_MS = 25.0
+    COOLDOWN_MS = 25.0
     # On a connection used before, the last byte of a request is written so much later: a server that closed
     # the connection unseen resets it on the first bytes, an incomplete request has not run, and it goes out
     # on a new connection. Guards non-idempotent requests, which nobody may retry after a reset.
-    HOLD_MS = 2.0
+    LAST_BYTE_DELAY_MS = 2.0
     CONNECT_MARGIN_MS = 100.0  # off the drain's grace period, for lists that are read late
     IDLE_MARGIN_MS = 5_000.0  # at most, before the server closes an idle connection
     IDLE_MARGIN_FRACTION = 0.2  # the same, as a part of the time that the server keeps it
@@ -64,7 +64,7 @@
         self,
         clock: Clock,
         memory_budget: MemoryBudget,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         limits: ConnectionLimits,
     ) -> None:
         """Create an empty pool.
@@ -140,7 +140,7 @@
         if attempt.flow is not None:
             self.start_on_new_connection(attempt)
             return
-        attempt.timer = self._clock.after(timeout_ms, attempt.time_out)
+        attempt.timer = self._clock.call_after(timeout_ms, attempt.time_out)
         connection = self._take_idle(attempt.server)
         if connection is not None:
             if not attempt.write(connection):
@@ -152,19 +152,21 @@
         """Await the answer to a streamed request, now that all of it has been sent."""
         if not attempt.ended:
             attempt.sent_ms = self._clock.now_ms()
-            attempt.timer = self._clock.after(attempt.timeout_ms, attempt.time_out)
+            attempt.timer = self._clock.call_after(attempt.timeout_ms, attempt.time_out)
 
     def later(self, callback: Callable[[], None]) -> None:
         """Call back when a withheld last byte is due."""
-        self.after(self.HOLD_MS, callback)
+        self.after(self.LAST_BYTE_DELAY_MS, callback)
 
     def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
         """Call back after a delay."""
-        self._clock.after(delay_ms, callback)
+        self._clock.call_after(delay_ms, callback)
 
     def start_on_new_connection(self, attempt: Attempt) -> None:
         """Open a connection and write an attempt's request there; the attempt fails if none may be opened."""
-        if (self.sockets >= self._budget and not self.close_oldest()) or not self._descriptors.make_room():
+        if (
+            self.sockets >= self._budget and not self.close_oldest()
+        ) or not self._descriptors.ensure_one_free():
             attempt.end(Outcome.CONNECT_FAILED)
             return
         task = asyncio.get_running_loop().create_task(self._connect(attempt))
@@ -196,7 +198,7 @@
         for index in range(len(idle) - 1, -1, -1):
             connection = idle[index]
             unused_ms = now_ms - connection.idle_since_ms
-            if connection.rests and unused_ms < self.REST_MS:
+            if connection.rests and unused_ms < self.COOLDOWN_MS:
                 continue
             del idle[index]
             if unused_ms < self._reuse_within_ms and connection.usable():
@@ -219,7 +221,7 @@
         self._idle.setdefault(server.number, []).append(connection)
         if not self._sweeping:
             self._sweeping = True
-            self._clock.after(self.SWEEP_MS, self._sweep)
+            self._clock.call_after(self.SWEEP_MS, self._sweep)
 
     def _sweep(self) -> None:
         """Close connections that have been idle for nearly as long as the server keeps them."""
@@ -237,7 +239,7 @@
                 del self._idle[number]
         self._sweeping = bool(self._idle)
         if self._sweeping:
-            self._clock.after(self.SWEEP_MS, self._sweep)
+            self._clock.call_after(self.SWEEP_MS, self._sweep)
 
     def close_oldest(self) -> bool:
         """Close the connection that has been idle for longest; return False if none is idle."""
@@ -264,7 +266,7 @@
 
     # ------------------------------------------------ succession and end of the pool
 
-    def hand_over(self, successor: ConnectionPool) -> list[int]:
+    def migrate_idle(self, successor: ConnectionPool) -> list[int]:
         """Give the idle connections to another pool, where that has the same server at the same address.
 
         Returns:
--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -1,4 +1,4 @@
-"""Behaviours of a fake server by name: responses and faults, each a `Behaviour` for `FakeUpstream`.
+"""Behaviours of a fake server by name: responses and faults, each a `Behaviour` for `FakeServer`.
 
 None of them sleeps: what waits, waits for an event or for the connection's end. Source: the project's own.
 """
@@ -7,8 +7,8 @@
 
 import asyncio
 
-from testkit.servers import Behaviour, Talk
-from testkit.wire import Incoming, ok, status
+from testkit.servers import Behaviour, FakeConnection
+from testkit.wire import ReceivedRequest, ok, status
 
 # All behaviours take a request, though few look at it.
 # ruff: noqa: ARG001
@@ -17,7 +17,7 @@
 def responds(data: bytes) -> Behaviour:
     """Writes these bytes, whatever they are, in response to each request."""
 
-    async def behave(request: Incoming, talk: Talk) -> None:
+    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
         await talk.send(data)
 
     return behave
@@ -36,24 +36,24 @@
 def waits_for(event: asyncio.Event, behaviour: Behaviour) -> Behaviour:
     """Behaves as `behaviour` once the event is set."""
 
-    async def behave(request: Incoming, talk: Talk) -> None:
+    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
         await event.wait()
         await behaviour(request, talk)
 
     return behave
 
 
-async def echoes_target(request: Incoming, talk: Talk) -> None:
+async def echoes_target(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Responds with the request's target as the body."""
     await talk.send(ok(request.target.encode()))
 
 
-async def never_responds(request: Incoming, talk: Talk) -> None:
+async def never_responds(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Sends nothing until the balancer closes."""
     await talk.ended()
 
 
-async def disconnects(request: Incoming, talk: Talk) -> None:
+async def disconnects(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Ends the connection in place of a response."""
     talk.reset()
 
@@ -61,7 +61,7 @@
 def disconnects_after(body_bytes: int) -> Behaviour:
     """Begins a response, and ends the connection after so many bytes of its body."""
 
-    async def behave(request: Incoming, talk: Talk) -> None:
+    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
         await talk.send(_truncated_response(body_bytes))
         talk.reset()
 
@@ -71,7 +71,7 @@
 def stalls_after(body_bytes: int) -> Behaviour:
     """Begins a response, and sends nothing more after so many bytes of its body."""
 
-    async def behave(request: Incoming, talk: Talk) -> None:
+    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
         await talk.send(_truncated_response(body_bytes))
         await talk.ended()
 
--- a/testkit/bodies.py
+++ b/testkit/bodies.py
@@ -17,7 +17,7 @@
 UNLIMITED_BYTES = 1 << 60
 
 
-class Pattern:
+class SeededBody:
     """A body of any length, the same for the same seed; two seeds differ in every block."""
 
     def __init__(self, seed: int) -> None:
--- a/testkit/clients.py
+++ b/testkit/clients.py
@@ -8,7 +8,7 @@
 import asyncio
 from itertools import count
 
-from testkit.wire import PATIENCE_S, Answer, read_answer
+from testkit.wire import RESPONSE_TIMEOUT_S, Answer, read_answer
 
 TRACES = count(1)  # numbers of trace ids: each request has a new one
 
@@ -33,17 +33,19 @@
         """Writes bytes as they are."""
         self.writer.write(data)
 
-    def ask(self, cls: str = "look", body: bytes = b"", target: str = "/api", **headers: str) -> None:
+    def send_request(
+        self, cls: str = "look", body: bytes = b"", target: str = "/api", **headers: str
+    ) -> None:
         """Sends a request, as `request_bytes` makes it."""
         self.send(request_bytes(cls, body, target, **headers))
 
-    async def answer(self) -> Answer:
+    async def read_response(self) -> Answer:
         """The next response."""
         return await read_answer(self.reader)
 
-    async def ended(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """What still comes until the balancer closes."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.reader.read()
 
 
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -21,11 +21,11 @@
 import yaml
 
 from testkit.behaviours import fails_with, serves
-from testkit.load_generator import Load
+from testkit.load_generator import LoadGenerator
 from testkit.ports import free_port, wait_until_listening
-from testkit.request_log import Books
-from testkit.servers import Behaviour, FakeUpstream, Talk
-from testkit.wire import Incoming, read_answer
+from testkit.request_log import RequestLog
+from testkit.servers import Behaviour, FakeConnection, FakeServer
+from testkit.wire import ReceivedRequest, read_answer
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
@@ -69,12 +69,12 @@
         self.balancer_port = 0
         self.seen: Counter[str] = Counter()
         self.broken: set[str] = set()
-        self._servers: dict[str, FakeUpstream] = {}
+        self._servers: dict[str, FakeServer] = {}
         self._rng = Random(7)
 
     async def start(self, pool: str, name: str) -> str:
         """Starts a server of a pool; returns its address."""
-        self._servers[name] = await FakeUpstream(self._behaviour(pool, name)).start()
+        self._servers[name] = await FakeServer(self._behaviour(pool, name)).start()
         return f"127.0.0.1:{self._servers[name].port}"
 
     def close(self) -> None:
@@ -87,7 +87,7 @@
         respond = serves(name.encode())
         below = CALLS_BELOW.get(pool)
 
-        async def serve(request: Incoming, talk: Talk) -> None:
+        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
             self.seen[name] += 1
             if name in self.broken:
                 await fail(request, talk)
@@ -100,7 +100,7 @@
 
         return serve
 
-    async def _call(self, request: Incoming, below: Downstream) -> bool:
+    async def _call(self, request: ReceivedRequest, below: Downstream) -> bool:
         """Calls the tier below; whether it responded with status 200."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.balancer_port)
         try:
@@ -131,7 +131,7 @@
         self._control = f"{directory}/sandhatch.sock"
         self._port = 0  # the balancer's
         self._tiers = Tiers()
-        self._books = Books()
+        self._books = RequestLog()
         self._configuration: dict[str, Any] = yaml.safe_load(EXAMPLE.read_text())
 
     async def run(self) -> int:
@@ -176,7 +176,9 @@
         )
 
     async def _play_changes(self) -> None:
-        load = Load(self._port, self._books, choose_request, clients=6, pause_s=0.04, unsafe=NON_IDEMPOTENT)
+        load = LoadGenerator(
+            self._port, self._books, choose_request, clients=6, pause_s=0.04, unsafe=NON_IDEMPOTENT
+        )
         await asyncio.sleep(STEADY_S)
         await self._command("status")
         print(self._summary(0))
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -10,20 +10,20 @@
 from itertools import count
 from random import Random
 
-from testkit.request_log import Books
+from testkit.request_log import RequestLog
 from testkit.wire import read_answer
 
 REQUEST_NUMBERS = count(1)  # of trace ids, over all generators of the process
 Choose = Callable[[Random], tuple[str, str]]  # draws a request's class and target
 
 
-class Load:
+class LoadGenerator:
     """Sends requests from its creation on, until `stop` or after `most` requests in all."""
 
     def __init__(
         self,
         port: int,
-        books: Books,
+        books: RequestLog,
         choose: Choose,
         clients: int = 8,
         pause_s: float = 0.0,
@@ -77,7 +77,7 @@
         """Sends one request and logs its response; whether the connection may be used again."""
         request_class, target = self._choose(rng)
         trace = f"load-{next(REQUEST_NUMBERS):x}"
-        entry = self._books.ask(trace, request_class, asyncio.get_running_loop().time())
+        entry = self._books.add(trace, request_class, asyncio.get_running_loop().time())
         try:
             writer.write(self._request(request_class, target, trace))
             answer = await read_answer(reader)
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -22,7 +22,7 @@
 LEND_MS = 3_000.0
 
 
-class Seat:
+class ForwarderConnection:
     """One forwarder's connection, as the script sees it.
 
     `frames` are the sealed frames of the advice that was sent, `said` the reasons that the
@@ -97,7 +97,7 @@
                 await self._read()
 
 
-Script = Callable[[Seat], Awaitable[None]]
+Script = Callable[[ForwarderConnection], Awaitable[None]]
 
 
 class ScriptedPlanner(ListeningFake):
@@ -115,12 +115,12 @@
         self.identity = identity
         self.script = script
         self.epoch = epoch
-        self.seats: list[Seat] = []
+        self.seats: list[ForwarderConnection] = []
         self.over = 0
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Runs the script on a connection."""
-        seat = Seat(PlannerSession(self.identity, self.name, self.epoch), reader, writer)
+        seat = ForwarderConnection(PlannerSession(self.identity, self.name, self.epoch), reader, writer)
         self.seats.append(seat)
         try:
             await self.script(seat)
--- a/testkit/request_log.py
+++ b/testkit/request_log.py
@@ -26,20 +26,20 @@
     lost: str = ""  # why no response came
 
 
-class Books:
+class RequestLog:
     """The log that clients and servers write into, with a check of what must hold at the end."""
 
     def __init__(self) -> None:
         """Creates an empty log."""
         self.entries: dict[str, Entry] = {}
 
-    def ask(self, trace: str, request_class: str, now_s: float) -> Entry:
+    def add(self, trace: str, request_class: str, now_s: float) -> Entry:
         """Logs a request that is sent now; its client fills in the rest."""
         entry = Entry(request_class, now_s)
         self.entries[trace] = entry
         return entry
 
-    def ran(self, trace: str, server: str) -> None:
+    def add_run(self, trace: str, server: str) -> None:
         """Logs that a server has read a request to its end."""
         entry = self.entries.get(trace)
         if entry is not None:
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -13,10 +13,10 @@
 
 from testkit.listening import ListeningFake
 from testkit.platform import entry
-from testkit.wire import Incoming, ok, read_head
+from testkit.wire import ReceivedRequest, ok, read_head
 
 
-class Talk:
+class FakeConnection:
     """One connection of a fake server, as its behaviour sees it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -39,43 +39,43 @@
             await self.reader.read()
 
 
-Behaviour = Callable[[Incoming, Talk], Awaitable[None]]
+Behaviour = Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]
 
 
-async def serve_ok(request: Incoming, talk: Talk) -> None:  # noqa: ARG001 - a `Behaviour`
+async def serve_ok(request: ReceivedRequest, talk: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds with status 200."""
     await talk.send(ok())
 
 
-class FakeUpstream(ListeningFake):
-    """A server that keeps the requests it received: all in `seen`, each once in the queue `arrived`.
+class FakeServer(ListeningFake):
+    """A server that keeps the requests it received: all in `requests`, each once in the queue `arrived`.
 
-    `behave` may be changed at any time; `talks` are the open connections.
+    `behave` may be changed at any time; `open_connections` are the open connections.
     """
 
     def __init__(self, behave: Behaviour = serve_ok) -> None:
         """Creates a server that does not listen yet."""
         super().__init__()
         self.behave = behave
-        self.seen: list[Incoming] = []
-        self.arrived: asyncio.Queue[Incoming] = asyncio.Queue()
-        self.talks: list[Talk] = []
+        self.requests: list[ReceivedRequest] = []
+        self.arrived: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.open_connections: list[FakeConnection] = []
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves one request after another."""
-        talk = Talk(reader, writer)
-        self.talks.append(talk)
+        talk = FakeConnection(reader, writer)
+        self.open_connections.append(talk)
         try:
             while (head := await read_head(reader)) is not None:
                 start_line, headers = head
                 body = await reader.readexactly(int(headers.get("content-length", "0")))
                 method, target, _ = start_line.split()
-                request = Incoming(method, target, headers, body)
-                self.seen.append(request)
+                request = ReceivedRequest(method, target, headers, body)
+                self.requests.append(request)
                 self.arrived.put_nowait(request)
                 await self.behave(request, talk)
         finally:
-            self.talks.remove(talk)
+            self.open_connections.remove(talk)
 
     def entry(self, name: str, **more: Any) -> dict[str, Any]:
         """Its entry in the answers of discovery; `more` replaces keys."""
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Event, ListUpdate, TimerFired
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.actions import Action as PlanningAction
-from sandhatch.planning.actions import Advise, Drop, Note, SendReport
+from sandhatch.planning.actions import Drop, GuideBalancer, Note, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Report
 from sandhatch.planning.observer import Observer
@@ -87,7 +87,7 @@
     def feed(self, event: Event) -> None:
         """Gives the balancer an event and carries out its actions."""
         actions = self.balancer.handle(self._clock.now_ms, event)
-        self.observer.saw(event, actions)
+        self.observer.on_event(event, actions)
         for action in actions:
             self._perform(action)
 
@@ -128,7 +128,7 @@
         if self.machine is None or not self.up:
             return
         link = self._surroundings.link
-        for name in self.machine.sides:
+        for name in self.machine.peers:
             if name not in self.sessions and link.reaches(self, name):
                 link.connect(self, name)
         self.perform_planning_actions(self.machine.tick(self._clock.now_ms))
@@ -140,7 +140,7 @@
             match action:
                 case SendReport():
                     self._surroundings.link.report(self, action.planner, self.lie(action.report))
-                case Advise():
+                case GuideBalancer():
                     self.feed(action.event)
                 case Drop():
                     self._surroundings.link.disconnect(self, action.planner)
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from sandhatch.balancing.events import Outcome, ServerEntry, ServerState
-from sandhatch.runtime.address import label_of
+from sandhatch.runtime.address import server_label
 from testkit.simulation.clock import SimulatedClock
 from testkit.simulation.plan import TierPlan
 
@@ -57,7 +57,7 @@
     def entry(self) -> ServerEntry:
         """Its entry of an endpoint list, as it is now."""
         state = ServerState.READY if self.up else ServerState.GONE
-        return ServerEntry(self.number, state, self.started_ms, label=label_of(self.address))
+        return ServerEntry(self.number, state, self.started_ms, label=server_label(self.address))
 
     def is_queue_full(self) -> bool:
         """Whether it rejects further attempts."""
--- a/testkit/streaming_server.py
+++ b/testkit/streaming_server.py
@@ -12,18 +12,18 @@
 
 from testkit.bodies import BLOCK, UNLIMITED_BYTES, Body, Pause, chunked, read_body
 from testkit.listening import ListeningFake
-from testkit.servers import Talk
+from testkit.servers import FakeConnection
 from testkit.wire import read_head
 
 
 @dataclass
-class Upload:
+class StreamedRequest:
     """A request whose head was received and whose body is still to be read."""
 
     method: str
     target: str
     headers: dict[str, str]
-    talk: Talk
+    talk: FakeConnection
 
     @property
     def trace(self) -> str:
@@ -37,10 +37,10 @@
         return await read_body(self.talk.reader, self.headers, most, pause, stop_at)
 
 
-Serve = Callable[[Upload], Awaitable[None]]
+Serve = Callable[[StreamedRequest], Awaitable[None]]
 
 
-class BodyServer(ListeningFake):
+class StreamingServer(ListeningFake):
     """A server that passes each request to `serve`, which may be changed at any time.
 
     It keeps the requests, all in `seen` and each once in the queue `arrived`, and counts its connections:
@@ -53,8 +53,8 @@
         """Creates a server that does not listen yet."""
         super().__init__()
         self.serve = serve
-        self.seen: list[Upload] = []
-        self.arrived: asyncio.Queue[Upload] = asyncio.Queue()
+        self.seen: list[StreamedRequest] = []
+        self.arrived: asyncio.Queue[StreamedRequest] = asyncio.Queue()
         self.open = 0
         self.most_open = 0
 
@@ -62,12 +62,12 @@
         """Serves one request after another."""
         self.open += 1
         self.most_open = max(self.most_open, self.open)
-        talk = Talk(reader, writer)
+        talk = FakeConnection(reader, writer)
         try:
             while (request_head := await read_head(reader)) is not None:
                 start_line, headers = request_head
                 method, target, _ = start_line.split()
-                upload = Upload(method, target, headers, talk)
+                upload = StreamedRequest(method, target, headers, talk)
                 self.seen.append(upload)
                 self.arrived.put_nowait(upload)
                 await self.serve(upload)
@@ -75,7 +75,7 @@
             self.open -= 1
 
 
-async def send_all(talk: Talk, pieces: Iterator[memoryview], chunks: bool = False) -> None:
+async def send_all(talk: FakeConnection, pieces: Iterator[memoryview], chunks: bool = False) -> None:
     """Sends all pieces, each as a chunk if `chunks`; the last chunk is the caller's."""
     for piece in pieces:
         await talk.send(chunked(piece) if chunks else bytes(piece))
--- a/testkit/wire.py
+++ b/testkit/wire.py
@@ -8,11 +8,11 @@
 import asyncio
 from dataclasses import dataclass
 
-PATIENCE_S = 20.0  # a bound on what must come; a test that passes never waits that long
+RESPONSE_TIMEOUT_S = 20.0  # a bound on what must come; a test that passes never waits that long
 
 
 @dataclass
-class Incoming:
+class ReceivedRequest:
     """A request as a fake server received it; names of header fields are in lower case."""
 
     method: str
@@ -48,7 +48,7 @@
         AssertionError: the connection ended without a response.
         TimeoutError: it didn't come within PATIENCE_S.
     """
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         head = await read_head(reader)
         assert head is not None, "the connection ended without an answer"
         start_line, headers = head
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -22,9 +22,9 @@
     ) -> Fall | None:
         for n in range(requests):
             arrived = self.now + BLOCK_MS * (n + 0.5) / requests
-            self.watch.came(arrived, name, pool, 5.0)
+            self.watch.request_arrived(arrived, name, pool, 5.0)
             good = self.rng.random() < in_time
-            self.watch.over(arrived, name, pool, 5.0, good, not good)
+            self.watch.request_ended(arrived, name, pool, 5.0, good, not good)
         self.now += BLOCK_MS
         return self.watch.close(self.now, 2_000.0)
 
@@ -58,8 +58,8 @@
         for n in range(30):
             arrived = run.now + BLOCK_MS * (n + 0.5) / 30
             name = "order" if n % 30 == 0 else "look"
-            run.watch.came(arrived, name, "web", 1.0)
-            run.watch.over(arrived, name, "web", 1.0, name == "look" or after < 60, False)
+            run.watch.request_arrived(arrived, name, "web", 1.0)
+            run.watch.request_ended(arrived, name, "web", 1.0, name == "look" or after < 60, False)
         run.now += BLOCK_MS
         fall = run.watch.close(run.now, 2_000.0)
         if fall:
@@ -146,17 +146,17 @@
 def test_blocks_wait_for_slow_requests_but_not_past_the_longest_objective() -> None:
     watch = GoodputWatch(BLOCK_MS, 30_000.0)
     for n in range(40):
-        watch.came(n * BLOCK_MS, "order", "web", 1.0)
-        watch.over(n * BLOCK_MS, "order", "web", 1.0, True, False)
+        watch.request_arrived(n * BLOCK_MS, "order", "web", 1.0)
+        watch.request_ended(n * BLOCK_MS, "order", "web", 1.0, True, False)
     watch.close(40 * BLOCK_MS, 2_000.0)
     watch.begin(40 * BLOCK_MS, 30_000.0, 0.01, 0.05)
     for n in range(41, 52):  # answers never come
         for _ in range(20):
-            watch.came(n * BLOCK_MS + 1.0, "order", "web", 1.0)
+            watch.request_arrived(n * BLOCK_MS + 1.0, "order", "web", 1.0)
     assert watch.close(52 * BLOCK_MS, 10_000_000.0) is None
     fall = watch.close(52 * BLOCK_MS + 2_000.0, 2_000.0)
     assert fall is not None and fall.after == 0.0
-    watch.over(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # too late to count
+    watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # too late to count
 
 
 def test_after_a_confirmation_the_blocks_since_are_those_before_the_next_change() -> None:
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -29,7 +29,7 @@
 def test_a_state_directory_of_the_version_before_the_rename_is_opened(history_before_rename: History) -> None:
     saved = history_before_rename.load()
     assert saved is not None
-    assert (saved.confirmed, saved.lost, saved.next_number, saved.notes) == (2, 4, 5, [])
+    assert (saved.confirmed, saved.lost_version, saved.next_number, saved.notes) == (2, 4, 5, [])
     assert saved.data["pools"]["web"]["max_attempts"] == 3
     assert saved.data["classes"]["order"] == {
         "effect": "unsafe",
@@ -135,7 +135,7 @@
             assert saved is None or saved.data == {"v": 1}, step_name
         else:
             assert saved is not None, step_name
-            assert (saved.confirmed, saved.lost) in (before[:2], after[:2]), step_name
+            assert (saved.confirmed, saved.lost_version) in (before[:2], after[:2]), step_name
             assert saved.data == {"v": saved.confirmed}
             save(reopened, *STEPS[-1])  # and it goes on from there
         reopened.close()
@@ -150,7 +150,7 @@
     for size in range(len(complete)):
         path.write_bytes(complete[:size])
         saved = history.load()
-        assert saved is not None and saved.data == {"v": 1} and saved.lost == 2 and saved.notes, size
+        assert saved is not None and saved.data == {"v": 1} and saved.lost_version == 2 and saved.notes, size
     flipped = bytearray(complete)
     flipped[len(complete) // 2] ^= 1
     path.write_bytes(flipped)
@@ -170,7 +170,7 @@
     history = History(str(tmp_path))
     saved = history.load()
     assert saved is not None
-    assert (saved.confirmed, saved.lost, saved.next_number) == (2, 3, 4)
+    assert (saved.confirmed, saved.lost_version, saved.next_number) == (2, 3, 4)
     assert saved.rows[-1]["state"] == "lost"
     history.close()
 
