--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from sandhatch.config.actions import Apply, Retire, Save, Say, Stage, Unstage, Watch
+from sandhatch.config.actions import Apply, DiscardStaged, Retire, Save, Say, Stage, Watch
 from sandhatch.config.check import Checked, check_text
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.proposals import MOST_PROPOSALS, MOST_PROPOSED_BYTES, PROPOSAL_MS, Proposal
 from sandhatch.config.transactions import MOST_RECORDS, Transactions
 from sandhatch.config.version import OVER, RUNNING, TRANSITIONS, State, Version
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self.transactions = Transactions(Version(1, 0, checked(), State.STAGING), check_data)
         self.now = 1_000.0
-        self.in_force = self.transactions.in_force
+        self.in_force = self.transactions.active
         self.staging: list[Version] = []
         self.saves: list[int] = []
         self.retired: list[int] = []
@@ -39,7 +39,7 @@
         self.log_lines: list[str] = []
 
     def carry_out(self) -> None:
-        for action in self.transactions.take():
+        for action in self.transactions.take_actions():
             match action:
                 case Stage():
                     self.staging.append(action.version)
@@ -51,13 +51,13 @@
                     self.in_force = action.version
                 case Retire():
                     self.retired.append(action.version.number)
-                case Unstage():
+                case DiscardStaged():
                     self.unstaged.append(action.version.number)
                 case Watch():
                     self.watched.append(action.version.number)
                 case Say():
                     self.log_lines.append(action.text)
-        assert self.in_force is self.transactions.in_force
+        assert self.in_force is self.transactions.active
 
     def propose(self, data: dict[str, Any], base: int = 1, merged: bool = False) -> int:
         return self.transactions.propose(self.now, base, checked(data), merged=merged).number
@@ -93,11 +93,11 @@
 
 
 @contextmanager
-def rejected(why: Refusal) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
+def rejected(why: RejectionReason) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
     """Expects a call to be rejected for this reason."""
     with pytest.raises(RejectedError) as info:
         yield info
-    assert info.value.why is why, info.value
+    assert info.value.reason is why, info.value
 
 
 def test_a_change_passes_every_state_until_it_is_confirmed() -> None:
@@ -107,10 +107,10 @@
     owner.finish_staging()
     assert version.state is State.SAVING and owner.in_force.number == 1 and owner.disk == (1, 2)
     owner.finish_save()
-    assert version.state is State.IN_FORCE and owner.in_force is version and owner.watched == [2]
+    assert version.state is State.ACTIVE and owner.in_force is version and owner.watched == [2]
     owner.now += 29_999.0
     owner.transactions.tick(owner.now)
-    assert version.state is State.IN_FORCE
+    assert version.state is State.ACTIVE
     owner.now += 1.0
     owner.transactions.tick(owner.now)
     owner.carry_out()
@@ -124,13 +124,13 @@
     first = owner.propose(WEB3)
     second = owner.propose(WEB4)
     owner.transactions.commit(owner.now, first)
-    with rejected(Refusal.CONFLICT) as info:
+    with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
     owner.carry_out()
     owner.finish_staging()
     owner.finish_save()
-    with rejected(Refusal.CONFLICT) as info:
+    with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, second)
     assert info.value.keys == ["pools.web.max_attempts"]
     assert owner.in_force.data == WEB3
@@ -145,7 +145,7 @@
         try:
             committed.append(owner.transactions.commit(owner.now, number))
         except RejectedError as error:
-            assert error.why is Refusal.CONFLICT and error.keys == ["pools.web.max_connections"]
+            assert error.reason is RejectionReason.CONFLICT and error.keys == ["pools.web.max_connections"]
     owner.carry_out()
     owner.finish_staging()
     owner.finish_save()
@@ -157,12 +157,12 @@
     other = owner.propose(ORDERS3)
     merged = owner.propose(ORDERS3, merged=True)
     owner.commit(WEB3, watched=False)
-    with rejected(Refusal.BUSY):
+    with rejected(RejectionReason.BUSY):
         owner.transactions.commit(owner.now, other)
     owner.finish_staging()
     owner.finish_save()
     owner.finish_save()
-    with rejected(Refusal.CONFLICT) as info:
+    with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, other)
     assert info.value.keys == [] and "can be merged" in info.value.text
     version = owner.transactions.commit(owner.now, merged)
@@ -179,7 +179,7 @@
     with_route["routes"].append({"name": "beta", "to": {"pool": "spare"}})
     late = owner.propose(with_route, 2, merged=True)
     owner.activate_and_confirm(BASE, 2)
-    with rejected(Refusal.CONFLICT) as info:
+    with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, late)
     assert any("names no pool" in line for line in info.value.problems)
     assert owner.in_force.data == BASE
@@ -192,22 +192,22 @@
     owner.transactions.extend(owner.now, 500.0)
     owner.now += 400.0
     owner.transactions.tick(owner.now)
-    assert version.state is State.IN_FORCE
+    assert version.state is State.ACTIVE
     owner.now += 200.0
     owner.transactions.tick(owner.now)
     owner.carry_out()
-    assert version.state is State.TAKEN_BACK and owner.in_force.number == 1 and owner.retired == [2]
+    assert version.state is State.ROLLED_BACK and owner.in_force.number == 1 and owner.retired == [2]
     assert owner.disk == (1, 0)
 
 
 def test_a_fall_of_goodput_rolls_back_with_its_reason() -> None:
     owner = FakeOwner()
     version = owner.activate(WEB3)
-    owner.transactions.fell(version, "the goodput fell")
+    owner.transactions.goodput_fell(version, "the goodput fell")
     owner.carry_out()
-    assert version.state is State.TAKEN_BACK and version.why == "the goodput fell"
-    owner.transactions.fell(version, "again")
-    assert owner.transactions.take() == []
+    assert version.state is State.ROLLED_BACK and version.why == "the goodput fell"
+    owner.transactions.goodput_fell(version, "again")
+    assert owner.transactions.take_actions() == []
 
 
 def test_a_change_of_a_version_that_is_rolled_back_is_rejected_with_the_conflict() -> None:
@@ -216,10 +216,10 @@
     waiting = owner.propose(WEB4, version.number)
     owner.transactions.rollback(owner.now, "anna")
     owner.carry_out()
-    with rejected(Refusal.CONFLICT) as info:
+    with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, waiting)
     assert info.value.keys == ["pools.web.max_attempts"]
-    with rejected(Refusal.CONFLICT):
+    with rejected(RejectionReason.CONFLICT):
         owner.propose(WEB4, version.number)
     assert owner.commit(WEB4, 1).state is State.STAGING
 
@@ -227,7 +227,7 @@
 def test_calls_by_hand_are_rejected_in_states_that_do_not_allow_them() -> None:
     owner = FakeOwner()
     version = owner.commit(WEB3)
-    with rejected(Refusal.BUSY):
+    with rejected(RejectionReason.BUSY):
         owner.transactions.confirm()
     owner.transactions.rollback(owner.now)
     owner.carry_out()
@@ -235,15 +235,15 @@
     owner.transactions.staged(owner.staging.pop())  # too late: what was built is released
     owner.carry_out()
     assert owner.unstaged == [2, 2] and owner.in_force.number == 1
-    with rejected(Refusal.NOTHING):
+    with rejected(RejectionReason.NOTHING):
         owner.transactions.confirm()
-    with rejected(Refusal.UNKNOWN):
+    with rejected(RejectionReason.UNKNOWN):
         owner.transactions.rollback(owner.now)  # there is no version before the first
-    with rejected(Refusal.NOTHING):
+    with rejected(RejectionReason.NOTHING):
         owner.commit(BASE)
-    with rejected(Refusal.UNKNOWN):
+    with rejected(RejectionReason.UNKNOWN):
         owner.transactions.commit(owner.now, 999)
-    with rejected(Refusal.UNKNOWN):
+    with rejected(RejectionReason.UNKNOWN):
         owner.propose(WEB3, base=77)
 
 
@@ -267,7 +267,7 @@
     version = owner.activate(WEB3, watched=False)
     owner.transactions.save_failed(owner.now, owner.saves.pop(0), "I/O error")
     owner.carry_out()
-    assert version.state is State.TAKEN_BACK and owner.in_force.number == 1
+    assert version.state is State.ROLLED_BACK and owner.in_force.number == 1
 
 
 def test_memory_is_bounded_over_ten_thousand_commits() -> None:
@@ -289,12 +289,12 @@
     owner = FakeOwner()
     for _ in range(MOST_PROPOSALS):
         owner.propose(WEB3)
-    with rejected(Refusal.FULL):
+    with rejected(RejectionReason.FULL):
         owner.propose(WEB3)
     owner.now += PROPOSAL_MS + 1.0
     owner.propose(WEB3)
     assert len(owner.transactions.proposals) == 1
-    with rejected(Refusal.FULL):
+    with rejected(RejectionReason.FULL):
         owner.transactions.propose(owner.now, 1, checked(WEB3), size_bytes=MOST_PROPOSED_BYTES + 1)
 
 
@@ -328,9 +328,9 @@
             owner.carry_out()
             where = f"seed {seed}"
             pending = transactions.pending
-            assert transactions.in_force in (transactions.confirmed, pending), where
+            assert transactions.active in (transactions.confirmed, pending), where
             assert transactions.confirmed.state is State.CONFIRMED, where
-            if transactions.in_force is not transactions.confirmed:
+            if transactions.active is not transactions.confirmed:
                 assert pending is not None and pending.state in RUNNING, where
                 assert owner.disk in ((transactions.confirmed.number, pending.number), (pending.number, 0)), (
                     where
@@ -363,6 +363,8 @@
     elif call == 7:
         transactions.rollback(owner.now, to=rng.choice([None, *transactions.versions]))
     elif call == 8 and transactions.pending is not None:
-        transactions.fell(transactions.pending, "fell") if rng.random() < 0.5 else transactions.confirm()
+        transactions.goodput_fell(
+            transactions.pending, "fell"
+        ) if rng.random() < 0.5 else transactions.confirm()
     else:
         transactions.tick(owner.now)
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -22,7 +22,7 @@
 from sandhatch.control.framing import LineReader, encode
 from sandhatch.control.server import ControlServer
 from testkit.clients import HttpClient
-from tests.service.harness import Farm, Kept, run, serving
+from tests.service.harness import FakeServers, RunningService, run, serving
 
 
 class Peer:
@@ -51,8 +51,10 @@
 
 
 @asynccontextmanager
-async def controlled(tmp: Path, call_timeout_s: float = 10.0) -> AsyncIterator[tuple[Kept, Farm, str]]:
-    farm = await Farm().start("a1", "b1", "o1")
+async def controlled(
+    tmp: Path, call_timeout_s: float = 10.0
+) -> AsyncIterator[tuple[RunningService, FakeServers, str]]:
+    farm = await FakeServers().start("a1", "b1", "o1")
     async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
         path = str(tmp / "c.sock")
         server = ControlServer(Calls(running.service), running.service.logger, path, call_timeout_s)
@@ -64,7 +66,7 @@
     farm.close()
 
 
-def change(farm: Farm, **more: Any) -> str:
+def change(farm: FakeServers, **more: Any) -> str:
     return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
 
 
@@ -82,14 +84,14 @@
             assert any("b1.address" in line for line in diff["changes"])
             done = await peer.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
             assert done["state"] == "in force" and done["confirm_in_ms"] > 50_000
-            client.ask()
-            assert (await client.answer()).body == b"b1"
+            client.send_request()
+            assert (await client.read_response()).body == b"b1"
             status = await peer.call("status")
             assert (status["in_force"], status["confirmed"], status["pending"]["version"]) == (2, 1, 2)
             assert (await peer.call("extend", within_ms=90_000))["confirm_in_ms"] > 80_000
             assert (await peer.call("rollback"))["state"] == "taken back"
-            client.ask()
-            assert (await client.answer()).body == b"a1"
+            client.send_request()
+            assert (await client.read_response()).body == b"a1"
             history = await peer.call("history")
             assert [row["state"] for row in history["versions"]] == ["confirmed", "taken back"]
             shown = yaml.safe_load((await peer.call("show"))["text"])
@@ -133,7 +135,7 @@
             answer = await peer.answer()
             assert answer["ok"] is False and answer["text"] and answer["why"] != "internal"
             assert (await peer.call("status"))["ok"]  # the connection goes on
-            assert running.service.transactions.in_force.number == 1
+            assert running.service.transactions.active.number == 1
 
     run(work())
 
@@ -196,9 +198,9 @@
                 if not answer["ok"]:
                     assert answer["why"] == "conflict"
                     assert "pools.web.max_connections" in answer["keys"]
-            data = running.service.transactions.in_force.data
+            data = running.service.transactions.active.data
             assert data["pools"]["web"]["max_connections"] == 50 + succeeded[0]
-            assert running.service.transactions.in_force.number == 2
+            assert running.service.transactions.active.number == 2
 
     run(work())
 
@@ -223,8 +225,8 @@
                 "state"
             ] == "confirmed"
             async with HttpClient(running.port) as client:
-                client.ask(target="/p/9999")
-                assert (await client.answer()).body == b"o1"
+                client.send_request(target="/p/9999")
+                assert (await client.read_response()).body == b"o1"
 
     run(work())
 
@@ -311,7 +313,7 @@
             assert (await run_verb("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
             assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
             assert (await run_verb("rollback"))[0] == 0
-            await running.until(lambda: running.service.transactions.in_force.number == 3)
+            await running.until(lambda: running.service.transactions.active.number == 3)
             assert "confirmed" in (await run_verb("history"))[1]
             assert json.loads((await run_verb("status", "--json"))[1])["in_force"] == 3
             assert (await run_verb("abort", "2"))[0] == 0 and (await run_verb("abort", "2"))[0] == 1
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -11,10 +11,10 @@
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, entry
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S, ok
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 
 
 def is_update(event: object, kind: ListKind) -> bool:
@@ -26,8 +26,8 @@
     )
 
 
-async def next_update(script: Script, kind: ListKind) -> ListUpdate:
-    async with asyncio.timeout(PATIENCE_S):
+async def next_update(script: ScriptedBalancer, kind: ListKind) -> ListUpdate:
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             event = await script.told.get()
             if is_update(event, kind):
@@ -36,7 +36,7 @@
 
 
 async def next_call(balancer: Any, part: str) -> str:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             call: str = await balancer.discovery.calls.get()
             if part in call:
@@ -47,8 +47,8 @@
     """Guards the start: a request is served from `known`, and the watch goes on from its generation."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             first = await next_update(script, ListKind.CACHED)
             assert [row.server for row in first.entries] == [1]
@@ -66,17 +66,17 @@
     """Guards a server whose address changes: requests go to the new address only."""
 
     async def work() -> None:
-        old = await FakeUpstream().start()
-        new = await FakeUpstream().start()
-        script = Script([1])
+        old = await FakeServer().start()
+        new = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(old.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request()
+            assert (await client.read_response()).status == 200
             balancer.discovery.change(new.entry("a"))
             await next_update(script, ListKind.DELTA)
-            client.ask()
-            assert (await client.answer()).status == 200
-            assert len(old.seen) == len(new.seen) == 1
+            client.send_request()
+            assert (await client.read_response()).status == 200
+            assert len(old.requests) == len(new.requests) == 1
         old.close()
         new.close()
 
@@ -87,18 +87,18 @@
     """Guards against connections that lead to a process that has ended."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask()
-            await client.answer()
+            client.send_request()
+            await client.read_response()
             balancer.discovery.change(upstream.entry("a", startedAtMs=5000))
             await next_update(script, ListKind.DELTA)
-            client.ask()
-            await client.answer()
+            client.send_request()
+            await client.read_response()
             assert upstream.connections == 2
         upstream.close()
 
@@ -109,16 +109,16 @@
     """Guards /ready: 503 without a list, 200 once discovery has answered with one."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(script=script, known={}) as balancer, HttpClient(balancer.port) as client:
             await next_update(script, ListKind.FULL)
-            client.ask(target="/ready")
-            assert (await client.answer()).status == 503
+            client.send_request(target="/ready")
+            assert (await client.read_response()).status == 503
             balancer.discovery.change(upstream.entry("a"))
             await next_update(script, ListKind.DELTA)
-            client.ask(target="/ready")
-            assert (await client.answer()).status == 200
+            client.send_request(target="/ready")
+            assert (await client.read_response()).status == 200
         upstream.close()
 
     run(work())
@@ -128,9 +128,9 @@
     """Guards the removal of a server that a complete list no longer names."""
 
     async def work() -> None:
-        a = await FakeUpstream().start()
-        b = await FakeUpstream().start()
-        script = Script([1])
+        a = await FakeServer().start()
+        b = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(a.entry("a"), b.entry("b"), script=script) as balancer:
             await next_call(balancer, "after=")
             only_b = {"generation": 9, "reset": True, "instances": [b.entry("b")]}
@@ -151,8 +151,8 @@
     """Guards against applying changes to another list than the one they belong to."""
 
     async def work() -> None:
-        a = await FakeUpstream().start()
-        script = Script([1])
+        a = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(a.entry("a"), script=script, generation=40) as balancer:
             await next_call(balancer, "after=40")
             balancer.discovery.generation = 3
@@ -169,8 +169,8 @@
     """Guards against lists valid in part: nothing of a malformed answer counts, and the watch goes on."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
@@ -187,11 +187,11 @@
             ]
             balancer.discovery.stop()
             await balancer.discovery.start()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while balancer.discovery.garbage:
                     await asyncio.sleep(0.01)
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request()
+            assert (await client.read_response()).status == 200
             balancer.discovery.change(entry("b", 9))
             change = await next_update(script, ListKind.DELTA)
             assert [row.server for row in change.entries] == [2]  # no number was used up by malformed answers
@@ -204,16 +204,16 @@
     """Guards service while discovery is down, and the watch's return with what changed meanwhile."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             await next_call(balancer, "after=")
             balancer.discovery.stop()
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request()
+            assert (await client.read_response()).status == 200
             balancer.discovery.change(entry("b", 9))
             await balancer.discovery.start()
             change = await next_update(script, ListKind.DELTA)
@@ -233,8 +233,8 @@
     """Guards polled discovery: no call before it is ordered, FAILED when it breaks."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1], follows=False)
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1], follows=False)
         settings = SETTINGS | {"Discovery": "on_request"}
         async with running(upstream.entry("a"), script=script, base=settings) as balancer:
             await next_update(script, ListKind.CACHED)
@@ -257,21 +257,21 @@
     """
 
     async def work() -> None:
-        a = await FakeUpstream().start()
-        b = await FakeUpstream().start()
+        a = await FakeServer().start()
+        b = await FakeServer().start()
         new = await FakeDiscovery([b.entry("b")]).start()
-        script = Script([1])
+        script = ScriptedBalancer([1])
         async with running(a.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
             await next_call(balancer, "after=1")
             balancer.discovery.change(entry("late", 9))  # on its way when the move is made
-            balancer.watch.move(("127.0.0.1", new.port))
-            client.ask()
-            assert (await client.answer()).status == 200
+            balancer.watch.relocate(("127.0.0.1", new.port))
+            client.send_request()
+            assert (await client.read_response()).status == 200
             full = await next_update(script, ListKind.FULL)
             assert (
                 set(balancer.dispatcher.connection_pool.table) == {row.server for row in full.entries} == {2}
             )
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while balancer.discovery._writers:  # the old connection is closed
                     await asyncio.sleep(0.01)
             new.change(b.entry("b", lifecycle="leaving"))
@@ -280,7 +280,7 @@
             deltas = [event for event in script.events if is_update(event, ListKind.DELTA)]
             assert deltas == [change]
             balancer.watch.stop()
-            balancer.watch.move(("127.0.0.1", balancer.discovery.port))  # too late: no call
+            balancer.watch.relocate(("127.0.0.1", balancer.discovery.port))  # too late: no call
         while not balancer.discovery.calls.empty():
             assert "after=" in balancer.discovery.calls.get_nowait()
         new.stop()
@@ -296,12 +296,12 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         slow = await FakeDiscovery([upstream.entry("late")]).start()
         slow.delay_s = 2.2
         async with running(script=script) as balancer:
-            balancer.watch.move(("127.0.0.1", slow.port))
+            balancer.watch.relocate(("127.0.0.1", slow.port))
             listing = await next_update(script, ListKind.FULL)
             assert len(listing.entries) == 1
             assert slow.calls.get_nowait() == "/v1/endpoints"
@@ -318,8 +318,8 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1], follows=False)
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1], follows=False)
         settings = SETTINGS | {"Discovery": "on_request"}
         async with running(upstream.entry("a"), script=script, base=settings) as balancer:
             await next_update(script, ListKind.CACHED)
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -9,13 +9,13 @@
 from sandhatch.balancing.events import ListKind
 from sandhatch.discovery.endpoint_list import parse_listing
 from sandhatch.discovery.errors import DiscoveryError, MalformedListError
-from sandhatch.discovery.names import Names
+from sandhatch.discovery.names import EndpointNumbering
 from testkit.platform import entry
 
 
 def test_server_keeps_its_number_for_good() -> None:
     """Guards the balancer's memory of a server: removed and back, it is the same one."""
-    names = Names(("north",), ("box",))
+    names = EndpointNumbering(("north",), ("box",))
     assert [names.server(name) for name in ("a", "b", "a", "c", "b")] == [1, 2, 1, 3, 2]
 
 
@@ -37,7 +37,7 @@
     """Guards the list against answers that are valid in part."""
     data = {"generation": 1, "reset": True, "instances": [entry("a", 80), entry("b", 81) | change]}
     with pytest.raises(DiscoveryError, match=next(iter(change))):
-        parse_listing(data, Names(("north",), ("box",)))
+        parse_listing(data, EndpointNumbering(("north",), ("box",)))
 
 
 @pytest.mark.parametrize(
@@ -52,13 +52,13 @@
 )
 def test_malformed_answer_is_named_by_key_and_value(change: dict[str, Any], message: str) -> None:
     with pytest.raises(MalformedListError) as caught:
-        parse_listing({"generation": 1, "reset": True, "instances": []} | change, Names((), ()))
+        parse_listing({"generation": 1, "reset": True, "instances": []} | change, EndpointNumbering((), ()))
     assert str(caught.value) == message
     assert caught.value.key == next(iter(change))
 
 
 def test_malformed_answer_uses_up_no_number() -> None:
-    names = Names((), ())
+    names = EndpointNumbering((), ())
     data = {"generation": 1, "reset": False, "instances": [entry("a", 80), entry("b", 81, weight=-1)]}
     with pytest.raises(MalformedListError):
         parse_listing(data, names)
@@ -67,5 +67,7 @@
 
 def test_removed_server_needs_no_address() -> None:
     removed = {"instanceId": "a", "lifecycle": "left"}
-    listing = parse_listing({"generation": 1, "reset": False, "instances": [removed]}, Names((), ()))
+    listing = parse_listing(
+        {"generation": 1, "reset": False, "instances": [removed]}, EndpointNumbering((), ())
+    )
     assert (listing.kind, len(listing.entries)) == (ListKind.DELTA, 1)
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -15,14 +15,14 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.connection import MAX_LIST_BYTES
 from sandhatch.discovery.endpoint_list import parse_listing
-from sandhatch.discovery.names import Names
-from sandhatch.http1.parser import ResponseReader
+from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.http1.parser import ResponseParser
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data, entry
 from testkit.ports import free_port
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S, ok
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
 from tests.fakes import running
 from tests.platform.harness import ready, spawn
@@ -40,10 +40,10 @@
     data = {"generation": 7, "reset": True, "instances": rows(SERVERS, entry("a", 9))}
     payload = ok(json.dumps(data, indent=indent).encode())
     assert len(payload) < MAX_LIST_BYTES
-    reader = ResponseReader(MAX_LIST_BYTES)
+    reader = ResponseParser(MAX_LIST_BYTES)
     answers = [event for byte in payload for event in reader.feed(bytes([byte]))]
     assert len(answers) == 1 and reader.fault is None
-    listing = parse_listing(json.loads(answers[0].body), Names((), ()))
+    listing = parse_listing(json.loads(answers[0].body), EndpointNumbering((), ()))
     assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVERS
 
 
@@ -51,7 +51,7 @@
     settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.IDEMPOTENT)], instances=230, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
     data = {"generation": 7, "reset": True, "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVERS)]}
-    listing = parse_listing(data, Names((), ()))
+    listing = parse_listing(data, EndpointNumbering((), ()))
     balancer.handle(1.0, ListUpdate(ListKind.FULL, 7, listing.entries))
     used = set()
     for number in range(SERVERS):
@@ -62,20 +62,20 @@
 
 def test_change_within_a_large_list_is_applied() -> None:
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         listed = rows(SERVERS, upstream.entry("a"))
         async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
             table = balancer.dispatcher.connection_pool.table
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while not balancer.dispatcher.ready:
                     await asyncio.sleep(0.01)
             assert len(table) == SERVERS
             balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while len(table) == SERVERS:
                     await asyncio.sleep(0.01)
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request()
+            assert (await client.read_response()).status == 200
         upstream.close()
 
     run(work())
@@ -85,7 +85,7 @@
     """As known at the start, and as the complete list that discovery answers with."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         listed = rows(SERVERS, upstream.entry("a"))
         discovery = await FakeDiscovery(listed).start()
         discovery.generation = 3  # a later one than is known
@@ -102,12 +102,12 @@
         process = await spawn(path)
         try:
             await ready(port)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while "after=" not in await discovery.calls.get():
                     pass
             async with HttpClient(port) as client:
-                client.ask()
-                assert (await client.answer()).status == 200
+                client.send_request()
+                assert (await client.read_response()).status == 200
             status = Path(f"/proc/{process.pid}/status").read_text()
             peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
             assert int(peak.split()[1]) / 1024 <= MEMORY_MB, peak
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -17,10 +17,10 @@
 )
 from sandhatch.discovery.endpoint_list import Listing
 from testkit.clients import HttpClient
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
@@ -28,8 +28,8 @@
     """Guards the drain: notified while the connection comes up, so that not a byte may be written."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
@@ -44,18 +44,18 @@
                 await connect(attempt)
 
             pool._connect = connect_once_notified  # type: ignore[method-assign]
-            client.ask("move", b"x")
+            client.send_request("move", b"x")
             while not any(isinstance(event, RequestArrived) for event in script.events):
                 await script.told.get()
             balancer.discovery.change(upstream.entry("a", lifecycle=change))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while not isinstance(await script.told.get(), ListUpdate):
                     pass
             notified.set()
             assert (await script.ended()).outcome is Outcome.DISCARDED
-            assert (await client.answer()).status == 502
+            assert (await client.read_response()).status == 502
         upstream.close()
-        assert upstream.seen == []
+        assert upstream.requests == []
 
     run(work())
 
@@ -66,8 +66,8 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        async with running(upstream.entry("a"), script=Script([1])) as balancer:
+        upstream = await FakeServer().start()
+        async with running(upstream.entry("a"), script=ScriptedBalancer([1])) as balancer:
             dispatcher = balancer.dispatcher
             clock = balancer.shared.clock
             address = ("127.0.0.1", upstream.port)
@@ -89,21 +89,21 @@
     """Guards the drain with the real balancer: the next requests all go to the other server."""
 
     async def work() -> None:
-        draining = await FakeUpstream().start()
-        other = await FakeUpstream().start()
+        draining = await FakeServer().start()
+        other = await FakeServer().start()
         async with (
             running(draining.entry("a"), other.entry("b")) as balancer,
             HttpClient(balancer.port) as client,
         ):
             balancer.discovery.change(draining.entry("a", lifecycle="leaving"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while not balancer.dispatcher.connection_pool.table[1].notified_ms:
                     await asyncio.sleep(0.01)
             for _ in range(20):
-                client.ask()
-                assert (await client.answer()).status == 200
+                client.send_request()
+                assert (await client.read_response()).status == 200
         draining.close()
         other.close()
-        assert draining.seen == [] and len(other.seen) == 20
+        assert draining.requests == [] and len(other.requests) == 20
 
     run(work())
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -8,10 +8,10 @@
 from sandhatch.balancing.actions import Action, Cancel, Fail, Send
 from sandhatch.balancing.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from testkit.clients import HttpClient
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 from tests.upstream.behaviours import resets, stays_silent
 
 
@@ -19,13 +19,13 @@
     """Guards method, target, body and ids, which go on unchanged, and the time left, which does not grow."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with (
-            running(upstream.entry("a"), script=Script([1])) as balancer,
+            running(upstream.entry("a"), script=ScriptedBalancer([1])) as balancer,
             HttpClient(balancer.port) as client,
         ):
             body = bytes(range(256)) * 8
-            client.ask(
+            client.send_request(
                 "post",
                 body,
                 "/api?obj=%2f&x=1",
@@ -34,9 +34,9 @@
                 X_Hop="1",
                 X_Trace_Id="77aa03aa5c7e2d41",
             )
-            assert (await client.answer()).body == b"served"
+            assert (await client.read_response()).body == b"served"
         upstream.close()
-        (seen,) = upstream.seen
+        (seen,) = upstream.requests
         assert (seen.method, seen.target, seen.body) == ("POST", "/api?obj=%2f&x=1", body)
         assert seen.headers["x-trace-id"] == "77aa03aa5c7e2d41"
         assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
@@ -54,25 +54,25 @@
     async def work() -> None:
         body = bytes(range(256)) * 4 * 400
 
-        async def answers_at_length(request: Incoming, talk: Talk) -> None:
+        async def answers_at_length(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(body))
 
-        upstream = await FakeUpstream(answers_at_length).start()
+        upstream = await FakeServer(answers_at_length).start()
         async with (
-            running(upstream.entry("a"), script=Script([1])) as balancer,
+            running(upstream.entry("a"), script=ScriptedBalancer([1])) as balancer,
             HttpClient(balancer.port) as client,
         ):
             for _ in range(3):
-                client.ask("move", b"x")
-                answer = await client.answer()
+                client.send_request("move", b"x")
+                answer = await client.read_response()
                 assert answer.status == 200 and answer.body == body
             client.writer.close()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while balancer.listener._connections:
                     await asyncio.sleep(0.01)
-            assert balancer.dispatcher.memory_budget.used == 0
+            assert balancer.dispatcher.memory_budget.used_bytes == 0
         upstream.close()
-        assert len(upstream.seen) == 3
+        assert len(upstream.requests) == 3
 
     run(work())
 
@@ -84,14 +84,14 @@
         may_answer = [asyncio.Event(), asyncio.Event()]
 
         def answers_when_allowed(index: int) -> Any:
-            async def behave(request: Incoming, talk: Talk) -> None:
+            async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
                 await may_answer[index].wait()
                 await talk.send(ok(b"answer %d" % index))
 
             return behave
 
-        servers = [await FakeUpstream(answers_when_allowed(index)).start() for index in range(2)]
-        script = Script([1, 2])
+        servers = [await FakeServer(answers_when_allowed(index)).start() for index in range(2)]
+        script = ScriptedBalancer([1, 2])
 
         def send_to_both(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived):
@@ -103,19 +103,19 @@
             running(servers[0].entry("a"), servers[1].entry("b"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask()
+            client.send_request()
             for server in servers:
                 await server.arrived.get()
             may_answer[1].set()
-            assert (await client.answer()).body == b"answer 1"
+            assert (await client.read_response()).body == b"answer 1"
             may_answer[0].set()
             ends = [await script.ended(), await script.ended()]
             assert [(end.attempt, end.outcome, end.final) for end in ends] == [
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
-            client.ask(target="/ready")
-            assert (await client.answer()).status == 200  # and nothing of the second attempt before it
+            client.send_request(target="/ready")
+            assert (await client.read_response()).status == 200  # and nothing of the second attempt before it
             assert not balancer.dispatcher._exchanges
         for server in servers:
             server.close()
@@ -129,23 +129,23 @@
     async def work() -> None:
         ended = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
+        async def wait(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.ended()
             ended.set()
 
-        upstream = await FakeUpstream(wait).start()
-        script = Script([1])
+        upstream = await FakeServer(wait).start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask()
+            client.send_request()
             await upstream.arrived.get()
             balancer.dispatcher._act(Cancel(1, 0))
             assert (await script.ended()).outcome is Outcome.CANCELLED
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ended.wait()
-            assert (await client.answer()).status == 502
+            assert (await client.read_response()).status == 502
             assert len(script.ends()) == 1
         upstream.close()
 
@@ -158,17 +158,17 @@
     async def work() -> None:
         may_answer = asyncio.Event()
 
-        async def answers_when_allowed(request: Incoming, talk: Talk) -> None:
+        async def answers_when_allowed(request: ReceivedRequest, talk: FakeConnection) -> None:
             await may_answer.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(answers_when_allowed).start()
-        script = Script([1])
+        upstream = await FakeServer(answers_when_allowed).start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             async with HttpClient(balancer.port) as client:
-                client.ask("move", b"x")
+                client.send_request("move", b"x")
                 await upstream.arrived.get()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while not isinstance(await script.told.get(), ClientDisconnected):
                     pass
             may_answer.set()
@@ -184,19 +184,19 @@
     """Guards against decisions that never answer: the pending attempt ends, then one answer is sent."""
 
     async def work() -> None:
-        upstream = await FakeUpstream(stays_silent).start()
-        script = Script([1])
+        upstream = await FakeServer(stays_silent).start()
+        script = ScriptedBalancer([1])
         script.more = lambda event: [] if isinstance(event, AttemptEnded) else None
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x", X_Expires_In_Ms="150")
-            assert (await client.answer()).status == 504
+            client.send_request("move", b"x", X_Expires_In_Ms="150")
+            assert (await client.read_response()).status == 504
             event = await script.ended()
             assert (event.outcome, event.final) == (Outcome.TIMEOUT, False)
-            client.ask(target="/ready")
-            assert (await client.answer()).status == 200
+            client.send_request(target="/ready")
+            assert (await client.read_response()).status == 200
             assert not balancer.dispatcher._exchanges
         upstream.close()
 
@@ -207,8 +207,8 @@
     """Guards the attempt cap and late sends: they end as DISCARDED, and nothing is written."""
 
     async def work() -> None:
-        upstream = await FakeUpstream(resets).start()
-        script = Script([1] * 6)
+        upstream = await FakeServer(resets).start()
+        script = ScriptedBalancer([1] * 6)
 
         def send_after_the_answer(event: Event) -> list[Action] | None:
             if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
@@ -220,11 +220,11 @@
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask()
-            assert (await client.answer()).status == 502
+            client.send_request()
+            assert (await client.read_response()).status == 502
         upstream.close()
         ends = [(end.attempt, end.outcome) for end in script.ends()]
         assert ends[:5] == [(number, Outcome.RESET) for number in range(4)] + [(4, Outcome.DISCARDED)]
-        assert len(upstream.seen) == 4
+        assert len(upstream.requests) == 4
 
     run(work())
--- a/tests/dispatch/test_probes.py
+++ b/tests/dispatch/test_probes.py
@@ -6,10 +6,10 @@
 
 from sandhatch.balancing.actions import Probe
 from sandhatch.balancing.events import Outcome, ProbeEnded
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 from tests.upstream.behaviours import stays_silent
 
 
@@ -17,19 +17,19 @@
     """Guards probes: the report's values come in the settings' order, and a late one does not count."""
 
     async def work() -> None:
-        async def answers_with_report(request: Incoming, talk: Talk) -> None:
+        async def answers_with_report(request: ReceivedRequest, talk: FakeConnection) -> None:
             assert request.target == "/status/load"
             await talk.send(ok(b"TEXT inflight=7, queue=2, util=0.61"))
 
-        upstream = await FakeUpstream(answers_with_report).start()
-        silent = await FakeUpstream(stays_silent).start()
-        script = Script([1])
+        upstream = await FakeServer(answers_with_report).start()
+        silent = await FakeServer(stays_silent).start()
+        script = ScriptedBalancer([1])
         stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
         async with running(upstream.entry("a"), silent.entry("b"), script=script, stats=stats) as balancer:
             for server in (1, 2, 77):
                 balancer.dispatcher._act(Probe(server))
             ends = {}
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while len(ends) < 3:
                     event = await script.told.get()
                     if isinstance(event, ProbeEnded):
@@ -49,10 +49,12 @@
     """Guards sites with slow handshakes: a probe on a new connection must not end before that may be up."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         stats = {"How": "on_probe", "Fields": ["queue"]}
         limits = {"ConnectTimeoutMs": 700}
-        async with running(upstream.entry("a"), script=Script([1]), stats=stats, limits=limits) as balancer:
+        async with running(
+            upstream.entry("a"), script=ScriptedBalancer([1]), stats=stats, limits=limits
+        ) as balancer:
             timeouts_ms: list[float] = []
             pool = balancer.dispatcher.connection_pool
             pool.start = lambda attempt, timeout_ms: timeouts_ms.append(timeout_ms)  # type: ignore[method-assign]
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -10,10 +10,10 @@
 from sandhatch.balancing.actions import Action, Fail, Reject, Send
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived
 from testkit.clients import HttpClient, request_bytes
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 from tests.upstream.behaviours import stays_silent
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
@@ -83,24 +83,24 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def answers_late(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: ReceivedRequest, talk: FakeConnection) -> None:
             await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(answers_late).start()
+        upstream = await FakeServer(answers_late).start()
         async with (
             running(upstream.entry("a")) as balancer,
             HttpClient(balancer.port) as good,
             HttpClient(balancer.port) as bad,
         ):
-            good.ask()
+            good.send_request()
             await upstream.arrived.get()
             bad.send(data)
-            assert (await bad.answer()).status == code
+            assert (await bad.read_response()).status == code
             go.set()
-            assert (await good.answer()).status == 200
+            assert (await good.read_response()).status == 200
         upstream.close()
-        assert len(upstream.seen) == 1
+        assert len(upstream.requests) == 1
 
     run(work())
 
@@ -109,16 +109,16 @@
     """Clients need not state one."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             client.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
-            assert (await client.answer()).status == 200
-            client.ask(X_Expires_In_Ms="999999999")
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
+            client.send_request(X_Expires_In_Ms="999999999")
+            assert (await client.read_response()).status == 200
         upstream.close()
         lefts = [e.time_left_ms for e in script.events if isinstance(e, RequestArrived)]
         assert lefts == [8000.0, 8000.0]
@@ -130,16 +130,16 @@
     """Order and exactly one answer hold where a client does not wait."""
 
     async def work() -> None:
-        async def echo(request: Incoming, talk: Talk) -> None:
+        async def echo(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(request.target.encode()))
 
-        upstream = await FakeUpstream(echo).start()
+        upstream = await FakeServer(echo).start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             client.send(b"".join(request_bytes(target=f"/api?n={n}") for n in range(3)) + b"garbage\r\n\r\n")
             for n in range(3):
-                assert (await client.answer()).body == b"/api?n=%d" % n
-            assert (await client.answer()).status == 400
-            assert await client.ended() == b""
+                assert (await client.read_response()).body == b"/api?n=%d" % n
+            assert (await client.read_response()).status == 400
+            assert await client.read_to_end() == b""
         upstream.close()
 
     run(work())
@@ -149,15 +149,15 @@
     """Else such a client would wait in vain."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             head, _, _ = request_bytes("move", b"body", Expect="100-continue").partition(b"\r\n\r\n")
             client.send(head + b"\r\n\r\n")
             assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             client.send(b"body")
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
         upstream.close()
-        assert upstream.seen[0].body == b"body"
+        assert upstream.requests[0].body == b"body"
 
     run(work())
 
@@ -166,12 +166,12 @@
     """A client may say that the connection ends with this answer."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
-            client.ask(Connection="close")
-            answer = await client.answer()
+            client.send_request(Connection="close")
+            answer = await client.read_response()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
         upstream.close()
 
     run(work())
@@ -181,8 +181,8 @@
     """Guards Refuse: 503 at once, with Retry-After where the decisions advise it, and without where not."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         waits = [1250.0, 0.0]
 
         def reject(event: Event) -> list[Action] | None:
@@ -193,10 +193,10 @@
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask()
-            first = await client.answer()
-            client.ask()
-            second = await client.answer()
+            client.send_request()
+            first = await client.read_response()
+            client.send_request()
+            second = await client.read_response()
         upstream.close()
         assert (first.status, first.headers.get("retry-after")) == (503, "1.250")
         assert (second.status, second.headers.get("retry-after")) == (503, None)
@@ -208,8 +208,8 @@
     """Guards the process against a fault in the decisions: that request alone ends, and the log names it."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
 
         def fault(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived) and event.class_index == 2:
@@ -221,10 +221,10 @@
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
-            assert (await client.answer()).status == 500
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
+            assert (await client.read_response()).status == 500
+            client.send_request()
+            assert (await client.read_response()).status == 200
         upstream.close()
 
     run(work())
@@ -237,8 +237,8 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream(stays_silent).start()
-        script = Script([1])
+        upstream = await FakeServer(stays_silent).start()
+        script = ScriptedBalancer([1])
 
         def twice(event: Event) -> list[Action] | None:
             if isinstance(event, RequestArrived) and event.class_index == 2:
@@ -246,14 +246,14 @@
             return None
 
         script.more = twice
-        other = await FakeUpstream().start()
+        other = await FakeServer().start()
         script.servers = [2]
         async with (
             running(upstream.entry("a"), other.entry("b"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             client.send(request_bytes("move", b"x") + request_bytes())
-            assert [(await client.answer()).status for _ in range(2)] == [502, 200]
+            assert [(await client.read_response()).status for _ in range(2)] == [502, 200]
             first = next(e for e in script.events if isinstance(e, RequestArrived))
             while (event := await script.ended()).request != first.request:
                 pass
@@ -268,19 +268,19 @@
     """The client has shut down its sending side before the last byte."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             async with HttpClient(balancer.port) as client:
                 client.send(request_bytes("move", b"whole")[:-1])
                 await client.writer.drain()
                 client.writer.write_eof()
-                assert await client.ended() == b""
+                assert await client.read_to_end() == b""
             async with HttpClient(balancer.port) as client:
-                client.ask(target="/ready")
-                assert (await client.answer()).status == 200
+                client.send_request(target="/ready")
+                assert (await client.read_response()).status == 200
         upstream.close()
-        assert upstream.seen == []
+        assert upstream.requests == []
         assert not any(isinstance(e, RequestArrived | ClientDisconnected) for e in script.events)
 
     run(work())
@@ -294,33 +294,33 @@
     async def work() -> None:
         go = asyncio.Event()
 
-        async def answers_late(request: Incoming, talk: Talk) -> None:
+        async def answers_late(request: ReceivedRequest, talk: FakeConnection) -> None:
             await go.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(answers_late).start()
-        script = Script([1])
+        upstream = await FakeServer(answers_late).start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer, HttpClient(balancer.port) as good:
-            good.ask("move", b"x", X_Trace_Id="aa")
+            good.send_request("move", b"x", X_Trace_Id="aa")
             await upstream.arrived.get()
             async with HttpClient(balancer.port) as bad:
-                bad.ask("look", X_Trace_Id="aa")
-                assert (await bad.answer()).status == 409
-                assert await bad.ended() == b""
+                bad.send_request("look", X_Trace_Id="aa")
+                assert (await bad.read_response()).status == 409
+                assert await bad.read_to_end() == b""
             go.set()
-            assert (await good.answer()).status == 200
+            assert (await good.read_response()).status == 200
             async with HttpClient(balancer.port) as bad:
-                bad.ask("move", b"x", X_Trace_Id="aa")
-                assert (await bad.answer()).status == 409
-            good.ask("move", b"x", X_Trace_Id="ab")
-            assert (await good.answer()).status == 200
+                bad.send_request("move", b"x", X_Trace_Id="aa")
+                assert (await bad.read_response()).status == 409
+            good.send_request("move", b"x", X_Trace_Id="ab")
+            assert (await good.read_response()).status == 200
             assert not balancer.shared.in_flight_ids.open
             balancer.shared.in_flight_ids.MOST_PAST = 1
-            good.ask("move", b"x", X_Trace_Id="ac")
-            assert (await good.answer()).status == 200
+            good.send_request("move", b"x", X_Trace_Id="ac")
+            assert (await good.read_response()).status == 200
             assert list(balancer.shared.in_flight_ids.past) == [b"ac"]
         upstream.close()
-        assert [item.headers["x-trace-id"] for item in upstream.seen] == ["aa", "ab", "ac"]
+        assert [item.headers["x-trace-id"] for item in upstream.requests] == ["aa", "ab", "ac"]
         assert [e.outcome for e in script.ends()] == [Outcome.OK] * 3
 
     run(work())
@@ -330,15 +330,15 @@
     """Prevents request smuggling: two parsers might find the end of such a message in two places."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             inner = request_bytes("move", b"x")
             outer = b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (len(inner) + 5)
             client.send(HEAD + b"X-Trace-Id: 1\r\n" + outer + inner)
-            assert (await client.answer()).status == 400
+            assert (await client.read_response()).status == 400
             client.send(request_bytes("move", b"x"))
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
         upstream.close()
-        assert upstream.seen == []
+        assert upstream.requests == []
 
     run(work())
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from sandhatch.runtime.process import grant_descriptors
+from sandhatch.runtime.process import raise_descriptor_limit
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
 from tests.fakes import running
 from tests.platform.harness import ready, spawn
@@ -83,8 +83,8 @@
 
 
 async def served(client: HttpClient) -> None:
-    client.ask()
-    assert (await client.answer()).status == 200
+    client.send_request()
+    assert (await client.read_response()).status == 200
 
 
 @pytest.mark.parametrize("fault", ["down", "refusing", "silent"])
@@ -96,7 +96,7 @@
     connections are served, the endpoint list is received, and silent connections are closed.
     """
 
-    async def work(first: FakeUpstream, second: FakeUpstream, discovery: FakeDiscovery) -> None:
+    async def work(first: FakeServer, second: FakeServer, discovery: FakeDiscovery) -> None:
         port = free_port()
         data = config_data(
             [first.entry("a")], discovery.port, listen=f"127.0.0.1:{port}", settings=ASKED, known={}
@@ -116,17 +116,17 @@
                         await served(client)
                     # In the same moment that discovery is back, as many come again.
                     await restore_discovery(discovery, fault)
-                    async with flooded(port, limit + 100), asyncio.timeout(4.0 * PATIENCE_S):
-                        while not second.seen:
+                    async with flooded(port, limit + 100), asyncio.timeout(4.0 * RESPONSE_TIMEOUT_S):
+                        while not second.requests:
                             await served(reused)
                             await asyncio.sleep(0.05)
-                    async with asyncio.timeout(PATIENCE_S):
+                    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                         await asyncio.gather(*map(closed, peers))
                 await ready(port)
 
     async def with_servers() -> None:
-        assert grant_descriptors(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
-        first, second = await FakeUpstream().start(), await FakeUpstream().start()
+        assert raise_descriptor_limit(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
+        first, second = await FakeServer().start(), await FakeServer().start()
         discovery = await FakeDiscovery([first.entry("a")]).start()
         try:
             await work(first, second, discovery)
@@ -144,7 +144,7 @@
     """Under a clock that skips, so that it tells the program's own times."""
 
     async def work(loop: SkippingLoop) -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a"), base=ASKED, machine={"sockets": 256}) as balancer:
             balancer.discovery.stop()
             async with flooded(balancer.port, 60) as peers:
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -26,10 +26,10 @@
 from sandhatch.runtime.shared_resources import SharedResources
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
-from testkit.wire import PATIENCE_S
+from testkit.wire import RESPONSE_TIMEOUT_S
 
 
-class Script:
+class ScriptedBalancer:
     """Decisions by script: each request's attempts go to the given servers in turn, then it fails.
 
     It keeps every event, so that a test sees just what the balancer would be notified of. It follows pushed
@@ -69,7 +69,7 @@
 
     async def ended(self) -> AttemptEnded:
         """The next end of an attempt."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while True:
                 event = await self.told.get()
                 if isinstance(event, AttemptEnded):
@@ -81,7 +81,7 @@
 
 
 @dataclass
-class Running:
+class RunningBalancer:
     """The parts of a balancer that runs."""
 
     dispatcher: Dispatcher
@@ -95,18 +95,18 @@
         """Stops it and its fake discovery, without waiting for what is in flight."""
         self.dispatcher.source.stop()
         self.listener.stop_accepting()
-        self.listener.end_idle()
+        self.listener.close_idle()
         self.dispatcher.connection_pool.close()
         self.discovery.stop()
 
 
-def start_parts(program: PlatformProgram, discovery: FakeDiscovery) -> Running:
+def start_parts(program: PlatformProgram, discovery: FakeDiscovery) -> RunningBalancer:
     """Starts the parts of a program that serve requests."""
     dispatcher = program.dispatcher
     listener = program.listener
     listener.start()
     dispatcher.source.start()
-    return Running(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
+    return RunningBalancer(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
 
 
 @asynccontextmanager
@@ -121,7 +121,7 @@
     generation: int = 1,
     rest_ms: float = 0.0,
     **more: Any,
-) -> AsyncIterator[Running]:
+) -> AsyncIterator[RunningBalancer]:
     """The balancer's real parts, with a fake discovery that lists the entries.
 
     Args:
@@ -149,7 +149,7 @@
     data = config_data(list(entries), discovery.port, settings=settings, **more)
     config = decode(json.dumps(data), {})
     program = PlatformProgram(config, asyncio.get_running_loop(), script)
-    program.dispatcher.connection_pool.REST_MS = rest_ms
+    program.dispatcher.connection_pool.COOLDOWN_MS = rest_ms
     balancer = start_parts(program, discovery)
     try:
         yield balancer
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -15,7 +15,7 @@
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.events import End
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import RequestReader, ResponseReader
+from sandhatch.http1.parser import RequestParser, ResponseParser
 from sandhatch.http1.serializer import chunk, last_chunk
 from sandhatch.streaming.headers import Headers
 
@@ -38,12 +38,12 @@
 class Collected:
     """Feeds a reader as a connection does, opening what may be opened, and collects what comes."""
 
-    def __init__(self, reader: RequestReader | ResponseReader, hold: int) -> None:
+    def __init__(self, reader: RequestParser | ResponseParser, hold: int) -> None:
         self.reader = reader
         self.seen: list[ParsedMessage] = []
         self._open: Message | None = None
         self._parts: list[bytes] = []
-        reader.headed = lambda message: reader.stream(hold, MAX_BODY_BYTES)
+        reader.on_head = lambda message: reader.stream(hold, MAX_BODY_BYTES)
 
     def feed(self, data: bytes) -> None:
         for event in self.reader.feed(data):
@@ -106,8 +106,8 @@
     return [data[a:b] for a, b in zip([0, *cuts], [*cuts, len(data)], strict=True) if b > a]
 
 
-def make_parser(request: bool) -> RequestReader | ResponseReader:
-    return RequestReader() if request else ResponseReader()
+def make_parser(request: bool) -> RequestParser | ResponseParser:
+    return RequestParser() if request else ResponseParser()
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -123,7 +123,7 @@
     for piece in split(rng, data):
         parts.feed(piece)
     assert parts.reader.fault is None
-    assert not parts.reader.begun
+    assert not parts.reader.has_partial_message
     # Trailers are returned with a body in pieces, and dropped with a complete one.
     assert [row._replace(trailers=()) for row in parts.seen] == [
         row._replace(trailers=()) for row in unsplit.seen
@@ -238,15 +238,15 @@
 
 
 def opened(head: bytes, hold: int = 0) -> Collected:
-    found = Collected(RequestReader(), hold)
+    found = Collected(RequestParser(), hold)
     found.feed(head)
     return found
 
 
 def test_a_body_of_known_length_comes_as_views_of_what_was_read() -> None:
     """Nothing is copied on its way through the framing."""
-    reader = RequestReader()
-    reader.headed = lambda message: reader.stream(0, MAX_BODY_BYTES)
+    reader = RequestParser()
+    reader.on_head = lambda message: reader.stream(0, MAX_BODY_BYTES)
     assert reader.feed(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab") == []
     assert reader.openable
     assert reader.open().body == b"ab"
@@ -287,8 +287,8 @@
         (b"Content-Length: 11\r\n\r\n", b""),
         (b"Transfer-Encoding: chunked\r\n\r\n", b"a\r\n0123456789\r\n1\r\na\r\n"),
     ):
-        reader = RequestReader()
-        reader.headed = lambda message, reader=reader: reader.stream(0, 10)  # type: ignore[misc]
+        reader = RequestParser()
+        reader.on_head = lambda message, reader=reader: reader.stream(0, 10)  # type: ignore[misc]
         reader.feed(b"POST / HTTP/1.1\r\n" + head + more)
         assert reader.fault is not None and reader.fault.status == 413
 
@@ -297,7 +297,7 @@
     def reject(message: Message) -> None:
         raise FramingError(403, "not here")
 
-    reader = RequestReader()
-    reader.headed = reject
+    reader = RequestParser()
+    reader.on_head = reject
     reader.feed(b"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\n")
     assert reader.fault == Fault(403, "not here")
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -17,7 +17,7 @@
 from sandhatch.planning.terms import ForwarderTerms, PlannerTerms
 from sandhatch.runtime.clock import Clock
 from testkit.planners import Script, ScriptedPlanner
-from testkit.wire import PATIENCE_S
+from testkit.wire import RESPONSE_TIMEOUT_S
 
 KEY = SharedKey(b"k" * 32)
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
@@ -81,7 +81,7 @@
 
 
 async def until(holds: Callable[[], object]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while not holds():
             await asyncio.sleep(0.005)
 
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -13,8 +13,8 @@
 from sandhatch.cli.commands import main
 from testkit.clients import HttpClient
 from testkit.ports import free_port
-from testkit.wire import PATIENCE_S
-from tests.service.harness import Farm, run
+from testkit.wire import RESPONSE_TIMEOUT_S
+from tests.service.harness import FakeServers, run
 
 
 class CommandResult(NamedTuple):
@@ -66,7 +66,7 @@
 
 
 def write_forwarder_file(
-    tmp_path: Path, farm: Farm, listen_port: int, planner_port: int, planner_public_key: str
+    tmp_path: Path, farm: FakeServers, listen_port: int, planner_port: int, planner_public_key: str
 ) -> Path:
     planning = {
         "name": "web-1",
@@ -114,20 +114,20 @@
     planner_control, forwarder_control = str(tmp_path / "p.sock"), str(tmp_path / "f.sock")
 
     async def work() -> None:
-        farm = await Farm().start("w1", "w2", "o1")
+        farm = await FakeServers().start("w1", "w2", "o1")
         forwarder_file = write_forwarder_file(tmp_path, farm, listen_port, planner_port, planner_public_key)
         planner = await spawn("planner", "run", str(planner_file), "--control", planner_control)
         forwarder = await spawn("serve", str(forwarder_file), "--control", forwarder_control)
         assert planner.stderr is not None and forwarder.stderr is not None
         try:
-            async with asyncio.timeout(3 * PATIENCE_S):
+            async with asyncio.timeout(3 * RESPONSE_TIMEOUT_S):
                 assert b"planner p0 at 127.0.0.1" in await planner.stderr.readline()
                 while b"leases its own shares to planner p0" not in await forwarder.stderr.readline():
                     pass
             async with HttpClient(listen_port) as client:
                 for _ in range(4):
-                    client.ask()
-                    assert (await client.answer()).status == 200
+                    client.send_request()
+                    assert (await client.read_response()).status == 200
             await check_status(planner_control, forwarder_control, farm.address("w1"))
         finally:
             for process in (planner, forwarder):
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -9,10 +9,10 @@
 from sandhatch.planning.server import PlannerServer
 from testkit.clients import HttpClient
 from tests.planning.harness import planner_server, until
-from tests.service.harness import Farm, Kept, run, serving
+from tests.service.harness import FakeServers, RunningService, run, serving
 
 
-def with_planner(farm: Farm, key: Path, port: int, **more: Any) -> dict[str, Any]:
+def with_planner(farm: FakeServers, key: Path, port: int, **more: Any) -> dict[str, Any]:
     spec = {
         "shared_key_file": str(key),
         "planners": {"p0": {"address": f"127.0.0.1:{port}"}},
@@ -31,26 +31,26 @@
 
 def test_a_version_whose_key_file_cannot_be_read_is_not_applied_and_states_the_reason(tmp_path: Path) -> None:
     async def work() -> None:
-        farm = await Farm().start("w1", "w2", "o1")
+        farm = await FakeServers().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
         async with serving(plain) as kept, HttpClient(kept.port) as client:
             version = await kept.commit(with_planner(farm, tmp_path / "none", 1))
             assert version.state is State.FAILED
             assert "planning: " in version.why and "No such file or directory" in version.why
-            client.ask()
-            assert (await client.answer()).status == 200
+            client.send_request()
+            assert (await client.read_response()).status == 200
         farm.close()
 
     run(work())
 
 
 async def check_request_is_served(client: HttpClient) -> None:
-    client.ask()
-    assert (await client.answer()).status == 200
+    client.send_request()
+    assert (await client.read_response()).status == 200
 
 
 async def change_a_pool(
-    farm: Farm, key: Path, planner: PlannerServer, kept: Kept, client: HttpClient
+    farm: FakeServers, key: Path, planner: PlannerServer, kept: RunningService, client: HttpClient
 ) -> None:
     """Check that the link stays and still observes the pool, and that the other pool leaves it."""
     link = kept.service.forwarding.link
@@ -66,16 +66,18 @@
     await until(lambda: not pools["orders"].load.members)
 
 
-async def replace_the_link(farm: Farm, key: Path, planner: PlannerServer, kept: Kept) -> None:
+async def replace_the_link(
+    farm: FakeServers, key: Path, planner: PlannerServer, kept: RunningService
+) -> None:
     """Check that the new link knows until when the shares are leased."""
     link = kept.service.forwarding.link
     assert link is not None
-    await until(lambda: link.machine.leased_to == "p0")
-    lease_end_ms = link.machine.bound_ms
+    await until(lambda: link.forwarder.leased_to == "p0")
+    lease_end_ms = link.forwarder.bound_ms
     await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
     replacement = kept.service.forwarding.link
     assert replacement is not None and replacement is not link
-    assert replacement.machine.bound_ms >= lease_end_ms - 1.0
+    assert replacement.forwarder.bound_ms >= lease_end_ms - 1.0
     await until(lambda: "other" in planner.planner.members)
 
 
@@ -83,7 +85,7 @@
     key = key_file(tmp_path)
 
     async def work() -> None:
-        farm = await Farm().start("w1", "w2", "o1")
+        farm = await FakeServers().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
         async with planner_server() as planner, serving(plain) as kept, HttpClient(kept.port) as client:
             forwarding = kept.service.forwarding
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from sandhatch.planning.messages import PartRow, PoolAdvice, WeightRow, encode
+from sandhatch.planning.messages import PoolAdvice, RampShareRow, WeightRow, encode
 from tests.planning.machines import POOL, ForwarderDriver
 
 
@@ -27,7 +27,7 @@
     assert driver.reports["p0"].leases_shares and driver.reports["p0"].version == 1
     assert driver.lease_ends_ms[-1] == received + 3_030.0
     assert not driver.guidances[0].leased
-    driver.answer("p0", pools=[PoolAdvice(POOL, None, [PartRow(0, 0.5, 2.0)], 0.3)])
+    driver.answer("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
     assert driver.guidances[-1].leased and driver.guidances[-1].parts[0].rate == 0.5
 
 
@@ -37,14 +37,14 @@
     driver.connect("p1")
     driver.rounds(4, "p0", "p1")
     assert driver.machine.leased_to == "p0"
-    driver.answer("p1", pools=[PoolAdvice(POOL, None, [PartRow(0, 1.0, 4.0)], 0.5)])
+    driver.answer("p1", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 1.0, 4.0)], 0.5)])
     assert not driver.guidances[-1].leased and driver.guidances[-1].own_part is None
 
 
 def test_a_new_incarnation_of_the_lessee_continues_with_the_shares_that_are_held() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
-    driver.rounds(4, "p0", pools=[PoolAdvice(POOL, None, [PartRow(0, 0.5, 2.0)], 0.3)])
+    driver.rounds(4, "p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
     driver.machine.lost("p0")
     driver.now += 100.0
     driver.connect("p0", epoch=2)
@@ -65,8 +65,8 @@
         driver.tick(250.0)
         driver.answer("p0", **fields)
         assert len(driver.guidances) == count
-        assert driver.machine.sides["p0"].faults == 1
-        return driver.machine.sides["p0"].last_reason
+        assert driver.machine.peers["p0"].faults == 1
+        return driver.machine.peers["p0"].last_reason
 
     assert reason(version=1) == "advice 1 after 1"
     assert reason(epoch=9) == "advice of epoch 9 in a session of epoch 1"
@@ -79,7 +79,7 @@
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.answer("p0", 5_000.0)
-    peer = driver.machine.sides["p0"]
+    peer = driver.machine.peers["p0"]
     assert (peer.late, peer.faults, driver.guidances) == (1, 0, [])
     driver.tick(250.0)
     assert driver.reports["p0"].version == 0
@@ -96,7 +96,7 @@
         assert len(driver.drops) == len(backoffs_ms) + 1
         driver.machine.lost("p0")
         assert not driver.machine.may_connect("p0", driver.now)
-        peer = driver.machine.sides["p0"]
+        peer = driver.machine.peers["p0"]
         backoffs_ms.append(round(peer.backoff_until_ms - driver.now, -2))
         driver.now = peer.backoff_until_ms
         assert driver.machine.may_connect("p0", driver.now)
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -9,8 +9,8 @@
 import pytest
 
 from sandhatch.planning.errors import SessionError
-from sandhatch.planning.messages import PartRow, PoolAdvice, PoolReport, Report, WeightRow
-from testkit.planners import Seat
+from sandhatch.planning.messages import PoolAdvice, PoolReport, RampShareRow, Report, WeightRow
+from testkit.planners import ForwarderConnection
 from tests.planning.harness import (
     ADDRESSES,
     SETTINGS,
@@ -28,10 +28,12 @@
     return PoolAdvice("core", [WeightRow(n, weight) for n, weight in enumerate(weights)])
 
 
-def answers_each_report(*pools: PoolAdvice, **fields: object) -> Callable[[Seat], Awaitable[None]]:
+def answers_each_report(
+    *pools: PoolAdvice, **fields: object
+) -> Callable[[ForwarderConnection], Awaitable[None]]:
     """A planner that gives each report the same answer."""
 
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         while True:
             await seat.say(seat.advice(await seat.report(), *pools, **fields))
@@ -42,7 +44,7 @@
 def test_a_report_names_the_servers_and_advice_reaches_the_balancer() -> None:
     reports: list[Report] = []
 
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         reports.append(await seat.report())
         await seat.say(seat.advice(reports[0], weights_advice(1.0, 0.5)))
@@ -76,7 +78,7 @@
 
 
 def test_garbage_opens_the_circuit_and_does_not_reach_the_balancer() -> None:
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         await seat.raw(b"\0\0\0\x20" + b"garbage!" * 4)
         await seat.left()
@@ -94,7 +96,7 @@
 def test_a_planner_sending_100_mb_is_disconnected_at_the_first_bytes() -> None:
     sent = 0
 
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         nonlocal sent
         await seat.established()
         await seat.raw((100_000_000).to_bytes(4, "big"))
@@ -114,7 +116,7 @@
 
 
 def test_a_planner_that_floods_is_disconnected() -> None:
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         report = await seat.report()
         while True:
@@ -129,7 +131,7 @@
 
 
 def test_repeated_old_advice_is_rejected_and_opens_the_circuit() -> None:
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         first = seat.advice(await seat.report(), weights_advice(1.0, 0.5))
         while True:
@@ -182,7 +184,7 @@
 def test_late_advice_changes_nothing_and_its_planner_does_not_get_the_lease() -> None:
     """Advice five seconds late, with the lease and the delay shorter in proportion."""
 
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         while True:
             report = await seat.report()
@@ -235,7 +237,7 @@
 
 def test_advice_on_servers_that_were_not_named_is_ignored() -> None:
     rows = [WeightRow(n, 0.5) for n in (0, 17, 2**40)]
-    advice = PoolAdvice("core", rows, [PartRow(99, 1.0, 4.0)])
+    advice = PoolAdvice("core", rows, [RampShareRow(99, 1.0, 4.0)])
 
     async def work() -> None:
         async with (
@@ -266,7 +268,7 @@
 
 
 def test_a_planner_that_does_not_read_is_disconnected() -> None:
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.established()
         await asyncio.sleep(60.0)
 
@@ -326,7 +328,7 @@
 def test_a_connection_that_ends_at_once_is_retried() -> None:
     """It may end before `create_connection` returns, and must not be taken for an open one."""
 
-    async def script(seat: Seat) -> None:
+    async def script(seat: ForwarderConnection) -> None:
         await seat.raw(b"\0\0\0\5hello")
 
     async def work() -> None:
--- a/tests/planning/test_messages.py
+++ b/tests/planning/test_messages.py
@@ -15,10 +15,10 @@
     Advice,
     Bye,
     Hello,
-    PartRow,
     PoolAdvice,
     PoolReport,
     Proof,
+    RampShareRow,
     Report,
     Row,
     WeightRow,
@@ -40,7 +40,18 @@
 def test_a_report_has_the_field_names_and_order_of_the_wire() -> None:
     row = Row(0, 1, 2, 3, 4, 5.0, [6, 7])
     pool = PoolReport(
-        "core", 4, 2, 8.0, ["10.0.0.1:80"], [row], [0], [1], [2], {"view": 3}, [PartRow(0, 0.5, 1.0)], True
+        "core",
+        4,
+        2,
+        8.0,
+        ["10.0.0.1:80"],
+        [row],
+        [0],
+        [1],
+        [2],
+        {"view": 3},
+        [RampShareRow(0, 0.5, 1.0)],
+        True,
     )
     report = Report(9, 250.0, 5, 6, True, [pool])
     wire_pool = {
@@ -71,7 +82,7 @@
 
 
 def test_advice_has_the_field_names_and_order_of_the_wire() -> None:
-    pool = PoolAdvice("core", [WeightRow(0, 0.5, "slow", 2.0, 3)], [PartRow(1, 0.25, 2.0)], 0.125)
+    pool = PoolAdvice("core", [WeightRow(0, 0.5, "slow", 2.0, 3)], [RampShareRow(1, 0.25, 2.0)], 0.125)
     advice = Advice(5, 6, 7, 2_000.0, 3_000.0, True, True, "note", [pool])
     wire_pool = {
         "pool": "core",
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -33,9 +33,9 @@
     observer: Observer, server: int, outcome: Outcome | None = Outcome.OK, spent_ms: float = 10.0
 ) -> None:
     """A request and its attempt; it stays in flight without an outcome."""
-    observer.saw(RequestArrived(1, 0, 100.0), [Send(1, server, 100.0)])
+    observer.on_event(RequestArrived(1, 0, 100.0), [Send(1, server, 100.0)])
     if outcome is not None:
-        observer.saw(AttemptEnded(1, 0, server, outcome, True, spent_ms), [])
+        observer.on_event(AttemptEnded(1, 0, server, outcome, True, spent_ms), [])
 
 
 def add_reported_successes(successes: list[int], reporter: PoolReporter, report: PoolReport) -> None:
@@ -85,7 +85,7 @@
     (row,) = reporter.report("core", 1.0, 10_000).report.rows
     assert (row.outstanding, row.ok, row.failed, row.rejected, row.spent_ms) == (1, 1, 1, 1, 10.0)
     assert row.sketch == [bucket_of(10.0), 1]
-    observer.saw(AttemptEnded(1, 0, 0, Outcome.OK, True, 30.0), [])
+    observer.on_event(AttemptEnded(1, 0, 0, Outcome.OK, True, 30.0), [])
     report, _ = reporter.report("core", 2.0, 10_000)
     assert [(r.outstanding, r.ok, r.spent_ms) for r in report.rows] == [(0, 1, 30.0)]
     assert report.demand == {}
@@ -167,6 +167,6 @@
     )
     report, _ = reporter.report("core", 3.0, 10_000)
     assert (report.not_ready, report.rows) == ([1], [])
-    observer.saw(AttemptEnded(1, 0, 1, Outcome.RESET, True, 30.0), [])
+    observer.on_event(AttemptEnded(1, 0, 1, Outcome.RESET, True, 30.0), [])
     assert reporter.report("core", 4.0, 10_000).report.rows == []
     assert 1 not in observer.totals and 1 not in reporter.changed and 1 not in reporter._reported_totals
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -19,7 +19,7 @@
                 event = RequestArrived(number, 0, 1_000.0)
                 actions = dispatcher.balancer.handle(dispatcher.clock.now_ms(), event)
                 assert dispatcher.observer is not None
-                dispatcher.observer.saw(event, actions)
+                dispatcher.observer.on_event(event, actions)
             load = planner.planner.pools["core"].load
             await until(lambda: sum(view.outstanding for view in load.servers.values()) == 8)
             assert load.members["f0"].demand_per_s > 0.0
@@ -91,7 +91,7 @@
             planner_server(epoch=1_000) as planner,
             linked_forwarder({"p0": planner.port}) as forwarder,
         ):
-            forwarder.link.machine.sides["p0"].epoch = 500_000
+            forwarder.link.forwarder.peers["p0"].epoch = 500_000
             await until(lambda: planner.planner.epoch == 500_001)
             await until(lambda: forwarder.planner_status("p0")["epoch"] == 500_001)
             assert planner.planner.learning(planner.clock.now_ms())
@@ -103,7 +103,7 @@
     async def work() -> None:
         async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
             await until(lambda: forwarder.has_lease_guidance)
-            reporter = forwarder.link.machine.sides["p0"].reporters["core"]
+            reporter = forwarder.link.forwarder.peers["p0"].reporters["core"]
             report, _ = reporter.report("core", 0.0, 10_000)
             report.instances, report.burst, report.rows = 4, 4.0, [Row(77, 1)]
             connection = forwarder.link._connections["p0"]
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -22,11 +22,11 @@
 from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.clock import Clock
 from testkit.discovery import FakeDiscovery
-from testkit.load_generator import Load
-from testkit.request_log import Books
+from testkit.load_generator import LoadGenerator
+from testkit.request_log import RequestLog
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.ramp_check import over_ramp
-from tests.service.harness import Farm, Kept, run, serving
+from tests.service.harness import FakeServers, RunningService, run, serving
 
 FORWARDERS = 20
 WARM = ("w1", "w2", "w3")
@@ -39,8 +39,8 @@
     def __init__(self) -> None:
         self.times_ms: dict[str, list[float]] = {}
 
-    def record(self, kept: Kept) -> None:
-        pool = kept.service.front.current.pools["web"]  # type: ignore[union-attr]
+    def record(self, kept: RunningService) -> None:
+        pool = kept.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
         dispatcher, book = pool.dispatcher, kept.service.pools.book
         handle = dispatcher.balancer.handle
 
@@ -57,12 +57,12 @@
 class Site:
     """Servers, discovery, planners, and forwarders that are started one after another."""
 
-    def __init__(self, stack: AsyncExitStack, farm: Farm, discovery: FakeDiscovery, key: Path) -> None:
+    def __init__(self, stack: AsyncExitStack, farm: FakeServers, discovery: FakeDiscovery, key: Path) -> None:
         self.stack, self.farm, self.discovery, self.key = stack, farm, discovery, key
         self.planners: dict[str, PlannerServer] = {}
-        self.forwarders: list[Kept] = []
-        self.loads: list[Load] = []
-        self.books = Books()
+        self.forwarders: list[RunningService] = []
+        self.loads: list[LoadGenerator] = []
+        self.books = RequestLog()
         self.sent = SentTimes()
 
     async def planner(self, name: str) -> None:
@@ -74,7 +74,7 @@
         self.planners[name] = server
         self.stack.callback(server.stop)
 
-    async def forwarder(self) -> Kept:
+    async def forwarder(self) -> RunningService:
         instance_index = len(self.forwarders)
         pool = {
             "source": {"discovery": f"127.0.0.1:{self.discovery.port}"},
@@ -105,8 +105,10 @@
         self.forwarders.append(kept)
         return kept
 
-    def start_load(self, kept: Kept) -> None:
-        self.loads.append(Load(kept.port, self.books, lambda rng: ("look", "/x"), 1, 0.02, len(self.loads)))
+    def start_load(self, kept: RunningService) -> None:
+        self.loads.append(
+            LoadGenerator(kept.port, self.books, lambda rng: ("look", "/x"), 1, 0.02, len(self.loads))
+        )
 
     @property
     def lessor_count(self) -> int:
@@ -127,7 +129,7 @@
     key.write_text("5a" * 32)
     key.chmod(0o600)
     async with AsyncExitStack() as stack:
-        farm = await Farm().start(*WARM, "fresh")
+        farm = await FakeServers().start(*WARM, "fresh")
         stack.callback(farm.close)
         discovery = await FakeDiscovery([farm.servers[name].entry(name) for name in WARM]).start()
         stack.callback(discovery.stop)
@@ -159,7 +161,7 @@
     # Clocks start at the system's time and run on independently, so they differ by a little.
     excess = over_ramp(PLAN, int(started_ms), times)
     assert excess <= FORWARDERS + 0.5, f"{excess:.2f} attempts beyond the ramp"
-    assert len(site.farm.servers["fresh"].seen) <= len(times)
+    assert len(site.farm.servers["fresh"].requests) <= len(times)
     assert all(len(entry.answers) == 1 for entry in site.books.entries.values())
     return sum(at < started_ms + PLAN.cold_ms for at in times)
 
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -16,8 +16,8 @@
 from testkit.discovery import FakeDiscovery
 from testkit.platform import config_data
 from testkit.ports import free_port
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -50,12 +50,12 @@
 
 async def ready(port: int, status: int = 200) -> None:
     """Wait until `/ready` answers with this status."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             try:
                 async with HttpClient(port) as client:
-                    client.ask(target="/ready")
-                    if (await client.answer()).status == status:
+                    client.send_request(target="/ready")
+                    if (await client.read_response()).status == status:
                         return
             except (ConnectionError, AssertionError):
                 pass
@@ -79,13 +79,13 @@
 
 async def exit_code(process: asyncio.subprocess.Process) -> int:
     """Wait until the program has ended by itself."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         return await process.wait()
 
 
 @asynccontextmanager
 async def running_program(
-    directory: Path, upstream: FakeUpstream, descriptors: int | None = None, sockets: int = 256
+    directory: Path, upstream: FakeServer, descriptors: int | None = None, sockets: int = 256
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
     """The program in front of one server, once it is ready: its process and its port."""
     discovery = await FakeDiscovery([upstream.entry("a")]).start()
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -17,8 +17,8 @@
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
 from tests.platform.harness import ROOT, exit_code, ready, running_program, spawn, started
 
@@ -26,13 +26,13 @@
 async def check_served(port: int) -> None:
     """A request on a new connection is answered 200."""
     async with HttpClient(port) as client:
-        client.ask()
-        assert (await client.answer()).status == 200
+        client.send_request()
+        assert (await client.read_response()).status == 200
 
 
 async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
     assert process.stderr is not None
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         return await process.stderr.readline()
 
 
@@ -45,43 +45,43 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        async def serve(request: Incoming, talk: Talk) -> None:
+        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
             if request.target == "/api?slow":
                 await released.wait()
             await talk.send(ok())
 
-        upstream = await FakeUpstream(serve).start()
+        upstream = await FakeServer(serve).start()
         async with (
             running_program(tmp_path, upstream) as (process, port),
             HttpClient(port) as in_flight,
             HttpClient(port) as reused,
             HttpClient(port) as idle,
         ):
-            reused.ask()
-            assert (await reused.answer()).headers.get("connection") != "close"
-            idle.ask(target="/ready")
-            assert (await idle.answer()).status == 200
-            in_flight.ask("move", b"x", "/api?slow")
+            reused.send_request()
+            assert (await reused.read_response()).headers.get("connection") != "close"
+            idle.send_request(target="/ready")
+            assert (await idle.read_response()).status == 200
+            in_flight.send_request("move", b"x", "/api?slow")
             while (await upstream.arrived.get()).target != "/api?slow":
                 pass
             process.send_signal(number)
-            async with asyncio.timeout(PATIENCE_S):  # until the program has received the signal
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):  # until the program has received the signal
                 while True:
                     async with HttpClient(port) as fresh:
-                        fresh.ask(target="/ready")
-                        if (await fresh.answer()).status == 503:
+                        fresh.send_request(target="/ready")
+                        if (await fresh.read_response()).status == 503:
                             break
-            reused.ask()
-            answer = await reused.answer()
+            reused.send_request()
+            answer = await reused.read_response()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
             async with HttpClient(port) as fresh:
-                fresh.ask()
-                answer = await fresh.answer()
+                fresh.send_request()
+                answer = await fresh.read_response()
                 assert (answer.status, answer.headers.get("connection")) == (200, "close")
-            assert await idle.ended() == b""
+            assert await idle.read_to_end() == b""
             assert process.returncode is None  # a request is unanswered
             released.set()
-            assert (await in_flight.answer()).status == 200
+            assert (await in_flight.read_response()).status == 200
             assert await exit_code(process) == 0
         upstream.close()
 
@@ -92,7 +92,7 @@
     """Guards against EMFILE: it goes on serving, new clients too."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running_program(tmp_path, upstream, descriptors=64, sockets=1024) as (process, port):
             clients = [await HttpClient(port).__aenter__() for _ in range(120)]
             for client in clients:
@@ -113,7 +113,7 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running_program(tmp_path, upstream) as (process, port):
             await check_served(port)
             # Descriptors below the highest in use stay usable; new ones fail from here on.
@@ -150,15 +150,15 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        async def serve_when_released(request: Incoming, talk: Talk) -> None:
+        async def serve_when_released(request: ReceivedRequest, talk: FakeConnection) -> None:
             await released.wait()
             await talk.send(ok(b"first"))
 
-        async def serve_second(request: Incoming, talk: Talk) -> None:
+        async def serve_second(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(b"second"))
 
-        first_server = await FakeUpstream(serve_when_released).start()
-        second_server = await FakeUpstream(serve_second).start()
+        first_server = await FakeServer(serve_when_released).start()
+        second_server = await FakeServer(serve_second).start()
         old = await FakeDiscovery([first_server.entry("a")]).start()
         new = await FakeDiscovery([second_server.entry("b")]).start()
         port = free_port()
@@ -168,7 +168,7 @@
         async with started(path, data, **environment) as process:
             await ready(port)
             async with HttpClient(port) as in_flight, HttpClient(port) as client:
-                in_flight.ask("move", b"x")
+                in_flight.send_request("move", b"x")
                 await first_server.arrived.get()
                 path.write_text("{")
                 process.send_signal(signal.SIGHUP)
@@ -177,17 +177,17 @@
                 path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
                 for _ in range(5):
                     process.send_signal(signal.SIGHUP)
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     assert await new.calls.get() == "/v1/endpoints"  # the complete list first
                     assert "after=" in await new.calls.get()
-                client.ask()
-                assert (await client.answer()).body == b"second"
+                client.send_request()
+                assert (await client.read_response()).body == b"second"
                 released.set()
-                assert (await in_flight.answer()).body == b"first"
+                assert (await in_flight.read_response()).body == b"first"
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-                client.ask()
-                assert (await client.answer()).status == 200
+                client.send_request()
+                assert (await client.read_response()).status == 200
                 assert await exit_code(process) == 0
         old.stop()
         new.stop()
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -10,27 +10,27 @@
 import socket
 from collections.abc import Callable
 
-from sandhatch.downstream.socket_poll import waits
-from testkit.servers import Behaviour, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from sandhatch.downstream.socket_poll import has_pending_event
+from testkit.servers import Behaviour, FakeConnection
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 
 
 def connect_client(port: int) -> socket.socket:
     """A client whose bytes reach the system at once, while the loop is blocked."""
-    client = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+    client = socket.create_connection(("127.0.0.1", port), timeout=RESPONSE_TIMEOUT_S)
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return client
 
 
 def block_until_readable(descriptor: int) -> None:
     """Loopback delivers at once, but not within the sender's own call. The loop is blocked meanwhile."""
-    while not waits(descriptor):
+    while not has_pending_event(descriptor):
         pass
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
     """Let the loop run until the condition holds."""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.001)
 
@@ -38,7 +38,7 @@
 def answers_when(released: asyncio.Event, answer: bytes) -> Behaviour:
     """A server that sends the given answer once it is released."""
 
-    async def serve(request: Incoming, talk: Talk) -> None:
+    async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
         await released.wait()
         await talk.send(answer)
 
@@ -57,7 +57,7 @@
 
 
 def _read_request(connection: socket.socket) -> bytes:
-    connection.settimeout(PATIENCE_S)
+    connection.settimeout(RESPONSE_TIMEOUT_S)
     received = b""
     while not received.endswith(b"\r\n\r\nx"):
         part = connection.recv(4096)
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -15,35 +15,35 @@
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.upstream.connection import ServerConnection
 from testkit.clients import request_bytes
-from testkit.servers import FakeUpstream
-from testkit.wire import PATIENCE_S, status
+from testkit.servers import FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, status
 from tests.event_loop import run
-from tests.fakes import Running, Script, running
+from tests.fakes import RunningBalancer, ScriptedBalancer, running
 from tests.race_conditions.harness import answers_when, connect_client, serves_when, wait_until
 
 MAX_NOTICE_MS = 100.0  # after that no attempt may begin
 
 
-def connect_pipelining_client(balancer: Running) -> socket.socket:
+def connect_pipelining_client(balancer: RunningBalancer) -> socket.socket:
     """A client that pipelines so many requests that nothing more is read from it, its end of stream included.
 
     The sweeps that look for ends are off: only the check before each attempt can notice the disconnect.
     """
-    balancer.listener.SWEEP_MS = balancer.listener.END_MS = 1e9
+    balancer.listener.SWEEP_MS = balancer.listener.DISCONNECT_POLL_MS = 1e9
     client = connect_client(balancer.port)
     client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.AHEAD)))
     return client
 
 
-async def wait_until_reading_paused(balancer: Running, client: socket.socket) -> None:
+async def wait_until_reading_paused(balancer: RunningBalancer, client: socket.socket) -> None:
     """Called once the client's first request has begun."""
     client.sendall(request_bytes())
     (connection,) = balancer.listener._connections
     connection.check = lambda now_ms: None  # type: ignore[method-assign]
-    await wait_until(lambda: connection.crowded)
+    await wait_until(lambda: connection.queue_full)
 
 
-async def disconnect_unnoticed(balancer: Running, client: socket.socket) -> None:
+async def disconnect_unnoticed(balancer: RunningBalancer, client: socket.socket) -> None:
     """The client disconnects; the system knows and the program does not yet."""
     (connection,) = balancer.listener._connections
     client.close()
@@ -57,25 +57,25 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        upstream = await FakeUpstream(serves_when(released)).start()
-        script = Script([1])
+        upstream = await FakeServer(serves_when(released)).start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             client = connect_client(balancer.port)
             client.sendall(b"".join(request_bytes() for _ in range(4)))
-            await wait_until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.requests)
             client.sendall(request_bytes())
             (connection,) = balancer.listener._connections
             await wait_until(lambda: len(connection._waiting) == connection.AHEAD)
             balancer.listener.SWEEP_MS = 1e9  # which is for the others
             connection.check = lambda now_ms: None  # type: ignore[method-assign]
-            assert 2.0 * balancer.listener.END_MS <= MAX_NOTICE_MS
+            assert 2.0 * balancer.listener.DISCONNECT_POLL_MS <= MAX_NOTICE_MS
             client.close()
-            async with asyncio.timeout(PATIENCE_S):  # it is looked out for, though the upstream hangs
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):  # it is looked out for, though the upstream hangs
                 while not isinstance(await script.told.get(), ClientDisconnected):
                     pass
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -87,11 +87,11 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        upstream = await FakeUpstream(serves_when(released)).start()
-        async with running(upstream.entry("a"), script=Script([1])) as balancer:
+        upstream = await FakeServer(serves_when(released)).start()
+        async with running(upstream.entry("a"), script=ScriptedBalancer([1])) as balancer:
             client = connect_client(balancer.port)
             client.sendall(b"".join(request_bytes() for _ in range(4)))
-            await wait_until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.requests)
             client.sendall(request_bytes())
             (connection,) = balancer.listener._connections
             await wait_until(lambda: len(connection._waiting) == connection.AHEAD)
@@ -100,7 +100,7 @@
             client.close()
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open and not balancer.listener.connections)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -110,8 +110,8 @@
     """A client that sends and disconnects at once, while the balancer is busy elsewhere."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             disconnected: list[ClientConnection] = []
             balancer.listener.left = disconnected.append  # type: ignore[method-assign]
@@ -120,7 +120,7 @@
             client.close()  # the loop has not run since: the system holds both
             await wait_until(lambda: disconnected)
             assert not any(isinstance(event, RequestArrived) for event in script.events)
-            assert not upstream.seen
+            assert not upstream.requests
         upstream.close()
 
     run(work())
@@ -130,13 +130,13 @@
     """The client disconnects between writing the request's first bytes and its last."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             pool = balancer.dispatcher.connection_pool
             client = connect_client(balancer.port)
             client.sendall(request_bytes())
-            await wait_until(lambda: upstream.seen and not balancer.dispatcher.open)
+            await wait_until(lambda: upstream.requests and not balancer.dispatcher.open)
             deferred_calls: list[Callable[[], None]] = []
             pool.later = deferred_calls.append  # type: ignore[method-assign]
             client.sendall(request_bytes("move", b"x"))
@@ -145,7 +145,7 @@
             await wait_until(lambda: any(isinstance(event, ClientDisconnected) for event in script.events))
             deferred_calls[0]()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -157,8 +157,8 @@
     """The connection is established only after the disconnect: it is pooled, and nothing is written to it."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             released = asyncio.Event()
             loop = asyncio.get_running_loop()
@@ -186,7 +186,7 @@
             await wait_until(lambda: any(isinstance(event, ClientDisconnected) for event in script.events))
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert not upstream.seen
+            assert not upstream.requests
         upstream.close()
 
     run(work())
@@ -196,7 +196,7 @@
     """The balancer queues it because there is no server; one that becomes ready then gets nothing."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a", lifecycle="leaving")) as balancer:
             decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
@@ -217,7 +217,7 @@
             await wait_until(lambda: balancer.dispatcher.ready)
             event_count = len(events)
             await wait_until(lambda: any(isinstance(event, TimerFired) for event in events[event_count:]))
-            assert not balancer.dispatcher.open and not upstream.seen
+            assert not balancer.dispatcher.open and not upstream.requests
         upstream.close()
 
     run(work())
@@ -228,16 +228,16 @@
 
     async def work() -> None:
         released = asyncio.Event()
-        upstream = await FakeUpstream(answers_when(released, status(500))).start()
+        upstream = await FakeServer(answers_when(released, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes())
-            await wait_until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.requests)
             client.close()
             await wait_until(lambda: not balancer.dispatcher.unanswered)
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -248,15 +248,15 @@
 
     async def work() -> None:
         released = asyncio.Event()
-        upstream = await FakeUpstream(answers_when(released, status(500))).start()
+        upstream = await FakeServer(answers_when(released, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_pipelining_client(balancer)
-            await wait_until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.requests)
             await wait_until_reading_paused(balancer, client)
             await disconnect_unnoticed(balancer, client)
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -267,14 +267,14 @@
 
     async def work() -> None:
         released = asyncio.Event()
-        first, second = await FakeUpstream(serves_when(released)).start(), await FakeUpstream().start()
-        script = Script([1])
+        first, second = await FakeServer(serves_when(released)).start(), await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(first.entry("a"), second.entry("b"), script=script) as balancer:
             script.more = lambda event: (
                 [Send(1, 2, 0.0)] if isinstance(event, TimerFired) and event.cookie == 1 else None
             )
             client = connect_pipelining_client(balancer)
-            await wait_until(lambda: first.seen)
+            await wait_until(lambda: first.requests)
             await wait_until_reading_paused(balancer, client)
             await disconnect_unnoticed(balancer, client)
             balancer.dispatcher._deliver(TimerFired(1))
@@ -282,7 +282,7 @@
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert not second.seen and second.connections == 0
+            assert not second.requests and second.connections == 0
         first.close()
         second.close()
 
@@ -291,12 +291,12 @@
 
 def test_the_last_byte_is_not_written_after_an_unnoticed_disconnect() -> None:
     async def work() -> None:
-        upstream = await FakeUpstream().start()
-        script = Script([1])
+        upstream = await FakeServer().start()
+        script = ScriptedBalancer([1])
         async with running(upstream.entry("a"), script=script) as balancer:
             with connect_client(balancer.port) as other:  # leaves a pooled connection
                 other.sendall(request_bytes())
-                await wait_until(lambda: upstream.seen and not balancer.dispatcher.open)
+                await wait_until(lambda: upstream.requests and not balancer.dispatcher.open)
             await wait_until(lambda: not balancer.listener.connections)
             deferred_calls: list[Callable[[], None]] = []
             balancer.dispatcher.connection_pool.later = deferred_calls.append  # type: ignore[method-assign]
@@ -306,7 +306,7 @@
             await disconnect_unnoticed(balancer, client)
             deferred_calls[0]()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
@@ -314,7 +314,7 @@
 
 def test_a_queued_request_is_not_dispatched_after_an_unnoticed_disconnect() -> None:
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a", lifecycle="leaving")) as balancer:
             decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
@@ -324,7 +324,7 @@
             await disconnect_unnoticed(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert not upstream.seen and upstream.connections == 0
+            assert not upstream.requests and upstream.connections == 0
         upstream.close()
 
     run(work())
@@ -336,14 +336,14 @@
 
     async def work() -> None:
         released = asyncio.Event()
-        upstream = await FakeUpstream(answers_when(released, status(500))).start()
+        upstream = await FakeServer(answers_when(released, status(500))).start()
         async with running(upstream.entry("a")) as balancer:
             if noticed:
                 client = connect_client(balancer.port)
                 client.sendall(request_bytes())
             else:
                 client = connect_pipelining_client(balancer)
-            await wait_until(lambda: upstream.seen)
+            await wait_until(lambda: upstream.requests)
             if not noticed:
                 await wait_until_reading_paused(balancer, client)
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -354,7 +354,7 @@
             )
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert len(upstream.seen) == 1
+            assert len(upstream.requests) == 1
         upstream.close()
 
     run(work())
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -22,7 +22,7 @@
 from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.discovery.errors import DiscoveryError
 from testkit.platform import entry
-from testkit.wire import PATIENCE_S, ok, read_head
+from testkit.wire import RESPONSE_TIMEOUT_S, ok, read_head
 from tests.event_loop import run
 
 
@@ -44,7 +44,7 @@
             self.calls.put_nowait((head[0].split()[1], writer))
 
     async def call(self) -> tuple[str, asyncio.StreamWriter]:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.calls.get()
 
     def close(self) -> None:
@@ -82,7 +82,7 @@
         self.listings.put_nowait(listing)
 
     async def next(self) -> Listing:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.listings.get()
 
 
@@ -165,11 +165,11 @@
         accepted, _ = listener.accept()
         accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         accepted.close()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while connection.open:
                 await asyncio.sleep(0.001)
         with pytest.raises(DiscoveryError, match="the connection ended"):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await connection.get(b"/v1/endpoints", b"d")
         listener.close()
 
@@ -277,7 +277,7 @@
             if watching:
                 source.watch(watch_call())
                 _, late = await discovery.call()
-            source.move(("127.0.0.1", new_discovery.port))
+            source.relocate(("127.0.0.1", new_discovery.port))
             assert (await received.next()).kind is ListKind.RELOCATED
             source.watch(watch_call(2, NO_VERSION))
             target, writer = await new_discovery.call()
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -15,7 +15,7 @@
 
 from testkit.clients import HttpClient
 from testkit.platform import SETTINGS
-from testkit.servers import FakeUpstream
+from testkit.servers import FakeServer
 from testkit.wire import ok, read_head
 from tests.fakes import running
 from tests.race_conditions.skipping_clock import SkippingLoop, run
@@ -139,12 +139,12 @@
     return True
 
 
-async def count_requests_to_a(client: HttpClient, a: FakeUpstream, number: int = 12) -> int:
-    before = len(a.seen)
+async def count_requests_to_a(client: HttpClient, a: FakeServer, number: int = 12) -> int:
+    before = len(a.requests)
     for _ in range(number):
-        client.ask()
-        assert (await client.answer()).status == 200
-    return len(a.seen) - before
+        client.send_request()
+        assert (await client.read_response()).status == 200
+    return len(a.requests) - before
 
 
 async def _check_no_request_reaches_a(fault: Fault, at_start: bool, faulty_s: float) -> None:
@@ -152,7 +152,7 @@
     after `faulty_s` calls are answered: `a` gets no request once the list's bound and the grace are over.
     """
     loop = asyncio.get_running_loop()
-    a, b = await FakeUpstream().start(), await FakeUpstream().start()
+    a, b = await FakeServer().start(), await FakeServer().start()
     discovery = await FaultyDiscovery(fault, [a.entry("a"), b.entry("b")]).start()
     discovery.faulty = at_start
     async with running(
@@ -171,7 +171,7 @@
         await asyncio.sleep(announced + MAX_LIST_AGE_S + DRAIN_GRACE_S - loop.time())
         async with HttpClient(balancer.port) as client:
             assert await count_requests_to_a(client, a) == 0
-            assert len(b.seen) >= 12
+            assert len(b.requests) >= 12
     discovery.close()
     a.close()
     b.close()
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -11,10 +11,10 @@
 from sandhatch.upstream.connection import ServerConnection
 from testkit.clients import HttpClient
 from testkit.platform import entry
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 from tests.race_conditions.harness import accept_request, block_until_readable, serves_when, wait_until
 
 
@@ -24,7 +24,7 @@
     return int(connection._transport.get_extra_info("socket").fileno())
 
 
-async def answer_target(request: Incoming, talk: Talk) -> None:
+async def answer_target(request: ReceivedRequest, talk: FakeConnection) -> None:
     await talk.send(ok(request.target.encode()))
 
 
@@ -34,25 +34,25 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream(answer_target).start()
-        script = Script([1])
+        upstream = await FakeServer(answer_target).start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x", "/api?1")
-            assert (await client.answer()).body == b"/api?1"
+            client.send_request("move", b"x", "/api?1")
+            assert (await client.read_response()).body == b"/api?1"
             deferred_calls: list[Callable[[], None]] = []
             balancer.dispatcher.connection_pool.later = deferred_calls.append  # type: ignore[method-assign]
-            client.ask("move", b"x", "/api?2")
+            client.send_request("move", b"x", "/api?2")
             await wait_until(lambda: deferred_calls)
-            await upstream.talks[0].send(ok(b"/api?1"))
-            assert (await client.answer()).body == b"/api?2"
+            await upstream.open_connections[0].send(ok(b"/api?1"))
+            assert (await client.read_response()).body == b"/api?2"
             deferred_calls[0]()  # there is nothing left to write
             await script.ended()
         upstream.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
-        assert [request.target for request in upstream.seen] == ["/api?1", "/api?2"]
+        assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
         assert upstream.connections == 2
 
     run(work())
@@ -64,21 +64,21 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        upstream = await FakeUpstream(serves_when(released)).start()
+        upstream = await FakeServer(serves_when(released)).start()
         async with (
-            running(upstream.entry("a"), script=Script([1])) as balancer,
+            running(upstream.entry("a"), script=ScriptedBalancer([1])) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
-            await wait_until(lambda: upstream.seen)
+            client.send_request("move", b"x")
+            await wait_until(lambda: upstream.requests)
             balancer.discovery.change(upstream.entry("a", startedAtMs=1_000))
             table = balancer.dispatcher.connection_pool.table
             await wait_until(lambda: table[1].started_ms == 1_000)
             released.set()
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             await wait_until(lambda: not balancer.dispatcher.connection_pool.sockets)
-            client.ask("move", b"x")
-            assert (await client.answer()).status == 200
+            client.send_request("move", b"x")
+            assert (await client.read_response()).status == 200
             assert upstream.connections == 2
         upstream.close()
 
@@ -92,20 +92,20 @@
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        listener.settimeout(PATIENCE_S)
-        script = Script([1])
+        listener.settimeout(RESPONSE_TIMEOUT_S)
+        script = ScriptedBalancer([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             pool = balancer.dispatcher.connection_pool
-            client.ask("move", b"x", "/api?1")
+            client.send_request("move", b"x", "/api?1")
             first, _ = await accept_request(listener)
             first.sendall(ok())
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             deferred_calls: list[Callable[[], None]] = []
             pool.later = deferred_calls.append  # type: ignore[method-assign]
-            client.ask("move", b"x", "/api?2")
+            client.send_request("move", b"x", "/api?2")
             await wait_until(lambda: deferred_calls)
             (connection,) = pool._open
             first.close()
@@ -114,7 +114,7 @@
             second, request = await accept_request(listener)
             assert b"/api?2" in request
             second.sendall(ok())
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
             second.close()
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
@@ -127,18 +127,18 @@
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        listener.settimeout(PATIENCE_S)
-        script = Script([1])
+        listener.settimeout(RESPONSE_TIMEOUT_S)
+        script = ScriptedBalancer([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
+            client.send_request("move", b"x")
             server_side, _ = await accept_request(listener)
             server_side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             server_side.sendall(ok())  # no await between the two: the loop reads neither before the other
             server_side.close()
-            assert (await client.answer()).status == 200
+            assert (await client.read_response()).status == 200
         listener.close()
         assert [event.outcome for event in script.ends()] == [Outcome.OK]
 
@@ -150,21 +150,21 @@
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
-        listener.settimeout(PATIENCE_S)
-        script = Script([1])
+        listener.settimeout(RESPONSE_TIMEOUT_S)
+        script = ScriptedBalancer([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
+            client.send_request("move", b"x")
             server_side, _ = await accept_request(listener)
             (connection,) = balancer.dispatcher.connection_pool._open
-            attempt = connection._call
+            attempt = connection._attempt
             assert attempt is not None
             server_side.sendall(ok())
             block_until_readable(balancer_descriptor(connection))
             attempt.time_out()
-            assert (await client.answer()).status == 502
+            assert (await client.read_response()).status == 502
             await wait_until(lambda: not balancer.dispatcher.connection_pool.sockets)
             server_side.close()
         listener.close()
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -14,10 +14,10 @@
 from sandhatch.platform import graceful_shutdown
 from sandhatch.platform.request_handler import PlatformRequestHandler
 from testkit.clients import HttpClient, request_bytes
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Running, running
+from tests.fakes import RunningBalancer, running
 from tests.race_conditions.harness import block_until_readable, connect_client, serves_when, wait_until
 
 
@@ -26,7 +26,7 @@
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     received = b""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         try:
             while part := await loop.sock_recv(client, 65536):
                 received += part
@@ -36,13 +36,13 @@
     return received
 
 
-async def drain(balancer: Running) -> None:
+async def drain(balancer: RunningBalancer) -> None:
     """Shut down as at SIGTERM, up to the moment at which the process would end."""
     await graceful_shutdown.drain(
         balancer.shared.clock,
         [balancer.listener],
         lambda: balancer.dispatcher.unanswered,
-        PATIENCE_S * 1000.0,
+        RESPONSE_TIMEOUT_S * 1000.0,
     )
 
 
@@ -59,23 +59,23 @@
     """
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_client(balancer.port)
             await wait_until(lambda: balancer.listener.connections)
             await wait_until(lambda: next(iter(balancer.listener._connections))._transport is not None)
             (connection,) = balancer.listener._connections
-            end_idle = balancer.listener.end_idle
+            close_idle = balancer.listener.close_idle
 
-            def end_idle_as_a_request_arrives() -> None:
-                monkeypatch.setattr(balancer.listener, "end_idle", end_idle)
+            def close_idle_as_a_request_arrives() -> None:
+                monkeypatch.setattr(balancer.listener, "close_idle", close_idle)
                 client.sendall(request_bytes("move", b"x"))
                 block_until_readable(connection._descriptor)
-                end_idle()
+                close_idle()
 
-            monkeypatch.setattr(balancer.listener, "end_idle", end_idle_as_a_request_arrives)
+            monkeypatch.setattr(balancer.listener, "close_idle", close_idle_as_a_request_arrives)
             await drain(balancer)
-            assert len(upstream.seen) == 1  # before the process may end
+            assert len(upstream.requests) == 1  # before the process may end
             answer = await read_until_close(client)
             assert answer.startswith(b"HTTP/1.1 200") and b"Connection: close" in answer
         upstream.close()
@@ -89,14 +89,14 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        upstream = await FakeUpstream(serves_when(released)).start()
+        upstream = await FakeServer(serves_when(released)).start()
         async with running(upstream.entry("a")) as balancer:
             balancer.shared.client_budget = 2
             clients = [connect_client(balancer.port) for _ in range(6)]
             for client in clients:
                 client.sendall(request_bytes())
             for _ in range(2):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     await upstream.arrived.get()
             ending = asyncio.create_task(drain(balancer))
             await asyncio.sleep(0)
@@ -104,7 +104,7 @@
             released.set()
             answers = [await read_until_close(client) for client in clients]
             assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ending
             assert balancer.listener._socket is None
         upstream.close()
@@ -116,19 +116,19 @@
     """Guards against losing it: the balancer answers what it has read; the client may retry the rest."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes())
             await wait_until(lambda: balancer.listener._idle)
             (connection,) = balancer.listener._connections
             balancer.listener.stop_accepting()
-            balancer.listener.end_idle()
+            balancer.listener.close_idle()
             client.sendall(request_bytes("move", b"x"))
             answer = await read_until_close(client)
             assert answer.count(b"HTTP/1.1 200") == 1
-            assert connection._dropped == 0 and len(upstream.seen) == 1
-            assert not balancer.listener.taking
+            assert connection._dropped == 0 and len(upstream.requests) == 1
+            assert not balancer.listener.open_count
         upstream.close()
 
     run(work())
@@ -138,7 +138,7 @@
     """Guards the answer in transit: a process that ends with bytes unread resets the connection."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes(Connection="close"))
@@ -149,7 +149,7 @@
                 await asyncio.sleep(graceful_shutdown.POLL_INTERVAL_S)
             assert not ending.done()
             assert (await read_until_close(client)).startswith(b"HTTP/1.1 200")
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ending
         upstream.close()
 
@@ -162,21 +162,21 @@
     """Guards the received request whose deadline is the longest: SIGKILL does not wait for it."""
 
     async def work() -> None:
-        async def hangs(request: Incoming, talk: Talk) -> None:
+        async def hangs(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.ended()
 
         monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
         monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE_MS", 600.0)
-        upstream = await FakeUpstream(hangs).start()
+        upstream = await FakeServer(hangs).start()
         async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
             request_handler = balancer.listener.request_handler
             assert isinstance(request_handler, PlatformRequestHandler)
             started_ms = balancer.shared.clock.now_ms()
             request_handler._shutdown_deadline.begin(8_000.0)
-            client.ask("move", b"x")
-            assert (await client.answer()).status in (502, 504)
+            client.send_request("move", b"x")
+            assert (await client.read_response()).status in (502, 504)
             assert balancer.shared.clock.now_ms() - started_ms < 8_000.0
-            assert int(upstream.seen[0].headers["x-expires-in-ms"]) <= 500
+            assert int(upstream.requests[0].headers["x-expires-in-ms"]) <= 500
         upstream.close()
 
     run(work())
@@ -188,14 +188,14 @@
     async def work() -> None:
         body = b"x" * 1_000_000
 
-        async def large(request: Incoming, talk: Talk) -> None:
+        async def large(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(body))
 
-        upstream = await FakeUpstream(large).start()
+        upstream = await FakeServer(large).start()
         async with running(upstream.entry("a")) as balancer:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            client.settimeout(PATIENCE_S)
+            client.settimeout(RESPONSE_TIMEOUT_S)
             client.connect(("127.0.0.1", balancer.port))
             await wait_until(
                 lambda: any(connection._transport for connection in balancer.listener._connections)
@@ -218,7 +218,7 @@
     """Guards the request that arrives as the idle time-out of its connection ends."""
 
     async def work() -> None:
-        upstream = await FakeUpstream().start()
+        upstream = await FakeServer().start()
         async with running(upstream.entry("a")) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes())
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -11,8 +11,8 @@
 from testkit.discovery import FakeDiscovery
 from testkit.platform import config_data
 from testkit.ports import free_port
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
 from tests.platform.harness import exit_code, ready, started
 from tests.race_conditions.harness import serves_when
@@ -23,7 +23,7 @@
 
     async def work() -> None:
         discovery = await FakeDiscovery([]).start()
-        discovery.delay_s = 10.0 * PATIENCE_S
+        discovery.delay_s = 10.0 * RESPONSE_TIMEOUT_S
         port = free_port()
         data = config_data([], discovery.port, listen=f"127.0.0.1:{port}", known={})
         async with started(tmp_path / "config.json", data) as process:
@@ -42,22 +42,22 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        upstream = await FakeUpstream(serves_when(released)).start()
+        upstream = await FakeServer(serves_when(released)).start()
         discovery = await FakeDiscovery([upstream.entry("a")]).start()
         port = free_port()
         data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
         async with started(tmp_path / "config.json", data) as process, PatientClient(port) as in_flight:
-            in_flight.ask("move", b"x")
+            in_flight.send_request("move", b"x")
             await upstream.arrived.get()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
                 process.send_signal(number)
             await ready(port, 503)
             process.send_signal(signal.SIGTERM)
             released.set()
-            answer = await in_flight.answer()
+            answer = await in_flight.read_response()
             assert (answer.status, answer.headers.get("connection")) == (200, "close")
             assert await exit_code(process) == 0
-        assert len(upstream.seen) == 1
+        assert len(upstream.requests) == 1
         upstream.close()
         discovery.stop()
 
@@ -78,12 +78,12 @@
     async def work() -> None:
         released = asyncio.Event()
 
-        async def serves(request: Incoming, talk: Talk) -> None:
+        async def serves(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(b"new"))
 
         old, new = (
-            await FakeUpstream(serves_when(released, b"old")).start(),
-            await FakeUpstream(serves).start(),
+            await FakeServer(serves_when(released, b"old")).start(),
+            await FakeServer(serves).start(),
         )
         discovery = await FakeDiscovery([old.entry("a")]).start()
         port = free_port()
@@ -93,20 +93,20 @@
             PatientClient(port) as in_flight,
             HttpClient(port) as client,
         ):
-            client.ask(target="/ready")
-            assert (await client.answer()).status == 200
-            in_flight.ask("move", b"x")
+            client.send_request(target="/ready")
+            assert (await client.read_response()).status == 200
+            in_flight.send_request("move", b"x")
             await old.arrived.get()
             process.send_signal(signal.SIGTERM)
             await ready(port, 503)
             discovery.change(old.entry("a", lifecycle="leaving"), new.entry("b"))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while f"after={discovery.generation}&" not in await discovery.calls.get():
                     pass  # the call after the change acknowledges it
-            client.ask("move", b"x")
-            assert (await client.answer()).body == b"new"
+            client.send_request("move", b"x")
+            assert (await client.read_response()).body == b"new"
             released.set()
-            assert (await in_flight.answer()).body == b"old"
+            assert (await in_flight.read_response()).body == b"old"
             assert await exit_code(process) == 0
         old.close()
         new.close()
@@ -119,11 +119,11 @@
     """The endpoint list in use serves meanwhile. The live discovery's versions are lower than the first's."""
 
     async def work() -> None:
-        async def second(request: Incoming, talk: Talk) -> None:
+        async def second(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok(b"second"))
 
-        first_server = await FakeUpstream().start()
-        second_server = await FakeUpstream(second).start()
+        first_server = await FakeServer().start()
+        second_server = await FakeServer(second).start()
         old = await FakeDiscovery([first_server.entry("a")]).start()
         new = await FakeDiscovery([second_server.entry("b")]).start()
         old.generation = 41
@@ -135,18 +135,18 @@
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{free_port()}"}))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while b"discovery: " not in await process.stderr.readline():
                     pass  # the first call to nobody has failed
-            client.ask()
-            assert (await client.answer()).body == b"served"
+            client.send_request()
+            assert (await client.read_response()).body == b"served"
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
             process.send_signal(signal.SIGHUP)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while "after=1&" not in await new.calls.get():
                     pass
-            client.ask()
-            assert (await client.answer()).body == b"second"
+            client.send_request()
+            assert (await client.read_response()).body == b"second"
         first_server.close()
         second_server.close()
         old.stop()
--- a/tests/runtime/test_address.py
+++ b/tests/runtime/test_address.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from sandhatch.runtime.address import parse_address, read_address, spell
+from sandhatch.runtime.address import format_address, parse_address, read_address
 from sandhatch.runtime.errors import ConfigError
 
 
 @pytest.mark.parametrize("text", ["127.0.0.1:0", "10.1.2.3:65535"])
 def test_an_address_is_read_and_written_alike(text: str) -> None:
-    assert spell(read_address(text)) == text
+    assert format_address(read_address(text)) == text
 
 
 @pytest.mark.parametrize(
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sandhatch.runtime.descriptor_budget import Descriptors
+from sandhatch.runtime.descriptor_budget import DescriptorBudget
 from sandhatch.runtime.in_flight_ids import InFlightIds
 
 
@@ -21,9 +21,9 @@
         return True
 
 
-def budget(most: int, *holders: ScriptedHolder) -> Descriptors:
-    descriptors = Descriptors()
-    descriptors.most = most
+def budget(most: int, *holders: ScriptedHolder) -> DescriptorBudget:
+    descriptors = DescriptorBudget()
+    descriptors.limit = most
     for holder in holders:
         descriptors.holders[holder] = None
     return descriptors
@@ -31,7 +31,7 @@
 
 def test_a_free_descriptor_closes_no_connection() -> None:
     holder = ScriptedHolder(sockets=2, idle=2)
-    assert budget(3, holder).make_room()
+    assert budget(3, holder).ensure_one_free()
     assert holder.idle == 2
 
 
@@ -39,12 +39,12 @@
     busy = ScriptedHolder(sockets=2, idle=0)
     idle = ScriptedHolder(sockets=2, idle=2)
     descriptors = budget(4, busy, idle)
-    assert descriptors.make_room()
+    assert descriptors.ensure_one_free()
     assert (busy.sockets, idle.sockets, descriptors.used) == (2, 1, 3)
 
 
 def test_no_descriptor_is_granted_where_all_connections_are_busy() -> None:
-    assert not budget(2, ScriptedHolder(sockets=2, idle=0)).make_room()
+    assert not budget(2, ScriptedHolder(sockets=2, idle=0)).ensure_one_free()
 
 
 def test_an_id_is_known_while_in_flight_and_for_its_retention() -> None:
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -33,8 +33,8 @@
             if len(fired) == 2:
                 done.set()
 
-        clock.after(20.0, lambda: fire("late", 20.0))
-        clock.after(5.0, lambda: fire("early", 5.0))
+        clock.call_after(20.0, lambda: fire("late", 20.0))
+        clock.call_after(5.0, lambda: fire("early", 5.0))
         await done.wait()
         assert fired == ["early", "late"]
 
@@ -45,8 +45,8 @@
     async def work(clock: Clock) -> None:
         fired: list[str] = []
         done = asyncio.Event()
-        clock.after(1.0, lambda: fired.append("cancelled")).cancel()
-        clock.after(5.0, done.set)
+        clock.call_after(1.0, lambda: fired.append("cancelled")).cancel()
+        clock.call_after(5.0, done.set)
         await done.wait()
         assert fired == []
 
@@ -56,7 +56,7 @@
 def test_cancelled_timers_are_removed_from_the_heap() -> None:
     async def work(clock: Clock) -> None:
         for _ in range(3 * MIN_COMPACT_SIZE):
-            clock.after(60_000.0, lambda: None).cancel()
+            clock.call_after(60_000.0, lambda: None).cancel()
         assert len(clock._heap) <= MIN_COMPACT_SIZE
 
     run(work)
@@ -73,8 +73,8 @@
         def fail() -> None:
             raise ValueError("scripted")
 
-        clock.after(1.0, fail)
-        clock.after(2.0, done.set)
+        clock.call_after(1.0, fail)
+        clock.call_after(2.0, done.set)
         await done.wait()
         assert len(errors) == 1
 
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -14,28 +14,28 @@
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.service import Service
 from sandhatch.upstream.connection_pool import ConnectionPool
-from testkit.request_log import Books
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok
+from testkit.request_log import RequestLog
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 
 
-class Farm:
+class FakeServers:
     """Fake servers by name; each records the requests that it runs and answers with its name."""
 
     def __init__(self) -> None:
-        self.books = Books()
-        self.servers: dict[str, FakeUpstream] = {}
-        self.behave: dict[str, Callable[[Incoming, Talk], Awaitable[None]]] = {}
+        self.books = RequestLog()
+        self.servers: dict[str, FakeServer] = {}
+        self.behave: dict[str, Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]] = {}
 
-    async def start(self, *names: str) -> Farm:
+    async def start(self, *names: str) -> FakeServers:
         """Start a server for each name."""
         for name in names:
-            self.servers[name] = await FakeUpstream(self._behaviour(name)).start()
+            self.servers[name] = await FakeServer(self._behaviour(name)).start()
         return self
 
-    def _behaviour(self, name: str) -> Callable[[Incoming, Talk], Awaitable[None]]:
-        async def serve(request: Incoming, talk: Talk) -> None:
-            self.books.ran(request.headers["x-trace-id"], name)
+    def _behaviour(self, name: str) -> Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]:
+        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
+            self.books.add_run(request.headers["x-trace-id"], name)
             behaviour = self.behave.get(name)
             if behaviour is not None:
                 await behaviour(request, talk)
@@ -77,13 +77,13 @@
             server.close()
 
 
-class Kept:
+class RunningService:
     """A running service and the records of its requests."""
 
     def __init__(self, service: Service) -> None:
         self.service = service
         self.records: list[RequestRecord] = []
-        service.record = self.records.append
+        service.on_request_finished = self.records.append
 
     @property
     def port(self) -> int:
@@ -97,8 +97,8 @@
     async def commit(self, data: dict[str, Any], over: bool = True, **more: Any) -> Version:
         """Commit a change of the active version, and wait until it is decided (with `over`) or active."""
         version = self.service.commit(self.propose(data), **more)
-        async with asyncio.timeout(PATIENCE_S):
-            return await self.service.settled(version, over=over)
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+            return await self.service.wait_until_decided(version, over=over)
 
     async def confirmed(self, data: dict[str, Any]) -> Version:
         """Commit a change that must succeed."""
@@ -108,30 +108,30 @@
 
     async def until(self, holds: Callable[[], bool]) -> None:
         """Wait until the condition holds."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.005)
 
-    def server_name(self, farm: Farm, number: int) -> str:
+    def server_name(self, farm: FakeServers, number: int) -> str:
         """The name of the fake server that has this number in the service."""
         address = self.service.pools.book.name(number)
         return next(name for name in farm.servers if farm.address(name) == address)
 
 
 @asynccontextmanager
-async def serving(data: dict[str, Any], history: History | None = None) -> AsyncIterator[Kept]:
+async def serving(data: dict[str, Any], history: History | None = None) -> AsyncIterator[RunningService]:
     """A service that runs the configuration, or what `history` has saved."""
     saved = history.load() if history else None
     checked = check_text(json.dumps(saved.data if saved else data))
     service = Service(checked, asyncio.get_running_loop(), history, saved)
-    running = Kept(service)
-    rest_ms, ConnectionPool.REST_MS = ConnectionPool.REST_MS, 0.0  # connections are reused at once
+    running = RunningService(service)
+    rest_ms, ConnectionPool.COOLDOWN_MS = ConnectionPool.COOLDOWN_MS, 0.0  # connections are reused at once
     try:
         await service.start()
         yield running
     finally:
         await service.close()
-        ConnectionPool.REST_MS = rest_ms
+        ConnectionPool.COOLDOWN_MS = rest_ms
 
 
 def run(work: Any) -> None:
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -10,7 +10,7 @@
 from sandhatch.service import readiness
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
-from tests.service.harness import Farm, run, serving
+from tests.service.harness import FakeServers, run, serving
 
 
 def discovered_pool(discovery: FakeDiscovery, **more: Any) -> dict[str, Any]:
@@ -19,29 +19,31 @@
 
 def test_a_pool_that_follows_discovery_is_staged_with_its_list_and_follows_it() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "b1", "b2", "o1")
+        farm = await FakeServers().start("a1", "b1", "b2", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         async with (
             serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running,
             HttpClient(running.port) as client,
         ):
             version = await running.confirmed(farm.config(discovered_pool(discovery), farm.pool("o1")))
-            client.ask()
-            assert (await client.answer()).body == b"b1"  # the list was there before the version was active
+            client.send_request()
+            assert (
+                await client.read_response()
+            ).body == b"b1"  # the list was there before the version was active
             discovery.change(
                 farm.servers["b1"].entry("b1", lifecycle="leaving"), farm.servers["b2"].entry("b2")
             )
-            web = running.service.front.current.pools["web"]  # type: ignore[union-attr]
+            web = running.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
             await running.until(
                 lambda: len(web.ready_numbers) == 1 and len(web.dispatcher.connection_pool.table) == 2
             )
-            client.ask()
-            assert (await client.answer()).body == b"b2"
+            client.send_request()
+            assert (await client.read_response()).body == b"b2"
             # After a change of another key, the pool's new dispatcher follows the same discovery.
             await running.confirmed(farm.config(discovered_pool(discovery, max_attempts=3), farm.pool("o1")))
-            client.ask()
-            assert (await client.answer()).body == b"b2"
-            assert running.service.transactions.in_force.number == version.number + 1
+            client.send_request()
+            assert (await client.read_response()).body == b"b2"
+            assert running.service.transactions.active.number == version.number + 1
         discovery.stop()
         farm.close()
 
@@ -52,7 +54,7 @@
     monkeypatch.setattr(readiness, "STAGE_TIMEOUT_S", 0.3)
 
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         discovery = await FakeDiscovery([]).start()
         unreachable = {"source": {"discovery": f"127.0.0.1:{discovery.port}"}}
         async with (
@@ -61,8 +63,8 @@
         ):
             version = await running.commit(farm.config(unreachable, farm.pool("o1")))
             assert version.state is State.FAILED and "pools.web: no list" in version.why
-            client.ask()
-            assert (await client.answer()).body == b"a1"
+            client.send_request()
+            assert (await client.read_response()).body == b"a1"
             assert len(running.service.pools.alive) == 2
         discovery.stop()
         farm.close()
@@ -74,19 +76,19 @@
     """The earlier version's servers are withdrawn once the grace is over, and used after a rollback."""
 
     async def work() -> None:
-        farm = await Farm().start("a1", "b1", "o1")
+        farm = await FakeServers().start("a1", "b1", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
         first = farm.config(farm.pool("a1", drain_grace_ms=500), farm.pool("o1"))
         async with serving(first) as running, HttpClient(running.port) as client:
-            old = running.service.front.current
+            old = running.service.request_handler.current
             assert old is not None
             second = farm.config(discovered_pool(discovery), farm.pool("o1"))
             await running.commit(second, over=False, confirm_within_ms=60_000.0)
             await running.until(lambda: not old.pools["web"].ready_numbers)
             running.service.rollback()
             assert len(old.pools["web"].ready_numbers) == 1
-            client.ask()
-            assert (await client.answer()).body == b"a1"
+            client.send_request()
+            assert (await client.read_response()).body == b"a1"
         discovery.stop()
         farm.close()
 
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -11,14 +11,14 @@
 from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.ports import free_port
-from testkit.servers import Talk
-from testkit.wire import Incoming, ok
-from tests.service.harness import Farm, run, serving
+from testkit.servers import FakeConnection
+from testkit.wire import ReceivedRequest, ok
+from tests.service.harness import FakeServers, run, serving
 
 
 def test_a_change_with_a_listener_whose_address_is_taken_is_not_applied() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
@@ -38,23 +38,23 @@
 
 def test_listeners_close_with_a_change_and_reopen_with_a_rollback() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         port = free_port()
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         first["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
         async with serving(first) as running, HttpClient(port) as before:
-            before.ask()
-            assert (await before.answer()).body == b"a1"
+            before.send_request()
+            assert (await before.read_response()).body == b"a1"
             second = deepcopy(first)
             del second["listeners"]["back"]
             await running.commit(second, over=False, confirm_within_ms=60_000.0)
             with pytest.raises(OSError):
                 await asyncio.open_connection("127.0.0.1", port)
-            assert await before.ended() == b""  # the closed listener closes idle connections
+            assert await before.read_to_end() == b""  # the closed listener closes idle connections
             running.service.rollback()
             async with HttpClient(port) as after:
-                after.ask()
-                assert (await after.answer()).body == b"a1"
+                after.send_request()
+                assert (await after.read_response()).body == b"a1"
         farm.close()
 
     run(work())
@@ -63,10 +63,10 @@
 def test_limits_below_what_is_in_use_abort_nothing() -> None:
     async def work() -> None:
         names = ("a1", "a2", "a3", "a4")
-        farm = await Farm().start(*names, "o1")
+        farm = await FakeServers().start(*names, "o1")
         released = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
+        async def wait(request: ReceivedRequest, talk: FakeConnection) -> None:
             await released.wait()
             await talk.send(ok(b"done"))
 
@@ -75,20 +75,20 @@
         async with serving(first) as running:
             clients = [await HttpClient(running.port).__aenter__() for _ in range(20)]
             for client in clients:
-                client.ask()
-            await running.until(lambda: sum(len(farm.servers[name].seen) for name in names) == 20)
+                client.send_request()
+            await running.until(lambda: sum(len(farm.servers[name].requests) for name in names) == 20)
             small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
             small["pools"]["web"]["max_connections"] = 1
             await running.confirmed(small)
-            assert running.service.shared.client_budget < 20 and running.service.shared.descriptors.most < 20
+            assert running.service.shared.client_budget < 20 and running.service.shared.descriptors.limit < 20
             released.set()
             for client in clients:
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert (answer.status, answer.body) == (200, b"done")
                 await client.__aexit__()
             async with HttpClient(running.port) as late:
-                late.ask()
-                assert (await late.answer()).status == 200
+                late.send_request()
+                assert (await late.read_response()).status == 200
         farm.close()
 
     run(work())
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -11,32 +11,32 @@
 from sandhatch.balancing.policy.balancer import SlowStart
 from sandhatch.config.version import State
 from testkit.clients import HttpClient
-from testkit.load_generator import Load
-from testkit.servers import Talk
-from testkit.wire import Incoming, ok
-from tests.service.harness import Farm, run, serving
+from testkit.load_generator import LoadGenerator
+from testkit.servers import FakeConnection
+from testkit.wire import ReceivedRequest, ok
+from tests.service.harness import FakeServers, run, serving
 
 
 def test_a_change_of_one_pool_leaves_the_other_its_balancer_tokens_and_connections() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "b1", "o1")
+        farm = await FakeServers().start("a1", "b1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         async with serving(first) as running, HttpClient(running.port) as client:
             for _ in range(3):
-                client.ask("order", target="/orders")
-                assert (await client.answer()).body == b"o1"
-            before = running.service.front.current
+                client.send_request("order", target="/orders")
+                assert (await client.read_response()).body == b"o1"
+            before = running.service.request_handler.current
             assert before is not None
             orders = before.pools["orders"]
             await running.confirmed(farm.config(farm.pool("b1"), farm.pool("o1")))
-            after = running.service.front.current
+            after = running.service.request_handler.current
             assert after is not None and after.pools["orders"] is orders
             assert after.pools["web"] is not before.pools["web"]
             for _ in range(3):
-                client.ask("order", target="/orders")
-                assert (await client.answer()).body == b"o1"
-            client.ask()
-            assert (await client.answer()).body == b"b1"
+                client.send_request("order", target="/orders")
+                assert (await client.read_response()).body == b"o1"
+            client.send_request()
+            assert (await client.read_response()).body == b"b1"
             # One of them is the check at the start whether the server can be reached.
             assert farm.servers["o1"].connections == 2
         farm.close()
@@ -46,25 +46,25 @@
 
 def test_a_changed_pool_takes_over_connections_and_the_balancer_state() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "o1")
+        farm = await FakeServers().start("a1", "a2", "o1")
         async with (
             serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running,
             HttpClient(running.port) as client,
         ):
-            previous_dispatcher = running.service.front.current.pools["web"].dispatcher  # type: ignore[union-attr]
+            previous_dispatcher = running.service.request_handler.current.pools["web"].dispatcher  # type: ignore[union-attr]
             for _ in range(20):
-                client.ask()
-                await client.answer()
+                client.send_request()
+                await client.read_response()
             previous = previous_dispatcher.balancer
             assert isinstance(previous, Balancer)
             await asyncio.sleep(0.05)  # a connection rests a little after an answer
             before = farm.servers["a1"].connections
             await running.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
-            successor = running.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
+            successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not previous
             assert successor._latency == previous._latency and successor._answers == previous._answers
-            client.ask()
-            assert (await client.answer()).body == b"a1"
+            client.send_request()
+            assert (await client.read_response()).body == b"a1"
             # The check whether it can be reached opened one; the request reused the pooled connection.
             assert farm.servers["a1"].connections <= before + 1
             assert previous_dispatcher.connection_pool.sockets == 0
@@ -75,10 +75,10 @@
 
 def test_a_pool_removed_with_requests_running_serves_them_to_the_end() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         released = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
+        async def wait(request: ReceivedRequest, talk: FakeConnection) -> None:
             await released.wait()
             await talk.send(ok(b"late"))
 
@@ -89,17 +89,17 @@
             HttpClient(running.port) as client,
             HttpClient(running.port) as other,
         ):
-            client.ask("order", target="/orders")
+            client.send_request("order", target="/orders")
             await farm.servers["o1"].arrived.get()
             without = deepcopy(first)
             del without["pools"]["orders"]
             without["routes"] = []
             await running.confirmed(without)
-            other.ask(target="/orders")
-            assert (await other.answer()).body == b"a1"
+            other.send_request(target="/orders")
+            assert (await other.read_response()).body == b"a1"
             assert set(running.service.running) == {1, 2}
             released.set()
-            assert (await client.answer()).body == b"late"
+            assert (await client.read_response()).body == b"late"
             await running.until(lambda: set(running.service.running) == {2})
             assert [pool.name for pool in running.service.pools.alive.values()] == ["web"]
         farm.close()
@@ -109,7 +109,7 @@
 
 def test_a_new_version_whose_pool_is_empty_or_unreachable_is_not_applied() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         with socket.socket() as bound:
             bound.bind(("127.0.0.1", 0))  # has the port, and does not listen
@@ -125,13 +125,13 @@
                 ):
                     version = await running.commit(farm.config(pool, farm.pool("o1")))
                     assert version.state is State.FAILED and reason in version.why
-                    client.ask()
-                    assert (await client.answer()).body == b"a1"
+                    client.send_request()
+                    assert (await client.read_response()).body == b"a1"
                     assert set(running.service.running) == {1} and len(running.service.pools.alive) == 2
                 forced = farm.config(dead | {"require_reachable": False}, farm.pool("o1"))
                 await running.confirmed(forced)
-                client.ask(X_Expires_In_Ms="500")
-                assert (await client.answer()).status in (502, 503, 504)
+                client.send_request(X_Expires_In_Ms="500")
+                assert (await client.read_response()).status in (502, 503, 504)
         farm.close()
 
     run(work())
@@ -141,19 +141,19 @@
     """A request of the old version, whose retry would come after the grace, finds the server draining."""
 
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "o1")
+        farm = await FakeServers().start("a1", "a2", "o1")
         first = farm.config(farm.pool("a1", drain_grace_ms=600), farm.pool("o1"))
         released = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
+        async def wait(request: ReceivedRequest, talk: FakeConnection) -> None:
             await released.wait()
             talk.reset()
 
         farm.behave["a1"] = wait
         async with serving(first) as running, HttpClient(running.port) as client:
-            client.ask(X_Trace_Id="waiting")
+            client.send_request(X_Trace_Id="waiting")
             await farm.servers["a1"].arrived.get()
-            old = running.service.front.current
+            old = running.service.request_handler.current
             assert old is not None
             await running.confirmed(farm.config(farm.pool("a2"), farm.pool("o1")))
             table = old.pools["web"].dispatcher.connection_pool.table
@@ -162,8 +162,8 @@
                 lambda: [upstream.state for upstream in table.values()] == [ServerState.DRAINING]
             )
             released.set()
-            assert (await client.answer()).status in (502, 503)
-            assert farm.books.entries == {} and len(farm.servers["a1"].seen) == 1
+            assert (await client.read_response()).status in (502, 503)
+            assert farm.books.entries == {} and len(farm.servers["a1"].requests) == 1
         farm.close()
 
     run(work())
@@ -171,12 +171,12 @@
 
 def test_a_new_server_warms_up_and_one_that_moved_between_pools_does_not() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "o1", "o2")
+        farm = await FakeServers().start("a1", "a2", "o1", "o2")
         first = farm.config(farm.pool("a1"), farm.pool("o1", "o2"))
         async with serving(first) as running:
             web = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000)
             await running.confirmed(farm.config(web, farm.pool("o1")))
-            balancer = running.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
+            balancer = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(balancer, Balancer)
             cold = {
                 running.server_name(farm, server.id): balancer.slow_start.is_cold(server, balancer.now)
@@ -190,7 +190,7 @@
             slow_start._credit[warming_up] = 0.125, slow_start._earned
             web2 = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000, max_attempts=3)
             await running.confirmed(farm.config(web2, farm.pool("o1")))
-            successor = running.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
+            successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not balancer
             assert isinstance(successor.slow_start, SlowStart)
             assert {number: credit for number, (credit, _) in successor.slow_start._credit.items()} == {
@@ -209,9 +209,9 @@
     """
 
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "a3", "a4", "o1")
+        farm = await FakeServers().start("a1", "a2", "a3", "a4", "o1")
         async with serving(farm.config(farm.pool("a1", "a2"), farm.pool("o1"))) as running:
-            load = Load(running.port, farm.books, lambda rng: ("look", "/"), clients=6)
+            load = LoadGenerator(running.port, farm.books, lambda rng: ("look", "/"), clients=6)
             await running.until(lambda: len(running.records) > 200)
             pool = farm.pool("a1", "a2", "a3", "a4", new_servers="cold", cold_ms=600_000)
             await running.confirmed(farm.config(pool, farm.pool("o1")))
--- a/tests/service/test_request_handling.py
+++ b/tests/service/test_request_handling.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from testkit.clients import HttpClient
-from tests.service.harness import Farm, run, serving
+from tests.service.harness import FakeServers, run, serving
 
 
 def test_routes_fixed_answers_and_requests_without_class_or_id_are_handled() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         data = farm.config(farm.pool("a1"), farm.pool("o1"))
         data["routes"] += [
             {
@@ -26,17 +26,17 @@
         ]
         async with serving(data) as running, HttpClient(running.port) as client:
             client.send(b"GET /gone?x=1 HTTP/1.1\r\nHost: h\r\n\r\n")
-            gone = await client.answer()
+            gone = await client.read_response()
             assert (gone.status, gone.body, gone.headers["content-type"]) == (410, b"no", "text/plain")
             client.send(b"GET /any HTTP/1.1\r\nHost: Orders.example:8080\r\n\r\n")
-            assert (await client.answer()).body == b"o1"
-            seen = farm.servers["o1"].seen[0]
+            assert (await client.read_response()).body == b"o1"
+            seen = farm.servers["o1"].requests[0]
             assert len(seen.headers["x-trace-id"]) == 32
             client.send(b"BREW / HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert (await client.answer()).status == 400
+            assert (await client.read_response()).status == 400
         async with serving(data) as running, HttpClient(running.port) as client:
             client.send(b"OPTIONS /gone HTTP/1.1\r\nHost: h\r\n\r\n")
-            assert (await client.answer()).status == 405
+            assert (await client.read_response()).status == 405
             assert [record.route for record in running.records] == []
         farm.close()
 
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -17,10 +17,10 @@
 from sandhatch.config.history import History
 from sandhatch.control.framing import encode
 from testkit.clients import HttpClient
-from testkit.load_generator import Load
+from testkit.load_generator import LoadGenerator
 from testkit.ports import free_port
-from testkit.wire import PATIENCE_S
-from tests.service.harness import Farm, run
+from testkit.wire import RESPONSE_TIMEOUT_S
+from tests.service.harness import FakeServers, run
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -51,7 +51,7 @@
             env=dict(os.environ) | env,
             stderr=asyncio.subprocess.DEVNULL,
         )
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while True:
                 try:
                     if (await self.call("status"))["ok"]:
@@ -77,8 +77,8 @@
 
 
 @asynccontextmanager
-async def serve_process(tmp: Path) -> AsyncIterator[tuple[ServeProcess, Farm, dict[str, Any]]]:
-    farm = await Farm().start("a1", "b1", "o1")
+async def serve_process(tmp: Path) -> AsyncIterator[tuple[ServeProcess, FakeServers, dict[str, Any]]]:
+    farm = await FakeServers().start("a1", "b1", "o1")
     port = free_port()
     first = farm.config(farm.pool("a1"), farm.pool("o1"))
     first["listeners"]["front"]["address"] = f"127.0.0.1:{port}"
@@ -92,14 +92,14 @@
         farm.close()
 
 
-def to_b(first: dict[str, Any], farm: Farm) -> dict[str, Any]:
+def to_b(first: dict[str, Any], farm: FakeServers) -> dict[str, Any]:
     return first | {"pools": {"web": farm.pool("b1"), "orders": farm.pool("o1")}}
 
 
 async def serving_pool(port: int) -> bytes:
     async with HttpClient(port) as client:
-        client.ask()
-        return (await client.answer()).body
+        client.send_request()
+        return (await client.read_response()).body
 
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
@@ -149,7 +149,7 @@
             history = History(str(program.state))
             saved = history.load()
             history.close()
-            assert saved is not None and (saved.confirmed, saved.lost) == (1, 2)
+            assert saved is not None and (saved.confirmed, saved.lost_version) == (1, 2)
             await program.start()
             # Its number is not used again.
             await program.call("propose", text=json.dumps(to_b(first, farm)))
@@ -164,7 +164,9 @@
     async def work() -> None:
         async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
-            load = Load(program.port, farm.books, lambda rng: ("look", "/"), clients=4, pause_s=0.002)
+            load = LoadGenerator(
+                program.port, farm.books, lambda rng: ("look", "/"), clients=4, pause_s=0.002
+            )
             assert program.process is not None
             program.file.write_text(json.dumps(first | {"name": "renamed"}))
             await program.call("propose", text=json.dumps(to_b(first, farm)))
@@ -172,7 +174,7 @@
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0)
             program.process.send_signal(signal.SIGTERM)
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 assert await program.process.wait() == 0
             load._stopping.set()
             await asyncio.gather(*load._tasks, commit, return_exceptions=True)
@@ -193,7 +195,7 @@
             await asyncio.sleep(0.1)
             assert await serving_pool(program.port) == b"a1"
             program.file.write_text(json.dumps(to_b(first, farm)))
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while await serving_pool(program.port) != b"b1":
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.05)
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from sandhatch.config.errors import CheckError, Refusal, RejectedError
+from sandhatch.config.errors import CheckError, RejectedError, RejectionReason
 from sandhatch.config.version import State
 from testkit.clients import HttpClient
-from testkit.load_generator import Load
-from testkit.servers import Talk
-from testkit.wire import Incoming, ok
-from tests.service.harness import Farm, run, serving
+from testkit.load_generator import LoadGenerator
+from testkit.servers import FakeConnection
+from testkit.wire import ReceivedRequest, ok
+from tests.service.harness import FakeServers, run, serving
 from tests.service.version_churn import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
 
 
@@ -25,10 +25,10 @@
     """
 
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "b1", "b2", "o1", "o2", "o3")
+        farm = await FakeServers().start("a1", "a2", "b1", "b2", "o1", "o2", "o3")
         choices = variants(farm)
         async with serving(choices[0]) as running:
-            load = Load(running.port, farm.books, choose, clients=12)
+            load = LoadGenerator(running.port, farm.books, choose, clients=12)
             data_of = await churn(running, farm, choices, 120, seed=11)
             await load.stop()
             service = running.service
@@ -37,7 +37,7 @@
             assert farm.books.faults(NON_IDEMPOTENT) == []
             assert set(farm.books.statuses()) == {200}, farm.books.statuses()
             assert len({record.version for record in running.records}) > 30
-            await running.until(lambda: list(service.running) == [service.transactions.in_force.number])
+            await running.until(lambda: list(service.running) == [service.transactions.active.number])
             assert len(service.pools.alive) == 2
         farm.close()
 
@@ -51,12 +51,12 @@
     """
 
     async def work() -> None:
-        farm = await Farm().start("a1", "b1", "b2", "o1")
+        farm = await FakeServers().start("a1", "b1", "b2", "o1")
         released = asyncio.Event()
         rejected_first = asyncio.Event()
         attempts: list[str] = []
 
-        async def reject_first_attempt(request: Incoming, talk: Talk) -> None:
+        async def reject_first_attempt(request: ReceivedRequest, talk: FakeConnection) -> None:
             attempts.append(request.headers["x-trace-id"])
             if len(attempts) == 1:
                 rejected_first.set()
@@ -77,8 +77,8 @@
         ):
             second = farm.config(farm.pool("b1", "b2", max_attempts=4), farm.pool("o1"))
             version = await running.commit(second, over=False, confirm_within_ms=60_000.0)
-            assert version.state is State.IN_FORCE
-            client.ask("order", target="/cart", X_Trace_Id="between")
+            assert version.state is State.ACTIVE
+            client.send_request("order", target="/cart", X_Trace_Id="between")
             await rejected_first.wait()
             late = running.propose(
                 farm.config(farm.pool("b1", "b2", max_attempts=5), farm.pool("o1")), version.number
@@ -86,15 +86,15 @@
             running.service.rollback("test")
             with pytest.raises(RejectedError) as rejected:  # a second change proposed during the rollback
                 running.service.commit(late)
-            assert rejected.value.why is Refusal.CONFLICT
+            assert rejected.value.reason is RejectionReason.CONFLICT
             assert "pools.web.max_attempts" in rejected.value.keys
-            other.ask()
-            assert (await other.answer()).body == b"a1"
+            other.send_request()
+            assert (await other.read_response()).body == b"a1"
             assert version.number in running.service.running
             released.set()
-            assert (await client.answer()).body == b"second"
+            assert (await client.read_response()).body == b"second"
             await running.until(lambda: version.number not in running.service.running)
-            record = next(record for record in running.records if record.trace == b"between")
+            record = next(record for record in running.records if record.trace_id == b"between")
             assert record.version == version.number and len(record.servers) == 2
             assert attempts == ["between", "between"]
         farm.close()
@@ -104,11 +104,11 @@
 
 def test_a_configuration_with_errors_changes_nothing_and_every_error_is_reported() -> None:
     async def work() -> None:
-        farm = await Farm().start("a1", "o1")
+        farm = await FakeServers().start("a1", "o1")
         async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
             with pytest.raises(RejectedError) as rejected:
                 running.service.propose(json.dumps({"format": 1}).encode(), None)
-            assert rejected.value.why is Refusal.INVALID and len(rejected.value.problems) == 3
+            assert rejected.value.reason is RejectionReason.INVALID and len(rejected.value.problems) == 3
             assert not running.service.transactions.proposals
         farm.close()
 
@@ -128,22 +128,24 @@
     """The new pool's server answers 500; the watch sees goodput fall, and the old pool serves again."""
 
     async def work() -> None:
-        farm = await Farm().start("a1", "a2", "b1", "o1")
+        farm = await FakeServers().start("a1", "a2", "b1", "o1")
 
-        async def reject(request: Incoming, talk: Talk) -> None:
+        async def reject(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 
         farm.behave["b1"] = reject
         watch = {"window_ms": 20_000, "before_ms": 2_000, "block_ms": 50, "significance": 0.01}
         first = farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=watch)
         async with serving(first) as running:
-            load = Load(running.port, farm.books, lambda rng: ("order", "/cart"), clients=4, pause_s=0.004)
+            load = LoadGenerator(
+                running.port, farm.books, lambda rng: ("order", "/cart"), clients=4, pause_s=0.004
+            )
             await running.until(lambda: len(running.service.goodput.watch._before) >= 30)
             bad = deepcopy(first)
             bad["pools"]["web"] = farm.pool("b1")
             version = await running.commit(bad)
-            assert version.state is State.TAKEN_BACK and "fell from" in version.why
-            assert running.service.transactions.in_force.number == 1
+            assert version.state is State.ROLLED_BACK and "fell from" in version.why
+            assert running.service.transactions.active.number == 1
             record_count = len(running.records)
             await running.until(lambda: len(running.records) > record_count + 50)
             await load.stop()
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -7,9 +7,9 @@
 from random import Random
 from typing import Any
 
-from sandhatch.config.errors import Refusal, RejectedError
+from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.version import State
-from tests.service.harness import Farm, Kept
+from tests.service.harness import FakeServers, RunningService
 
 NON_IDEMPOTENT = frozenset(("order",))
 
@@ -19,7 +19,7 @@
     return ("order", "/orders/new") if rng.random() < 0.4 else ("look", "/pages")
 
 
-def variants(farm: Farm) -> list[dict[str, Any]]:
+def variants(farm: FakeServers) -> list[dict[str, Any]]:
     """Configurations among which a test changes. The servers of each pool tell them apart."""
     first = farm.config(farm.pool("a1", "a2"), farm.pool("o1", "o2"))
     replaced_pool = farm.config(farm.pool("b1", "b2"), farm.pool("o1", "o2"))
@@ -36,7 +36,7 @@
     return [first, replaced_pool, replaced_server, moved_servers, exchanged_routes, changed_settings]
 
 
-def check_no_mixture(running: Kept, farm: Farm, data_of: dict[int, dict[str, Any]]) -> None:
+def check_no_mixture(running: RunningService, farm: FakeServers, data_of: dict[int, dict[str, Any]]) -> None:
     """Every record's route, pool and servers are those of its version alone."""
     for record in running.records:
         data = data_of[record.version]
@@ -48,29 +48,34 @@
 
 
 async def churn(
-    running: Kept, farm: Farm, choices: list[dict[str, Any]], commits: int, seed: int, pause_s: float = 0.0
+    running: RunningService,
+    farm: FakeServers,
+    choices: list[dict[str, Any]],
+    commits: int,
+    seed: int,
+    pause_s: float = 0.0,
 ) -> dict[int, Any]:
     """Random commits, confirmations and rollbacks; each version's configuration."""
     rng = Random(seed)
     service = running.service
-    data_of = {1: service.transactions.in_force.data}
+    data_of = {1: service.transactions.active.data}
     for _ in range(commits):
         await asyncio.sleep(pause_s)
         try:
             within = 60_000.0 if rng.random() < 0.4 else None
             version = service.commit(running.propose(rng.choice(choices)), within)
         except RejectedError as rejected:
-            assert rejected.why is Refusal.NOTHING
+            assert rejected.reason is RejectionReason.NOTHING
             continue
         data_of[version.number] = version.data
-        await service.settled(version)
+        await service.wait_until_decided(version)
         assert version.state is not State.FAILED, version.why
         if rng.random() < 0.5:
             await asyncio.sleep(rng.random() * 0.02)
-        if version.state is State.IN_FORCE:
+        if version.state is State.ACTIVE:
             if rng.random() < 0.6:
                 service.rollback("test")
             else:
                 service.confirm()
-        await service.settled(version, over=True)
+        await service.wait_until_decided(version, over=True)
     return data_of
--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -15,11 +15,11 @@
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.dispatch.protocols import Decisions
 from sandhatch.runtime.flow_statistics import FlowStatistics
-from testkit.bodies import Body, Pattern, head, read_body
+from testkit.bodies import Body, SeededBody, head, read_body
 from testkit.clients import TRACES, HttpClient
-from testkit.streaming_server import BodyServer, Serve, Upload, send_all
-from testkit.wire import PATIENCE_S, read_head
-from tests.service.harness import Kept, serving
+from testkit.streaming_server import Serve, StreamedRequest, StreamingServer, send_all
+from testkit.wire import RESPONSE_TIMEOUT_S, read_head
+from tests.service.harness import RunningService, serving
 
 T = TypeVar("T")
 
@@ -57,8 +57,8 @@
 class Deployment:
     """A running service, its servers, and the record of its decisions."""
 
-    kept: Kept
-    servers: list[BodyServer]
+    kept: RunningService
+    servers: list[StreamingServer]
     decisions: DecisionRecorder
 
     @property
@@ -69,10 +69,10 @@
     def flow_statistics(self) -> FlowStatistics:
         return self.kept.service.shared.flows
 
-    def number(self, server: BodyServer) -> int:
+    def number(self, server: StreamingServer) -> int:
         return self.kept.service.pools.book.number(f"127.0.0.1:{server.port}")
 
-    def server(self, number: int) -> BodyServer:
+    def server(self, number: int) -> StreamingServer:
         return next(server for server in self.servers if self.number(server) == number)
 
     async def until_idle(self) -> None:
@@ -83,7 +83,7 @@
         assert service.shared.flows.over == 0
 
 
-def config(servers: list[BodyServer], request: Any, answer: Any, **more: Any) -> dict[str, Any]:
+def config(servers: list[StreamingServer], request: Any, answer: Any, **more: Any) -> dict[str, Any]:
     bodies = {"request": DIRECTION | request, "answer": DIRECTION | answer} | more.pop("bodies", {})
     times = {"aim_ms": 8_000, "deadline_ms": 15_000, "bodies": bodies} | more.pop("times", {})
     return {
@@ -108,7 +108,7 @@
 async def deployed(
     *handlers: Serve, request: Any = None, answer: Any = None, **more: Any
 ) -> AsyncIterator[Deployment]:
-    servers = [await BodyServer(serve).start() for serve in handlers]
+    servers = [await StreamingServer(serve).start() for serve in handlers]
     try:
         async with serving(config(servers, request or {}, answer or {}, **more)) as kept:
             pools = kept.service.pools.alive.values()
@@ -136,7 +136,7 @@
 
 
 async def answer_head(client: HttpClient) -> tuple[int, dict[str, str]]:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         received = await read_head(client.reader)
     assert received is not None, "the connection ended without an answer"
     return int(received[0].split()[1]), received[1]
@@ -144,16 +144,16 @@
 
 async def answer_of(client: HttpClient) -> tuple[int, Body]:
     status, headers = await answer_head(client)
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         return status, await read_body(client.reader, headers)
 
 
-async def answer_text(upload: Upload, text: str, status: int = 200, **headers: str) -> None:
+async def answer_text(upload: StreamedRequest, text: str, status: int = 200, **headers: str) -> None:
     lines = {"Content-Length": str(len(text))} | headers
     await upload.talk.send(head(f"HTTP/1.1 {status} X", **lines) + text.encode())
 
 
-async def store_upload(upload: Upload) -> None:
+async def store_upload(upload: StreamedRequest) -> None:
     """Read the complete body, and answer with its size and checksum."""
     body = await upload.body()
     if body.whole:
@@ -163,10 +163,10 @@
 def serve_body(size: int, seed: int = 2, chunks: bool = False) -> Serve:
     """Answer each request with a body of that size."""
 
-    async def serve(upload: Upload) -> None:
+    async def serve(upload: StreamedRequest) -> None:
         framing = {"Transfer-Encoding": "chunked"} if chunks else {"Content-Length": str(size)}
         await upload.talk.send(head("HTTP/1.1 200 OK", **framing))
-        await send_all(upload.talk, Pattern(seed).pieces(size), chunks)
+        await send_all(upload.talk, SeededBody(seed).pieces(size), chunks)
         if chunks:
             await upload.talk.send(b"0\r\nX-Sum: 7\r\n\r\n")
 
