--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -109,12 +109,12 @@
     sink.capacity_bytes = 1000
     fixture.flow.push(b"y" * 100 * KIB)  # past the replay buffer, which is released
     assert fixture.watcher.notifications == ["unrepeatable"]
-    assert fixture.flow.held == 100 * KIB - 1000
+    assert fixture.flow.memory_bytes == 100 * KIB - 1000
     assert fixture.source.paused
     sink.take(1 << 20)
     fixture.flow.drained()
     assert not fixture.source.paused
-    assert fixture.flow.held == 0 and fixture.flow.credit == 256 * KIB
+    assert fixture.flow.memory_bytes == 0 and fixture.flow.credit == 256 * KIB
     assert (fixture.flow_statistics.peak_bytes, fixture.flow_statistics.over) == (100 * KIB - 1000, 0)
 
 
@@ -180,13 +180,15 @@
     sink = FakeSink(capacity_bytes=0)
     fixture.flow.push(b"x" * 50 * KIB)
     fixture.flow.attach(sink)
-    assert fixture.flow.lend() == Flow.LEAST
+    assert fixture.flow.lease_to_answer() == Flow.MIN_CREDIT_BYTES
     fixture.flow.close()
     fixture.flow.close()
     fixture.flow.push(b"more")
     fixture.flow.end([])
     fixture.flow.drained()
-    assert fixture.memory_budget.used == Flow.LEAST  # what was handed over is the answer's now
+    assert (
+        fixture.memory_budget.used_bytes == Flow.MIN_CREDIT_BYTES
+    )  # what was handed over is the answer's now
     assert fixture.flow_statistics.open == 0
     assert sink.end is None and len(sink.received) == 50 * KIB
 
@@ -198,12 +200,12 @@
     fixture = FlowFixture(writer=STRICT)
     fixture.flow.attach(FakeSink())
     fixture.clock.now = 999.0
-    assert fixture.flow.too_slow(fixture.clock.now) is None
+    assert fixture.flow.slow_side(fixture.clock.now) is None
     fixture.flow.push(b"x")
     fixture.clock.now = 1_998.0
-    assert fixture.flow.too_slow(fixture.clock.now) is None
+    assert fixture.flow.slow_side(fixture.clock.now) is None
     fixture.clock.now = 1_999.0
-    found = fixture.flow.too_slow(fixture.clock.now)
+    found = fixture.flow.slow_side(fixture.clock.now)
     assert found is not None and found.side is Side.SOURCE
 
 
@@ -213,13 +215,13 @@
     fixture.flow.attach(sink)
     fixture.flow.push(b"x" * 100)
     fixture.clock.now = 50_000.0
-    assert fixture.flow.too_slow(fixture.clock.now) is None
+    assert fixture.flow.slow_side(fixture.clock.now) is None
     sink.take(100)
     fixture.flow.drained()
     fixture.clock.now = 50_900.0
-    assert fixture.flow.too_slow(fixture.clock.now) is None
+    assert fixture.flow.slow_side(fixture.clock.now) is None
     fixture.clock.now = 51_000.0
-    assert fixture.flow.too_slow(fixture.clock.now) == SlowSide(Side.SOURCE, "no byte for 1000 ms")
+    assert fixture.flow.slow_side(fixture.clock.now) == SlowSide(Side.SOURCE, "no byte for 1000 ms")
 
 
 def test_a_stalled_sink_is_reported_and_a_slow_one_is_not() -> None:
@@ -230,9 +232,9 @@
     for step in range(1, 20):
         fixture.clock.now = step * 500.0
         sink.take(KIB)
-        assert fixture.flow.too_slow(fixture.clock.now) is None
+        assert fixture.flow.slow_side(fixture.clock.now) is None
     fixture.clock.now += 1_000.0
-    assert fixture.flow.too_slow(fixture.clock.now) == SlowSide(Side.SINK, "no byte for 1000 ms")
+    assert fixture.flow.slow_side(fixture.clock.now) == SlowSide(Side.SINK, "no byte for 1000 ms")
 
 
 def test_a_trickle_is_reported_by_its_rate_however_fast_it_was_before() -> None:
@@ -243,7 +245,7 @@
     while found is None and fixture.clock.now < 60_000.0:
         fixture.clock.now += 250.0
         fixture.flow.push(b"x")
-        found = fixture.flow.too_slow(fixture.clock.now)
+        found = fixture.flow.slow_side(fixture.clock.now)
     assert found == SlowSide(Side.SOURCE, "4 bytes a second over 2000 ms")
     assert fixture.clock.now == 4_000.0  # the window that began after the fast one
 
@@ -255,7 +257,7 @@
     fixture.flow.push(b"abc")
     fixture.flow.detach(sink)
     fixture.clock.now = 99_000.0
-    assert fixture.flow.too_slow(fixture.clock.now) is None
+    assert fixture.flow.slow_side(fixture.clock.now) is None
 
 
 def test_waiting_time_adds_up_over_interruptions() -> None:
@@ -298,14 +300,14 @@
         elif turn == 5 and flow.repeatable and not flow.done and rng.random() < 0.2:
             flow.detach(sink)
             sink = None
-        assert flow.held <= flow.terms.ceiling_bytes
+        assert flow.memory_bytes <= flow.terms.ceiling_bytes
         if flow.ended and sink is not None and not sink.unsent:
             flow.drained()
     assert sink is not None and sink.received == body
     assert fixture.flow_statistics.over == 0
     assert fixture.watcher.notifications.count("unrepeatable") == (not flow.repeatable)
     flow.close()
-    assert fixture.memory_budget.used == 0
+    assert fixture.memory_budget.used_bytes == 0
 
 
 def test_memory_waiters_are_served_in_order_of_arrival() -> None:
@@ -321,9 +323,9 @@
     leaver.leave()
     memory_budget.book(200 * KIB, 0)
     assert served == ["large", "small", "last"]
-    assert memory_budget.used == 211 * KIB
+    assert memory_budget.used_bytes == 211 * KIB
     leaver.leave()
-    assert memory_budget.used == 211 * KIB
+    assert memory_budget.used_bytes == 211 * KIB
 
 
 @pytest.mark.parametrize("lower", [0.1, 10.0])
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -5,9 +5,9 @@
 import asyncio
 
 from sandhatch.balancing.events import Outcome
-from testkit.bodies import Pattern
+from testkit.bodies import SeededBody
 from testkit.clients import HttpClient
-from testkit.streaming_server import Upload
+from testkit.streaming_server import StreamedRequest
 from tests.streaming.harness import (
     KIB,
     MIB,
@@ -22,7 +22,7 @@
     upload_head,
 )
 
-BODY = Pattern(1)
+BODY = SeededBody(1)
 
 
 def test_a_thousand_uploads_begin_at_once_under_a_64_mb_limit() -> None:
@@ -56,7 +56,7 @@
             def booked(before: int, now: int) -> bool:
                 nonlocal most
                 fits = watch(before, now)
-                most = max(most, memory_budget.used)
+                most = max(most, memory_budget.used_bytes)
                 return fits
 
             memory_budget.book = booked  # type: ignore[method-assign]
@@ -65,7 +65,7 @@
             served = sum(status == 200 for status in results.values())
             assert served > 500
             assert (
-                most <= memory_budget.most + 64 * KIB
+                most <= memory_budget.limit_bytes + 64 * KIB
             )  # a read that does not fit is booked, and released at once
             assert deployment.flow_statistics.most_open < count  # so some did wait
             await deployment.until_idle()
@@ -138,7 +138,7 @@
             outcomes = {end.outcome for end in deployment.decisions.ends}
             assert Outcome.CANCELLED in outcomes and Outcome.TIMEOUT not in outcomes
             memory_budget.book(rest, 0)
-            assert memory_budget.used == 0
+            assert memory_budget.used_bytes == 0
 
     run(work())
 
@@ -154,14 +154,14 @@
                 await deployment.kept.until(lambda: memory_budget.free == 0)
             await deployment.kept.until(lambda: memory_budget.free > 0)
             memory_budget.book(rest, 0)
-            await deployment.kept.until(lambda: memory_budget.used == 0)
+            await deployment.kept.until(lambda: memory_budget.used_bytes == 0)
             assert not deployment.servers[0].seen
 
     run(work())
 
 
 def test_all_memory_is_released_however_the_bodies_end() -> None:
-    async def fickle(upload: Upload) -> None:
+    async def fickle(upload: StreamedRequest) -> None:
         turn = int(upload.target[1:]) % 4
         if turn == 0:
             await store_upload(upload)
@@ -186,7 +186,7 @@
         async with deployed(fickle, fickle) as deployment:
             await asyncio.gather(*(one(deployment, n) for n in range(60)))
             await deployment.until_idle()
-            await deployment.kept.until(lambda: deployment.kept.service.shared.memory_budget.used == 0)
+            await deployment.kept.until(lambda: deployment.kept.service.shared.memory_budget.used_bytes == 0)
             assert len(deployment.kept.records) == 60
 
     run(work())
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -5,7 +5,7 @@
 import pytest
 
 from sandhatch.balancing.events import Outcome
-from testkit.bodies import Pattern, chunked
+from testkit.bodies import SeededBody, chunked
 from testkit.clients import HttpClient
 from tests.streaming.harness import (
     KIB,
@@ -18,7 +18,7 @@
     upload_head,
 )
 
-BODY = Pattern(1)
+BODY = SeededBody(1)
 
 
 @pytest.mark.parametrize(
@@ -56,7 +56,7 @@
             async with HttpClient(deployment.port) as client:  # less than announced
                 client.send(upload_head(MIB) + BODY.whole(MIB - 1))
                 client.writer.write_eof()
-                await client.ended()
+                await client.read_to_end()
             await deployment.until_idle()
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
             async with HttpClient(deployment.port) as client:  # more than announced: no request of its own
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -11,9 +11,9 @@
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.downstream.client_connection import ClientConnection
-from testkit.bodies import Pattern, chunked, head
+from testkit.bodies import SeededBody, chunked, head
 from testkit.clients import HttpClient
-from testkit.streaming_server import Upload
+from testkit.streaming_server import StreamedRequest
 from tests.streaming.harness import (
     KIB,
     MIB,
@@ -28,7 +28,7 @@
     upload_head,
 )
 
-BODY = Pattern(1)
+BODY = SeededBody(1)
 # Whoever is not meant is given all the time there is.
 CLIENT_STALLS: Any = {"request": {"writer_stall_ms": 400}}
 SERVER_STALLS: Any = {"request": {"reader_stall_ms": 400}}
@@ -79,7 +79,9 @@
             assert [end.outcome for end in deployment.decisions.ends] == [
                 Outcome.CANCELLED
             ]  # not the server's fault
-            assert [(record.status, record.cut) for record in deployment.kept.records] == [(408, "client")]
+            assert [(record.status, record.truncated_by) for record in deployment.kept.records] == [
+                (408, "client")
+            ]
 
     run(work())
 
@@ -124,7 +126,7 @@
 def test_a_server_that_stalls_in_mid_upload_times_out_although_its_client_is_fast() -> None:
     """A non-idempotent request may have run: it fails, and is neither rejected nor retried."""
 
-    async def stalls(upload: Upload) -> None:
+    async def stalls(upload: StreamedRequest) -> None:
         await upload.body(stop_at=MIB)
         await asyncio.sleep(3600.0)
 
@@ -151,7 +153,7 @@
 
 
 def test_a_server_that_stalls_halfway_through_an_answer_with_a_fast_client() -> None:
-    async def stalls(upload: Upload) -> None:
+    async def stalls(upload: StreamedRequest) -> None:
         await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         for piece in BODY.pieces(MIB):
             await upload.talk.send(chunked(piece))
@@ -169,7 +171,7 @@
             assert [(end.outcome, end.final) for end in deployment.decisions.ends] == [
                 (Outcome.TIMEOUT, True)
             ]
-            assert [record.cut for record in deployment.kept.records] == ["server"]
+            assert [record.truncated_by for record in deployment.kept.records] == ["server"]
             await deployment.kept.until(lambda: deployment.servers[0].open == 0)
 
     run(work())
@@ -187,7 +189,7 @@
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await deployment.until_idle()
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
-            assert [record.cut for record in deployment.kept.records] == ["client"]
+            assert [record.truncated_by for record in deployment.kept.records] == ["client"]
             await deployment.kept.until(lambda: deployment.servers[0].open == 0)
             assert deployment.flow_statistics.peak_bytes <= 192 * KIB
 
@@ -198,7 +200,7 @@
 def test_a_slow_side_above_its_floor_is_served_to_the_end(who: str) -> None:
     """Slower than the other by far, and never held against it: each side has limits of its own."""
 
-    async def slow(upload: Upload) -> None:
+    async def slow(upload: StreamedRequest) -> None:
         async def pause(body: object) -> None:
             await asyncio.sleep(0.008)
 
@@ -250,13 +252,13 @@
                 trickling.cancel()
             await deployment.until_idle()
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
-            assert [record.cut for record in deployment.kept.records] == ["time"]
+            assert [record.truncated_by for record in deployment.kept.records] == ["time"]
 
     run(work())
 
 
 def test_a_server_that_never_answers_a_long_upload_is_timed_from_its_last_byte() -> None:
-    async def silent(upload: Upload) -> None:
+    async def silent(upload: StreamedRequest) -> None:
         await upload.body()
         await asyncio.sleep(3600.0)
 
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -8,9 +8,9 @@
 
 from sandhatch.balancing.actions import Fail, Reject, Send
 from sandhatch.balancing.events import AnswerStarted, Outcome, Unrepeatable
-from testkit.bodies import Pattern, chunked, head
+from testkit.bodies import SeededBody, chunked, head
 from testkit.clients import HttpClient
-from testkit.streaming_server import Upload
+from testkit.streaming_server import StreamedRequest
 from testkit.wire import ok
 from tests.streaming.harness import (
     KIB,
@@ -27,7 +27,7 @@
     upload_head,
 )
 
-BODY = Pattern(1)
+BODY = SeededBody(1)
 
 
 async def upload(client: HttpClient, size: int, chunks: bool = False, most: int = 0) -> None:
@@ -66,7 +66,7 @@
             for _ in range(2):
                 client.send(download_head())
                 status, body = await answer_of(client)
-                assert (status, body.size, body.crc) == (200, size, Pattern(2).crc(size))
+                assert (status, body.size, body.crc) == (200, size, SeededBody(2).crc(size))
                 assert body.whole
             await deployment.until_idle()
             assert deployment.servers[0].connections == 1  # both ends of it could be used again
@@ -80,7 +80,7 @@
 def test_trailers_are_forwarded_but_for_those_that_would_frame_the_body() -> None:
     seen: list[dict[str, str]] = []
 
-    async def serve(upload: Upload) -> None:
+    async def serve(upload: StreamedRequest) -> None:
         seen.append((await upload.body()).trailers)
         await serve_body(MIB, 2, True)(upload)
 
@@ -95,7 +95,7 @@
 
 
 def test_both_bodies_flow_at_once_and_an_answer_may_begin_before_the_request_has_ended() -> None:
-    async def echo(upload: Upload) -> None:
+    async def echo(upload: StreamedRequest) -> None:
         await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         left = int(upload.headers["content-length"])
         while left:
@@ -118,7 +118,7 @@
 def test_memory_of_a_request_stays_below_its_ceiling_whichever_side_is_slow() -> None:
     """The statistics count every change; nothing is sampled."""
 
-    async def slow(upload: Upload) -> None:
+    async def slow(upload: StreamedRequest) -> None:
         async def pause(body: object) -> None:
             await asyncio.sleep(0.001)
 
@@ -140,12 +140,12 @@
 
 
 def test_a_truncated_answer_is_never_forwarded_as_complete() -> None:
-    async def cut_short(upload: Upload) -> None:
+    async def cut_short(upload: StreamedRequest) -> None:
         length = {"Content-Length": str(MIB)}
         if upload.target == "/chunked":
             length = {"Transfer-Encoding": "chunked"}
         await upload.talk.send(head("HTTP/1.1 200 OK", **length))
-        for piece in Pattern(2).pieces(MIB // 2):
+        for piece in SeededBody(2).pieces(MIB // 2):
             await upload.talk.send(chunked(piece) if upload.target == "/chunked" else bytes(piece))
         upload.talk.writer.close()
 
@@ -156,13 +156,13 @@
                 status, body = await answer_of(client)
                 assert status == 200 and not body.whole
                 assert body.size <= MIB // 2
-                assert await client.ended() == b""
+                assert await client.read_to_end() == b""
                 await deployment.until_idle()
                 assert [(end.outcome, end.final) for end in deployment.decisions.ends] == [
                     (Outcome.RESET, True)
                 ]
                 assert len(deployment.servers[0].seen) == 1  # what has begun is never tried again
-                assert [record.cut for record in deployment.kept.records] == ["server"]
+                assert [record.truncated_by for record in deployment.kept.records] == ["server"]
 
     run(work())
 
@@ -170,9 +170,9 @@
 def test_a_truncated_answer_resets_the_connection_of_an_http_1_0_client() -> None:
     """It takes no chunks, so without a length only the close tells the end: a plain one would be a lie."""
 
-    async def cut_short(upload: Upload) -> None:
+    async def cut_short(upload: StreamedRequest) -> None:
         await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
-        for piece in Pattern(2).pieces(MIB // 2):
+        for piece in SeededBody(2).pieces(MIB // 2):
             await upload.talk.send(chunked(piece))
         if upload.target == "/cut":
             upload.talk.writer.close()
@@ -185,18 +185,18 @@
                 client.send(download_head("/whole").replace(b"HTTP/1.1", b"HTTP/1.0"))
                 _, headers = await answer_head(client)
                 assert "transfer-encoding" not in headers and "content-length" not in headers
-                assert len(await client.ended()) == MIB // 2
+                assert len(await client.read_to_end()) == MIB // 2
             async with HttpClient(deployment.port) as client:
                 client.send(download_head("/cut").replace(b"HTTP/1.1", b"HTTP/1.0"))
                 await answer_head(client)
                 with pytest.raises(ConnectionResetError):
-                    await client.ended()
+                    await client.read_to_end()
 
     run(work())
 
 
 def test_a_server_that_answers_and_closes_before_the_end_of_the_request() -> None:
-    async def early(upload: Upload) -> None:
+    async def early(upload: StreamedRequest) -> None:
         await upload.body(stop_at=100 * KIB)
         await answer_text(upload, "enough", Connection="close")
         upload.talk.writer.write_eof()
@@ -219,7 +219,7 @@
 def test_a_server_that_resets_in_mid_body_may_have_run_it() -> None:
     """Non-idempotent: no retry, although the replay buffer is complete, and no rejection either."""
 
-    async def resets(upload: Upload) -> None:
+    async def resets(upload: StreamedRequest) -> None:
         await upload.body(stop_at=8 * KIB)
         upload.talk.reset()
 
@@ -237,7 +237,7 @@
     run(work())
 
 
-async def reset_after(upload: Upload, size: int) -> None:
+async def reset_after(upload: StreamedRequest, size: int) -> None:
     await upload.body(stop_at=size)
     upload.talk.reset()
 
@@ -245,7 +245,7 @@
 def test_an_idempotent_request_is_retried_while_its_replay_buffer_is_complete() -> None:
     tries: list[int] = []
 
-    async def serve(upload: Upload) -> None:
+    async def serve(upload: StreamedRequest) -> None:
         tries.append(1)
         if len(tries) == 1:
             await reset_after(upload, 40 * KIB)
@@ -272,7 +272,7 @@
 
 
 def test_past_the_replay_buffer_nothing_is_retried() -> None:
-    async def serve(upload: Upload) -> None:
+    async def serve(upload: StreamedRequest) -> None:
         await reset_after(upload, MIB)
 
     async def work() -> None:
@@ -323,7 +323,9 @@
             await deployment.until_idle()
             await deployment.kept.until(lambda: deployment.servers[0].open == 0)
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
-            assert [(record.status, record.cut) for record in deployment.kept.records] == [(0, "client")]
+            assert [(record.status, record.truncated_by) for record in deployment.kept.records] == [
+                (0, "client")
+            ]
 
     run(work())
 
@@ -354,7 +356,7 @@
                 if half_close:
                     assert (await answer_of(client))[0] == 200
                 else:
-                    assert await client.ended() == b""
+                    assert await client.read_to_end() == b""
                 await deployment.until_idle()
 
     run(work())
@@ -371,7 +373,7 @@
             client.send(upload_head(size) + body[:MIB])
             await deployment.kept.until(lambda: any(server.seen for server in deployment.servers))
             busy = next(server for server in deployment.servers if server.seen)
-            data = deployment.kept.service.transactions.in_force.checked.model.model_dump(mode="json")
+            data = deployment.kept.service.transactions.active.checked.model.model_dump(mode="json")
             servers = data["pools"]["drawings"]["servers"]
             named = next(name for name, row in servers.items() if row["address"].endswith(f":{busy.port}"))
             servers[named]["state"] = "draining"
@@ -396,7 +398,7 @@
             body = BODY.whole(size)
             client.send(upload_head(size) + body[:MIB])
             await deployment.kept.until(lambda: bool(deployment.servers[0].seen))
-            data = deployment.kept.service.transactions.in_force.checked.model.model_dump(mode="json")
+            data = deployment.kept.service.transactions.active.checked.model.model_dump(mode="json")
             data["default"] = {"answer": {"status": 404}}
             data["classes"]["draw"]["bodies"]["request"]["most_bytes"] = 1024
             await deployment.kept.confirmed(data)
@@ -432,7 +434,7 @@
 
 
 def test_an_answer_that_trickles_begins_after_its_hold_time() -> None:
-    async def drip(upload: Upload) -> None:
+    async def drip(upload: StreamedRequest) -> None:
         await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked") + chunked(b"first"))
         go = await upload.talk.reader.read(1)
         assert not go
@@ -450,7 +452,7 @@
 
 
 def test_pipelined_requests_around_a_long_one_are_answered_in_their_order() -> None:
-    async def serve(upload: Upload) -> None:
+    async def serve(upload: StreamedRequest) -> None:
         if upload.method == "GET":
             await upload.talk.send(ok(b"got"))
         else:
@@ -471,9 +473,9 @@
 
 
 def test_a_long_answer_of_another_status_fails_as_a_short_one_does() -> None:
-    async def broken(upload: Upload) -> None:
+    async def broken(upload: StreamedRequest) -> None:
         await upload.body()
-        await upload.talk.send(head("HTTP/1.1 500 X", Content_Length=str(MIB)) + Pattern(3).whole(MIB))
+        await upload.talk.send(head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).whole(MIB))
 
     async def work(deployment: Deployment | None = None) -> None:
         async with deployed(broken) as deployment, HttpClient(deployment.port) as client:
--- a/tests/telemetry/harness.py
+++ b/tests/telemetry/harness.py
@@ -36,11 +36,11 @@
         self.now_ms = START_MS + at_ms
         update = ListUpdate(kind, 1, [entry for entry, _ in rows])
         self.recorder.on_endpoint_list(update, [address for _, address in rows])
-        self.recorder.saw(update, [])
+        self.recorder.on_event(update, [])
 
     def handle(self, at_ms: float, event: Event, *actions: Action) -> None:
         self.now_ms = START_MS + at_ms
-        self.recorder.saw(event, actions)
+        self.recorder.on_event(event, actions)
 
     @property
     def lines(self) -> list[str]:
--- a/tests/telemetry/test_event_recorder.py
+++ b/tests/telemetry/test_event_recorder.py
@@ -35,7 +35,7 @@
     instance.now_ms = START_MS + 3_000.0
     failed = ListUpdate(ListKind.FAILED, 41, call=1)
     instance.recorder.on_endpoint_list(failed, [], "no answer in 2.5 s")
-    instance.recorder.saw(failed, [])
+    instance.recorder.on_event(failed, [])
     instance.handle(3_100.0, RequestArrived(1, 0, 1000.0), Send(1, 1, 500.0))
     lines = instance.json_lines
     assert lines[1]["out"] == [["watchlist", 1, 41, 2000, 2500]]
--- a/tests/testkit/test_behaviours.py
+++ b/tests/testkit/test_behaviours.py
@@ -19,18 +19,18 @@
     waits_for,
 )
 from testkit.clients import HttpClient
-from testkit.servers import Behaviour, FakeUpstream
-from testkit.wire import PATIENCE_S
+from testkit.servers import Behaviour, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S
 
 
 def with_client(behaviour: Behaviour, work: Callable[[HttpClient], Awaitable[None]]) -> None:
     """Runs `work` with a client that has sent a request to a server of this behaviour."""
 
     async def run() -> None:
-        server = await FakeUpstream(behaviour).start()
+        server = await FakeServer(behaviour).start()
         try:
-            async with asyncio.timeout(PATIENCE_S), HttpClient(server.port) as client:
-                client.ask(target="/api?7")
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S), HttpClient(server.port) as client:
+                client.send_request(target="/api?7")
                 await work(client)
         finally:
             server.close()
@@ -49,9 +49,9 @@
 )
 def test_a_response_is_sent_for_each_request(behaviour: Behaviour, expected: tuple[int, bytes]) -> None:
     async def work(client: HttpClient) -> None:
-        first = await client.answer()
-        client.ask(target="/api?7")
-        second = await client.answer()
+        first = await client.read_response()
+        client.send_request(target="/api?7")
+        second = await client.read_response()
         assert (first.status, first.body) == expected
         assert (second.status, second.body) == expected
 
@@ -62,7 +62,7 @@
     event = asyncio.Event()
 
     async def work(client: HttpClient) -> None:
-        response = asyncio.create_task(client.answer())
+        response = asyncio.create_task(client.read_response())
         await asyncio.sleep(0.05)
         assert not response.done()
         event.set()
@@ -73,7 +73,7 @@
 
 def test_a_server_that_disconnects_sends_nothing() -> None:
     async def work(client: HttpClient) -> None:
-        assert await client.ended() == b""
+        assert await client.read_to_end() == b""
 
     with_client(disconnects, work)
 
@@ -83,7 +83,7 @@
     async def work(client: HttpClient) -> None:
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
-        assert await client.ended() == b"x" * body_bytes
+        assert await client.read_to_end() == b"x" * body_bytes
 
     with_client(disconnects_after(body_bytes), work)
 
--- a/tests/testkit/test_discovery.py
+++ b/tests/testkit/test_discovery.py
@@ -12,14 +12,14 @@
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import entry
-from testkit.wire import PATIENCE_S
+from testkit.wire import RESPONSE_TIMEOUT_S
 
 
 def with_discovery(work: Callable[[FakeDiscovery], Awaitable[None]]) -> None:
     async def run() -> None:
         discovery = await FakeDiscovery([entry("a", 1), entry("b", 2)]).start()
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await work(discovery)
         finally:
             discovery.stop()
@@ -28,8 +28,8 @@
 
 
 async def listing(client: HttpClient, target: str) -> dict[str, Any]:
-    client.ask(target=target)
-    data: dict[str, Any] = json.loads((await client.answer()).body)
+    client.send_request(target=target)
+    data: dict[str, Any] = json.loads((await client.read_response()).body)
     return data
 
 
@@ -71,8 +71,8 @@
     async def work(discovery: FakeDiscovery) -> None:
         discovery.garbage.append(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         async with HttpClient(discovery.port) as client:
-            client.ask(target="/v1/endpoints")
-            assert (await client.answer()).status == 503
+            client.send_request(target="/v1/endpoints")
+            assert (await client.read_response()).status == 503
             assert (await listing(client, "/v1/endpoints"))["generation"] == 1
 
     with_discovery(work)
@@ -82,7 +82,7 @@
     async def work(discovery: FakeDiscovery) -> None:
         discovery.silent = True
         async with HttpClient(discovery.port) as client:
-            client.ask(target="/v1/endpoints?after=1&wait_ms=1")
+            client.send_request(target="/v1/endpoints?after=1&wait_ms=1")
             await discovery.calls.get()
             discovery.change(entry("c", 3))
             with pytest.raises(TimeoutError):
@@ -97,7 +97,7 @@
         async with HttpClient(port) as client:
             assert (await listing(client, "/v1/endpoints"))["generation"] == 1
             discovery.stop()
-            assert await client.ended() == b""
+            assert await client.read_to_end() == b""
         await discovery.start()
         assert discovery.port == port
         async with HttpClient(port) as client:
--- a/tests/upstream/behaviours.py
+++ b/tests/upstream/behaviours.py
@@ -6,42 +6,42 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from testkit.servers import Talk
-from testkit.wire import Incoming, ok, read_head
+from testkit.servers import FakeConnection
+from testkit.wire import ReceivedRequest, ok, read_head
 
 
-def sends(data: bytes) -> Callable[[Incoming, Talk], Awaitable[None]]:
+def sends(data: bytes) -> Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]:
     """Answer with these bytes."""
 
-    async def behave(request: Incoming, talk: Talk) -> None:
+    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
         await talk.send(data)
 
     return behave
 
 
-async def resets(request: Incoming, talk: Talk) -> None:
+async def resets(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Reset the connection in place of an answer."""
     talk.reset()
 
 
-async def closes(request: Incoming, talk: Talk) -> None:
+async def closes(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Close the connection in place of an answer."""
     talk.writer.close()
 
 
-async def resets_inside_the_answer(request: Incoming, talk: Talk) -> None:
+async def resets_inside_the_answer(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send a part of an answer, then reset the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     talk.reset()
 
 
-async def ends_the_answer_by_closing(request: Incoming, talk: Talk) -> None:
+async def ends_the_answer_by_closing(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send an answer without a length, then close the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\n\r\nhow long is it")
     talk.writer.close()
 
 
-async def stays_silent(request: Incoming, talk: Talk) -> None:
+async def stays_silent(request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send nothing until the connection ends."""
     await talk.ended()
 
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -11,10 +11,10 @@
 from sandhatch.balancing.events import Outcome
 from testkit.clients import HttpClient
 from testkit.platform import entry
-from testkit.servers import FakeUpstream, Talk
-from testkit.wire import PATIENCE_S, Incoming, ok, status
+from testkit.servers import FakeConnection, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok, status
 from tests.event_loop import run
-from tests.fakes import Script, running
+from tests.fakes import ScriptedBalancer, running
 from tests.upstream.behaviours import (
     closes,
     ends_the_answer_by_closing,
@@ -80,20 +80,20 @@
     """Guards the outcome table: a wrong row lets a non-idempotent request run twice."""
 
     async def work() -> None:
-        upstream = await FakeUpstream(behave).start()
-        script = Script([1])
+        upstream = await FakeServer(behave).start()
+        script = ScriptedBalancer([1])
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
-            answer = await client.answer()
+            client.send_request("move", b"x")
+            answer = await client.read_response()
             event = await script.ended()
         upstream.close()
         assert event.outcome is outcome
         assert event.final is (outcome is Outcome.OK)
         assert (answer.status, answer.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
-        assert len(upstream.seen) == 1 and len(script.ends()) == 1
+        assert len(upstream.requests) == 1 and len(script.ends()) == 1
 
     run(work())
 
@@ -104,13 +104,13 @@
     async def work() -> None:
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))  # bound, never listening
-            script = Script([1])
+            script = ScriptedBalancer([1])
             async with (
                 running(entry("a", unused.getsockname()[1]), script=script) as balancer,
                 HttpClient(balancer.port) as client,
             ):
-                client.ask("move", b"x")
-                assert (await client.answer()).status == 502
+                client.send_request("move", b"x")
+                assert (await client.read_response()).status == 502
                 assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
 
     run(work())
@@ -121,15 +121,15 @@
 
     async def work() -> None:
         listener, fillers = listener_with_full_backlog()
-        script = Script([1])
+        script = ScriptedBalancer([1])
         async with (
             running(
                 entry("a", listener.getsockname()[1]), script=script, limits={"ConnectTimeoutMs": 100}
             ) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
-            assert (await client.answer()).status == 502
+            client.send_request("move", b"x")
+            assert (await client.read_response()).status == 502
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
         for opened in (listener, *fillers):
             opened.close()
@@ -143,21 +143,21 @@
     async def work() -> None:
         closed = asyncio.Event()
 
-        async def wait(request: Incoming, talk: Talk) -> None:
+        async def wait(request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.ended()
             closed.set()
 
-        upstream = await FakeUpstream(wait).start()
-        script = Script([1], timeout_ms=100)
+        upstream = await FakeServer(wait).start()
+        script = ScriptedBalancer([1], timeout_ms=100)
         async with (
             running(upstream.entry("a"), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
-            client.ask("move", b"x")
-            assert (await client.answer()).status == 502
+            client.send_request("move", b"x")
+            assert (await client.read_response()).status == 502
             event = await script.ended()
             assert event.outcome is Outcome.TIMEOUT and event.spent_ms >= 100
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await closed.wait()
         upstream.close()
 
@@ -181,7 +181,7 @@
     async def work() -> None:
         # Small buffers keep the last byte with the balancer: the body is larger than what the system takes.
         listener = listener_with_small_buffer()
-        script = Script([1])
+        script = ScriptedBalancer([1])
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
@@ -201,13 +201,13 @@
                 await connect(_AttemptWithWrite(attempt, write))  # type: ignore[arg-type]
 
             balancer.dispatcher.connection_pool._connect = connect_with_small_buffer  # type: ignore[method-assign]
-            client.ask("move", b"x" * 60_000)
+            client.send_request("move", b"x" * 60_000)
             connection, _ = await accepting
             head = await loop.sock_recv(connection, 100)
             assert head.startswith(b"POST")
             connection.close()  # with bytes unread: a reset
             assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
-            assert (await client.answer()).status == 502
+            assert (await client.read_response()).status == 502
         listener.close()
 
     run(work())
@@ -219,30 +219,30 @@
 
     async def work() -> None:
         listener = listener_with_small_buffer()
-        script = Script([1], timeout_ms=1_500.0 if silent else 0.0)
+        script = ScriptedBalancer([1], timeout_ms=1_500.0 if silent else 0.0)
         async with (
             running(entry("a", listener.getsockname()[1]), script=script) as balancer,
             HttpClient(balancer.port) as client,
         ):
             loop = asyncio.get_running_loop()
             pool = balancer.dispatcher.connection_pool
-            client.ask("move", b"x" * 60_000)
+            client.send_request("move", b"x" * 60_000)
             connection, _ = await loop.sock_accept(listener)
-            async with asyncio.timeout(PATIENCE_S):
-                while not (pool._open and next(iter(pool._open))._call):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                while not (pool._open and next(iter(pool._open))._attempt):
                     await asyncio.sleep(0.001)
-            attempt = next(iter(pool._open))._call
+            attempt = next(iter(pool._open))._attempt
             assert attempt is not None
             attempt.request_sent = False  # as with a body larger than what the system takes
             await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while not attempt.answer_seen:
                     await asyncio.sleep(0.001)
             if not silent:
                 connection.close()
             expected = Outcome.TIMEOUT if silent else Outcome.RESET
             assert (await script.ended()).outcome is expected
-            assert (await client.answer()).status == 502
+            assert (await client.read_response()).status == 502
             connection.close()
         listener.close()
 
