--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -107,9 +107,9 @@
         """Notify the handler, and release everything that the connection holds."""
         self._transport = None
         self.ending = True
+        self._stop_buffering()  # first: what is released below must not be granted to this connection
         self._on_disconnect()
         self._close_request_flow()
-        self._stop_buffering()
         self._answer_flow = None
         self._socket_writer = None
         self._reader.close()
@@ -343,15 +343,20 @@
         self._transport.close()
         return True
 
+    def abort(self) -> None:
+        """Close it at once, and discard what the system has not taken; it waits for no memory any more."""
+        self._stop_buffering()
+        super().abort()
+
     def close_gracefully(self) -> None:
         """Shut down the sending side, and discard what is still received (RFC 9112 section 9.6).
 
         A close with bytes unread would reset the connection, and could discard the answer on its way.
         """
         self.ending = True
+        self._stop_buffering()  # first: what is released below must not be granted to this connection
         self._discard_queued()
         self._close_request_flow()
-        self._stop_buffering()
         self._reader.close()
         self._update_booking()
         self.since_ms = self._shared.clock.now_ms()
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -160,6 +160,31 @@
     run(work())
 
 
+def test_a_client_that_leaves_its_answer_while_its_next_request_waits_leaves_nothing_behind() -> None:
+    """What the answer releases must not be granted to the upload behind it, on the same lost connection."""
+
+    async def work() -> None:
+        async with deployed(serve_body(64 * MIB), limits={"memory_mb": 16}) as deployment:
+            shared = deployment.kept.service.shared
+            budget = shared.memory_budget
+            before = budget.used_bytes
+            client = await HttpClient(deployment.port).__aenter__()
+            client.send(download_head())
+            await answer_head(client)
+            client.writer.transport.pause_reading()
+            await deployment.kept.until(lambda: budget.used_bytes >= before + 96 * KIB)  # the answer's flow
+            rest = budget.free - 8 * KIB
+            budget.book(0, rest)
+            client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+            await deployment.kept.until(lambda: budget.free == 0)
+            client.writer.transport.abort()
+            await deployment.kept.until(lambda: shared.clients == 0)
+            budget.book(rest, 0)
+            await deployment.kept.until(lambda: budget.used_bytes == before)
+
+    run(work())
+
+
 def test_all_memory_is_released_however_the_bodies_end() -> None:
     async def fickle(upload: StreamedRequest) -> None:
         turn = int(upload.target[1:]) % 4
