--- /dev/null
+++ b/sandhatch/balancing/policy/servers.py
@@ -0,0 +1,120 @@
+"""The servers of one tier, and which hold a token: PULL's mark of one believed to be idle."""
+
+from collections.abc import Iterator
+from heapq import heappop, heappush
+from itertools import chain
+
+from sandhatch.balancing.events import ListKind, ListUpdate, ServerEntry, ServerState
+from sandhatch.balancing.indexed_set import IndexedSet
+from sandhatch.balancing.records import ListChange, Server
+
+
+class ServerList:
+    """The endpoint list, with the ready servers and the token holders of each zone."""
+
+    def __init__(self, zones: int) -> None:
+        """Start with no servers."""
+        self.servers: dict[int, Server] = {}
+        self.ready = [IndexedSet[Server]() for _ in range(zones)]
+        self.tokens = [IndexedSet[Server]() for _ in range(zones)]
+        self.ready_count = 0
+        self.ejected_count = 0
+        self.in_flight = 0  # attempts of this instance, those at removed servers included
+        self._withheld: list[tuple[float, int, Server]] = []  # heap by when the token is due back
+        self._serial = 0  # keeps the heap from comparing servers
+
+    @property
+    def is_outnumbered(self) -> bool:
+        """Whether more own attempts are in flight than there are ready servers."""
+        return self.in_flight > self.ready_count
+
+    def all_ready(self, zone: int | None = None) -> Iterator[Server]:
+        """Yield the ready servers of one zone, or of all."""
+        parts = self.ready if zone is None else [self.ready[zone]]
+        return chain.from_iterable(part.items for part in parts)
+
+    def update(self, update: ListUpdate) -> ListChange:
+        """Apply an endpoint list or its changes."""
+        change = ListChange()
+        if update.kind in (ListKind.FULL, ListKind.CACHED):
+            listed = {entry.server for entry in update.entries}
+            for server in [s for s in self.servers.values() if s.id not in listed]:
+                self._remove(server, change)
+        for entry in update.entries:
+            known = self.servers.get(entry.server)
+            # A restarted process is a new server: it has not earned what its predecessor had.
+            restarted = known and (known.started_ms != entry.started_ms or known.zone != entry.zone)
+            if known is not None and (restarted or entry.state is ServerState.GONE):
+                self._remove(known, change)
+            if entry.state is not ServerState.GONE:
+                self._apply(entry, change)
+        self.ready_count = sum(map(len, self.ready))
+        return change
+
+    def _apply(self, entry: ServerEntry, change: ListChange) -> None:
+        server = self.servers.get(entry.server)
+        if server is None:
+            server = self.servers[entry.server] = Server.from_entry(entry)
+            change.added.append(server)
+        server.state = entry.state
+        server.cell = entry.cell
+        if entry.state is ServerState.READY:
+            self._of_zone(self.ready, server).add(server)
+        else:  # draining: it can't be drawn from this moment on
+            self._of_zone(self.ready, server).discard(server)
+            self.spend_token(server)
+
+    def _remove(self, server: Server, change: ListChange) -> None:
+        server.state = ServerState.GONE
+        self._end_ejection(server)
+        self._of_zone(self.ready, server).discard(server)
+        self.spend_token(server)
+        del self.servers[server.id]
+        change.removed.append(server)
+
+    @staticmethod
+    def _of_zone(sets: list[IndexedSet[Server]], server: Server) -> IndexedSet[Server]:
+        while server.zone >= len(sets):  # a zone that the settings did not name
+            sets.append(IndexedSet())
+        return sets[server.zone]
+
+    def earn_token(self, server: Server, now_ms: float) -> None:
+        """Give a ready server without own attempts its token, unless that is withheld."""
+        self.spend_token(server)
+        if server.outstanding or server.withheld_until_ms > now_ms:
+            return
+        if server.state is ServerState.READY:
+            server.token = True
+            self._of_zone(self.tokens, server).add(server)
+
+    def spend_token(self, server: Server) -> None:
+        """Take the token away, if there is one."""
+        if server.token:
+            self._of_zone(self.tokens, server).discard(server)
+            server.token = False
+
+    def withhold_token(self, server: Server, until_ms: float) -> None:
+        """Keep the token back until a time, or a later one set before."""
+        self.spend_token(server)
+        if until_ms > server.withheld_until_ms:
+            server.withheld_until_ms = until_ms
+            self._serial += 1
+            heappush(self._withheld, (until_ms, self._serial, server))
+
+    def return_tokens(self, now_ms: float) -> None:
+        """Return the tokens that were withheld until now or earlier, and end ejections with them."""
+        while self._withheld and self._withheld[0][0] <= now_ms:
+            server = heappop(self._withheld)[2]
+            if server.withheld_until_ms <= now_ms:
+                self._end_ejection(server)
+            self.earn_token(server, now_ms)
+
+    def eject(self, server: Server, until_ms: float) -> None:
+        """Withhold the token, and count the server as ejected until it is back."""
+        self.ejected_count += not server.ejected
+        server.ejected = True
+        self.withhold_token(server, until_ms)
+
+    def _end_ejection(self, server: Server) -> None:
+        self.ejected_count -= server.ejected
+        server.ejected = False
--- /dev/null
+++ b/tests/balancing/driver.py
@@ -0,0 +1,234 @@
+"""Feeds a balancer legal event sequences and checks the four rules by an account of its own.
+
+It sees events and actions only, no state of the balancer, and fails on the first action that breaks a rule.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from sandhatch.balancing.actions import Action, Cancel, Fail, Probe, Reject, Send, SetTimer
+from sandhatch.balancing.events import (
+    AttemptEnded,
+    Event,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    ProbeEnded,
+    RequestArrived,
+    ServerEntry,
+    ServerState,
+    TimerFired,
+)
+from sandhatch.balancing.policy.balancer import Balancer
+from sandhatch.balancing.settings import DeduplicationScope, Effect, Settings
+
+NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED}
+
+
+@dataclass
+class AttemptRecord:
+    """An attempt as the events and actions show it."""
+
+    server: int
+    zone: int
+    cell: int
+    sent_ms: float
+    expires_ms: float
+    outcome: Outcome | None = None
+
+
+@dataclass
+class RequestRecord:
+    """A request, and whether it has its one final answer."""
+
+    class_index: int
+    deadline_ms: float
+    attempts: list[AttemptRecord] = field(default_factory=list)
+    answers: int = 0
+    over: bool = False
+
+
+class Driver:
+    """A balancer with a simulated clock, timers, probes and attempts in flight."""
+
+    def __init__(self, settings: Settings, seed: int = 1, start: float = 1000.0) -> None:
+        self.settings = settings
+        self.balancer = Balancer(settings, seed)
+        self.now = start
+        self.listed: dict[int, ServerEntry] = {}
+        self.requests: dict[int, RequestRecord] = {}
+        self.unfinished: list[int] = []  # requests not settled yet
+        self.timers: list[tuple[float, int]] = []
+        self.probes: list[int] = []
+        self.actions: list[Action] = []
+        self.next_id = 0
+        self.warming_sends = 0
+        self.warming_allowance = 0.0
+
+    # events
+
+    def feed(self, event: Event) -> list[Action]:
+        actions = self.balancer.handle(self.now, event)
+        for action in actions:
+            self._check(action)
+        self.actions.extend(actions)
+        return actions
+
+    def update_list(self, kind: ListKind, entries: tuple[ServerEntry, ...]) -> list[Action]:
+        if kind is not ListKind.DELTA:
+            self.listed = {}
+        for entry in entries:
+            self.listed[entry.server] = entry
+        return self.feed(ListUpdate(kind, 1, entries))
+
+    def request(
+        self,
+        class_index: int = 0,
+        time_left_ms: float | None = None,
+        tenant: int = 0,
+        hint_ms: float | None = None,
+    ) -> list[Action]:
+        cls = self.settings.classes[class_index]
+        time_left_ms = cls.deadline_ms if time_left_ms is None else time_left_ms
+        self.next_id += 1
+        self.unfinished.append(self.next_id)
+        self.requests[self.next_id] = RequestRecord(class_index, self.now + time_left_ms)
+        ready = [e for e in self.listed.values() if e.state is ServerState.READY]
+        warming = [e for e in ready if self.is_warming_up(e)]
+        if warming:
+            share = self.settings.initial_capacity_share
+            grown = sum(
+                share + (1 - share) * (self.now - e.started_ms) / self.settings.warm_up_ms for e in warming
+            )
+            self.warming_allowance += grown / len(ready)
+        return self.feed(RequestArrived(self.next_id, class_index, time_left_ms, tenant, expected_ms=hint_ms))
+
+    def is_warming_up(self, entry: ServerEntry) -> bool:
+        return entry.started_ms > 0 and self.now - entry.started_ms < self.settings.warm_up_ms
+
+    def open_attempts(self) -> list[tuple[int, int]]:
+        return [
+            (r, n)
+            for r in self.unfinished
+            for n, t in enumerate(self.requests[r].attempts)
+            if t.outcome is None
+        ]
+
+    def end_attempt(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
+        record = self.requests[request]
+        attempt_record = record.attempts[attempt]
+        assert attempt_record.outcome is None
+        attempt_record.outcome = outcome
+        if outcome is Outcome.OK and not record.over:
+            record.answers += 1
+            record.over = True
+        return self.feed(
+            AttemptEnded(
+                request,
+                attempt,
+                attempt_record.server,
+                outcome,
+                record.over,
+                self.now - attempt_record.sent_ms,
+            )
+        )
+
+    def answer_probe(self, report: tuple[float, ...], outcome: Outcome = Outcome.OK) -> list[Action]:
+        return self.feed(ProbeEnded(self.probes.pop(0), outcome, 1.0, report))
+
+    def advance(self, ms: float) -> None:
+        """Let time pass a tick at a time: timers fire and attempts run into their time-outs."""
+        end = self.now + ms
+        while self.now < end:
+            self.unfinished = [r for r in self.unfinished if not self._settled(self.requests[r])]
+            due = [t for t, _ in self.timers] + [
+                self.requests[r].attempts[n].expires_ms for r, n in self.open_attempts()
+            ]
+            step = min([end, *due], default=end)
+            self.now = max(self.now, min(step, end))
+            for request, attempt in self.open_attempts():
+                if self.requests[request].attempts[attempt].expires_ms <= self.now:
+                    self.end_attempt(request, attempt, Outcome.TIMEOUT)
+            ripe = sorted(item for item in self.timers if item[0] <= self.now)
+            self.timers = [item for item in self.timers if item[0] > self.now]
+            for _, cookie in ripe:
+                self.feed(TimerFired(cookie))
+            self.check_answers()
+
+    @staticmethod
+    def _settled(record: RequestRecord) -> bool:
+        return record.over and all(t.outcome is not None for t in record.attempts)
+
+    # the rules
+
+    def check_answers(self) -> None:
+        slack = self.settings.answer_slack_ms
+        for request in self.unfinished:
+            record = self.requests[request]
+            assert record.answers <= 1, f"request {request} answered twice"
+            assert record.over or self.now <= record.deadline_ms + slack, f"request {request} lost"
+
+    def _check(self, action: Action) -> None:
+        if isinstance(action, Send):
+            self._check_send(action)
+        elif isinstance(action, Reject):
+            record = self.requests[action.request]
+            self._answer(record, action.request)
+            cls = self.settings.classes[record.class_index]
+            ran = [t for t in record.attempts if t.outcome not in NEVER_RAN]
+            harmless = cls.effect is Effect.IDEMPOTENT or (
+                cls.effect is Effect.IDEMPOTENT_WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
+            )
+            assert harmless or not ran, "rejected though it may have run"
+        elif isinstance(action, Fail):
+            self._answer(self.requests[action.request], action.request)
+        elif isinstance(action, SetTimer):
+            assert action.delay_ms >= 0
+            self.timers.append((self.now + max(action.delay_ms, self.settings.tick_ms), action.cookie))
+        elif isinstance(action, Probe):
+            assert self.settings.may_probe
+            assert action.server in self.listed
+            self.probes.append(action.server)
+        elif isinstance(action, Cancel):
+            assert self.settings.may_cancel
+            assert action.attempt < len(self.requests[action.request].attempts)
+
+    def _answer(self, record: RequestRecord, request: int) -> None:
+        assert not record.over, f"request {request} answered after its end"
+        record.answers += 1
+        record.over = True
+
+    def _check_send(self, action: Send) -> None:
+        record = self.requests[action.request]
+        cls = self.settings.classes[record.class_index]
+        entry = self.listed.get(action.server)
+        assert not record.over, "sent for a request that is over"
+        assert entry is not None and entry.state is ServerState.READY, (
+            "sent to a server that drains or is gone"
+        )
+        assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        if not self.settings.hedging_allowed:
+            assert all(t.outcome is not None for t in record.attempts), "two attempts at once"
+        ran = [t for t in record.attempts if t.outcome not in NEVER_RAN]
+        if cls.effect is Effect.NON_IDEMPOTENT:
+            assert not ran, "unsafe sent again though it may have run"
+        if cls.effect is Effect.IDEMPOTENT_WITH_KEY and ran:
+            assert self.now < ran[0].sent_ms + cls.deduplication_ms, "keyed sent again after its memory"
+            if cls.deduplication_scope is DeduplicationScope.ZONE:
+                assert all(t.zone == entry.zone for t in ran), "keyed sent again outside its zone"
+            if cls.deduplication_scope is DeduplicationScope.CELL:
+                assert all((t.zone, t.cell) == (entry.zone, entry.cell) for t in ran), (
+                    "keyed outside its cell"
+                )
+        if self.is_warming_up(entry):
+            self.warming_sends += 1
+            # Own bound: the fair part of the traffic, cut to the capacity of the servers that warm up, and a
+            # little to begin with.
+            assert self.warming_sends <= 4 + 1.1 * self.warming_allowance, "server pushed while it warms up"
+        expires_ms = (
+            record.deadline_ms
+            if action.timeout_ms <= 0
+            else min(record.deadline_ms, self.now + action.timeout_ms)
+        )
+        record.attempts.append(AttemptRecord(entry.server, entry.zone, entry.cell, self.now, expires_ms))
--- /dev/null
+++ b/tests/balancing/policy/test_balancer.py
@@ -0,0 +1,214 @@
+"""The balancer's ordinary path, its final answers and its contract."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import replace
+
+import pytest
+
+from sandhatch.balancing.actions import Reject
+from sandhatch.balancing.errors import ContractError
+from sandhatch.balancing.events import (
+    AnswerStarted,
+    AttemptEnded,
+    ListKind,
+    Outcome,
+    ProbeEnded,
+    RequestArrived,
+    ServerEntry,
+)
+from sandhatch.balancing.policy.balancer import Balancer
+from tests.balancing.policy.harness import (
+    IDEMPOTENT,
+    PLAIN,
+    PROBING,
+    chi_square,
+    make_driver,
+    sends,
+)
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_the_draw_is_uniform_among_token_holders(seed: int) -> None:
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10, seed=seed)
+    for _ in range(4):
+        driver.request()  # four tokens are spent and stay so
+    busy = {t.server for o in driver.requests.values() for t in o.attempts}
+    counts: Counter[int] = Counter()
+    for _ in range(6000):
+        (server,) = sends(driver.request())
+        counts[server] += 1
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    assert len(busy) == 4
+    assert not busy & counts.keys()
+    assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5  # 5 degrees, odds 0.001
+
+
+def test_without_any_token_the_draw_is_over_the_ready_servers() -> None:
+    counts: Counter[int] = Counter()
+    for seed in range(3000):
+        driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
+        for _ in range(3):
+            driver.request()
+        (server,) = sends(driver.request())
+        counts[server] += 1
+    assert chi_square([counts[n] for n in range(3)]) < 13.9  # 2 degrees, odds 0.001
+
+
+def test_a_token_returns_only_when_no_attempt_is_outstanding() -> None:
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
+    driver.request()
+    driver.request()  # one attempt at each server
+    (third,) = sends(driver.request())  # no token: a second attempt somewhere
+    first = next(r for r, o in driver.requests.items() if o.attempts[0].server == third)
+    driver.end_attempt(first, 0, Outcome.OK)  # that server still has the third attempt
+    other = next(r for r, o in driver.requests.items() if o.attempts[0].server != third)
+    driver.end_attempt(other, 0, Outcome.OK)
+    (fourth,) = sends(driver.request())
+    assert fourth != third
+
+
+def test_an_instance_whose_requests_run_one_at_a_time_visits_every_server() -> None:
+    # Guards against the lone sticky token: an instance of low rate returned to the first server it had met.
+    driver = make_driver(servers=10)
+    seen = set()
+    for _ in range(100):
+        (server,) = sends(driver.request())
+        seen.add(server)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    assert len(seen) == 10
+
+
+def test_without_tokens_attempts_are_spread_evenly() -> None:
+    # Guards against piling a third attempt onto a server while another has one.
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=5)
+    for _ in range(10):
+        driver.request()
+    load = Counter(t.server for o in driver.requests.values() for t in o.attempts)
+    assert set(load.values()) == {2}
+
+
+def test_own_counts_choose_only_while_own_attempts_outnumber_the_servers() -> None:
+    # Guards the design's fallback: with no token held, any ready server may be drawn, a withheld one too.
+    counts: Counter[bool] = Counter()
+    for seed in range(600):
+        driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
+        for _ in range(3):
+            driver.request(class_index=1)
+        withheld = driver.requests[1].attempts[0].server
+        driver.end_attempt(1, 0, Outcome.ERROR)
+        counts[sends(driver.request()) == [withheld]] += 1
+    assert 150 < counts[True] < 250
+
+
+def test_servers_withheld_for_slowness_share_the_load_while_own_attempts_outnumber_the_servers() -> None:
+    # Guards against the pile-up: slow servers left out, all requests go to the rest, which get slow in turn.
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4)
+    for _ in range(200):  # servers 0 to 2 are known to be slow, and their tokens are withheld
+        (server,) = sends(driver.request(class_index=1))
+        driver.advance(5.0 if server == 3 else 20.0)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    assert sum(s.withheld_until_ms > driver.now for s in driver.balancer.server_list.servers.values()) >= 2
+    for _ in range(40):
+        driver.request(class_index=1)
+    load = Counter(driver.requests[r].attempts[0].server for r, _ in driver.open_attempts())
+    assert max(load.values()) <= 2 * min(load.values()) and len(load) == 4
+
+
+def test_same_seed_same_actions() -> None:
+    runs = []
+    for _ in range(2):
+        driver = make_driver(PROBING, seed=9)
+        for n in range(50):
+            driver.request(n % 2)
+            if driver.probes:
+                driver.answer_probe((0.1, float(n % 3)))
+            driver.advance(7.0)
+        runs.append(driver.actions)
+    assert runs[0] == runs[1]
+
+
+def test_a_request_is_queued_for_a_server_and_answered_when_none_comes() -> None:
+    driver = make_driver(servers=0)
+    driver.request()
+    assert not driver.requests[1].over
+    driver.update_list(ListKind.DELTA, (ServerEntry(4),))
+    driver.advance(20.0)
+    assert [t.server for t in driver.requests[1].attempts] == [4]
+    empty = make_driver(servers=0)
+    empty.request(1)
+    empty.advance(500.0)
+    assert empty.requests[1].answers == 1
+
+
+def test_a_streamed_answer_belongs_to_the_client() -> None:
+    driver = make_driver(replace(PLAIN, classes=(replace(IDEMPOTENT, streaming=True),)))
+    driver.request()
+    driver.feed(AnswerStarted(1, 0, driver.requests[1].attempts[0].server))
+    driver.requests[1].over = True
+    driver.requests[1].attempts[0].outcome = Outcome.RESET
+    assert driver.feed(AttemptEnded(1, 0, driver.requests[1].attempts[0].server, Outcome.RESET, True)) == []
+
+
+def test_every_rejection_says_when_to_retry() -> None:
+    # Guards against a client that retries at once what no server could take: in a request's time none can.
+    driver = make_driver(replace(PLAIN, max_retry_after_ms=2000.0), servers=2)
+    for _ in range(30):
+        driver.request(0)
+        driver.advance(10.0)
+        for request, attempt in driver.open_attempts():
+            driver.end_attempt(request, attempt, Outcome.FULL)
+    driver.advance(20_000.0)
+    rejected = [action for action in driver.actions if isinstance(action, Reject)]
+    assert rejected and all(10.0 < action.wait_ms <= 2000.0 for action in rejected)
+
+
+def test_a_rejection_names_a_wait_that_still_serves_the_client_or_the_longest() -> None:
+    # Guards rejected requests: with a wait beyond their objective they are lost though slots get free.
+    settings = replace(
+        PLAIN,
+        max_retry_after_ms=2000.0,
+        classes=(replace(IDEMPOTENT, objective_ms=600.0, deadline_ms=900.0),),
+    )
+    driver = make_driver(settings, servers=2)
+    for _ in range(50):
+        driver.request(0)
+        driver.advance(40.0)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    driver.balancer.admission.load = 1000.0  # the servers are full
+    (early,) = [a for a in driver.request(0) if isinstance(a, Reject)]
+    assert 20.0 <= early.wait_ms < 200.0
+    (late,) = [
+        a for a in driver.request(0, time_left_ms=5.0) if isinstance(a, Reject)
+    ]  # comes too late for its objective
+    assert late.wait_ms == 2000.0
+
+
+def test_a_request_without_time_for_an_answer_is_rejected_at_once() -> None:
+    # Guards servers against work nobody can use, and against time-outs that come of having had no time.
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
+    usual = driver.balancer.latency.mean_ms[0]
+    driver.request(0, time_left_ms=0.2 * usual)
+    assert driver.requests[1].over and not driver.requests[1].attempts
+    driver.request(0, time_left_ms=0.5 * usual)
+    assert len(driver.requests[2].attempts) == 1
+
+
+def test_a_broken_contract_raises_an_error_that_names_it() -> None:
+    balancer = Balancer(PLAIN, 1)
+    balancer.handle(5.0, RequestArrived(1, 0, 100.0))
+    with pytest.raises(ContractError, match="twice"):
+        balancer.handle(5.0, RequestArrived(1, 0, 100.0))
+    with pytest.raises(ContractError, match="time went back"):
+        balancer.handle(4.0, ProbeEnded(1, Outcome.OK))
+    with pytest.raises(ContractError, match="class 9"):
+        balancer.handle(6.0, RequestArrived(2, 9, 100.0))
+    with pytest.raises(ContractError, match="unknown event"):
+        balancer.handle(6.0, "hello")  # type: ignore[arg-type]
+
+
+def test_late_and_odd_events_are_ignored() -> None:
+    driver = make_driver()
+    assert driver.feed(AttemptEnded(99, 0, 0, Outcome.OK, True)) == []
+    assert driver.feed(ProbeEnded(77, Outcome.OK, 1.0, ())) == []
--- /dev/null
+++ b/tests/balancing/policy/test_latency_estimates.py
@@ -0,0 +1,65 @@
+"""Latency estimates, and the objective that is derived from the time left."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from random import Random
+
+from sandhatch.balancing.actions import Reject, Send
+from sandhatch.balancing.events import (
+    Outcome,
+)
+from sandhatch.balancing.majority_value import MajorityValue
+from tests.balancing.policy.harness import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    PLAIN,
+    make_driver,
+)
+
+
+def test_attempts_time_out_just_before_the_objective_where_late_answers_have_no_value() -> None:
+    driver = make_driver()
+    (send,) = [a for a in driver.request(1) if isinstance(a, Send)]
+    assert 90.0 < send.timeout_ms < 100.0
+    late = make_driver(replace(PLAIN, classes=(replace(NON_IDEMPOTENT, late_priority_weight=0.5),)))
+    (send,) = [a for a in late.request() if isinstance(a, Send)]
+    assert send.timeout_ms == 400.0
+
+
+def test_a_last_retry_with_the_rest_of_the_deadline_does_not_make_fresh_requests_late() -> None:
+    # Guards fresh requests against time-outs of milliseconds: the longest time left is not the common one.
+    driver = make_driver(servers=40)
+    for _ in range(20):
+        driver.request(1, time_left_ms=250.0)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    driver.request(1, time_left_ms=390.0)
+    driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    (send,) = [a for a in driver.request(1, time_left_ms=250.0) if isinstance(a, Send)]
+    assert send.timeout_ms > 90.0
+    late = driver.request(
+        1, time_left_ms=210.0
+    )  # 190 ms of the deadline are over already, and the objective with them
+    assert [type(a) for a in late] == [Reject]
+
+
+def test_a_majority_value_needs_a_clear_majority() -> None:
+    majority = MajorityValue()
+    rng = Random(3)
+    assert all(majority.vote(rng.uniform(0.0, 1000.0), 1.0) for _ in range(500))
+    for _ in range(50):
+        majority.vote(700.0, 1.0)
+    assert majority.vote(701.0, 1.0)
+    assert not majority.vote(300.0, 1.0)
+
+
+def test_a_fresh_instance_learns_the_latency_from_its_first_answers() -> None:
+    # Guards the start: what it goes by at first is a guess from the objective, far above what answers take.
+    driver = make_driver(
+        replace(PLAIN, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, objective_ms=3000.0, deadline_ms=9000.0)))
+    )
+    for _ in range(5):
+        driver.request(1)
+        driver.advance(100.0)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    assert driver.balancer.latency.mean_ms[1] < 300.0
--- /dev/null
+++ b/tests/balancing/policy/test_retry_rules.py
@@ -0,0 +1,182 @@
+"""Which attempts and rejections are allowed, and how many retries are affordable."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from sandhatch.balancing.actions import Fail, Send
+from sandhatch.balancing.events import (
+    ListKind,
+    Outcome,
+    ServerEntry,
+)
+from sandhatch.balancing.policy.retry_rules import RetryRules
+from sandhatch.balancing.records import Attempt, Request, Server
+from sandhatch.balancing.settings import (
+    DeduplicationScope,
+    Effect,
+    RequestClass,
+    Settings,
+)
+from tests.balancing.driver import Driver
+from tests.balancing.policy.harness import (
+    IDEMPOTENT,
+    NON_IDEMPOTENT,
+    PLAIN,
+    make_driver,
+    sends,
+)
+
+
+def test_a_non_idempotent_request_is_retried_only_after_proof_that_nothing_ran() -> None:
+    driver = make_driver(servers=5)
+    driver.request(1)
+    assert len(sends(driver.end_attempt(1, 0, Outcome.CONNECT_FAILED))) == 1
+    actions = driver.end_attempt(1, 1, Outcome.RESET)
+    assert actions == [Fail(1)]
+
+
+def test_a_keyed_request_stays_in_the_zone_of_its_first_server() -> None:
+    keyed = RequestClass(
+        200.0,
+        400.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_ms=300.0,
+    )
+    for seed in range(30):
+        driver = Driver(replace(PLAIN, classes=(keyed,), zones=3), seed)
+        driver.update_list(ListKind.FULL, tuple(ServerEntry(n, zone=n % 3) for n in range(9)))
+        driver.request()
+        driver.end_attempt(1, 0, Outcome.RESET)
+        zones = {t.zone for t in driver.requests[1].attempts}
+        assert len(zones) == 1
+        assert len(driver.requests[1].attempts) == 2
+
+
+def rules_for_attempts(
+    settings: Settings, request_class: RequestClass, outcomes: list[Outcome | None]
+) -> tuple[RetryRules, Request, Server]:
+    rules = RetryRules(settings)
+    request = Request(1, request_class, 0, 5000.0, 5000.0)
+    server = Server.from_entry(ServerEntry(1))
+    for outcome in outcomes:
+        attempt = Attempt(server, server.zone, server.cell, 100.0)
+        attempt.outcome = outcome
+        request.attempts.append(attempt)
+        request.outstanding += outcome is None
+    return rules, request, server
+
+
+def test_a_keyed_request_is_not_retried_after_the_deduplication_time_of_its_first_send() -> None:
+    keyed = RequestClass(
+        200.0,
+        5000.0,
+        Effect.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_ms=300.0,
+    )
+    rules, request, server = rules_for_attempts(PLAIN, keyed, [Outcome.RESET])
+    assert rules.may_send(request, server, 390.0)
+    assert not rules.may_send(request, server, 400.0)
+    unrun = rules_for_attempts(PLAIN, keyed, [Outcome.FULL])
+    assert unrun[0].may_send(unrun[1], unrun[2], 4000.0)
+
+
+def test_no_hedged_attempt_where_none_is_allowed() -> None:
+    rules, request, server = rules_for_attempts(PLAIN, IDEMPOTENT, [None])
+    assert not rules.may_send(request, server, 110.0)
+    rules, request, server = rules_for_attempts(replace(PLAIN, hedging_allowed=True), IDEMPOTENT, [None])
+    assert rules.may_send(request, server, 110.0)
+
+
+def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
+    for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
+        rules, request, server = rules_for_attempts(
+            replace(PLAIN, hedging_allowed=True), NON_IDEMPOTENT, [outcome]
+        )
+        assert not rules.may_send(request, server, 110.0)
+        assert not rules.may_reject(request)
+    for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED):
+        rules, request, server = rules_for_attempts(PLAIN, NON_IDEMPOTENT, [outcome])
+        assert rules.may_send(request, server, 110.0)
+        assert rules.may_reject(request)
+
+
+def test_no_more_attempts_than_allowed() -> None:
+    rules, request, server = rules_for_attempts(PLAIN, IDEMPOTENT, [Outcome.RESET] * 4)
+    assert not rules.may_send(request, server, 110.0)
+
+
+def test_retries_stop_when_their_budget_is_spent() -> None:
+    driver = make_driver(servers=20)
+    for _ in range(200):
+        driver.request()
+        while driver.open_attempts():
+            driver.end_attempt(*driver.open_attempts()[0], Outcome.RESET)
+    attempts = sum(len(o.attempts) for o in driver.requests.values())
+    assert attempts < 200 * 1.3 + 10
+
+
+def test_attempts_that_never_ran_are_retried_more_freely() -> None:
+    def attempts(outcome: Outcome) -> int:
+        driver = make_driver(servers=40)
+        for _ in range(100):
+            driver.request()
+            while driver.open_attempts():
+                driver.end_attempt(*driver.open_attempts()[0], outcome)
+        return sum(len(o.attempts) for o in driver.requests.values())
+
+    assert attempts(Outcome.CONNECT_FAILED) > 1.4 * attempts(Outcome.RESET)
+
+
+def test_a_retry_goes_to_another_server_than_the_one_that_failed() -> None:
+    # Guards against a request that is given up after four attempts at the same dead server.
+    for seed in range(50):
+        driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4, seed=seed)
+        for _ in range(4):
+            driver.request(1)  # no token is left
+        driver.request(1)
+        while len(driver.requests[driver.next_id].attempts) < 4:
+            driver.end_attempt(
+                driver.next_id, len(driver.requests[driver.next_id].attempts) - 1, Outcome.CONNECT_FAILED
+            )
+        tried = [one.server for one in driver.requests[driver.next_id].attempts]
+        assert len(set(tried)) == 4
+
+
+def test_an_idempotent_request_without_an_answer_is_retried_in_time() -> None:
+    # Guards against the answer that never comes, on which all of the time would be spent.
+    settings = replace(
+        PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
+    )
+    driver = make_driver(settings)
+    for _ in range(200):
+        for at in (0, 1):
+            driver.request(at)
+            driver.advance(20.0)
+            driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    driver.request(0)
+    driver.advance(150.0)
+    assert [one.outcome for one in driver.requests[driver.next_id].attempts] == [Outcome.TIMEOUT, None]
+    driver.request(1)
+    driver.advance(150.0)
+    assert [one.outcome for one in driver.requests[driver.next_id].attempts] == [None]
+
+
+def test_a_slow_idempotent_attempt_is_not_given_up_while_servers_are_full() -> None:
+    # Guards against repeats that fill full servers further.
+    settings = replace(
+        PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
+    )
+    driver = make_driver(settings)
+    for _ in range(200):
+        driver.request(0)
+        driver.advance(20.0)
+        driver.end_attempt(driver.next_id, 0, Outcome.OK)
+    for _ in range(60):
+        driver.request(1)
+        driver.advance(2.0)
+    driver.balancer.admission.load = 60.0
+    (send,) = [a for a in driver.request(0) if isinstance(a, Send)]
+    assert send.timeout_ms > 250.0
--- a/tests/fleet/test_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -44,7 +44,7 @@
     tier.run(30_000.0)
     assert len(tier.discovery.notified_ms) == copies
     for forwarder in tier.forwarders:
-        listed = forwarder.balancer.fleet.servers
+        listed = forwarder.balancer.server_list.servers
         assert all(tier.servers[number].up for number in listed) and len(listed) == 60
     later = [at for at in tier.discovery.calls_ms if at > 1_009_000.0]
     assert len(later) <= 2 * copies
@@ -70,7 +70,7 @@
     """Overload turns calls away too; the list has nothing to tell of that."""
     tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
     tier.run(20_000.0)
-    rejected = [s for f in tier.forwarders for s in f.balancer.fleet.servers.values() if s.ejections]
+    rejected = [s for f in tier.forwarders for s in f.balancer.server_list.servers.values() if s.ejections]
     assert len(tier.discovery.calls_ms) - 3 <= 6, rejected
 
 
--- a/tests/fleet/test_cold.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -12,7 +12,8 @@
 import pytest
 
 from sandhatch.balancing.events import ServerEntry
-from sandhatch.balancing.policy.balancer import Server, SlowStart
+from sandhatch.balancing.policy.slow_start import SlowStart
+from sandhatch.balancing.records import Server
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from testkit.tier import SimServer, Tier, TierPlan
 
@@ -138,10 +139,10 @@
     slow = [SlowStart(settings, rng) for _ in range(copies)]
     calls = 60_000 // copies  # each copy's, in the time before
     for copy in slow:
-        copy.watch([Server(ServerEntry(n, started_ms=1.0)) for n in range(12)], 1.0)
+        copy.watch([Server.from_entry(ServerEntry(n, started_ms=1.0)) for n in range(12)], 1.0)
         for _ in range(calls):
             copy.earn(20, 100.0)
-    late = Server(ServerEntry(99, started_ms=16_000.0))
+    late = Server.from_entry(ServerEntry(99, started_ms=16_000.0))
     for copy in slow:
         copy.watch([late], 16_000.0)
     sent, rate_per_s = 0, 600.0  # of 20 servers, each of 33 calls a second
--- a/tests/test_rules.py
+++ b/tests/balancing/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules as properties: legal event sequences, with the account kept by `tests/driver.py`."""
+"""The four rules as properties of legal event sequences; `tests/balancing/driver.py` checks them."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from sandhatch.balancing.events import (
     ClientDisconnected,
     ListKind,
+    ListUpdate,
     Outcome,
     PeerMessage,
     ServerEntry,
@@ -25,7 +26,7 @@
     Settings,
     Tenant,
 )
-from tests.driver import Driver
+from tests.balancing.driver import Driver
 
 CLASSES = (
     RequestClass(100.0, 400.0, Effect.IDEMPOTENT),
@@ -59,85 +60,85 @@
 class Rules(RuleBasedStateMachine):
     @initialize(
         probes=st.booleans(),
-        copies=st.sampled_from([1, 3, 5000]),
-        second=st.booleans(),
+        instances=st.sampled_from([1, 3, 5000]),
+        hedging=st.booleans(),
         tier=st.integers(0, 1),
-        crossing=st.sampled_from([0.0, 0.02]),
+        price_cross_zone=st.sampled_from([0.0, 0.02]),
         tenants=st.booleans(),
-        ask=st.booleans(),
+        polls=st.booleans(),
         seed=st.integers(0, 2**64 - 1),
         size=st.sampled_from([0, 1, 2, 7]),
     )
-    def start(self, probes, copies, second, tier, crossing, tenants, ask, seed, size) -> None:  # type: ignore[no-untyped-def]
+    def start(self, probes, instances, hedging, tier, price_cross_zone, tenants, polls, seed, size) -> None:  # type: ignore[no-untyped-def]
         self.driver = Driver(
             Settings(
                 classes=CLASSES,
                 tenants=(Tenant(5.0), Tenant(50.0)) if tenants else (),
                 zones=3,
                 own_zone=1,
-                instances=copies,
+                instances=instances,
                 tier=tier,
                 tick_ms=5.0,
                 tiers=2,
-                polled_discovery=ask,
+                polled_discovery=polls,
                 warm_up_ms=3000.0,
                 initial_capacity_share=0.2,
                 max_attempts=4,
                 may_cancel=True,
                 may_probe=probes,
-                hedging_allowed=second,
+                hedging_allowed=hedging,
                 report_mode=ReportMode.ON_PROBE,
                 report_fields=("running_and_waiting", "waiting"),
-                price_cross_zone=crossing,
+                price_cross_zone=price_cross_zone,
                 price_probe=0.002,
             ),
             seed,
         )
         entries = tuple(ServerEntry(n, zone=n % 3, cell=n % 2) for n in range(size))
-        self.driver.list(ListKind.CACHED, entries)
+        self.driver.update_list(ListKind.CACHED, entries)
 
     @rule(
-        klass=st.integers(0, 4),
+        class_index=st.integers(0, 4),
         left=st.sampled_from([0.5, 7.0, 90.0, 400.0, 5000.0]),
         tenant=st.integers(0, 5),
     )
-    def request(self, klass: int, left: float, tenant: int) -> None:
-        self.driver.request(klass, min(left, CLASSES[klass].deadline_ms), tenant)
+    def request(self, class_index: int, left: float, tenant: int) -> None:
+        self.driver.request(class_index, min(left, CLASSES[class_index].deadline_ms), tenant)
 
-    @rule(count=st.integers(5, 10), klass=st.integers(0, 4))
-    def burst(self, count: int, klass: int) -> None:
+    @rule(count=st.integers(5, 10), class_index=st.integers(0, 4))
+    def burst(self, count: int, class_index: int) -> None:
         for _ in range(count):
-            self.driver.request(klass)
+            self.driver.request(class_index)
 
     @rule(
-        klass=st.integers(0, 4),
+        class_index=st.integers(0, 4),
         outcomes=st.lists(
             st.tuples(st.sampled_from(list(Outcome)), st.sampled_from([0.0, 0.0, 160.0])), max_size=5
         ),
     )
-    def exchange(self, klass: int, outcomes: list[tuple[Outcome, float]]) -> None:
-        """A call and what becomes of its attempts, with idle reports for whatever it asks."""
-        self.driver.request(klass)
+    def request_with_outcomes(self, class_index: int, outcomes: list[tuple[Outcome, float]]) -> None:
+        """A request and the outcomes of its attempts, with idle reports for whatever it probes."""
+        self.driver.request(class_index)
         request = self.driver.next_id
         for outcome, wait in outcomes:
             while self.driver.probes:
-                self.driver.echo((0.0, 0.0))
+                self.driver.answer_probe((0.0, 0.0))
             if wait:
                 self.driver.advance(wait)
-            mine = [one for one in self.driver.open_tries() if one[0] == request]
+            mine = [one for one in self.driver.open_attempts() if one[0] == request]
             if mine:
-                self.driver.end(*mine[0], outcome)
+                self.driver.end_attempt(*mine[0], outcome)
 
     @rule(pick=st.integers(0, 10**6), outcome=st.sampled_from([*Outcome, Outcome.OK, Outcome.FULL]))
     def attempt_ends(self, pick: int, outcome: Outcome) -> None:
-        tries = self.driver.open_tries()
-        if tries:
-            self.driver.end(*tries[pick % len(tries)], outcome)
+        attempts = self.driver.open_attempts()
+        if attempts:
+            self.driver.end_attempt(*attempts[pick % len(attempts)], outcome)
 
     @rule(report=st.lists(VALUES, max_size=3), outcome=st.sampled_from([Outcome.OK, Outcome.OK, *Outcome]))
-    def echo(self, report: list[float], outcome: Outcome) -> None:
+    def probe_answered(self, report: list[float], outcome: Outcome) -> None:
         if self.driver.probes:
-            self.driver.echo(tuple(report), outcome)
+            self.driver.answer_probe(tuple(report), outcome)
 
     @rule(ms=st.sampled_from([0.3, 5.0, 60.0, 300.0]))
     def advance(self, ms: float) -> None:
@@ -154,15 +155,15 @@
         entries = [ServerEntry(number, state, started, zone=number % 3, cell=number % 2)]
         if kind is ListKind.FULL:
             kept = [
-                e for e in self.driver.told.values() if e.server != number and e.state is not ServerState.GONE
+                e
+                for e in self.driver.listed.values()
+                if e.server != number and e.state is not ServerState.GONE
             ]
             entries = [e for e in entries if e.state is not ServerState.GONE] + kept[1:]
-        self.driver.list(kind, tuple(entries))
+        self.driver.update_list(kind, tuple(entries))
 
     @rule()
     def list_fails(self) -> None:
-        from sandhatch.balancing.events import ListUpdate
-
         self.driver.feed(ListUpdate(ListKind.FAILED))
 
     @rule(payload=st.binary(max_size=20), cookie=st.integers(0, 2**64 - 1))
@@ -172,22 +173,22 @@
         self.driver.feed(ClientDisconnected(10**9))
 
     @rule(pick=st.integers(0, 10**6))
-    def client_leaves(self, pick: int) -> None:
-        alive = [r for r, o in self.driver.unanswered.items() if not o.over]
+    def client_disconnects(self, pick: int) -> None:
+        alive = [r for r, o in self.driver.requests.items() if not o.over]
         if alive:
             request = alive[pick % len(alive)]
-            self.driver.unanswered[request].over = True
+            self.driver.requests[request].over = True
             self.driver.feed(ClientDisconnected(request))
 
     @invariant()
-    def answers_are_owed_once(self) -> None:
+    def each_request_is_answered_once(self) -> None:
         if hasattr(self, "driver"):
             self.driver.check_answers()
 
     def teardown(self) -> None:
         if hasattr(self, "driver"):
             self.driver.advance(950.0)
-            assert all(o.over for o in self.driver.unanswered.values())
+            assert all(o.over for o in self.driver.requests.values())
             assert not self.driver.balancer.requests, "finished requests are kept"
 
 
--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -210,7 +210,7 @@
             decisions.handle = seen  # type: ignore[method-assign]
             client = dial(balancer.port)
             client.sendall(request_bytes("move", b"x"))
-            await until(lambda: decisions.held)
+            await until(lambda: decisions.queued)
             client.close()
             await until(lambda: any(isinstance(event, ClientDisconnected) for event in events))
             balancer.discovery.change(upstream.entry("a"))
@@ -319,7 +319,7 @@
             decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
             client = crowd(balancer)
-            await until(lambda: decisions.held)
+            await until(lambda: decisions.queued)
             await crowded(balancer, client)
             await leaves(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -233,7 +233,7 @@
             await until(lambda: post.dispatcher.guidances)
             weights = post.dispatcher.guidances[0].weights
             assert weights is not None and [w.server for w in weights] == [0]
-            assert set(post.dispatcher.balancer.fleet.servers) == {0, 1, 2, 3}
+            assert set(post.dispatcher.balancer.server_list.servers) == {0, 1, 2, 3}
 
     run(work())
 
--- a/tests/planning/test_ramps.py
+++ b/tests/planning/test_ramps.py
@@ -184,7 +184,7 @@
     assert again.machine is not None and again.machine.bound_ms >= begin + 3_000.0
     ramp = again.balancer.guidance_state.ramp
     assert ramp is not None
-    assert ramp.part(again.balancer.fleet.servers[0], begin + 2_000.0) == (0.0, 0.0)
+    assert ramp.part(again.balancer.server_list.servers[0], begin + 2_000.0) == (0.0, 0.0)
 
 
 @pytest.mark.parametrize("seed", range(8))
--- a/tests/planning/test_service.py
+++ b/tests/planning/test_service.py
@@ -76,7 +76,7 @@
         for forwarder in tier.forwarders:
             ramp = forwarder.balancer.guidance_state.ramp
             assert ramp is not None
-            found.append(ramp.part(forwarder.balancer.fleet.servers[0], tier.now)[0])
+            found.append(ramp.part(forwarder.balancer.server_list.servers[0], tier.now)[0])
         parts[tier.now - 1_000_000.0] = found
 
     for at in (13_900.0, 15_000.0, 16_500.0):
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -13,7 +13,7 @@
 
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
-from sandhatch.balancing.policy.balancer import SlowStart
+from sandhatch.balancing.policy.slow_start import SlowStart
 from sandhatch.config.check import CheckError
 from sandhatch.config.transactions import Refusal, RejectedError, State
 from testkit.clients import HttpClient
@@ -156,7 +156,8 @@
             await kept.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
             successor = kept.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not past
-            assert successor._latency == past._latency and successor._answers == past._answers
+            assert successor.latency.mean_ms == past.latency.mean_ms
+            assert successor.latency.answers == past.latency.answers
             client.ask()
             assert (await client.answer()).body == b"a1"
             # The look whether it is reachable opened one; the request went over the connection kept.
@@ -400,22 +401,22 @@
             assert isinstance(balancer, Balancer)
             cold = {
                 kept.server_name(farm, server.id): balancer.slow_start.is_cold(server, balancer.now)
-                for server in balancer.fleet.servers.values()
+                for server in balancer.server_list.servers.values()
             }
             assert cold == {"a1": False, "a2": True, "o2": False}
             # A change of the pool does not begin the ramp anew, nor does it give a fresh credit.
             past = balancer.slow_start
             assert isinstance(past, SlowStart)
-            (fresh,) = past._credit
-            past._credit[fresh] = 0.125, past._earned
+            (fresh,) = past.credits
+            past.credits[fresh] = 0.125, past.earned
             web2 = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000, max_attempts=3)
             await kept.confirmed(farm.config(web2, farm.pool("o1")))
             successor = kept.service.front.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not balancer
             assert isinstance(successor.slow_start, SlowStart)
-            assert {n: held for n, (held, _) in successor.slow_start._credit.items()} == {fresh: 0.125}
-            started = {s.id: s.started_ms for s in balancer.fleet.servers.values()}
-            assert {s.id: s.started_ms for s in successor.fleet.servers.values()} == started
+            assert {n: held for n, (held, _) in successor.slow_start.credits.items()} == {fresh: 0.125}
+            started = {s.id: s.started_ms for s in balancer.server_list.servers.values()}
+            assert {s.id: s.started_ms for s in successor.server_list.servers.values()} == started
         farm.close()
 
     run(work())
