--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -59,8 +59,7 @@
     def admits(self, over_quota: bool, now_ms: float) -> bool:
         """Return whether a request is admitted: not where the attempts in flight fill the window.
 
-        Traffic over its quota may fill a part of the window only, and that part closes while requests within
-        their quota are rejected: guards against a tenant's burst crowding the others out.
+        Traffic over its quota may fill a part of the window only, which closes while others are rejected.
         """
         if self.settings.tier:
             return True
@@ -79,10 +78,7 @@
         return not full
 
     def is_loaded(self, now_ms: float) -> bool:
-        """Return whether more than half of this instance's own capacity has been in flight for long.
-
-        Guards against instances of few requests each, none of which ever has more than there are servers.
-        """
+        """Return whether over half of the own capacity has been in flight for long, at any request rate."""
         own_part = self.guidance_state.own_part
         return self.load > 0.5 * SERVER_CAPACITY * self._warm_servers(now_ms) * own_part(now_ms)
 
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -91,7 +91,8 @@
     def _eject_outlier(self, server: Server, class_index: int, now_ms: float) -> None:
         """Eject after a run of failures that the failure rate of all servers makes unlikely."""
         ready = self.servers.ready_count
-        if self.failure_rate**server.strikes < MAX_CHANCE and 2 * self.servers.ejected_count < ready:
+        unlikely = self.failure_rate**server.strikes < MAX_CHANCE
+        if unlikely and 2 * self.servers.ejected_count < ready:
             # Doubles with each ejection, not with each failure, which a bad tier gives to all.
             server.ejections += 1
             # An instance of low rate comes by seldom: less than a visit's time would be no ejection.
--- a/sandhatch/balancing/policy/probing.py
+++ b/sandhatch/balancing/policy/probing.py
@@ -95,8 +95,7 @@
     def queue_pause_ms(self, mean_ms: float) -> float:
         """Draw the pause until a queued request is dispatched anew.
 
-        Guards against a herd: while probes find nearly nothing idle, several instances see the same server
-        fall idle before the first send shows. How often they find one shows how often all instances probe.
+        Guards against a thundering herd: the fewer servers are idle, the more instances find the same one.
         """
         crowd = (
             4.0 * (self._round_trip_ms + self._settings.tick_ms) / (mean_ms * max(self._idle_fraction, 0.001))
--- a/sandhatch/balancing/policy/retry_rules.py
+++ b/sandhatch/balancing/policy/retry_rules.py
@@ -50,10 +50,8 @@
         scope = request.request_class.deduplication_scope
         any_zone = scope is DeduplicationScope.ALL
         any_cell = scope is not DeduplicationScope.CELL
-        return any_zone or all(
-            attempt.zone == server.zone and (any_cell or attempt.cell == server.cell)
-            for attempt in self.may_have_run(request)
-        )
+        ran = self.may_have_run(request)
+        return any_zone or all(a.zone == server.zone and (any_cell or a.cell == server.cell) for a in ran)
 
     def may_reject(self, request: Request) -> bool:
         """Return whether a rejection is true: it tells the client that a retry is harmless."""
--- a/tests/balancing/policy/test_latency_estimates.py
+++ b/tests/balancing/policy/test_latency_estimates.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 from dataclasses import replace
-from random import Random
 
 from sandhatch.balancing.actions import Reject, Send
 from sandhatch.balancing.events import (
     Outcome,
 )
-from sandhatch.balancing.majority_value import MajorityValue
 from tests.balancing.policy.harness import (
     IDEMPOTENT,
     NON_IDEMPOTENT,
@@ -43,16 +41,6 @@
     assert [type(a) for a in late] == [Reject]
 
 
-def test_a_majority_value_needs_a_clear_majority() -> None:
-    majority = MajorityValue()
-    rng = Random(3)
-    assert all(majority.vote(rng.uniform(0.0, 1000.0), 1.0) for _ in range(500))
-    for _ in range(50):
-        majority.vote(700.0, 1.0)
-    assert majority.vote(701.0, 1.0)
-    assert not majority.vote(300.0, 1.0)
-
-
 def test_a_fresh_instance_learns_the_latency_from_its_first_answers() -> None:
     # Guards the start: what it goes by at first is a guess from the objective, far above what answers take.
     driver = make_driver(
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -1,5 +1,6 @@
-"""Forty copies and one discovery service that takes calls in turn: what each learns from its own calls when
-the list tells nothing, and how many calls that costs. In simulated time.
+"""Forty instances and one discovery service that serves polls in turn, in simulated time.
+
+What each learns from its own attempts when the endpoint list says nothing, and how many polls that costs.
 """
 
 from __future__ import annotations
@@ -32,42 +33,42 @@
     return max((sum(at <= other < at + 1_000.0 for other in times) for at in times), default=0)
 
 
-@pytest.mark.parametrize("copies", [1, 3, 40])
+@pytest.mark.parametrize("instances", [1, 3, 40])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_subscriptions_that_fell_silent_are_found_out_by_servers_that_have_gone(
-    copies: int, seed: int
-) -> None:
-    tier = Tier(replace(PLAN, forwarders=copies), seed)
+def test_silent_subscriptions_are_detected_by_servers_that_were_removed(instances: int, seed: int) -> None:
+    tier = Tier(replace(PLAN, forwarders=instances), seed)
     tier.at(9_000.0, tier.discovery.fall_silent)
     for number in range(0, 60, 3):
         tier.at(10_000.0 + 100.0 * number, lambda number=number: tier.replace(number))  # type: ignore[misc]
     tier.run(30_000.0)
-    assert len(tier.discovery.notified_ms) == copies
+    assert len(tier.discovery.notified_ms) == instances
     for forwarder in tier.forwarders:
         listed = forwarder.balancer.server_list.servers
         assert all(tier.servers[number].up for number in listed) and len(listed) == 60
     later = [at for at in tier.discovery.calls_ms if at > 1_009_000.0]
-    assert len(later) <= 2 * copies
+    assert len(later) <= 2 * instances
     assert tier.yielded(10_000.0, 30_000.0) > 0.97
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_servers_that_stay_on_the_list_and_refuse_are_no_reason_to_ask_for_ever(seed: int) -> None:
-    """A part of the fleet is cut off while discovery goes on naming it as ready."""
+def test_listed_servers_that_reject_do_not_cause_polls_for_ever(seed: int) -> None:
+    """Some servers are cut off while discovery goes on listing them as ready."""
     tier = Tier(PLAN, seed)
 
-    def cut() -> None:
+    def disconnect() -> None:
         for server in tier.servers[:20]:
-            server.up = False  # nothing is told of it
+            server.up = False  # nobody is notified
 
-    tier.at(10_000.0, cut)
+    tier.at(10_000.0, disconnect)
     tier.run(70_000.0)
-    by_copy = len([at for at in tier.discovery.calls_ms if at > 1_010_000.0]) / 40
-    assert 1.0 <= by_copy <= 5.0  # in a minute: each time that it brings nothing doubles the time to the next
+    polls_per_instance = len([at for at in tier.discovery.calls_ms if at > 1_010_000.0]) / 40
+    assert (
+        1.0 <= polls_per_instance <= 5.0
+    )  # in a minute: each time that it brings nothing doubles the time to the next
 
 
-def test_a_full_server_that_still_serves_is_no_reason_to_ask() -> None:
-    """Overload turns calls away too; the list has nothing to tell of that."""
+def test_a_full_server_that_still_serves_does_not_cause_polls() -> None:
+    """Overload causes rejections too; the list has nothing to say of that."""
     tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
     tier.run(20_000.0)
     rejected = [s for f in tier.forwarders for s in f.balancer.server_list.servers.values() if s.ejections]
@@ -75,7 +76,9 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_copies_that_start_together_with_an_old_list_ask_a_failing_discovery_in_bounds(seed: int) -> None:
+def test_instances_that_start_together_with_an_old_list_poll_a_failing_discovery_within_bounds(
+    seed: int,
+) -> None:
     """Half of the list is gone, discovery is down for five seconds and then takes one call at a time."""
     tier = Tier(PLAN, seed)
     tier.discovery.up = False
@@ -84,6 +87,6 @@
     tier.at(5_000.0, lambda: setattr(tier.discovery, "up", True))
     tier.run(30_000.0)
     calls = tier.discovery.calls_ms
-    assert most_in_a_second(calls) <= 40  # one a copy
+    assert most_in_a_second(calls) <= 40  # one an instance
     assert len(tier.discovery.notified_ms) == 40
     assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.ask_within_ms
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -1,7 +1,7 @@
-"""Six in ten servers are replaced within seconds, all cold at once, under many copies and under few.
+"""A release: six in ten servers are replaced within seconds, under many instances and under few.
 
-In simulated time, with servers that turn slow when they hold too many calls for long, and stay so until they
-hold few: what drives a warm one over at the begin is lost for the rest of the release.
+In simulated time, with servers that turn slow when too many requests are in flight there for long, and stay
+so until few are: a warm one that is overloaded at the start is lost for the rest of the release.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 SEEDS = (1, 2)
 
 
-def released(copies: int, seed: int, bad: bool = False) -> Tier:
-    """Servers 0 to 5 are replaced at random times; 6 to 9 stay. A bad one of these errs at once meanwhile."""
-    tier = Tier(replace(PLAN, forwarders=copies), seed)
-    if bad:
+def run_release(instances: int, seed: int, with_outlier: bool = False) -> Tier:
+    """Replace servers 0 to 5 at random times; 6 to 9 stay. With an outlier, 6 fails at once meanwhile."""
+    tier = Tier(replace(PLAN, forwarders=instances), seed)
+    if with_outlier:
         tier.at(BEGIN - 4_000.0, lambda: setattr(tier.servers[6], "broken", True))
         tier.at(BEGIN + 10_000.0, lambda: setattr(tier.servers[6], "broken", False))
     for number in range(6):
@@ -42,29 +42,28 @@
     return tier
 
 
-def yields(copies: int, bad: bool = False) -> float:
-    """Of what comes once all are replaced, the part served in time: the mean of the seeds."""
-    return mean(released(copies, seed, bad).yielded(BEGIN + SPAN, END) for seed in SEEDS)
+def goodput(instances: int, with_outlier: bool = False) -> float:
+    """Return the part of the requests after all are replaced that is served in time, over the seeds."""
+    return mean(run_release(instances, seed, with_outlier).yielded(BEGIN + SPAN, END) for seed in SEEDS)
 
 
-@pytest.mark.parametrize("copies", [1, 3])
-def test_warm_servers_are_not_choked_by_what_cold_ones_cannot_bear_yet(copies: int) -> None:
-    assert yields(copies) > 0.55  # about 0.3 where a cold server counts as a whole one
+@pytest.mark.parametrize("instances", [1, 3])
+def test_warm_servers_are_not_overloaded_by_what_others_cannot_take_yet(instances: int) -> None:
+    assert goodput(instances) > 0.55  # about 0.3 where a server that warms up counts as a warm one
 
 
-@pytest.mark.parametrize("copies", [3, 7])
-def test_copies_of_few_calls_each_know_that_the_tier_is_crowded(copies: int) -> None:
-    """Else they hold slow answers against single servers, and drive all calls from one to the next."""
-    assert yields(copies) > 0.93
+@pytest.mark.parametrize("instances", [3, 7])
+def test_instances_of_few_requests_each_know_that_the_tier_is_crowded(instances: int) -> None:
+    """Else slow answers count against single servers, and all requests move from one to the next."""
+    assert goodput(instances) > 0.93
 
 
-def test_cold_servers_take_their_part_of_what_all_can_do() -> None:
-    assert (
-        yields(1) > 0.9
-    )  # about 0.7 where their part is of the servers' number, and the warm ones get the rest
+def test_servers_that_warm_up_take_their_share_of_the_capacity() -> None:
+    # About 0.7 where their share is that of their number, and the warm ones get the rest.
+    assert goodput(1) > 0.9
 
 
-@pytest.mark.parametrize("copies", [1, 3, 7])
-def test_the_few_that_are_left_beside_a_bad_one_are_not_driven_over(copies: int) -> None:
-    """The total that the tier bears comes upon three servers: each needs a bound of its own."""
-    assert yields(copies, bad=True) > 0.85  # 0.34 to 0.45 without
+@pytest.mark.parametrize("instances", [1, 3, 7])
+def test_the_few_warm_servers_beside_an_outlier_are_not_overloaded(instances: int) -> None:
+    """The capacity of the whole tier comes upon three servers: each needs a limit of its own."""
+    assert goodput(instances, with_outlier=True) > 0.85  # 0.34 to 0.45 without
