--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -5,7 +5,8 @@
 from random import Random
 
 from sandhatch.balancing.events import AttemptEnded, Outcome
-from sandhatch.balancing.guidance import GuidanceState, SharedRamp
+from sandhatch.balancing.guidance.shared_ramp import SharedRamp
+from sandhatch.balancing.guidance.state import GuidanceState
 from sandhatch.balancing.policy.latency_estimates import LatencyEstimates
 from sandhatch.balancing.policy.servers import ServerList
 from sandhatch.balancing.policy.slow_start import SlowStart
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -13,7 +13,8 @@
 from sandhatch.balancing.endpoint_freshness import COOKIES, Freshness
 from sandhatch.balancing.errors import ContractError
 from sandhatch.balancing.events import NEUTRAL_OUTCOMES, NEVER_RAN, Event, ListKind, Outcome
-from sandhatch.balancing.guidance import GuidanceState, SharedRamp
+from sandhatch.balancing.guidance.shared_ramp import SharedRamp
+from sandhatch.balancing.guidance.state import GuidanceState
 from sandhatch.balancing.indexed_set import IndexedSet, draw_uniformly
 from sandhatch.balancing.policy.admission_control import AdmissionControl
 from sandhatch.balancing.policy.connection_reuse import ConnectionReuse
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start of servers that are warming up, where no stated ramp is shared (`guidance.SharedRamp`)."""
+"""Slow start of servers that are warming up, where no stated ramp is shared (`guidance.shared_ramp`)."""
 
 from random import Random
 
 from sandhatch.balancing.events import ServerState
-from sandhatch.balancing.guidance import Warming
+from sandhatch.balancing.guidance.warm_up import Warming
 from sandhatch.balancing.records import Server
 from sandhatch.balancing.settings import Settings
 
