--- a/tests/balancing/policy/test_balancer.py
+++ b/tests/balancing/policy/test_balancer.py
@@ -188,10 +188,10 @@
 def test_a_request_without_time_for_an_answer_is_rejected_at_once() -> None:
     # Guards servers against work nobody can use, and against time-outs that come of having had no time.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
-    usual = driver.balancer.latency.mean_ms[0]
-    driver.request(0, time_left_ms=0.2 * usual)
+    mean_ms = driver.balancer.latency.mean_ms[0]
+    driver.request(0, time_left_ms=0.2 * mean_ms)
     assert driver.requests[1].over and not driver.requests[1].attempts
-    driver.request(0, time_left_ms=0.5 * usual)
+    driver.request(0, time_left_ms=0.5 * mean_ms)
     assert len(driver.requests[2].attempts) == 1
 
 
--- a/tests/balancing/policy/test_outlier_detection.py
+++ b/tests/balancing/policy/test_outlier_detection.py
@@ -118,11 +118,11 @@
     assert drawn[0, 0] > 60
 
 
-@pytest.mark.parametrize("cold_ms", [0.0, 30_000.0])
-def test_a_server_that_mostly_fails_is_avoided_however_many_attempts_are_in_flight(cold_ms: float) -> None:
+@pytest.mark.parametrize("warm_up_ms", [0.0, 30_000.0])
+def test_a_server_that_mostly_fails_is_avoided_however_many_attempts_are_in_flight(warm_up_ms: float) -> None:
     # Guards against the chance success that clears it, against draws without a token, which would go to the
     # server that failed its attempts at once, and against a span that hangs on an unrelated setting.
-    driver = make_driver(replace(PLAIN, tier=1, tiers=2, warm_up_ms=cold_ms), servers=4)
+    driver = make_driver(replace(PLAIN, tier=1, tiers=2, warm_up_ms=warm_up_ms), servers=4)
     chance = Random(5)
     got: Counter[int] = Counter()
     for _ in range(1500):
--- a/tests/balancing/policy/test_probing.py
+++ b/tests/balancing/policy/test_probing.py
@@ -117,11 +117,11 @@
     rounds = []
     driver.request()
     for _ in range(3):
-        asked = 0
+        probed = 0
         while driver.probes:
-            asked += 1
+            probed += 1
             driver.answer_probe((0.0, 1.0))
-        rounds.append(asked)
+        rounds.append(probed)
         while not driver.probes:
             driver.advance(1.0)
     assert rounds == [8, 2, 2]
