--- a/sandhatch/upstream/pool.py
+++ b/sandhatch/upstream/pool.py
@@ -15,14 +15,18 @@
 
 from sandhatch.balancing.events import Outcome, ServerState
 from sandhatch.http1.body_endpoint import BodyEndpoint
-from sandhatch.http1.framing import End, Event, ResponseReader, encode_request, encode_request_head
-from sandhatch.http1.message import FramingError, Message
+from sandhatch.http1.errors import FramingError
+from sandhatch.http1.events import End, Event
+from sandhatch.http1.message import Message
+from sandhatch.http1.parser import ResponseReader
+from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock, Timer
 from sandhatch.runtime.descriptor_budget import Descriptors
 from sandhatch.runtime.memory_budget import MemoryBudget
-from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+from sandhatch.streaming.terms import StreamTerms
 
 LOAD_HEADER = b"endpoint-load-metrics"
 NEVER_RAN_HEADER = b"x-never-ran"
--- a/tests/balancing/endpoint_freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -22,8 +22,7 @@
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
 from sandhatch.runtime.errors import ConfigError
-from testkit.platform import SETTINGS, config_data
-from testkit.servers import entry
+from testkit.platform import SETTINGS, config_data, entry
 
 KEYS = ["DrainGraceMs", "AskWithinMs", "ColdMs", "FallMs", "PeersTotal"]
 NONSENSE = [-1, -0.5, "soon", None, True, [], {}, 1e400]
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -16,7 +16,9 @@
 from sandhatch.balancing.policy.slow_start import SlowStart
 from sandhatch.balancing.records import Server
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from testkit.tier import SimServer, Tier, TierPlan
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.server import SimServer
+from testkit.simulation.tier import Tier
 
 PLAN = TierPlan(
     servers=20,
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -10,8 +10,9 @@
 import socket
 from collections.abc import Callable
 
-from sandhatch.downstream.listener import waits
-from tests.fakes import PATIENCE_S, Behaviour, Incoming, Talk, ok
+from sandhatch.downstream.socket_poll import waits
+from testkit.servers import Behaviour, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 
 
 def connect_client(port: int) -> socket.socket:
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -12,17 +12,12 @@
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.actions import Action, Send
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived, TimerFired
-from sandhatch.downstream.listener import ClientConnection
+from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.upstream.pool import ServerConnection
-from tests.fakes import (
-    PATIENCE_S,
-    FakeUpstream,
-    Running,
-    Script,
-    request_bytes,
-    running,
-    status,
-)
+from testkit.clients import request_bytes
+from testkit.servers import FakeUpstream
+from testkit.wire import PATIENCE_S, status
+from tests.fakes import Running, Script, running
 from tests.race_conditions.harness import answers_when, connect_client, serves_when, wait_until
 from tests.test_attempts import run
 
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -13,8 +13,11 @@
 
 import pytest
 
+from testkit.clients import HttpClient
+from testkit.platform import SETTINGS
+from testkit.servers import FakeUpstream
 from testkit.wire import ok, read_head
-from tests.fakes import SETTINGS, FakeUpstream, HttpClient, running
+from tests.fakes import running
 from tests.race_conditions.skipping_clock import SkippingLoop, run
 
 MAX_LIST_AGE_S = 6.0  # the protocol's bound
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -7,8 +7,12 @@
 import signal
 from pathlib import Path
 
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import config_data
 from testkit.ports import free_port
-from tests.fakes import PATIENCE_S, FakeDiscovery, FakeUpstream, HttpClient, Incoming, Talk, config_data, ok
+from testkit.servers import FakeUpstream, Talk
+from testkit.wire import PATIENCE_S, Incoming, ok
 from tests.platform.harness import exit_code, ready, started
 from tests.race_conditions.harness import serves_when
 from tests.test_attempts import run
