--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -247,7 +247,7 @@
             await until(lambda: forwarder.dispatcher.guidances)
             weights = forwarder.dispatcher.guidances[0].weights
             assert weights is not None and [w.server for w in weights] == [0]
-            assert set(forwarder.dispatcher.balancer.fleet.servers) == {0, 1, 2, 3}
+            assert set(forwarder.dispatcher.balancer.server_list.servers) == {0, 1, 2, 3}
 
     run(work())
 
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -210,7 +210,7 @@
             decisions.handle = handle_recorded  # type: ignore[method-assign]
             client = connect_client(balancer.port)
             client.sendall(request_bytes("move", b"x"))
-            await wait_until(lambda: decisions.held)
+            await wait_until(lambda: decisions.queued)
             client.close()
             await wait_until(lambda: any(isinstance(event, ClientDisconnected) for event in events))
             balancer.discovery.change(upstream.entry("a"))
@@ -319,7 +319,7 @@
             decisions = balancer.dispatcher.balancer
             assert isinstance(decisions, Balancer)
             client = connect_pipelining_client(balancer)
-            await wait_until(lambda: decisions.held)
+            await wait_until(lambda: decisions.queued)
             await wait_until_reading_paused(balancer, client)
             await disconnect_unnoticed(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -8,7 +8,7 @@
 
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
-from sandhatch.balancing.policy.balancer import SlowStart
+from sandhatch.balancing.policy.slow_start import SlowStart
 from sandhatch.config.version import State
 from testkit.clients import HttpClient
 from testkit.load_generator import LoadGenerator
@@ -62,7 +62,8 @@
             await running.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
             successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not previous
-            assert successor._latency == previous._latency and successor._answers == previous._answers
+            assert successor.latency.mean_ms == previous.latency.mean_ms
+            assert successor.latency.answers == previous.latency.answers
             client.send_request()
             assert (await client.read_response()).body == b"a1"
             # The check whether it can be reached opened one; the request reused the pooled connection.
@@ -180,24 +181,26 @@
             assert isinstance(balancer, Balancer)
             cold = {
                 running.server_name(farm, server.id): balancer.slow_start.is_cold(server, balancer.now)
-                for server in balancer.fleet.servers.values()
+                for server in balancer.server_list.servers.values()
             }
             assert cold == {"a1": False, "a2": True, "o2": False}
             # A change of the pool neither restarts the warm-up nor renews the credit.
             slow_start = balancer.slow_start
             assert isinstance(slow_start, SlowStart)
-            (warming_up,) = slow_start._credit
-            slow_start._credit[warming_up] = 0.125, slow_start._earned
+            (warming_up,) = slow_start.credits
+            slow_start.credits[warming_up] = 0.125, slow_start.earned
             web2 = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000, max_attempts=3)
             await running.confirmed(farm.config(web2, farm.pool("o1")))
             successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(successor, Balancer) and successor is not balancer
             assert isinstance(successor.slow_start, SlowStart)
-            assert {number: credit for number, (credit, _) in successor.slow_start._credit.items()} == {
+            assert {number: credit for number, (credit, _) in successor.slow_start.credits.items()} == {
                 warming_up: 0.125
             }
-            started = {server.id: server.started_ms for server in balancer.fleet.servers.values()}
-            assert {server.id: server.started_ms for server in successor.fleet.servers.values()} == started
+            started = {server.id: server.started_ms for server in balancer.server_list.servers.values()}
+            assert {
+                server.id: server.started_ms for server in successor.server_list.servers.values()
+            } == started
         farm.close()
 
     run(work())
