--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -43,7 +43,7 @@
     def on_guidance_rejected(self, callback: Callable[[GuidanceRejected], None]) -> None:
         self._on_rejected = callback
 
-    def advise(self, event: Guidance | OwnSharesLeased) -> None:
+    def apply_guidance(self, event: Guidance | OwnSharesLeased) -> None:
         self.events.append(event)
         for action in self.balancer.handle(self.clock.now_ms(), event):
             assert isinstance(action, GuidanceRejected)
