--- a/tests/balancing/driver.py
+++ b/tests/balancing/driver.py
@@ -204,9 +204,8 @@
         cls = self.settings.classes[record.class_index]
         entry = self.listed.get(action.server)
         assert not record.over, "sent for a request that is over"
-        assert entry is not None and entry.state is ServerState.READY, (
-            "sent to a server that drains or is gone"
-        )
+        assert entry is not None, "sent to a server that is gone"
+        assert entry.state is ServerState.READY, "sent to a server that drains or is gone"
         assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
         if not self.settings.hedging_allowed:
             assert all(t.outcome is not None for t in record.attempts), "two attempts at once"
--- a/tests/balancing/endpoint_freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -52,7 +52,8 @@
     with pytest.raises(ConfigError) as raised:
         decode(text_of(settings_with(key, value)), {})
     message = str(raised.value)
-    assert key in message and "\n" not in message
+    assert key in message
+    assert "\n" not in message
     assert repr(value) in message or "inf" in message
 
 
--- a/tests/balancing/policy/test_balancer.py
+++ b/tests/balancing/policy/test_balancer.py
@@ -113,7 +113,8 @@
     for _ in range(40):
         driver.request(class_index=1)
     load = Counter(driver.requests[r].attempts[0].server for r, _ in driver.open_attempts())
-    assert max(load.values()) <= 2 * min(load.values()) and len(load) == 4
+    assert max(load.values()) <= 2 * min(load.values())
+    assert len(load) == 4
 
 
 def test_same_seed_same_actions() -> None:
@@ -161,7 +162,8 @@
             driver.end_attempt(request, attempt, Outcome.FULL)
     driver.advance(20_000.0)
     rejected = [action for action in driver.actions if isinstance(action, Reject)]
-    assert rejected and all(10.0 < action.wait_ms <= 2000.0 for action in rejected)
+    assert rejected
+    assert all(10.0 < action.wait_ms <= 2000.0 for action in rejected)
 
 
 def test_a_rejection_names_a_wait_that_still_serves_the_client_or_the_longest() -> None:
@@ -190,7 +192,8 @@
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     mean_ms = driver.balancer.latency.mean_ms[0]
     driver.request(0, time_left_ms=0.2 * mean_ms)
-    assert driver.requests[1].over and not driver.requests[1].attempts
+    assert driver.requests[1].over
+    assert not driver.requests[1].attempts
     driver.request(0, time_left_ms=0.5 * mean_ms)
     assert len(driver.requests[2].attempts) == 1
 
--- a/tests/balancing/policy/test_outlier_detection.py
+++ b/tests/balancing/policy/test_outlier_detection.py
@@ -40,9 +40,11 @@
         number = driver.next_id
         server = driver.balancer.server_list.servers[driver.requests[number].attempts[0].server]
         driver.end_attempt(number, 0, Outcome.CLIENT_ERROR)
-        assert driver.requests[number].over and len(driver.requests[number].attempts) == 1
+        assert driver.requests[number].over
+        assert len(driver.requests[number].attempts) == 1
         assert (server.strikes, server.outstanding, server.token) == (0, 0, True)
-    assert driver.balancer.outliers.failure_rate <= 0.1 and not driver.balancer.requests
+    assert driver.balancer.outliers.failure_rate <= 0.1
+    assert not driver.balancer.requests
 
 
 def test_a_full_server_does_not_regain_its_token_at_once() -> None:
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -45,7 +45,8 @@
     assert len(tier.discovery.notified_ms) == instances
     for forwarder in tier.forwarders:
         listed = forwarder.balancer.server_list.servers
-        assert all(tier.servers[number].up for number in listed) and len(listed) == 60
+        assert all(tier.servers[number].up for number in listed)
+        assert len(listed) == 60
     later = [at for at in tier.discovery.calls_ms if at > 1_009_000.0]
     assert len(later) <= 2 * instances
     assert tier.yielded(10_000.0, 30_000.0) > 0.97
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -114,7 +114,8 @@
     run = Run(replace(PLAN, forwarders=instances), 0.6, 1)
     run.restart(5_000.0, *range(16))
     run.run(14_000.0)
-    assert run.fullest <= 1.0 and run.least_sent > 0
+    assert run.fullest <= 1.0
+    assert run.least_sent > 0
 
 
 @pytest.mark.parametrize("instances", [3, 20, 30])
--- a/tests/balancing/test_endpoint_polling.py
+++ b/tests/balancing/test_endpoint_polling.py
@@ -25,7 +25,8 @@
     gaps = [gap_after_a_failure(driver) for _ in range(12)]
     # A change counts as notified 6 s after discovery has it, whatever failed, and a poll half the grace
     # later is answered within the grace: no pause is longer. None is short enough to be a storm.
-    assert min(gaps[1:]) >= 2_000.0 and max(gaps) <= 7_000.0 + 100.0  # the first counts from its poll's begin
+    assert min(gaps[1:]) >= 2_000.0
+    assert max(gaps) <= 7_000.0 + 100.0
     assert sum(gaps[6:]) / 6 > 4_000.0
 
 
@@ -48,8 +49,10 @@
         driver.advance(2000.0)
         driver.feed(ListUpdate(ListKind.DELTA, 2))  # the watch lives, and breaks
         gaps = [gap_after_a_failure(driver) for _ in range(18)]
-        assert gaps[0] <= 550.0 and gaps[0] + gaps[1] <= 4_600.0
-        assert max(gaps) <= 6_000.0 + 50.0 and gaps[-1] >= 2_950.0
+        assert gaps[0] <= 550.0
+        assert gaps[0] + gaps[1] <= 4_600.0
+        assert max(gaps) <= 6_000.0 + 50.0
+        assert gaps[-1] >= 2_950.0
 
 
 def test_fresh_instances_do_not_all_poll_discovery_at_once() -> None:
--- a/tests/balancing/test_guidance_state.py
+++ b/tests/balancing/test_guidance_state.py
@@ -90,7 +90,9 @@
     guidance_state, servers, warm = guidance_state_of(4)
     event.leased = True
     rejected = guidance_state.take(event, servers, warm, 1_000.0)
-    assert rejected is not None and rejected.planner == "one" and reason in rejected.why
+    assert rejected is not None
+    assert rejected.planner == "one"
+    assert reason in rejected.why
     assert [guidance_state.weight(n, 2_500.0) for n in range(4)] == [1.0] * 4
     assert guidance_state.own_part(2_500.0) == 0.25
 
--- a/tests/balancing/test_indexed_set.py
+++ b/tests/balancing/test_indexed_set.py
@@ -24,7 +24,8 @@
 def test_a_member_is_added_once_and_found_by_its_number() -> None:
     members = filled(1, 2, 2)
     assert len(members) == 2
-    assert Member(2) in members and Member(3) not in members
+    assert Member(2) in members
+    assert Member(3) not in members
 
 
 def test_removal_moves_the_last_member_into_the_gap() -> None:
--- a/tests/balancing/test_state_transfer.py
+++ b/tests/balancing/test_state_transfer.py
@@ -29,7 +29,8 @@
     successor = successor_of(driver, 4)
     assert inherit(successor.balancer, driver.balancer) == 3
     server = successor.balancer.server_list.servers[failed]
-    assert server.strikes == 1 and not server.token
+    assert server.strikes == 1
+    assert not server.token
     assert server.circuits == driver.balancer.server_list.servers[failed].circuits != {}
 
 
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -45,8 +45,11 @@
     falls = [run.block(0.4) for _ in range(30)]
     at = next(n for n, fall in enumerate(falls) if fall)
     fall = falls[at]
-    assert fall is not None and fall.name == ALL
-    assert fall.before > 0.85 and fall.after < 0.6 and fall.rejected_after > 0.3
+    assert fall is not None
+    assert fall.name == ALL
+    assert fall.before > 0.85
+    assert fall.after < 0.6
+    assert fall.rejected_after > 0.3
     assert "the goodput of all classes fell from 0." in str(fall)
 
 
@@ -64,7 +67,8 @@
         fall = run.watch.close(run.now, 2_000.0)
         if fall:
             break
-    assert fall is not None and fall.name == "order"
+    assert fall is not None
+    assert fall.name == "order"
 
 
 def test_two_hundred_good_changes_under_noise_raise_no_alarm() -> None:
@@ -110,7 +114,8 @@
     run.begin()
     falls = [run.block(0.0) for _ in range(12)]
     at = next(n for n, fall in enumerate(falls) if fall)
-    assert at <= 9 and "a collapse over" in str(falls[at])
+    assert at <= 9
+    assert "a collapse over" in str(falls[at])
 
 
 def test_a_rise_of_load_that_fills_the_pool_is_no_fall() -> None:
@@ -155,7 +160,8 @@
             watch.request_arrived(n * BLOCK_MS + 1.0, "order", "web", 1.0)
     assert watch.close(52 * BLOCK_MS, 10_000_000.0) is None
     fall = watch.close(52 * BLOCK_MS + 2_000.0, 2_000.0)
-    assert fall is not None and fall.after == 0.0
+    assert fall is not None
+    assert fall.after == 0.0
     watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # too late to count
 
 
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -150,12 +150,16 @@
     for size in range(len(complete)):
         path.write_bytes(complete[:size])
         saved = history.load()
-        assert saved is not None and saved.data == {"v": 1} and saved.lost_version == 2 and saved.notes, size
+        assert saved is not None, size
+        assert saved.data == {"v": 1}, size
+        assert saved.lost_version == 2, size
+        assert saved.notes, size
     flipped = bytearray(complete)
     flipped[len(complete) // 2] ^= 1
     path.write_bytes(flipped)
     saved = history.load()
-    assert saved is not None and saved.confirmed == 1
+    assert saved is not None
+    assert saved.confirmed == 1
     (tmp_path / "state.json.old").write_bytes(b"")
     with pytest.raises(HistoryError, match="checksum"):
         history.load()
@@ -193,7 +197,8 @@
     for _ in range(2):  # the state before still names what came before it
         save(history, 4, 0, {4: {"v": 4}})
     assert sorted(p.name for p in tmp_path.glob("[0-9]*.json")) == ["4.json"]
-    assert history.content(4) == {"v": 4} and history.content(2) is None
+    assert history.content(4) == {"v": 4}
+    assert history.content(2) is None
     assert (tmp_path / "4.json").stat().st_mode & 0o077 == 0
     history.close()
 
--- a/tests/config/test_planning_model.py
+++ b/tests/config/test_planning_model.py
@@ -51,7 +51,8 @@
     model = check_text(json.dumps(data)).model
     settings = pool_settings(model, model.pools["web"])
     assert (settings.instance_index, settings.instances, settings.ramp_per_s) == (2, 3, 0.0)
-    assert model.planning is not None and model.planning.forwarder == "forwarder-2"
+    assert model.planning is not None
+    assert model.planning.forwarder == "forwarder-2"
 
 
 def test_without_planning_the_settings_are_those_of_a_single_instance() -> None:
--- a/tests/config/test_rank_statistics.py
+++ b/tests/config/test_rank_statistics.py
@@ -48,4 +48,5 @@
     assert correlation_length(alone) <= 2
     bursts = [float(n % 24 >= 6) for n in range(120)]
     assert 3 <= correlation_length(bursts) <= 12
-    assert correlation_length([1.0] * 50) == 1 and correlation_length([]) == 1
+    assert correlation_length([1.0] * 50) == 1
+    assert correlation_length([]) == 1
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -103,20 +103,28 @@
 def test_a_change_passes_every_state_until_it_is_confirmed() -> None:
     owner = FakeOwner()
     version = owner.commit(WEB3)
-    assert version.state is State.STAGING and owner.in_force.number == 1
+    assert version.state is State.STAGING
+    assert owner.in_force.number == 1
     owner.finish_staging()
-    assert version.state is State.SAVING and owner.in_force.number == 1 and owner.disk == (1, 2)
+    assert version.state is State.SAVING
+    assert owner.in_force.number == 1
+    assert owner.disk == (1, 2)
     owner.finish_save()
-    assert version.state is State.ACTIVE and owner.in_force is version and owner.watched == [2]
+    assert version.state is State.ACTIVE
+    assert owner.in_force is version
+    assert owner.watched == [2]
     owner.now += 29_999.0
     owner.transactions.tick(owner.now)
     assert version.state is State.ACTIVE
     owner.now += 1.0
     owner.transactions.tick(owner.now)
     owner.carry_out()
-    assert version.state is State.CONFIRMING and owner.disk == (2, 0)
+    assert version.state is State.CONFIRMING
+    assert owner.disk == (2, 0)
     owner.finish_save()
-    assert version.state is State.CONFIRMED and owner.retired == [1] and owner.transactions.pending is None
+    assert version.state is State.CONFIRMED
+    assert owner.retired == [1]
+    assert owner.transactions.pending is None
 
 
 def test_of_two_changes_of_one_key_one_is_committed_and_the_other_gets_the_keys() -> None:
@@ -145,11 +153,13 @@
         try:
             committed.append(owner.transactions.commit(owner.now, number))
         except RejectedError as error:
-            assert error.reason is RejectionReason.CONFLICT and error.keys == ["pools.web.max_connections"]
+            assert error.reason is RejectionReason.CONFLICT
+            assert error.keys == ["pools.web.max_connections"]
     owner.carry_out()
     owner.finish_staging()
     owner.finish_save()
-    assert len(committed) == 1 and owner.in_force is committed[0]
+    assert len(committed) == 1
+    assert owner.in_force is committed[0]
 
 
 def test_a_change_of_other_keys_is_busy_until_the_first_ends_and_merges_then() -> None:
@@ -164,7 +174,8 @@
     owner.finish_save()
     with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, other)
-    assert info.value.keys == [] and "can be merged" in info.value.text
+    assert info.value.keys == []
+    assert "can be merged" in info.value.text
     version = owner.transactions.commit(owner.now, merged)
     assert version.data["pools"]["web"]["max_attempts"] == 3
     assert version.data["pools"]["orders"]["max_attempts"] == 3
@@ -196,7 +207,9 @@
     owner.now += 200.0
     owner.transactions.tick(owner.now)
     owner.carry_out()
-    assert version.state is State.ROLLED_BACK and owner.in_force.number == 1 and owner.retired == [2]
+    assert version.state is State.ROLLED_BACK
+    assert owner.in_force.number == 1
+    assert owner.retired == [2]
     assert owner.disk == (1, 0)
 
 
@@ -205,7 +218,8 @@
     version = owner.activate(WEB3)
     owner.transactions.goodput_fell(version, "the goodput fell")
     owner.carry_out()
-    assert version.state is State.ROLLED_BACK and version.why == "the goodput fell"
+    assert version.state is State.ROLLED_BACK
+    assert version.why == "the goodput fell"
     owner.transactions.goodput_fell(version, "again")
     assert owner.transactions.take_actions() == []
 
@@ -231,10 +245,12 @@
         owner.transactions.confirm()
     owner.transactions.rollback(owner.now)
     owner.carry_out()
-    assert version.state is State.FAILED and owner.unstaged == [2]
+    assert version.state is State.FAILED
+    assert owner.unstaged == [2]
     owner.transactions.staged(owner.staging.pop())  # too late: what was built is released
     owner.carry_out()
-    assert owner.unstaged == [2, 2] and owner.in_force.number == 1
+    assert owner.unstaged == [2, 2]
+    assert owner.in_force.number == 1
     with rejected(RejectionReason.NOTHING):
         owner.transactions.confirm()
     with rejected(RejectionReason.UNKNOWN):
@@ -252,9 +268,11 @@
     owner.activate_and_confirm(WEB3)
     owner.activate_and_confirm(WEB4, 2)
     proposal = owner.transactions.rollback(owner.now)
-    assert isinstance(proposal, Proposal) and proposal.restores == 2
+    assert isinstance(proposal, Proposal)
+    assert proposal.restores == 2
     version = owner.transactions.commit(owner.now, proposal.number)
-    assert version.number == 4 and version.data == WEB3
+    assert version.number == 4
+    assert version.data == WEB3
 
 
 def test_a_save_that_fails_changes_nothing() -> None:
@@ -263,11 +281,14 @@
     owner.finish_staging()
     owner.transactions.save_failed(owner.now, owner.saves.pop(0), "No space left on device")
     owner.carry_out()
-    assert version.state is State.FAILED and "No space" in version.why and owner.in_force.number == 1
+    assert version.state is State.FAILED
+    assert "No space" in version.why
+    assert owner.in_force.number == 1
     version = owner.activate(WEB3, watched=False)
     owner.transactions.save_failed(owner.now, owner.saves.pop(0), "I/O error")
     owner.carry_out()
-    assert version.state is State.ROLLED_BACK and owner.in_force.number == 1
+    assert version.state is State.ROLLED_BACK
+    assert owner.in_force.number == 1
 
 
 def test_memory_is_bounded_over_ten_thousand_commits() -> None:
@@ -281,7 +302,8 @@
         owner.finish_staging()
         owner.finish_save()
         owner.finish_save()
-    assert len(owner.transactions.versions) <= MOST_RECORDS and not owner.transactions.proposals
+    assert len(owner.transactions.versions) <= MOST_RECORDS
+    assert not owner.transactions.proposals
     assert owner.in_force.number == 10_001
 
 
@@ -331,7 +353,8 @@
             assert transactions.active in (transactions.confirmed, pending), where
             assert transactions.confirmed.state is State.CONFIRMED, where
             if transactions.active is not transactions.confirmed:
-                assert pending is not None and pending.state in RUNNING, where
+                assert pending is not None, where
+                assert pending.state in RUNNING, where
                 assert owner.disk in ((transactions.confirmed.number, pending.number), (pending.number, 0)), (
                     where
                 )
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -79,11 +79,13 @@
         ):
             assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
             proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
-            assert proposed["ok"] and proposed["changes"] == 2
+            assert proposed["ok"]
+            assert proposed["changes"] == 2
             diff = await peer.call("diff", proposal=proposed["proposal"])
             assert any("b1.address" in line for line in diff["changes"])
             done = await peer.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
-            assert done["state"] == "in force" and done["confirm_in_ms"] > 50_000
+            assert done["state"] == "in force"
+            assert done["confirm_in_ms"] > 50_000
             client.send_request()
             assert (await client.read_response()).body == b"b1"
             status = await peer.call("status")
@@ -133,7 +135,9 @@
         async with controlled(tmp_path) as (running, _, path), Peer(path) as peer:
             peer.writer.write(encode(call))
             answer = await peer.answer()
-            assert answer["ok"] is False and answer["text"] and answer["why"] != "internal"
+            assert answer["ok"] is False
+            assert answer["text"]
+            assert answer["why"] != "internal"
             assert (await peer.call("status"))["ok"]  # the connection goes on
             assert running.service.transactions.active.number == 1
 
@@ -148,7 +152,8 @@
         async with controlled(tmp_path) as (_, _, path), Peer(path) as peer:
             peer.writer.write(malformed)
             answer = await peer.answer()
-            assert answer["ok"] is False and answer["why"] == "invalid"
+            assert answer["ok"] is False
+            assert answer["why"] == "invalid"
             assert await peer.reader.read() == b""
 
     run(work())
@@ -193,7 +198,8 @@
 
             answers = await asyncio.gather(*(propose_and_commit(number) for number in range(200)))
             succeeded = [number for number, answer in enumerate(answers) if answer["ok"]]
-            assert len(succeeded) == 1 and answers[succeeded[0]]["state"] == "confirmed"
+            assert len(succeeded) == 1
+            assert answers[succeeded[0]]["state"] == "confirmed"
             for answer in answers:
                 if not answer["ok"]:
                     assert answer["why"] == "conflict"
@@ -275,9 +281,12 @@
     bad = tmp_path / "bad.yaml"
     bad.write_text("format: 1\npools: 5\n")
     code, _, err = command("check", str(bad))
-    assert code == 1 and f"{bad}:2: pools: 5: a mapping is wanted" in err and "classes: this key" in err
+    assert code == 1
+    assert f"{bad}:2: pools: 5: a mapping is wanted" in err
+    assert "classes: this key" in err
     code, out, _ = command("check", "--json", str(bad))
-    assert code == 1 and json.loads(out)["problems"][0]["line"] in (0, 2)
+    assert code == 1
+    assert json.loads(out)["problems"][0]["line"] in (0, 2)
     assert command("check", str(tmp_path / "none"))[0] == 1
     assert command("nonsense")[0] == 2
     assert command("status", "--control", str(tmp_path / "no.sock"))[0] == 3
@@ -288,7 +297,8 @@
     example = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
     path.write_text(example.read_text(), encoding="utf-16")
     code, _, err = command("propose", str(path))
-    assert code == 1 and f"{path}: not UTF-8" in err
+    assert code == 1
+    assert f"{path}: not UTF-8" in err
 
 
 def test_the_verbs_make_their_calls_and_return_their_exit_codes(tmp_path: Path) -> None:
@@ -307,16 +317,20 @@
             assert (await run_verb("propose", str(second), "--base", "1"))[0] == 0
             assert "max_attempts" in (await run_verb("diff", "--proposal", "1"))[1]
             code, out, _ = await run_verb("commit", "1", "--confirm-within", "60")
-            assert code == 0 and "version 2: in force" in out and "taken back unless confirmed" in out
+            assert code == 0
+            assert "version 2: in force" in out
+            assert "taken back unless confirmed" in out
             code, _, err = await run_verb("commit", "2")
-            assert code == 4 and "pools.web.max_attempts" in err
+            assert code == 4
+            assert "pools.web.max_attempts" in err
             assert (await run_verb("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
             assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
             assert (await run_verb("rollback"))[0] == 0
             await running.until(lambda: running.service.transactions.active.number == 3)
             assert "confirmed" in (await run_verb("history"))[1]
             assert json.loads((await run_verb("status", "--json"))[1])["in_force"] == 3
-            assert (await run_verb("abort", "2"))[0] == 0 and (await run_verb("abort", "2"))[0] == 1
+            assert (await run_verb("abort", "2"))[0] == 0
+            assert (await run_verb("abort", "2"))[0] == 1
             assert "web:" in (await run_verb("show"))[1]
             assert running.service.transactions.versions[3].state is State.CONFIRMED
 
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -223,7 +223,8 @@
             for event in script.events
             if isinstance(event, ListUpdate) and event.kind is ListKind.FAILED
         ]
-        assert failed and all(event.version == 1 and not event.entries and event.call for event in failed)
+        assert failed
+        assert all(event.version == 1 and not event.entries and event.call for event in failed)
         upstream.close()
 
     run(work())
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -104,6 +104,7 @@
                 assert (await client.read_response()).status == 200
         draining.close()
         other.close()
-        assert draining.requests == [] and len(other.requests) == 20
+        assert draining.requests == []
+        assert len(other.requests) == 20
 
     run(work())
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -41,7 +41,8 @@
         assert seen.headers["x-trace-id"] == "77aa03aa5c7e2d41"
         assert seen.headers["idempotency-key"] == "5c0f6e1a2b3d4c59"
         assert 0 < int(seen.headers["x-expires-in-ms"]) <= 700
-        assert "x-hop" not in seen.headers and "connection" not in seen.headers
+        assert "x-hop" not in seen.headers
+        assert "connection" not in seen.headers
 
     run(work())
 
@@ -65,7 +66,8 @@
             for _ in range(3):
                 client.send_request("move", b"x")
                 answer = await client.read_response()
-                assert answer.status == 200 and answer.body == body
+                assert answer.status == 200
+                assert answer.body == body
             client.writer.close()
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while balancer.listener._connections:
--- a/tests/dispatch/test_keyed_retries.py
+++ b/tests/dispatch/test_keyed_retries.py
@@ -30,9 +30,11 @@
                     answer = await client.read_response()
                 attempts_north = sum(len(server.requests) for server in north) - north_before
                 if attempts_north:  # it may have run there: neither rejected nor sent south
-                    assert answer.status == 502 and len(south.requests) == south_before
+                    assert answer.status == 502
+                    assert len(south.requests) == south_before
                 else:
-                    assert answer.status == 200 and len(south.requests) == south_before + 1
+                    assert answer.status == 200
+                    assert len(south.requests) == south_before + 1
         assert sum(len(server.requests) for server in north) > 0
         for server in (*north, south):
             server.close()
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -128,7 +128,8 @@
             async with HttpClient(balancer.port) as last:
                 last.send_request("move", b"x")
                 assert (await last.read_response()).status == 502
-            assert pool.sockets == 3 and upstream.connections == 3
+            assert pool.sockets == 3
+            assert upstream.connections == 3
             for client in clients:
                 client.writer.close()
         upstream.close()
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -222,7 +222,8 @@
     for piece in split(rng, data):
         ours.feed(piece)
     theirs, fault = parse_with_h11(data, request)
-    assert not fault and ours.reader.fault is None
+    assert not fault
+    assert ours.reader.fault is None
     assert [row._replace(headers=(), trailers=()) for row in ours.seen] == theirs
 
 
@@ -252,9 +253,12 @@
     assert reader.open().body == b"ab"
     buffer = bytearray(b"cdefghij" + b"GET /b HTTP/1.1\r\n\r\n")
     piece, end, following = reader.feed(memoryview(buffer))
-    assert isinstance(piece, memoryview) and piece.obj is buffer and bytes(piece) == b"cdefghij"
+    assert isinstance(piece, memoryview)
+    assert piece.obj is buffer
+    assert bytes(piece) == b"cdefghij"
     assert isinstance(end, End)
-    assert isinstance(following, Message) and following.target == b"/b"
+    assert isinstance(following, Message)
+    assert following.target == b"/b"
     piece.release()
 
 
@@ -264,7 +268,8 @@
     while found.reader.fault is None and fed < 10 * MAX_BODY_BYTES:
         found.feed(b"1\r\na\r\n" * 1000)
         fed += 6000
-    assert found.reader.fault is not None and found.reader.fault.text == "more framing than body"
+    assert found.reader.fault is not None
+    assert found.reader.fault.text == "more framing than body"
     assert fed < 256 * KIB
 
 
@@ -279,7 +284,8 @@
         fed += 8 * KIB
         if found.reader.fault is not None:
             break
-    assert found.reader.fault is not None and fed <= 48 * KIB
+    assert found.reader.fault is not None
+    assert fed <= 48 * KIB
 
 
 def test_a_stated_length_is_limited_at_the_head_and_chunks_where_they_exceed_it() -> None:
@@ -290,7 +296,8 @@
         reader = RequestParser()
         reader.on_head = lambda message, reader=reader: reader.stream(0, 10)  # type: ignore[misc]
         reader.feed(b"POST / HTTP/1.1\r\n" + head + more)
-        assert reader.fault is not None and reader.fault.status == 413
+        assert reader.fault is not None
+        assert reader.fault.status == 413
 
 
 def test_a_rejection_at_the_head_becomes_the_fault() -> None:
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -99,16 +99,20 @@
         (*planner_status, "--explain", address),
     ):
         code, out, err = await asyncio.to_thread(run_command, *arguments)
-        assert code == 0 and out and not err
+        assert code == 0
+        assert out
+        assert not err
     code, _, err = await asyncio.to_thread(run_command, *planner_status, "--explain", "10.9.9.9:1")
-    assert code == 1 and "no forwarder has named server 10.9.9.9:1" in err
+    assert code == 1
+    assert "no forwarder has named server 10.9.9.9:1" in err
 
 
 def test_a_planner_and_a_forwarder_started_from_the_command_line_connect(tmp_path: Path) -> None:
     planner_public_key = new_key(tmp_path / "planner.key")
     forwarder_public_key = new_key(tmp_path / "forwarder.key")
     code, _, err = run_command("planner", "key", str(tmp_path / "planner.key"))
-    assert code == 1 and "File exists" in err
+    assert code == 1
+    assert "File exists" in err
     planner_port, listen_port = free_port(), free_port()
     planner_file = write_planner_file(tmp_path, planner_port, forwarder_public_key)
     planner_control, forwarder_control = str(tmp_path / "p.sock"), str(tmp_path / "f.sock")
@@ -118,7 +122,8 @@
         forwarder_file = write_forwarder_file(tmp_path, farm, listen_port, planner_port, planner_public_key)
         planner = await spawn("planner", "run", str(planner_file), "--control", planner_control)
         forwarder = await spawn("serve", str(forwarder_file), "--control", forwarder_control)
-        assert planner.stderr is not None and forwarder.stderr is not None
+        assert planner.stderr is not None
+        assert forwarder.stderr is not None
         try:
             async with asyncio.timeout(3 * RESPONSE_TIMEOUT_S):
                 assert b"planner p0 at 127.0.0.1" in await planner.stderr.readline()
@@ -146,7 +151,8 @@
     def errors(text: str) -> str:
         file.write_text(text)
         code, out, err = run_command("planner", "check", str(file))
-        assert code == 1 and not out
+        assert code == 1
+        assert not out
         return err.replace(str(file), "FILE")
 
     assert "FILE:3: listen: 'here': an IPv4 address and port is wanted" in errors(
@@ -172,7 +178,8 @@
     file = tmp_path / "planner.yaml"
     file.write_text(f"format: 1\nname: p0\nlisten: 127.0.0.1:0\nshared_key_file: {tmp_path}/none\n")
     code, _, err = run_command("planner", "run", str(file), "--control", str(tmp_path / "c"))
-    assert code == 1 and "none: No such file or directory" in err
+    assert code == 1
+    assert "none: No such file or directory" in err
 
 
 def test_a_status_query_without_a_running_planner_has_its_own_exit_code(tmp_path: Path) -> None:
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -36,7 +36,8 @@
         async with serving(plain) as kept, HttpClient(kept.port) as client:
             version = await kept.commit(with_planner(farm, tmp_path / "none", 1))
             assert version.state is State.FAILED
-            assert "planning: " in version.why and "No such file or directory" in version.why
+            assert "planning: " in version.why
+            assert "No such file or directory" in version.why
             client.send_request()
             assert (await client.read_response()).status == 200
         farm.close()
@@ -59,7 +60,8 @@
     data["pools"]["orders"]["planned"] = False
     await kept.confirmed(data)
     assert link is not None
-    assert kept.service.forwarding.link is link and link.pools == ["web"]
+    assert kept.service.forwarding.link is link
+    assert link.pools == ["web"]
     await check_request_is_served(client)
     pools = planner.planner.pools
     await until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
@@ -76,7 +78,8 @@
     lease_end_ms = link.forwarder.bound_ms
     await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
     replacement = kept.service.forwarding.link
-    assert replacement is not None and replacement is not link
+    assert replacement is not None
+    assert replacement is not link
     assert replacement.forwarder.bound_ms >= lease_end_ms - 1.0
     await until(lambda: "other" in planner.planner.members)
 
@@ -92,7 +95,8 @@
             await check_request_is_served(client)
             assert forwarding.status() is None
             await kept.confirmed(with_planner(farm, key, planner.port))
-            assert forwarding.link is not None and set(forwarding.link.pools) == {"web", "orders"}
+            assert forwarding.link is not None
+            assert set(forwarding.link.pools) == {"web", "orders"}
             await until(lambda: "web" in planner.planner.pools)
             assert list(planner.planner.members) == ["forwarder-0"]
             await check_request_is_served(client)
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -24,11 +24,13 @@
     driver.answer("p0", has_lease=False)
     received = driver.now
     driver.tick(0.0)
-    assert driver.reports["p0"].leases_shares and driver.reports["p0"].version == 1
+    assert driver.reports["p0"].leases_shares
+    assert driver.reports["p0"].version == 1
     assert driver.lease_ends_ms[-1] == received + 3_030.0
     assert not driver.guidances[0].leased
     driver.answer("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
-    assert driver.guidances[-1].leased and driver.guidances[-1].parts[0].rate == 0.5
+    assert driver.guidances[-1].leased
+    assert driver.guidances[-1].parts[0].rate == 0.5
 
 
 def test_shares_granted_by_a_planner_without_the_lease_are_ignored() -> None:
@@ -38,7 +40,8 @@
     driver.rounds(4, "p0", "p1")
     assert driver.machine.leased_to == "p0"
     driver.answer("p1", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 1.0, 4.0)], 0.5)])
-    assert not driver.guidances[-1].leased and driver.guidances[-1].own_part is None
+    assert not driver.guidances[-1].leased
+    assert driver.guidances[-1].own_part is None
 
 
 def test_a_new_incarnation_of_the_lessee_continues_with_the_shares_that_are_held() -> None:
@@ -53,7 +56,8 @@
     assert [(share.rate, share.burst) for share in report.pools[0].held] == [(0.5, 2.0)]
     driver.answer("p0", learning=True, has_lease=False)
     driver.tick(0.0)
-    assert driver.reports["p0"].leases_shares and driver.reports["p0"].epoch == 2
+    assert driver.reports["p0"].leases_shares
+    assert driver.reports["p0"].epoch == 2
 
 
 def test_invalid_advice_is_rejected_with_a_reason() -> None:
@@ -120,7 +124,8 @@
     driver.connect("p0", 5)
     driver.machine.lost("p0")
     driver.connect("p0", 4)
-    assert driver.drops and driver.drops[0].why == "epoch 4 is before 5"
+    assert driver.drops
+    assert driver.drops[0].why == "epoch 4 is before 5"
 
 
 def test_a_planners_note_is_logged_once() -> None:
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -60,7 +60,9 @@
             assert 1_500.0 < guidance.until_ms - guidance.report_sent_ms < 2_000.0
             (pool,) = reports[0].pools
             assert (pool.pool, pool.instances, pool.burst, pool.names) == ("core", 4, 4.0, ADDRESSES)
-            assert pool.warm == [0, 1, 2, 3] and not pool.cold and not reports[0].leases_shares
+            assert pool.warm == [0, 1, 2, 3]
+            assert not pool.cold
+            assert not reports[0].leases_shares
 
     run(work())
 
@@ -246,7 +248,8 @@
         ):
             await until(lambda: forwarder.dispatcher.guidances)
             weights = forwarder.dispatcher.guidances[0].weights
-            assert weights is not None and [w.server for w in weights] == [0]
+            assert weights is not None
+            assert [w.server for w in weights] == [0]
             assert set(forwarder.dispatcher.balancer.server_list.servers) == {0, 1, 2, 3}
 
     run(work())
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -22,8 +22,10 @@
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     advice = forwarder.report(0.0)
-    assert advice.learning and not advice.has_lease
-    assert advice.pools[0].weights is None and advice.pools[0].own_share is None
+    assert advice.learning
+    assert not advice.has_lease
+    assert advice.pools[0].weights is None
+    assert advice.pools[0].own_share is None
     now = report_rounds(planner, [forwarder], 250.0, 16, SLOW)
     advice = forwarder.report(now)
     assert not advice.learning
@@ -103,7 +105,8 @@
         first.report(now, cold=[3])
         advice = second.report(now, cold=[3])
     assert "place 0 is f0's" in advice.note
-    assert not advice.has_lease and not advice.pools[0].ramp_shares
+    assert not advice.has_lease
+    assert not advice.pools[0].ramp_shares
     assert first.report(500.0).pools[0].ramp_shares
 
 
@@ -141,4 +144,5 @@
     assert min(own_shares) > 0.85 * 0.1
     assert own_shares[0] < 0.25
     rates = [advice.ramp_shares[0].rate for advice in advices]
-    assert sum(rates) <= 1.0 + 1e-9 and min(rates[1:]) > 0.65 * 0.1
+    assert sum(rates) <= 1.0 + 1e-9
+    assert min(rates[1:]) > 0.65 * 0.1
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -49,7 +49,8 @@
     observer = observer_of(started_ms={1: 1_000.0})
     reporter = observer.tell()
     first, _ = reporter.report("core", 2_000.0, 10_000)
-    assert first.anew and first.names == ["10.0.0.0:80", "10.0.0.1:80", "10.0.0.2:80"]
+    assert first.anew
+    assert first.names == ["10.0.0.0:80", "10.0.0.1:80", "10.0.0.2:80"]
     assert (first.warm, first.cold, first.not_ready, first.rows) == ([0, 2], [1], [], [])
     second, _ = reporter.report("core", 2_100.0, 10_000)
     assert second == PoolReport("core")
@@ -169,4 +170,6 @@
     assert (report.not_ready, report.rows) == ([1], [])
     observer.on_event(AttemptEnded(1, 0, 1, Outcome.RESET, True, 30.0), [])
     assert reporter.report("core", 4.0, 10_000).report.rows == []
-    assert 1 not in observer.totals and 1 not in reporter.changed and 1 not in reporter._reported_totals
+    assert 1 not in observer.totals
+    assert 1 not in reporter.changed
+    assert 1 not in reporter._reported_totals
--- a/tests/planning/test_quantile_sketch.py
+++ b/tests/planning/test_quantile_sketch.py
@@ -24,5 +24,6 @@
     copy.decay(0.5)
     assert abs(copy.total - total.total / 2.0) < 1.0
     assert QuantileSketch().quantile(0.5) == 0.0
-    assert bucket_of(1e12) == BUCKETS - 1 and bucket_of(0.0) == 0
+    assert bucket_of(1e12) == BUCKETS - 1
+    assert bucket_of(0.0) == 0
     assert value_of(bucket_of(50.0)) / 50.0 < 1.11
--- a/tests/planning/test_receive_limit.py
+++ b/tests/planning/test_receive_limit.py
@@ -12,4 +12,5 @@
     assert not limit.take(10, 0.0)
     assert limit.take(10, 300.0)
     wide = ReceiveLimit(10.0, 1_000.0, 2.0, 0.0)
-    assert wide.take(MAX_FRAME_BYTES, 0.0) and not wide.take(1_000, 0.0)
+    assert wide.take(MAX_FRAME_BYTES, 0.0)
+    assert not wide.take(1_000, 0.0)
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -184,7 +184,8 @@
     restarted.settings = replace(restarted.settings, instance_index=3)
     tier.restart(0)
     begin = tier.now
-    assert restarted.machine is not None and restarted.machine.bound_ms >= begin + 3_000.0
+    assert restarted.machine is not None
+    assert restarted.machine.bound_ms >= begin + 3_000.0
     ramp = restarted.balancer.guidance_state.ramp
     assert ramp is not None
     assert ramp.part(restarted.balancer.server_list.servers[0], begin + 2_000.0) == RampAllocation(0.0, 0.0)
--- a/tests/planning/test_weights.py
+++ b/tests/planning/test_weights.py
@@ -20,13 +20,15 @@
 def test_a_slow_server_gets_less_weight_with_the_reason() -> None:
     weights = weights_after({2: Row(2, 1, 4, 0, 0, 160.0)})
     assert list(weights) == [2]
-    assert 0.2 <= weights[2][0] <= 0.45 and weights[2][1] == "slow"
+    assert 0.2 <= weights[2][0] <= 0.45
+    assert weights[2][1] == "slow"
 
 
 def test_a_server_with_excess_outstanding_attempts_gets_less_weight() -> None:
     rows = {n: Row(n, 4, 4, 0, 0, 4_000.0) for n in range(10)}
     weights = weights_after(rows | {2: Row(2, 12, 4, 0, 0, 4_000.0)})
-    assert weights[2][1] == "crowded" and weights[2][0] < 0.8
+    assert weights[2][1] == "crowded"
+    assert weights[2][0] < 0.8
 
 
 def test_outstanding_attempts_count_little_where_attempts_are_short() -> None:
@@ -36,7 +38,8 @@
 
 def test_a_failing_server_gets_less_weight_with_the_reason() -> None:
     weights = weights_after({2: Row(2, 1, 1, 3, 0, 10.0)})
-    assert weights[2][1] == "failing" and weights[2][0] < 0.7
+    assert weights[2][1] == "failing"
+    assert weights[2][0] < 0.7
 
 
 def test_servers_that_are_all_equally_slow_keep_their_weights() -> None:
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -173,7 +173,8 @@
                 path.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 line = await next_log_line(process)
-                assert b"reload" in line and b"GW_CONFIG" in line
+                assert b"reload" in line
+                assert b"GW_CONFIG" in line
                 path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
                 for _ in range(5):
                     process.send_signal(signal.SIGHUP)
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -42,29 +42,34 @@
 
 def test_listed_tests_are_expected_failures_printed_with_their_cause(tmp_path: Path) -> None:
     code, out = run_pytest(tmp_path, RED + "\n" + RED_TOO)
-    assert code == 0 and "1 passed, 2 xfailed" in out
+    assert code == 0
+    assert "1 passed, 2 xfailed" in out
     assert "known red: tests/test_some.py::test_red: a fault (issue 7)" in out
 
 
 def test_a_red_test_that_is_not_listed_fails(tmp_path: Path) -> None:
     code, out = run_pytest(tmp_path, RED)
-    assert code == 1 and "1 failed" in out
+    assert code == 1
+    assert "1 failed" in out
 
 
 @pytest.mark.parametrize("lines", [None, "", "\n \n"])
 def test_an_empty_or_absent_file_is_the_normal_state(lines: str | None, tmp_path: Path) -> None:
     code, out = run_pytest(tmp_path, lines, "def test_sound():\n    pass\n")
-    assert code == 0 and "1 passed" in out
+    assert code == 0
+    assert "1 passed" in out
 
 
 def test_a_listed_test_that_passes_fails(tmp_path: Path) -> None:
     code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_sound | mended | issue 9\n")
-    assert code == 1 and "1 failed" in out
+    assert code == 1
+    assert "1 failed" in out
 
 
 def test_a_line_that_names_no_test_fails(tmp_path: Path) -> None:
     code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_none | gone | issue 9\n")
-    assert code != 0 and "test_none names no test" in out
+    assert code != 0
+    assert "test_none names no test" in out
 
 
 @pytest.mark.parametrize(
@@ -82,4 +87,5 @@
     with pytest.raises(ValueError, match=wrong):
         parse_known_red(lines)
     code, out = run_pytest(tmp_path, lines)
-    assert code != 0 and wrong in out
+    assert code != 0
+    assert wrong in out
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -217,7 +217,8 @@
             await wait_until(lambda: balancer.dispatcher.ready)
             event_count = len(events)
             await wait_until(lambda: any(isinstance(event, TimerFired) for event in events[event_count:]))
-            assert not balancer.dispatcher.open and not upstream.requests
+            assert not balancer.dispatcher.open
+            assert not upstream.requests
         upstream.close()
 
     run(work())
@@ -282,7 +283,8 @@
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert not second.requests and second.connections == 0
+            assert not second.requests
+            assert second.connections == 0
         first.close()
         second.close()
 
@@ -324,7 +326,8 @@
             await disconnect_unnoticed(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until(lambda: not balancer.dispatcher.open)
-            assert not upstream.requests and upstream.connections == 0
+            assert not upstream.requests
+            assert upstream.connections == 0
         upstream.close()
 
     run(work())
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -135,7 +135,8 @@
             await received.next()
             answer_list(watch, 43, False, a="leaving")
             await received.next()
-            assert list(received.states) == [2] and received.version == 45
+            assert list(received.states) == [2]
+            assert received.version == 45
 
     run(work())
 
@@ -226,7 +227,8 @@
             assert (failed.kind, failed.call, failed.why) == (ListKind.FAILED, number, "no answer in 0.2 s")
             source.watch(watch_call(3))
             target, second = await discovery.call()
-            assert "after=41" in target and second is not first
+            assert "after=41" in target
+            assert second is not first
 
     run(work())
 
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -77,7 +77,8 @@
             await drain(balancer)
             assert len(upstream.requests) == 1  # before the process may end
             answer = await read_until_close(client)
-            assert answer.startswith(b"HTTP/1.1 200") and b"Connection: close" in answer
+            assert answer.startswith(b"HTTP/1.1 200")
+            assert b"Connection: close" in answer
         upstream.close()
 
     run(work())
@@ -127,7 +128,8 @@
             client.sendall(request_bytes("move", b"x"))
             answer = await read_until_close(client)
             assert answer.count(b"HTTP/1.1 200") == 1
-            assert connection._dropped == 0 and len(upstream.requests) == 1
+            assert connection._dropped == 0
+            assert len(upstream.requests) == 1
             assert not balancer.listener.open_count
         upstream.close()
 
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -55,7 +55,9 @@
     ids.end(b"b", 1_099.0)
     assert b"a" in ids
     ids.end(b"c", 1_100.0)
-    assert b"a" not in ids and b"b" in ids and b"c" in ids
+    assert b"a" not in ids
+    assert b"b" in ids
+    assert b"c" in ids
 
 
 def test_an_id_that_was_used_again_is_remembered_from_its_last_end() -> None:
@@ -74,4 +76,5 @@
     for number in range(ids.MOST_PAST + 1):
         ids.end(b"%d" % number, 0.0)
     assert len(ids.past) == ids.MOST_PAST
-    assert b"0" not in ids and b"1" in ids
+    assert b"0" not in ids
+    assert b"1" in ids
--- a/tests/runtime/test_coalescing_runner.py
+++ b/tests/runtime/test_coalescing_runner.py
@@ -40,7 +40,8 @@
         assert scripted.started == 1
         scripted.release.set()
         await let_tasks_run()
-        assert scripted.started == 2 and scripted.running == 0
+        assert scripted.started == 2
+        assert scripted.running == 0
 
     asyncio.run(work())
 
--- a/tests/runtime/test_logger.py
+++ b/tests/runtime/test_logger.py
@@ -73,4 +73,5 @@
 
     asyncio.run(work())
     (line,) = capsys.readouterr().err.splitlines()
-    assert line.startswith("sandhatch a: ") and "ValueError: scripted" in line
+    assert line.startswith("sandhatch a: ")
+    assert "ValueError: scripted" in line
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -62,7 +62,8 @@
             HttpClient(running.port) as client,
         ):
             version = await running.commit(farm.config(unreachable, farm.pool("o1")))
-            assert version.state is State.FAILED and "pools.web: no list" in version.why
+            assert version.state is State.FAILED
+            assert "pools.web: no list" in version.why
             client.send_request()
             assert (await client.read_response()).body == b"a1"
             assert len(running.service.pools.alive) == 2
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -29,8 +29,10 @@
                 second["listeners"]["back"] = {"address": f"127.0.0.1:{taken.getsockname()[1]}"}
                 version = await running.commit(second)
                 assert version.state is State.FAILED
-                assert "listeners.back.address" in version.why and "in use" in version.why
-                assert len(running.service.listeners) == 1 and set(running.service.running) == {1}
+                assert "listeners.back.address" in version.why
+                assert "in use" in version.why
+                assert len(running.service.listeners) == 1
+                assert set(running.service.running) == {1}
         farm.close()
 
     run(work())
@@ -80,7 +82,8 @@
             small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
             small["pools"]["web"]["max_connections"] = 1
             await running.confirmed(small)
-            assert running.service.shared.client_budget < 20 and running.service.shared.descriptors.limit < 20
+            assert running.service.shared.client_budget < 20
+            assert running.service.shared.descriptors.limit < 20
             released.set()
             for client in clients:
                 answer = await client.read_response()
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -30,7 +30,8 @@
             orders = before.pools["orders"]
             await running.confirmed(farm.config(farm.pool("b1"), farm.pool("o1")))
             after = running.service.request_handler.current
-            assert after is not None and after.pools["orders"] is orders
+            assert after is not None
+            assert after.pools["orders"] is orders
             assert after.pools["web"] is not before.pools["web"]
             for _ in range(3):
                 client.send_request("order", target="/orders")
@@ -61,7 +62,8 @@
             before = farm.servers["a1"].connections
             await running.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
             successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
-            assert isinstance(successor, Balancer) and successor is not previous
+            assert isinstance(successor, Balancer)
+            assert successor is not previous
             assert successor.latency.mean_ms == previous.latency.mean_ms
             assert successor.latency.answers == previous.latency.answers
             client.send_request()
@@ -125,10 +127,12 @@
                     ),
                 ):
                     version = await running.commit(farm.config(pool, farm.pool("o1")))
-                    assert version.state is State.FAILED and reason in version.why
+                    assert version.state is State.FAILED
+                    assert reason in version.why
                     client.send_request()
                     assert (await client.read_response()).body == b"a1"
-                    assert set(running.service.running) == {1} and len(running.service.pools.alive) == 2
+                    assert set(running.service.running) == {1}
+                    assert len(running.service.pools.alive) == 2
                 forced = farm.config(dead | {"require_reachable": False}, farm.pool("o1"))
                 await running.confirmed(forced)
                 client.send_request(X_Expires_In_Ms="500")
@@ -164,7 +168,8 @@
             )
             released.set()
             assert (await client.read_response()).status in (502, 503)
-            assert farm.books.entries == {} and len(farm.servers["a1"].requests) == 1
+            assert farm.books.entries == {}
+            assert len(farm.servers["a1"].requests) == 1
         farm.close()
 
     run(work())
@@ -192,7 +197,8 @@
             web2 = farm.pool("a1", "a2", "o2", new_servers="cold", cold_ms=60_000, max_attempts=3)
             await running.confirmed(farm.config(web2, farm.pool("o1")))
             successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
-            assert isinstance(successor, Balancer) and successor is not balancer
+            assert isinstance(successor, Balancer)
+            assert successor is not balancer
             assert isinstance(successor.slow_start, SlowStart)
             assert {number: credit for number, (credit, _) in successor.slow_start.credits.items()} == {
                 warming_up: 0.125
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -121,7 +121,8 @@
                 await asyncio.gather(call, return_exceptions=True)
             elif step != "propose":
                 done = await program.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
-                assert done["state"] == "in force" and await serving_pool(program.port) == b"b1"
+                assert done["state"] == "in force"
+                assert await serving_pool(program.port) == b"b1"
                 if step == "confirm":
                     assert (await program.call("confirm"))["state"] == "confirmed"
                     expected = {b"b1"}
@@ -134,7 +135,8 @@
             if step == "in force":
                 assert history[-1]["state"] == "lost"
             status = await program.call("status")
-            assert status["in_force"] == status["confirmed"] and status["pending"] is None
+            assert status["in_force"] == status["confirmed"]
+            assert status["pending"] is None
 
     run(work())
 
@@ -149,7 +151,8 @@
             history = History(str(program.state))
             saved = history.load()
             history.close()
-            assert saved is not None and (saved.confirmed, saved.lost_version) == (1, 2)
+            assert saved is not None
+            assert (saved.confirmed, saved.lost_version) == (1, 2)
             await program.start()
             # Its number is not used again.
             await program.call("propose", text=json.dumps(to_b(first, farm)))
@@ -180,7 +183,8 @@
             await asyncio.gather(*load._tasks, commit, return_exceptions=True)
             assert set(farm.books.statuses()) == {200}
             ran = [entry for entry in farm.books.entries.values() if entry.ran]
-            assert ran and all(len(entry.answers) == 1 for entry in ran)
+            assert ran
+            assert all(len(entry.answers) == 1 for entry in ran)
 
     run(work())
 
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -95,7 +95,8 @@
             assert (await client.read_response()).body == b"second"
             await running.until(lambda: version.number not in running.service.running)
             record = next(record for record in running.records if record.trace_id == b"between")
-            assert record.version == version.number and len(record.servers) == 2
+            assert record.version == version.number
+            assert len(record.servers) == 2
             assert attempts == ["between", "between"]
         farm.close()
 
@@ -108,7 +109,8 @@
         async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
             with pytest.raises(RejectedError) as rejected:
                 running.service.propose(json.dumps({"format": 1}).encode(), None)
-            assert rejected.value.reason is RejectionReason.INVALID and len(rejected.value.problems) == 3
+            assert rejected.value.reason is RejectionReason.INVALID
+            assert len(rejected.value.problems) == 3
             assert not running.service.transactions.proposals
         farm.close()
 
@@ -144,7 +146,8 @@
             bad = deepcopy(first)
             bad["pools"]["web"] = farm.pool("b1")
             version = await running.commit(bad)
-            assert version.state is State.ROLLED_BACK and "fell from" in version.why
+            assert version.state is State.ROLLED_BACK
+            assert "fell from" in version.why
             assert running.service.transactions.active.number == 1
             record_count = len(running.records)
             await running.until(lambda: len(running.records) > record_count + 50)
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -114,7 +114,8 @@
     sink.take(1 << 20)
     fixture.flow.drained()
     assert not fixture.source.paused
-    assert fixture.flow.memory_bytes == 0 and fixture.flow.credit == 256 * KIB
+    assert fixture.flow.memory_bytes == 0
+    assert fixture.flow.credit == 256 * KIB
     assert (fixture.flow_statistics.peak_bytes, fixture.flow_statistics.over) == (100 * KIB - 1000, 0)
 
 
@@ -131,7 +132,8 @@
     fixture.flow.detach(second)
     fixture.flow.attach(third)
     assert (first.received, second.received, third.received) == (b"abcdef", b"abcdef", b"abcdef")
-    assert first.end is None and second.end == third.end == [(b"X", b"1")]
+    assert first.end is None
+    assert second.end == third.end == [(b"X", b"1")]
     assert fixture.watcher.notifications == ["passed_on", "passed_on"]
 
 
@@ -168,7 +170,8 @@
     sink = FakeSink(capacity_bytes=0)
     fixture.flow.attach(sink)
     fixture.flow.push(b"x" * 96 * KIB)
-    assert fixture.flow.credit == 0 and fixture.source.paused
+    assert fixture.flow.credit == 0
+    assert fixture.source.paused
     sink.take(1 << 20)
     fixture.flow.drained()
     assert fixture.flow.credit == 32 * KIB  # its own part and the one for the answer
@@ -190,7 +193,8 @@
         fixture.memory_budget.used_bytes == Flow.MIN_CREDIT_BYTES
     )  # what was handed over is the answer's now
     assert fixture.flow_statistics.open == 0
-    assert sink.end is None and len(sink.received) == 50 * KIB
+    assert sink.end is None
+    assert len(sink.received) == 50 * KIB
 
 
 STRICT = ProgressLimits(1_000.0, 100.0, 2_000.0)
@@ -206,7 +210,8 @@
     assert fixture.flow.slow_side(fixture.clock.now) is None
     fixture.clock.now = 1_999.0
     found = fixture.flow.slow_side(fixture.clock.now)
-    assert found is not None and found.side is Side.SOURCE
+    assert found is not None
+    assert found.side is Side.SOURCE
 
 
 def test_time_spent_waiting_for_the_sink_is_not_counted_for_the_source() -> None:
@@ -303,7 +308,8 @@
         assert flow.memory_bytes <= flow.terms.ceiling_bytes
         if flow.ended and sink is not None and not sink.unsent:
             flow.drained()
-    assert sink is not None and sink.received == body
+    assert sink is not None
+    assert sink.received == body
     assert fixture.flow_statistics.over == 0
     assert fixture.watcher.notifications.count("unrepeatable") == (not flow.repeatable)
     flow.close()
@@ -317,7 +323,8 @@
     waiters: dict[str, MemoryWaiter | None] = {}
     for name, size in (("large", 200 * KIB), ("small", 10 * KIB), ("leaver", 10 * KIB), ("last", KIB)):
         waiters[name] = memory_budget.reserve(size, lambda name=name: served.append(name))  # type: ignore[misc]
-    assert served == [] and memory_budget.free == 0  # the small one does not overtake
+    assert served == []
+    assert memory_budget.free == 0
     leaver = waiters["leaver"]
     assert leaver is not None
     leaver.leave()
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -61,7 +61,8 @@
 
             memory_budget.book = booked  # type: ignore[method-assign]
             await asyncio.gather(*(one(deployment, n) for n in range(count)))
-            assert set(results.values()) <= {200, 503} and len(results) == count
+            assert set(results.values()) <= {200, 503}
+            assert len(results) == count
             served = sum(status == 200 for status in results.values())
             assert served > 500
             assert (
@@ -90,7 +91,9 @@
             async with HttpClient(deployment.port) as late:
                 late.send(upload_head(size) + BODY.whole(32 * KIB))
                 status, headers = await answer_head(late)
-                assert status == 503 and headers["retry-after"] and headers["connection"] == "close"
+                assert status == 503
+                assert headers["retry-after"]
+                assert headers["connection"] == "close"
             for client in begun:
                 client.send(BODY.whole(size)[65 * KIB :])
                 assert (await answer_of(client))[0] == 200
@@ -115,7 +118,8 @@
                 await deployment.servers[0].arrived.get()
                 dispatcher = next(iter(deployment.kept.service.pools.alive.values())).dispatcher
                 await asyncio.sleep(0.3)
-                assert deployment.flow_statistics.opened == 0 and dispatcher.unanswered == 1
+                assert deployment.flow_statistics.opened == 0
+                assert dispatcher.unanswered == 1
                 memory_budget.book(rest - 40 * KIB, 0)
                 assert (await answer_of(client))[1].whole
             await deployment.until_idle()
@@ -133,10 +137,12 @@
             async with HttpClient(deployment.port) as client:
                 client.send(download_head())
                 status, headers = await answer_head(client)
-                assert status == 503 and headers["retry-after"]
+                assert status == 503
+                assert headers["retry-after"]
             await deployment.until_idle()
             outcomes = {end.outcome for end in deployment.decisions.ends}
-            assert Outcome.CANCELLED in outcomes and Outcome.TIMEOUT not in outcomes
+            assert Outcome.CANCELLED in outcomes
+            assert Outcome.TIMEOUT not in outcomes
             memory_budget.book(rest, 0)
             assert memory_budget.used_bytes == 0
 
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -42,7 +42,8 @@
             await deployment.servers[0].arrived.get()  # it has begun
             client.send(bad + upload_head(3) + b"abc")
             status, headers = await answer_head(client)
-            assert status in (400, 413, 431) and headers["connection"] == "close"
+            assert status in (400, 413, 431)
+            assert headers["connection"] == "close"
             await deployment.until_idle()
             assert len(deployment.servers[0].seen) == 1  # never a second request out of the rest
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -166,7 +166,9 @@
         ):
             client.send(download_head())
             status, body = await answer_of(client)
-            assert status == 200 and not body.whole and body.size == MIB  # forwarded, without the end
+            assert status == 200
+            assert not body.whole
+            assert body.size == MIB
             await deployment.until_idle()
             assert [(end.outcome, end.final) for end in deployment.decisions.ends] == [
                 (Outcome.TIMEOUT, True)
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -89,7 +89,8 @@
             await upload(client, MIB, chunks=True)
             _, body = await answer_of(client)
             assert seen == [{"x-sum": "7"}]
-            assert body.whole and body.trailers == {"x-sum": "7"}
+            assert body.whole
+            assert body.trailers == {"x-sum": "7"}
 
     run(work())
 
@@ -154,7 +155,8 @@
             async with deployed(cut_short) as deployment, HttpClient(deployment.port) as client:
                 client.send(download_head(target))
                 status, body = await answer_of(client)
-                assert status == 200 and not body.whole
+                assert status == 200
+                assert not body.whole
                 assert body.size <= MIB // 2
                 assert await client.read_to_end() == b""
                 await deployment.until_idle()
@@ -184,7 +186,8 @@
             async with HttpClient(deployment.port) as client:
                 client.send(download_head("/whole").replace(b"HTTP/1.1", b"HTTP/1.0"))
                 _, headers = await answer_head(client)
-                assert "transfer-encoding" not in headers and "content-length" not in headers
+                assert "transfer-encoding" not in headers
+                assert "content-length" not in headers
                 assert len(await client.read_to_end()) == MIB // 2
             async with HttpClient(deployment.port) as client:
                 client.send(download_head("/cut").replace(b"HTTP/1.1", b"HTTP/1.0"))
--- a/tests/telemetry/test_fleet_report.py
+++ b/tests/telemetry/test_fleet_report.py
@@ -33,7 +33,8 @@
 def test_the_table_has_only_columns_in_which_something_was_counted() -> None:
     first, second = fleet_of_two()
     text = format_counts(count_fleets([first.lines, second.lines])[0])
-    assert "timeout" in text and "probe" not in text
+    assert "timeout" in text
+    assert "probe" not in text
     json.loads(first.lines[0].removeprefix(LINE_PREFIX))
 
 
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -93,7 +93,8 @@
         assert event.outcome is outcome
         assert event.final is (outcome is Outcome.OK)
         assert (answer.status, answer.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
-        assert len(upstream.requests) == 1 and len(script.ends()) == 1
+        assert len(upstream.requests) == 1
+        assert len(script.ends()) == 1
 
     run(work())
 
@@ -156,7 +157,8 @@
             client.send_request("move", b"x")
             assert (await client.read_response()).status == 502
             event = await script.ended()
-            assert event.outcome is Outcome.TIMEOUT and event.spent_ms >= 100
+            assert event.outcome is Outcome.TIMEOUT
+            assert event.spent_ms >= 100
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await closed.wait()
         upstream.close()
