--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -165,6 +165,6 @@
 
     def _apply(self, event: Guidance | OwnSharesLeased, now_ms: float) -> None:
         if isinstance(event, OwnSharesLeased):
-            self.ramp.lend(event.until_ms, now_ms)
+            self.ramp.lease_own_shares(event.until_ms, now_ms)
         elif event.leased:
             self.ramp.grant(event.parts, event.report_sent_ms, event.until_ms, event.leased_until_ms, now_ms)
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -33,7 +33,7 @@
 
 A standing subscription (the simulator's wire) needs no renewals. There an answer to OPEN_WATCH leads to the
 state SUBSCRIBED, from which a failure leads to SCHEDULED as above. A subscription that has fallen silent
-shows only by a listed server that rejects requests: that raises a suspicion, see `Freshness.doubt`.
+shows only by a listed server that rejects requests: that raises a suspicion, see `Freshness.on_rejection`.
 """
 
 from __future__ import annotations
@@ -77,7 +77,7 @@
     """
 
     state: ServerState
-    strikes: int
+    consecutive_failures: int
 
 
 class State(Enum):
@@ -181,7 +181,7 @@
 
     # ------------------------------------------------ events
 
-    def heard(self, update: ListUpdate, now_ms: float) -> list[Action]:
+    def on_list_update(self, update: ListUpdate, now_ms: float) -> list[Action]:
         """Handle a list event."""
         if not (self._is_polled or self._has_one_shot_watches):
             return []
@@ -193,7 +193,7 @@
             return self._on_failure(update, now_ms)
         return self._on_answer(update, now_ms)
 
-    def fired(self, cookie: int, now_ms: float) -> list[Action]:
+    def on_timer(self, cookie: int, now_ms: float) -> list[Action]:
         """Handle one of the timers in `COOKIES`."""
         if cookie == SUSPICION_COOKIE:
             return self._confirm_suspicion(now_ms)
@@ -202,7 +202,7 @@
             return []
         return self._send(now_ms)
 
-    def doubt(self, server: Suspect, now_ms: float) -> list[Action]:
+    def on_rejection(self, server: Suspect, now_ms: float) -> list[Action]:
         """Handle that a listed server rejected a request unseen: it may be leaving, and the list be old.
 
         Guards against a standing subscription that has fallen silent, which nothing else reveals, while
@@ -268,7 +268,7 @@
         """Send a request if the suspect is still listed as ready and has served nothing since."""
         suspect = self._suspect
         self._suspect = None
-        if suspect is None or suspect.state is not ServerState.READY or not suspect.strikes:
+        if suspect is None or suspect.state is not ServerState.READY or not suspect.consecutive_failures:
             return []
         if self.state is State.SCHEDULED:
             return []  # a request is about to be sent anyway
--- a/sandhatch/balancing/guidance/ramp_allocation.py
+++ b/sandhatch/balancing/guidance/ramp_allocation.py
@@ -32,7 +32,7 @@
     return settings.ramp_burst or float(settings.instances)
 
 
-def safe_part(instances: int, instance_index: int, burst: float, label: int) -> RampAllocation:
+def default_allocation(instances: int, instance_index: int, burst: float, label: int) -> RampAllocation:
     """The allocation that an instance owns without any guidance.
 
     A request can't be divided: where `burst` is less than the number of instances, only that many instances
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -28,11 +28,11 @@
 from sandhatch.balancing.guidance.ramp_allocation import (
     NO_ALLOCATION,
     RampAllocation,
+    default_allocation,
     owns_share,
     ramp_burst,
-    safe_part,
 )
-from sandhatch.balancing.guidance.warm_up import Listed, Warming
+from sandhatch.balancing.guidance.warm_up import Listed, WarmUp
 from sandhatch.balancing.settings import Settings
 
 
@@ -55,7 +55,7 @@
         self.updated_ms = now_ms
 
 
-class SharedRamp(Warming):
+class SharedRamp(WarmUp):
     """This instance's share of the ramps of a tier's warming servers."""
 
     RISE_MS = 1_000.0  # over which a share of the rate rises
@@ -69,7 +69,7 @@
         self._instance_index = settings.instance_index
         self._owners = min(settings.instances, int(burst))
         # Instance 0 owns a share of the ramp of label 0 if any instance does: all owners have the same one.
-        self._owner_allocation = safe_part(settings.instances, 0, burst, 0)
+        self._owner_allocation = default_allocation(settings.instances, 0, burst, 0)
         self._warming: dict[int, Listed] = {}  # by server, as are the next three
         self._buckets: dict[int, _Bucket] = {}
         self._leased: dict[int, RampShare] = {}
@@ -83,7 +83,7 @@
     def watch(self, servers: Sequence[Listed], now_ms: float) -> None:
         """Start a ramp for each of these servers that is warming up."""
         for server in servers:
-            if self.is_cold(server, now_ms):
+            if self.is_warming_up(server, now_ms):
                 self._warming[server.id] = server
                 self._buckets[server.id] = _Bucket(server.started_ms, now_ms)
                 self._rate_shares.pop(server.id, None)
@@ -100,17 +100,17 @@
             self._rate_shares.pop(number, None)
         return list(self._warming)
 
-    def lack(self, now_ms: float) -> float:
+    def warm_up_deficit(self, now_ms: float) -> float:
         """The capacity that the ready servers don't have yet because they warm up, in warm servers."""
         warming = [
             server
             for server in self._warming.values()
-            if server.state is ServerState.READY and self.is_cold(server, now_ms)
+            if server.state is ServerState.READY and self.is_warming_up(server, now_ms)
         ]
         return sum(1.0 - self.share(server, now_ms) for server in warming)
 
     def _has_finished(self, server: Listed, now_ms: float) -> bool:
-        return server.state is ServerState.GONE or not self.is_cold(server, now_ms)
+        return server.state is ServerState.GONE or not self.is_warming_up(server, now_ms)
 
     # ------------------------------------------------ leases
 
@@ -137,7 +137,7 @@
         self._decay_ms = max(1.0, (until_ms - report_sent_ms) / 2.0)
         self._own_shares_leased_until_ms = max(self._own_shares_leased_until_ms, leased_until_ms)
 
-    def lend(self, until_ms: float, now_ms: float) -> None:
+    def lease_own_shares(self, until_ms: float, now_ms: float) -> None:
         """Lease this instance's own shares to others until then; what is granted to it stays."""
         if until_ms > self._own_shares_leased_until_ms:
             self._accrue_all(now_ms)
@@ -160,11 +160,11 @@
 
     def admits(self, server: Listed, now_ms: float) -> bool:
         """Whether a request may be sent to this server now."""
-        return not self.is_cold(server, now_ms) or self._accrue(server, now_ms).credit >= 1.0
+        return not self.is_warming_up(server, now_ms) or self._accrue(server, now_ms).credit >= 1.0
 
     def spend(self, server: Listed, now_ms: float) -> None:
         """Count a request that is sent to this server."""
-        if self.is_cold(server, now_ms):
+        if self.is_warming_up(server, now_ms):
             self._accrue(server, now_ms).credit -= 1.0
 
     # ------------------------------------------------ shares and credit
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -94,10 +94,10 @@
         elif self._own_share_until_ms < math.inf:
             self._own_share_until_ms = event.until_ms  # the share granted before counts on
 
-    def lend(self, until_ms: float, now_ms: float) -> None:
+    def lease_own_shares(self, until_ms: float, now_ms: float) -> None:
         """Lease this instance's own shares of ramps to others until then."""
         if self.ramp is not None:
-            self.ramp.lend(until_ms, now_ms)
+            self.ramp.lease_own_shares(until_ms, now_ms)
 
     # ------------------------------------------------ taking over from another balancer
 
--- a/sandhatch/balancing/guidance/warm_up.py
+++ b/sandhatch/balancing/guidance/warm_up.py
@@ -27,7 +27,7 @@
     state: ServerState
 
 
-class Warming:
+class WarmUp:
     """The linear growth of a started server from its initial capacity share to its full capacity."""
 
     def __init__(self, settings: Settings) -> None:
@@ -35,7 +35,7 @@
         self._initial_share = settings.initial_capacity_share
         self._ms = settings.warm_up_ms
 
-    def is_cold(self, server: Listed, now_ms: float) -> bool:
+    def is_warming_up(self, server: Listed, now_ms: float) -> bool:
         """Whether the server is still warming up."""
         return server.started_ms > 0.0 and now_ms - server.started_ms < self._ms
 
--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -113,7 +113,7 @@
 
     def _warm_servers(self, now_ms: float) -> float:
         """Return the ready servers, in warm ones: guards the few that are, in a release of most of a tier."""
-        return max(1.0, self.servers.ready_count - self.slow_start.lack(now_ms))
+        return max(1.0, self.servers.ready_count - self.slow_start.warm_up_deficit(now_ms))
 
     def _capacity_share(self, now_ms: float) -> float:
         """Return this instance's share, and its part of another one's while nothing queues.
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -76,7 +76,9 @@
             events.Unrepeatable: self._on_unrepeatable,
             events.PeerMessage: lambda _event: None,  # instances have nothing to say to each other
             events.Guidance: self._on_guidance,
-            events.OwnSharesLeased: lambda event: self.guidance_state.lend(event.until_ms, self.now),
+            events.OwnSharesLeased: lambda event: self.guidance_state.lease_own_shares(
+                event.until_ms, self.now
+            ),
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -239,7 +241,7 @@
         elif not neutral:
             self.outliers.record_failure(server, class_index, outcome, self.now)
             if outcome in NEVER_RAN:
-                self.actions.extend(self.freshness.doubt(server, self.now))
+                self.actions.extend(self.freshness.on_rejection(server, self.now))
 
     def _update_connection(self, server: Server, outcome: Outcome) -> None:
         lost = outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
@@ -307,7 +309,7 @@
         fewest = math.inf
         zone = self.settings.own_zone if self.zone_routing.stays_home(request) else None
         for server in self.server_list.all_ready(zone):
-            count = server.outstanding + server.strikes
+            count = server.outstanding + server.consecutive_failures
             if count > fewest or server.failing_until_ms > self.now or self._avoids(request, server):
                 continue
             if not self._may_draw(request, server):
@@ -421,7 +423,7 @@
 
     def _on_timer(self, event: events.TimerFired) -> None:
         if event.cookie in COOKIES:
-            self.actions.extend(self.freshness.fired(event.cookie, self.now))
+            self.actions.extend(self.freshness.on_timer(event.cookie, self.now))
             return
         request = self.requests.get(event.cookie)
         if request is None or request.done or request.timer_due_ms < 0.0:
@@ -448,7 +450,7 @@
             self.admission.open_window(self.now)
             for server in change.added:
                 self.server_list.earn_token(server, self.now)
-        self.actions.extend(self.freshness.heard(event, self.now))
+        self.actions.extend(self.freshness.on_list_update(event, self.now))
 
     def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self.requests.get(event.request)
@@ -467,7 +469,7 @@
 
     def _on_guidance(self, event: events.Guidance) -> None:
         ready = self.server_list.all_ready() if event.weights else ()
-        warm = [server.id for server in ready if not self.slow_start.is_cold(server, self.now)]
+        warm = [server.id for server in ready if not self.slow_start.is_warming_up(server, self.now)]
         rejected = self.guidance_state.take(event, self.server_list.servers, warm, self.now)
         if rejected is not None:
             self.actions.append(rejected)
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -62,7 +62,7 @@
     def _record_success(self, server: Server, class_index: int) -> None:
         """Halve the next span, no more: guards against the chance success of one that mostly fails."""
         self.failure_rate += MEMORY * (0.0 - self.failure_rate)
-        server.strikes = 0
+        server.consecutive_failures = 0
         server.ejections = max(0, server.ejections - 1)
         circuit = server.circuits.pop(class_index, None)
         if circuit is not None and circuit.failures > 1:
@@ -71,7 +71,7 @@
     def record_failure(self, server: Server, class_index: int, outcome: Outcome, now_ms: float) -> None:
         """Withhold the token after a failure; `OK` is an answer that was far too slow."""
         self.failure_rate += MEMORY * (1.0 - self.failure_rate)
-        server.strikes += 1
+        server.consecutive_failures += 1
         if self.servers.is_outnumbered and outcome in (Outcome.OK, Outcome.TIMEOUT):
             # Slow, not broken: what it has in flight keeps others away. Guards against ejecting servers for
             # the load of a whole tier, which then falls on the rest; below, single servers may be slow.
@@ -91,7 +91,7 @@
     def _eject_outlier(self, server: Server, class_index: int, now_ms: float) -> None:
         """Eject after a run of failures that the failure rate of all servers makes unlikely."""
         ready = self.servers.ready_count
-        unlikely = self.failure_rate**server.strikes < MAX_CHANCE
+        unlikely = self.failure_rate**server.consecutive_failures < MAX_CHANCE
         if unlikely and 2 * self.servers.ejected_count < ready:
             # Doubles with each ejection, not with each failure, which a bad tier gives to all.
             server.ejections += 1
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from sandhatch.balancing.events import ServerState
-from sandhatch.balancing.guidance.warm_up import Warming
+from sandhatch.balancing.guidance.warm_up import WarmUp
 from sandhatch.balancing.records import Server
 from sandhatch.balancing.settings import Settings
 
@@ -13,7 +13,7 @@
 REFRESHES_PER_WARM_UP = 100.0  # of the sum over the servers that are warming up; never once a request
 
 
-class SlowStart(Warming):
+class SlowStart(WarmUp):
     """Credit for the servers that are warming up; a send spends a whole one.
 
     Each request earns each of them what it can do by now, of what all ready servers can do. All instances
@@ -35,7 +35,7 @@
 
     def watch(self, servers: list[Server], now_ms: float) -> None:
         """Begin with those of the added servers that are warming up."""
-        warming = [server for server in servers if self.is_cold(server, now_ms)]
+        warming = [server for server in servers if self.is_warming_up(server, now_ms)]
         for server in warming:
             # The phase: instances of low rate must not all start with a free send, nor all without.
             self.credits[server.id] = self._phases.random(), self.earned
@@ -46,11 +46,13 @@
     def _refresh(self, now_ms: float) -> None:
         if self._warming and now_ms >= self._refresh_due_ms:
             listed = self._warming
-            self._warming = [s for s in listed if s.state is ServerState.READY and self.is_cold(s, now_ms)]
+            self._warming = [
+                s for s in listed if s.state is ServerState.READY and self.is_warming_up(s, now_ms)
+            ]
             self._capacity = sum(self.share(server, now_ms) for server in self._warming)
             self._refresh_due_ms = now_ms + self._ms / REFRESHES_PER_WARM_UP
 
-    def lack(self, now_ms: float) -> float:
+    def warm_up_deficit(self, now_ms: float) -> float:
         """Return what the ready servers that are warming up can't do yet, in warm servers."""
         self._refresh(now_ms)
         return len(self._warming) - self._capacity if self._warming else 0.0
@@ -74,9 +76,9 @@
 
     def admits(self, server: Server, now_ms: float) -> bool:
         """Return whether a drawn server may be sent to."""
-        return not self.is_cold(server, now_ms) or self.credit(server, now_ms) >= 1.0
+        return not self.is_warming_up(server, now_ms) or self.credit(server, now_ms) >= 1.0
 
     def spend(self, server: Server, now_ms: float) -> None:
         """Count a send."""
-        if self.is_cold(server, now_ms):
+        if self.is_warming_up(server, now_ms):
             self.credits[server.id] = self.credit(server, now_ms) - 1.0, self.earned
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -93,7 +93,7 @@
 
 
 def _inherit_health(server: Server, known: Server, same_classes: bool) -> None:
-    server.strikes = known.strikes
+    server.consecutive_failures = known.consecutive_failures
     server.ejections = known.ejections
     server.failing_until_ms = known.failing_until_ms
     server.slowness = known.slowness
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -1,15 +1,15 @@
 """Which instances of a pool have leased their own ramp shares to this planner, and until when.
 
-Each instance owns a share of each warm-up ramp that needs no communication to determine (`safe_part` of
-`sandhatch.balancing.guidance`); this module sums the shares of those that leased theirs. No I/O, no clock.
-Source: leases (Gray and Cheriton 1989).
+Each instance owns a share of each warm-up ramp that needs no communication to determine
+(`default_allocation` of `sandhatch.balancing.guidance`); this module sums the shares of those that
+leased theirs. No I/O, no clock. Source: leases (Gray and Cheriton 1989).
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-from sandhatch.balancing.guidance.ramp_allocation import safe_part
+from sandhatch.balancing.guidance.ramp_allocation import default_allocation
 
 CLOCK_DRIFT = 0.01  # fraction of a lease by which two machines' clocks may differ in rate
 
@@ -76,7 +76,7 @@
         last = first + holders
         wrapped = counts[max(0, last - self.instances)]
         lessors = counts[min(last, self.instances)] - counts[first] + wrapped
-        own = safe_part(self.instances, first, self.burst, label)
+        own = default_allocation(self.instances, first, self.burst, label)
         return RampAmount(lessors * own.rate, lessors * own.burst)
 
     def _prefix_counts(self, until_ms: float) -> list[int]:
--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -162,7 +162,7 @@
             for version in range(instance.version + 1, update.version + 1):
                 instance.received_ms[version] = self.now
             instance.version = max(instance.version, update.version)
-        self._act(instance, instance.freshness.heard(update, self.now))
+        self._act(instance, instance.freshness.on_list_update(update, self.now))
 
     def _act(self, instance: Instance, actions: list[Action]) -> None:
         for action in actions:
@@ -170,7 +170,7 @@
                 cookie = action.cookie
                 self.after(
                     action.delay_ms,
-                    lambda cookie=cookie: self._act(instance, instance.freshness.fired(cookie, self.now)),  # type: ignore[misc]
+                    lambda cookie=cookie: self._act(instance, instance.freshness.on_timer(cookie, self.now)),  # type: ignore[misc]
                 )
             elif isinstance(action, WatchList):
                 self._send(instance, action)
--- a/tests/balancing/endpoint_freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -82,18 +82,18 @@
     freshness = Freshness(settings, Random(1))
     now = 0.0
     requests = []
-    actions = freshness.heard(ListUpdate(ListKind.CACHED, 1), now)
+    actions = freshness.on_list_update(ListUpdate(ListKind.CACHED, 1), now)
     for _ in range(10_000):
         (action,) = actions
         if isinstance(action, SetTimer):
             now += action.delay_ms
             if now > 60_000.0:
                 break
-            actions = freshness.fired(action.cookie, now)
+            actions = freshness.on_timer(action.cookie, now)
         else:
             assert isinstance(action, WatchList)
             requests.append(now)
-            actions = freshness.heard(ListUpdate(ListKind.FAILED, 1, call=action.call), now)
+            actions = freshness.on_list_update(ListUpdate(ListKind.FAILED, 1, call=action.call), now)
     else:
         raise AssertionError(f"{len(requests)} requests in {now:.0f} ms")
     assert 6 <= len(requests) <= 60 * 6
--- a/tests/balancing/policy/test_outlier_detection.py
+++ b/tests/balancing/policy/test_outlier_detection.py
@@ -42,7 +42,7 @@
         driver.end_attempt(number, 0, Outcome.CLIENT_ERROR)
         assert driver.requests[number].over
         assert len(driver.requests[number].attempts) == 1
-        assert (server.strikes, server.outstanding, server.token) == (0, 0, True)
+        assert (server.consecutive_failures, server.outstanding, server.token) == (0, 0, True)
     assert driver.balancer.outliers.failure_rate <= 0.1
     assert not driver.balancer.requests
 
--- a/tests/balancing/test_guidance_shared_ramp.py
+++ b/tests/balancing/test_guidance_shared_ramp.py
@@ -11,7 +11,7 @@
 from sandhatch.balancing.events import (
     RampShare,
 )
-from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, safe_part
+from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, default_allocation
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from tests.balancing.guidance_harness import SETTINGS, FakeServer
 
@@ -20,7 +20,9 @@
 @pytest.mark.parametrize("burst", [0.0, 1.0, 2.5, 19.0, 40.0])
 def test_own_allocations_of_all_instances_sum_to_the_complete_ramp(instances: int, burst: float) -> None:
     for label in (0, 3, 12_345_678):
-        allocations = [safe_part(instances, index, burst or instances, label) for index in range(instances)]
+        allocations = [
+            default_allocation(instances, index, burst or instances, label) for index in range(instances)
+        ]
         assert math.isclose(sum(allocation.rate for allocation in allocations), 1.0)
         assert math.isclose(sum(allocation.burst for allocation in allocations), burst or instances)
         assert all(allocation.burst == 0.0 or allocation.burst >= 1.0 for allocation in allocations)
--- a/tests/balancing/test_state_transfer.py
+++ b/tests/balancing/test_state_transfer.py
@@ -29,7 +29,7 @@
     successor = successor_of(driver, 4)
     assert inherit(successor.balancer, driver.balancer) == 3
     server = successor.balancer.server_list.servers[failed]
-    assert server.strikes == 1
+    assert server.consecutive_failures == 1
     assert not server.token
     assert server.circuits == driver.balancer.server_list.servers[failed].circuits != {}
 
@@ -52,7 +52,7 @@
     successor = Driver(driver.settings, 2, driver.now)
     successor.update_list(ListKind.CACHED, (ServerEntry(0, started_ms=5.0),))
     assert inherit(successor.balancer, driver.balancer) == 0
-    assert successor.balancer.server_list.servers[0].strikes == 0
+    assert successor.balancer.server_list.servers[0].consecutive_failures == 0
 
 
 @pytest.mark.parametrize("servers", [2, 8])
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -50,9 +50,9 @@
         self.events.append(event)
         self.told.put_nowait(event)
         if isinstance(event, ListUpdate):
-            return self.freshness.heard(event, now_ms)
+            return self.freshness.on_list_update(event, now_ms)
         if isinstance(event, TimerFired) and event.cookie in COOKIES:
-            return self.freshness.fired(event.cookie, now_ms)
+            return self.freshness.on_timer(event.cookie, now_ms)
         actions = self.more(event)
         if actions is not None:
             return actions
--- a/tests/planning/test_lessors.py
+++ b/tests/planning/test_lessors.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from sandhatch.balancing.guidance.ramp_allocation import safe_part
+from sandhatch.balancing.guidance.ramp_allocation import default_allocation
 from sandhatch.planning.lessors import Lessors
 
 
@@ -28,7 +28,7 @@
     instances: int, burst: float, label: int, indices: set[int]
 ) -> None:
     indices = {index for index in indices if index < instances}
-    own = [safe_part(instances, index, burst, label) for index in indices]
+    own = [default_allocation(instances, index, burst, label) for index in indices]
     leased = lessors_of(instances, burst, *indices).leased(label, 1_000.0)
     assert math.isclose(leased.rate, sum(allocation.rate for allocation in own), abs_tol=1e-9)
     assert math.isclose(leased.burst, sum(allocation.burst for allocation in own), abs_tol=1e-9)
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, ramp_burst, safe_part
+from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, default_allocation, ramp_burst
 from testkit.simulation.faults import random_faults
 from testkit.simulation.plan import POOL, TierPlan
 from testkit.simulation.ramp_check import over_ramp
@@ -61,7 +61,7 @@
 def test_instances_that_do_not_share_the_ramp_exceed_it() -> None:
     """What the other tests would detect if each forwarder used the complete ramp."""
     tier = Tier(replace(PLAN, planners=0), 1)
-    complete = safe_part(1, 0, ramp_burst(tier.settings), 0)
+    complete = default_allocation(1, 0, ramp_burst(tier.settings), 0)
     for forwarder in tier.forwarders:
         ramp = forwarder.balancer.guidance_state.ramp
         assert ramp is not None
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -185,7 +185,7 @@
             balancer = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
             assert isinstance(balancer, Balancer)
             cold = {
-                running.server_name(farm, server.id): balancer.slow_start.is_cold(server, balancer.now)
+                running.server_name(farm, server.id): balancer.slow_start.is_warming_up(server, balancer.now)
                 for server in balancer.server_list.servers.values()
             }
             assert cold == {"a1": False, "a2": True, "o2": False}
