--- a/sandhatch/balancing/records.py
+++ b/sandhatch/balancing/records.py
@@ -33,7 +33,7 @@
     outstanding: int = 0  # attempts of this instance only
     token: bool = False  # earned, not given
     withheld_until_ms: float = 0.0  # its token is, on evidence that it is busy or unwell
-    consecutive_failures: int = 0  # consecutive failures
+    consecutive_failures: int = 0
     ejections: int = 0  # less its successes since
     ejected: bool = False
     failing_until_ms: float = 0.0  # a pause after a failure
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -66,7 +66,7 @@
         request.method = message.method
         request.target = message.target
         headers = request.headers = message.forwarded_headers(TIME_LEFT_HEADER)
-        # Only written from here on, so `Message.names`, which serves look-ups, is not kept.
+        # Only written from here on, so `Message.lower_names`, which serves look-ups, is not kept.
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, int(time_left_ms))))
         request.body = message.body
         request.length = message.length
