--- a/benchmarks/request_rate.py
+++ b/benchmarks/request_rate.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 import asyncio
+import math
 import statistics
 from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
 from time import perf_counter
 
 from benchmarks.relay import BODY
@@ -42,7 +44,31 @@
 
 def median_ratio(values: Sequence[float], reference: Sequence[float]) -> float:
     """The median of the ratios of each round."""
-    return statistics.median(value / other for value, other in zip(values, reference, strict=True))
+    return PairedRatio.of(values, reference).median
+
+
+@dataclass(frozen=True, slots=True)
+class PairedRatio:
+    """Two targets compared by the ratio of their values in each round.
+
+    Attributes:
+        median: Of the ratios.
+        standard_error: Of the ratios' mean; 0 with a single round.
+    """
+
+    median: float
+    standard_error: float
+
+    @classmethod
+    def of(cls, values: Sequence[float], reference: Sequence[float]) -> PairedRatio:
+        """Compares values with those of a reference in the same rounds."""
+        ratios = [value / other for value, other in zip(values, reference, strict=True)]
+        error = statistics.stdev(ratios) / math.sqrt(len(ratios)) if len(ratios) > 1 else 0.0
+        return cls(statistics.median(ratios), error)
+
+    def __str__(self) -> str:
+        """The median and the standard error, as in `0.987 +- 0.012`."""
+        return f"{self.median:.3f} +- {self.standard_error:.3f}"
 
 
 def format_rates(rates: Mapping[str, Sequence[float]]) -> str:
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -19,10 +19,17 @@
 
 import uvloop
 
-from benchmarks.checkouts import PACKAGE, package_of
+from benchmarks.checkouts import PACKAGE, ROOT, package_of
 from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all
 from benchmarks.relay import serve_until_terminated
-from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
+from benchmarks.request_rate import (
+    PairedRatio,
+    format_costs,
+    format_rates,
+    in_turns,
+    median_ratio,
+    request_rate,
+)
 from testkit.platform import config_data, entry
 from testkit.ports import free_port, wait_until_listening
 
@@ -30,6 +37,8 @@
 SOCKETS = 1024
 SETTLE_S = 1.0
 THIS = ("-m", "benchmarks.through")
+PLATFORM = "platform"  # names of targets
+BEFORE = "before"
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,11 +79,10 @@
             server = ("--role", "server", "--port", str(port))
             self._processes.append(await spawn(*THIS, *server, cores=self._cores.rest))
         await self._start_relay()
-        await self._start_platform("platform", (), PACKAGE, {})
+        await self._start_platform(PLATFORM, ROOT)
         await self._start_own()
         if before:
-            env = {"PYTHONPATH": before}
-            await self._start_platform("before", ("-P",), package_of(Path(before)), env, cwd=before)
+            await self._start_platform(BEFORE, Path(before))
         for port in (*self._servers, *(target.port for target in self.by_name.values())):
             await wait_until_listening(port)
         await asyncio.sleep(SETTLE_S)
@@ -88,17 +96,15 @@
         relay = ("--role", "relay", "--port", str(port), "--to", str(self._servers[0]))
         self._add("relay", port, await spawn(*THIS, *relay, cores=self._cores.measured))
 
-    async def _start_platform(
-        self, name: str, options: tuple[str, ...], package: str, env: dict[str, str], **more: Any
-    ) -> None:
-        """Starts the platform's program of a package; `more` goes to `spawn`."""
+    async def _start_platform(self, name: str, checkout: Path) -> None:
+        """Starts the platform's program of a checkout; all checkouts are started alike."""
         port = free_port()
         entries = [entry(f"s{number}", server) for number, server in enumerate(self._servers)]
         data = config_data(entries, 1, listen=f"127.0.0.1:{port}")
         data["limits"]["sockets"] = SOCKETS
-        path = self._write(f"{name}.json", data)
-        env = {"GW_CONFIG": path} | env
-        process = await spawn(*options, "-m", package, cores=self._cores.measured, env=env, **more)
+        env = {"GW_CONFIG": self._write(f"{name}.json", data), "PYTHONPATH": str(checkout)}
+        program = ("-P", "-m", package_of(checkout))
+        process = await spawn(*program, cores=self._cores.measured, env=env, cwd=str(checkout))
         self._add(name, port, process)
 
     async def _start_own(self) -> None:
@@ -160,6 +166,12 @@
     costs_us = {name: samples.costs_us[name] for name in targets.by_name}
     print(f"processor time a request, in microseconds: {format_costs(costs_us)}")
     print(f"through: at {args.connections} connections, of a bare relay's requests a second: {ratios}")
+    if BEFORE in targets.by_name:
+        rate = PairedRatio.of(samples.rates[PLATFORM], samples.rates[BEFORE])
+        cost = PairedRatio.of(samples.costs_us[PLATFORM], samples.costs_us[BEFORE])
+        print(
+            f"through: against the version before: requests a second {rate}, processor time a request {cost}"
+        )
 
 
 def main() -> None:
@@ -167,8 +179,8 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--seconds", type=float, default=2.0)
+    parser.add_argument("--rounds", type=int, default=30)
+    parser.add_argument("--seconds", type=float, default=0.7)
     parser.add_argument("--connections", type=int, default=32)
     parser.add_argument(
         "--before", default="", metavar="DIR", help="another checkout, measured in the same run"
--- a/tests/benchmarks/test_shared.py
+++ b/tests/benchmarks/test_shared.py
@@ -8,7 +8,7 @@
 
 from benchmarks.checkouts import ROOT, package_of
 from benchmarks.long_bodies_memory import MemorySample, MemoryWatch
-from benchmarks.request_rate import in_turns, median_ratio
+from benchmarks.request_rate import PairedRatio, in_turns, median_ratio
 
 
 def test_the_package_of_this_checkout_is_sandhatch() -> None:
@@ -32,6 +32,17 @@
     assert median_ratio([1.0, 30.0, 2.0], [2.0, 10.0, 2.0]) == pytest.approx(1.0)
 
 
+def test_a_paired_ratio_has_the_standard_error_of_its_mean() -> None:
+    ratio = PairedRatio.of([1.0, 30.0, 2.0, 4.0], [1.0, 10.0, 2.0, 4.0])
+    assert ratio.median == pytest.approx(1.0)
+    assert ratio.standard_error == pytest.approx(0.5)  # of 1, 3, 1 and 1: standard deviation 1
+    assert str(ratio) == "1.000 +- 0.500"
+
+
+def test_a_single_round_has_no_standard_error() -> None:
+    assert PairedRatio.of([3.0], [2.0]) == PairedRatio(1.5, 0.0)
+
+
 def test_rounds_that_do_not_match_have_no_ratio() -> None:
     with pytest.raises(ValueError, match="argument 2 is shorter"):
         median_ratio([1.0, 2.0], [1.0])
