--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -137,7 +137,7 @@
         self.ramp.watch(restarted, now_ms)
         self._restarts_seen = len(model.restarts)
         probability = max(model.attempts_per_step / len(model.servers), 0.5)
-        for number in self.ramp.cold(now_ms):
+        for number in self.ramp.warming_servers(now_ms):
             server = model.servers[number]
             # A drawn server without credit is passed over; several draws, as several attempts would have.
             while model.rng.random() < probability and self.ramp.admits(server, now_ms):
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -91,7 +91,7 @@
     def earn(self, ready: int, now_ms: float) -> None:
         """Do nothing: credit accrues with time, not with requests as in the slow start of one instance."""
 
-    def cold(self, now_ms: float) -> list[int]:
+    def warming_servers(self, now_ms: float) -> list[int]:
         """The listed servers that are warming up now."""
         finished = [number for number, server in self._warming.items() if self._has_finished(server, now_ms)]
         for number in finished:
@@ -205,7 +205,7 @@
 
     def _accrue_all(self, now_ms: float) -> None:
         """Fill the buckets by the shares in use so far, before these change."""
-        for number in self.cold(now_ms):
+        for number in self.warming_servers(now_ms):
             self._accrue(self._warming[number], now_ms)
 
     def _accrue(self, server: Listed, now_ms: float) -> _Bucket:
--- a/tests/balancing/test_guidance_shared_ramp.py
+++ b/tests/balancing/test_guidance_shared_ramp.py
@@ -108,4 +108,4 @@
     ramp, server = SharedRamp(SETTINGS), FakeServer(7)
     ramp.watch([server], 1_000.0)
     assert sent(ramp, server, 11_000, 11_010) == 10
-    assert ramp.cold(11_000.0) == []
+    assert ramp.warming_servers(11_000.0) == []
