--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -73,7 +73,7 @@
 
     Attributes:
         state: What discovery says of it.
-        strikes: Its consecutive failures since it last served a request.
+        consecutive_failures: Those since it last served a request.
     """
 
     state: ServerState
