--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -8,7 +8,8 @@
 
 import asyncio
 import socket
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 import pytest
 
@@ -42,8 +43,6 @@
 
 Disconnect = Callable[[socket.socket], None]
 
-close_or_reset = pytest.mark.parametrize("disconnect", [socket.socket.close, reset], ids=["close", "reset"])
-
 
 def connect_pipelining_client(
     balancer: RunningBalancer, disconnect_poll_ms: float = NEVER_MS
@@ -259,40 +258,49 @@
     run(work())
 
 
-@close_or_reset
-def test_a_failed_attempt_is_not_retried_after_a_disconnect(disconnect: Disconnect) -> None:
-    """The first attempt fails after the client has disconnected: there is no second."""
+async def fail_attempt_after_noticed(disconnect: Disconnect) -> None:
+    """The client disconnects, the balancer notices it, and the attempt fails: there is no second."""
+    upstream = HoldingServer(fails_with(500))
+    async with balancer_before(upstream) as balancer:
+        client = connect_client(balancer.port)
+        client.sendall(request_bytes())
+        await wait_until_requested(upstream)
+        disconnect(client)
+        await wait_until(lambda: not balancer.dispatcher.unanswered, "the disconnect is noticed")
+        upstream.release()
+        await wait_until_nothing_in_flight(balancer)
+        assert len(upstream.requests) == 1
 
-    async def work() -> None:
-        upstream = HoldingServer(fails_with(500))
-        async with balancer_before(upstream) as balancer:
-            client = connect_client(balancer.port)
-            client.sendall(request_bytes())
-            await wait_until_requested(upstream)
-            disconnect(client)
-            await wait_until(lambda: not balancer.dispatcher.unanswered, "the disconnect is noticed")
-            upstream.release()
-            await wait_until_nothing_in_flight(balancer)
-            assert len(upstream.requests) == 1
 
-    run(work())
+async def fail_attempt_after_unnoticed(disconnect: Disconnect) -> None:
+    """The client disconnects with reading paused, and the attempt fails before that has been noticed."""
+    upstream = HoldingServer(fails_with(500))
+    async with balancer_before(upstream) as balancer:
+        client = connect_pipelining_client(balancer)
+        await wait_until_requested(upstream)
+        await disconnect_unnoticed(balancer, client, disconnect)
+        upstream.release()
+        await wait_until_nothing_in_flight(balancer)
+        assert len(upstream.requests) == 1
 
 
-@close_or_reset
-def test_a_failed_attempt_is_not_retried_after_an_unnoticed_disconnect(disconnect: Disconnect) -> None:
-    """With reading paused: the failure comes before the disconnect has been noticed."""
+def test_a_failed_attempt_is_not_retried_after_a_disconnect() -> None:
+    run(fail_attempt_after_noticed(socket.socket.close))
 
-    async def work() -> None:
-        upstream = HoldingServer(fails_with(500))
-        async with balancer_before(upstream) as balancer:
-            client = connect_pipelining_client(balancer)
-            await wait_until_requested(upstream)
-            await disconnect_unnoticed(balancer, client, disconnect)
-            upstream.release()
-            await wait_until_nothing_in_flight(balancer)
-            assert len(upstream.requests) == 1
 
-    run(work())
+def test_a_failed_attempt_is_not_retried_after_an_unnoticed_disconnect() -> None:
+    run(fail_attempt_after_unnoticed(socket.socket.close))
+
+
+@pytest.mark.parametrize(
+    "fail_attempt_after",
+    [fail_attempt_after_noticed, fail_attempt_after_unnoticed],
+    ids=["noticed", "unnoticed"],
+)
+def test_a_reset_by_the_client_counts_as_a_disconnect(
+    fail_attempt_after: Callable[[Disconnect], Coroutine[Any, Any, None]],
+) -> None:
+    run(fail_attempt_after(reset))
 
 
 def test_a_hedged_request_is_not_sent_after_an_unnoticed_disconnect() -> None:
