--- a/tests/balancing/endpoint_freshness/test_bound.py
+++ b/tests/balancing/endpoint_freshness/test_bound.py
@@ -36,12 +36,12 @@
 Fault = Callable[[Fleet, float, float], object]
 
 
-def starts(fleet: Fleet, at_ms: float, fraction: float) -> None:
+def starts(fleet: Fleet, _at_ms: float, _fraction: float) -> None:
     """All instances start with a list that is old already."""
     fleet.change()
 
 
-def falls_silent_early(fleet: Fleet, at_ms: float, fraction: float) -> None:
+def falls_silent_early(fleet: Fleet, _at_ms: float, fraction: float) -> None:
     fleet.at(500.0 + 2_000.0 * fraction, fleet.fall_silent)
     fleet.at(500.0 + 2_500.0 * fraction, fleet.change)
 
@@ -64,7 +64,7 @@
     fleet.at(back_ms + 1_000.0 * fraction, fleet.change)
 
 
-def relocates(fleet: Fleet, at_ms: float, fraction: float) -> None:
+def relocates(fleet: Fleet, at_ms: float, _fraction: float) -> None:
     fleet.at(at_ms, fleet.relocate)
 
 
@@ -74,7 +74,7 @@
     fleet.at(at_ms + 4_000.0 * fraction, fleet.relocate)
 
 
-def occupied_by_other_clients(fleet: Fleet, at_ms: float, fraction: float) -> None:
+def occupied_by_other_clients(fleet: Fleet, at_ms: float, _fraction: float) -> None:
     """All watches break while other clients occupy discovery for five seconds."""
 
     def occupy() -> None:
@@ -158,8 +158,8 @@
         assert most_in_a_second(fleet.requests_ms) <= 3.0 * count
 
 
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_a_fleet_without_changes_only_renews_its_watches(count: int, seeds: int) -> None:
+@pytest.mark.parametrize("count", [count for count, _ in SIZES])
+def test_a_fleet_without_changes_only_renews_its_watches(count: int) -> None:
     fleet = Fleet(count, 1, rate_of(count), 3_000.0)
     fleet.run(60_000.0)
     assert not [time_ms for time_ms in fleet.requests_ms if time_ms > BEGIN_MS]
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -90,9 +90,8 @@
             await wait_until_requested(upstream)
             await pause_reading(balancer, client)
             client.close()
-            await wait_until_disconnect_noticed(
-                script.events
-            )  # by the poll, though the upstream holds its response
+            # By the poll: the upstream holds its response.
+            await wait_until_disconnect_noticed(script.events)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
--- a/tests/simulator/test_event_decoder.py
+++ b/tests/simulator/test_event_decoder.py
@@ -73,8 +73,8 @@
 
 def test_lists_are_resolved_in_the_order_of_events_and_their_numbers_are_reused() -> None:
     update = "04 00000003 {} 00000029 00000000"
-    gone = "05 00000000 00000001 0000000000000000 0a124a07 2bc3 3f800000 00 00 0000 00"
-    frame = raw(CATALOG + update.format("03") + gone + update.format("01") + update.format("04"))
+    removal = "05 00000000 00000001 0000000000000000 0a124a07 2bc3 3f800000 00 00 0000 00"
+    frame = raw(CATALOG + update.format("03") + removal + update.format("01") + update.format("04"))
     assert Decoder().batch(frame, 5) == [
         (3, ListUpdate(ListKind.CACHED, 41, SERVERS)),
         (3, ListUpdate(ListKind.DELTA, 41, (ServerEntry(SERVER_A, ServerState.GONE),))),
--- a/tests/simulator/test_settings_decoder.py
+++ b/tests/simulator/test_settings_decoder.py
@@ -79,60 +79,63 @@
 }
 
 
-def test_each_key_of_the_wire_page_is_decoded_to_its_setting() -> None:
-    assert decode_settings(json.dumps(EVERY_KEY).encode()) == Settings(
-        classes=(
-            RequestClass(
-                objective_ms=100.0,
-                deadline_ms=400.0,
-                effect=Effect.IDEMPOTENT_WITH_KEY,
-                priority_weight=3.0,
-                late_priority_weight=0.25,
-                deduplication_scope=DeduplicationScope.CELL,
-                deduplication_ms=9.0,
-                streaming=True,
-                objective_stretch=0.5,
-                name="view",
-            ),
+EVERY_SETTING = Settings(
+    classes=(
+        RequestClass(
+            objective_ms=100.0,
+            deadline_ms=400.0,
+            effect=Effect.IDEMPOTENT_WITH_KEY,
+            priority_weight=3.0,
+            late_priority_weight=0.25,
+            deduplication_scope=DeduplicationScope.CELL,
+            deduplication_ms=9.0,
+            streaming=True,
+            objective_stretch=0.5,
+            name="view",
         ),
-        tenants=(Tenant(quota_per_s=97.0, fraction=0.58, name="one"),),
-        zones=2,
-        own_zone=1,
-        instance_index=4,
-        instances=9,
-        tier=2,
-        tiers=3,
-        tick_ms=6.0,
-        polled_discovery=True,
-        poll_interval_ms=9_000.0,
-        drain_grace_ms=1_500.0,
-        answer_slack_ms=20.0,
-        initial_capacity_share=0.15,
-        warm_up_ms=24_000.0,
-        overload_multiple=2.75,
-        overload_window_ms=2_500.0,
-        max_attempts=5,
-        may_cancel=True,
-        may_probe=True,
-        hedging_allowed=True,
-        connection_idle_ms=30_000.0,
-        connect_timeout_ms=150.0,
-        retry_advice=True,
-        max_retry_after_ms=2_000.0,
-        clients_mark_retries=True,
-        propagates_deadline=True,
-        report_mode=ReportMode.ON_PROBE,
-        report_fields=("waiting", "", "running_and_waiting"),
-        over_quota_weight=0.2,
-        price_cross_zone=0.01,
-        price_probe=0.03,
-        price_waste=0.04,
-        price_late_fail=0.02,
-    )
-
-
-def _set(path: list[Any], value: Any) -> Callable[[dict[str, Any]], None]:
-    """A change of one value; None removes it."""
+    ),
+    tenants=(Tenant(quota_per_s=97.0, fraction=0.58, name="one"),),
+    zones=2,
+    own_zone=1,
+    instance_index=4,
+    instances=9,
+    tier=2,
+    tiers=3,
+    tick_ms=6.0,
+    polled_discovery=True,
+    poll_interval_ms=9_000.0,
+    drain_grace_ms=1_500.0,
+    answer_slack_ms=20.0,
+    initial_capacity_share=0.15,
+    warm_up_ms=24_000.0,
+    overload_multiple=2.75,
+    overload_window_ms=2_500.0,
+    max_attempts=5,
+    may_cancel=True,
+    may_probe=True,
+    hedging_allowed=True,
+    connection_idle_ms=30_000.0,
+    connect_timeout_ms=150.0,
+    retry_advice=True,
+    max_retry_after_ms=2_000.0,
+    clients_mark_retries=True,
+    propagates_deadline=True,
+    report_mode=ReportMode.ON_PROBE,
+    report_fields=("waiting", "", "running_and_waiting"),
+    over_quota_weight=0.2,
+    price_cross_zone=0.01,
+    price_probe=0.03,
+    price_waste=0.04,
+    price_late_fail=0.02,
+)
+
+
+def test_each_key_of_the_wire_page_is_decoded_to_its_setting() -> None:
+    assert decode_settings(json.dumps(EVERY_KEY).encode()) == EVERY_SETTING
+
+
+def changed(path: list[Any], value: Any) -> Callable[[dict[str, Any]], None]:
+    """A change of the value at a path of keys; None removes it."""
 
     def change(settings: dict[str, Any]) -> None:
         section: Any = settings
@@ -149,20 +152,20 @@
 @pytest.mark.parametrize(
     ("change", "message"),
     [
-        (_set(["Categories"], None), "Categories: missing"),
-        (_set(["Categories"], []), "classes: the list is empty"),
-        (_set(["Categories", 0, "AimMs"], None), r"Categories\[0\].AimMs: missing"),
-        (_set(["Categories", 0, "AimMs"], -5), r"Categories\[0\].AimMs: -5"),
-        (_set(["Categories", 0, "AimMs"], float("nan")), r"Categories\[0\].AimMs: nan"),
-        (_set(["Categories", 0, "HardLimitMs"], "long"), r"Categories\[0\].HardLimitMs: 'long'"),
-        (_set(["Categories", 0, "Effect"], "maybe"), r"Categories\[0\].Effect: 'maybe'"),
-        (_set(["Categories", 0, "Group"], "hall"), r"Categories\[0\].Group: 'hall'"),
-        (_set(["Categories", 0], 7), r"Categories\[0\].: 7 is not an object"),
-        (_set(["PolicyLimits", "MayProbe"], 1), "PolicyLimits.MayProbe: 1"),
-        (_set(["PolicyLimits", "SendCap"], 1.5), "PolicyLimits.SendCap: 1.5"),
-        (_set(["Guarantees", "ColdShare"], 7), "ColdShare: 7"),
-        (_set(["MyZone"], 2), "MyZone: 2"),
-        (_set(["Zones"], "ab"), "Zones: 'ab' is not a list"),
+        (changed(["Categories"], None), "Categories: missing"),
+        (changed(["Categories"], []), "classes: the list is empty"),
+        (changed(["Categories", 0, "AimMs"], None), r"Categories\[0\].AimMs: missing"),
+        (changed(["Categories", 0, "AimMs"], -5), r"Categories\[0\].AimMs: -5"),
+        (changed(["Categories", 0, "AimMs"], float("nan")), r"Categories\[0\].AimMs: nan"),
+        (changed(["Categories", 0, "HardLimitMs"], "long"), r"Categories\[0\].HardLimitMs: 'long'"),
+        (changed(["Categories", 0, "Effect"], "maybe"), r"Categories\[0\].Effect: 'maybe'"),
+        (changed(["Categories", 0, "Group"], "hall"), r"Categories\[0\].Group: 'hall'"),
+        (changed(["Categories", 0], 7), r"Categories\[0\].: 7 is not an object"),
+        (changed(["PolicyLimits", "MayProbe"], 1), "PolicyLimits.MayProbe: 1"),
+        (changed(["PolicyLimits", "SendCap"], 1.5), "PolicyLimits.SendCap: 1.5"),
+        (changed(["Guarantees", "ColdShare"], 7), "ColdShare: 7"),
+        (changed(["MyZone"], 2), "MyZone: 2"),
+        (changed(["Zones"], "ab"), "Zones: 'ab' is not a list"),
     ],
 )
 def test_malformed_settings_are_an_error_that_names_key_and_value(
