--- a/tests/balancing/guidance_harness.py
+++ b/tests/balancing/guidance/harness.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
+from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Guidance, ServerState, ServerWeight
 from sandhatch.balancing.guidance.state import GuidanceState
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
@@ -24,6 +25,8 @@
 
 @dataclass
 class FakeServer:
+    """A server with the fields that the ramp looks at."""
+
     id: int
     started_ms: float = 1_000.0
     label: int = 0
@@ -41,9 +44,18 @@
     return event
 
 
-def guidance_state_of(
-    count: int, settings: Settings = SETTINGS
-) -> tuple[GuidanceState, dict[int, FakeServer], list[int]]:
-    """A state without guidance, its servers, which are all warm, and the numbers of these."""
-    servers = {number: FakeServer(number, 0.0) for number in range(count)}
-    return GuidanceState(settings, Random(1)), servers, list(servers)
+class GuidedServers:
+    """Servers, numbered from 0, which are all warm, and a state without guidance so far."""
+
+    def __init__(self, count: int) -> None:
+        """Makes so many servers."""
+        self.state = GuidanceState(SETTINGS, Random(1))
+        self.servers = {number: FakeServer(number, 0.0) for number in range(count)}
+
+    def take(self, event: Guidance, now_ms: float) -> GuidanceRejected | None:
+        """Take in the guidance, for all servers; the reason if it is rejected."""
+        return self.state.take(event, self.servers, list(self.servers), now_ms)
+
+    def weights(self, now_ms: float) -> list[float]:
+        """The weight of each server."""
+        return [self.state.weight(number, now_ms) for number in self.servers]
--- a/tests/balancing/test_guidance_in_balancer.py
+++ b/tests/balancing/guidance/test_in_balancer.py
@@ -19,7 +19,7 @@
 )
 from sandhatch.balancing.settings import Effect
 from sandhatch.balancing.state_transfer import inherit
-from tests.balancing.guidance_harness import CLASS, SETTINGS, guidance
+from tests.balancing.guidance.harness import CLASS, SETTINGS, guidance
 
 
 def entries(count: int, **fresh: float) -> list[ServerEntry]:
--- a/tests/balancing/test_guidance_shared_ramp.py
+++ b/tests/balancing/guidance/test_shared_ramp.py
@@ -2,37 +2,12 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import replace
 
-import pytest
-
-from sandhatch.balancing.errors import SettingsError
-from sandhatch.balancing.events import (
-    RampShare,
-)
-from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, default_allocation
+from sandhatch.balancing.events import RampShare
+from sandhatch.balancing.guidance.ramp_allocation import RampAllocation
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
-from tests.balancing.guidance_harness import SETTINGS, FakeServer
-
-
-@pytest.mark.parametrize("instances", [1, 2, 7, 20])
-@pytest.mark.parametrize("burst", [0.0, 1.0, 2.5, 19.0, 40.0])
-def test_own_allocations_of_all_instances_sum_to_the_complete_ramp(instances: int, burst: float) -> None:
-    for label in (0, 3, 12_345_678):
-        allocations = [
-            default_allocation(instances, index, burst or instances, label) for index in range(instances)
-        ]
-        assert math.isclose(sum(allocation.rate for allocation in allocations), 1.0)
-        assert math.isclose(sum(allocation.burst for allocation in allocations), burst or instances)
-        assert all(allocation.burst == 0.0 or allocation.burst >= 1.0 for allocation in allocations)
-
-
-def test_an_instance_index_out_of_range_and_a_burst_below_one_request_are_rejected() -> None:
-    with pytest.raises(SettingsError, match="instance_index: 4 is not below the number of instances, 4"):
-        replace(SETTINGS, instance_index=4)
-    with pytest.raises(SettingsError, match=r"ramp_burst: 0\.5"):
-        replace(SETTINGS, ramp_burst=0.5)
+from tests.balancing.guidance.harness import SETTINGS, FakeServer
 
 
 def sent(ramp: SharedRamp, server: FakeServer, begin: int, end: int) -> int:
--- a/tests/balancing/policy/test_connection_reuse.py
+++ b/tests/balancing/policy/test_connection_reuse.py
@@ -31,7 +31,7 @@
     assert kinds.index(CloseIdle) < kinds.index(Send)
 
 
-def test_unused_connections_are_closed_where_many_servers_refuse_new_ones() -> None:
+def test_unused_connections_are_closed_where_connects_to_many_servers_fail() -> None:
     # Guards against hundreds of instances filling the servers' connection tables with idle connections.
     driver = make_driver(servers=50)
     for _ in range(6):
@@ -49,7 +49,7 @@
 
 
 def test_the_connection_of_a_restarted_server_is_forgotten() -> None:
-    # Guards against the connection of a process that is gone being taken for its successor's.
+    # Guards against the connection of a process that has ended being taken for its successor's.
     driver = make_driver(servers=3)
     for _ in range(9):
         driver.request()
--- a/tests/balancing/policy/test_retry_rules.py
+++ b/tests/balancing/policy/test_retry_rules.py
@@ -54,18 +54,28 @@
         assert len(driver.requests[1].attempts) == 2
 
 
-def rules_for_attempts(
-    settings: Settings, request_class: RequestClass, outcomes: list[Outcome | None]
-) -> tuple[RetryRules, Request, Server]:
-    rules = RetryRules(settings)
-    request = Request(1, request_class, 0, 5000.0, 5000.0)
-    server = Server.from_entry(ServerEntry(1))
-    for outcome in outcomes:
-        attempt = Attempt(server, server.zone, server.cell, 100.0)
-        attempt.outcome = outcome
-        request.attempts.append(attempt)
-        request.outstanding += outcome is None
-    return rules, request, server
+class AttemptedRequest:
+    """A request whose attempts at one server, sent at 100 ms, have these outcomes; None is in flight."""
+
+    def __init__(
+        self, settings: Settings, request_class: RequestClass, outcomes: list[Outcome | None]
+    ) -> None:
+        self._rules = RetryRules(settings)
+        self._request = Request(1, request_class, 0, 5000.0, 5000.0)
+        self._server = Server.from_entry(ServerEntry(1))
+        for outcome in outcomes:
+            attempt = Attempt(self._server, self._server.zone, self._server.cell, 100.0)
+            attempt.outcome = outcome
+            self._request.attempts.append(attempt)
+            self._request.outstanding += outcome is None
+
+    def may_send(self, now_ms: float) -> bool:
+        """Whether the rules allow a further attempt at the server."""
+        return self._rules.may_send(self._request, self._server, now_ms)
+
+    def may_reject(self) -> bool:
+        """Whether the rules allow a rejection."""
+        return self._rules.may_reject(self._request)
 
 
 def test_a_keyed_request_is_not_retried_after_the_deduplication_time_of_its_first_send() -> None:
@@ -76,36 +86,34 @@
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_ms=300.0,
     )
-    rules, request, server = rules_for_attempts(PLAIN, keyed, [Outcome.RESET])
-    assert rules.may_send(request, server, 390.0)
-    assert not rules.may_send(request, server, 400.0)
-    unrun = rules_for_attempts(PLAIN, keyed, [Outcome.FULL])
-    assert unrun[0].may_send(unrun[1], unrun[2], 4000.0)
+    request = AttemptedRequest(PLAIN, keyed, [Outcome.RESET])
+    assert request.may_send(390.0)
+    assert not request.may_send(400.0)
+    unrun = AttemptedRequest(PLAIN, keyed, [Outcome.FULL])
+    assert unrun.may_send(4000.0)
 
 
 def test_no_hedged_attempt_where_none_is_allowed() -> None:
-    rules, request, server = rules_for_attempts(PLAIN, IDEMPOTENT, [None])
-    assert not rules.may_send(request, server, 110.0)
-    rules, request, server = rules_for_attempts(replace(PLAIN, hedging_allowed=True), IDEMPOTENT, [None])
-    assert rules.may_send(request, server, 110.0)
+    request = AttemptedRequest(PLAIN, IDEMPOTENT, [None])
+    assert not request.may_send(110.0)
+    request = AttemptedRequest(replace(PLAIN, hedging_allowed=True), IDEMPOTENT, [None])
+    assert request.may_send(110.0)
 
 
 def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
     for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
-        rules, request, server = rules_for_attempts(
-            replace(PLAIN, hedging_allowed=True), NON_IDEMPOTENT, [outcome]
-        )
-        assert not rules.may_send(request, server, 110.0)
-        assert not rules.may_reject(request)
+        request = AttemptedRequest(replace(PLAIN, hedging_allowed=True), NON_IDEMPOTENT, [outcome])
+        assert not request.may_send(110.0)
+        assert not request.may_reject()
     for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED):
-        rules, request, server = rules_for_attempts(PLAIN, NON_IDEMPOTENT, [outcome])
-        assert rules.may_send(request, server, 110.0)
-        assert rules.may_reject(request)
+        request = AttemptedRequest(PLAIN, NON_IDEMPOTENT, [outcome])
+        assert request.may_send(110.0)
+        assert request.may_reject()
 
 
 def test_no_more_attempts_than_allowed() -> None:
-    rules, request, server = rules_for_attempts(PLAIN, IDEMPOTENT, [Outcome.RESET] * 4)
-    assert not rules.may_send(request, server, 110.0)
+    request = AttemptedRequest(PLAIN, IDEMPOTENT, [Outcome.RESET] * 4)
+    assert not request.may_send(110.0)
 
 
 def test_retries_stop_when_their_budget_is_spent() -> None:
