--- a/tests/balancing/driver.py
+++ b/tests/balancing/driver.py
@@ -94,25 +94,27 @@
         self.next_id += 1
         self.unfinished.append(self.next_id)
         self.requests[self.next_id] = RequestRecord(class_index, self.now + time_left_ms)
-        ready = [e for e in self.listed.values() if e.state is ServerState.READY]
-        warming = [e for e in ready if self.is_warming_up(e)]
+        self._earn_warming_allowance()
+        return self.feed(RequestArrived(self.next_id, class_index, time_left_ms, tenant, expected_ms=hint_ms))
+
+    def _earn_warming_allowance(self) -> None:
+        """A request's fair part for the servers that warm up: by what each can do now."""
+        ready = [entry for entry in self.listed.values() if entry.state is ServerState.READY]
+        warming = [entry for entry in ready if self.is_warming_up(entry)]
         if warming:
             share = self.settings.initial_capacity_share
-            grown = sum(
-                share + (1 - share) * (self.now - e.started_ms) / self.settings.warm_up_ms for e in warming
-            )
-            self.warming_allowance += grown / len(ready)
-        return self.feed(RequestArrived(self.next_id, class_index, time_left_ms, tenant, expected_ms=hint_ms))
+            ages = [(self.now - entry.started_ms) / self.settings.warm_up_ms for entry in warming]
+            self.warming_allowance += sum(share + (1 - share) * age for age in ages) / len(ready)
 
     def is_warming_up(self, entry: ServerEntry) -> bool:
         return entry.started_ms > 0 and self.now - entry.started_ms < self.settings.warm_up_ms
 
     def open_attempts(self) -> list[tuple[int, int]]:
         return [
-            (r, n)
-            for r in self.unfinished
-            for n, t in enumerate(self.requests[r].attempts)
-            if t.outcome is None
+            (request, number)
+            for request in self.unfinished
+            for number, attempt in enumerate(self.requests[request].attempts)
+            if attempt.outcome is None
         ]
 
     def end_attempt(self, request: int, attempt: int, outcome: Outcome) -> list[Action]:
@@ -141,12 +143,14 @@
         """Let time pass a tick at a time: timers fire and attempts run into their time-outs."""
         end = self.now + ms
         while self.now < end:
-            self.unfinished = [r for r in self.unfinished if not self._settled(self.requests[r])]
-            due = [t for t, _ in self.timers] + [
-                self.requests[r].attempts[n].expires_ms for r, n in self.open_attempts()
+            self.unfinished = [
+                request for request in self.unfinished if not self._settled(self.requests[request])
             ]
-            step = min([end, *due], default=end)
-            self.now = max(self.now, min(step, end))
+            due_ms = [time_ms for time_ms, _ in self.timers] + [
+                self.requests[request].attempts[attempt].expires_ms
+                for request, attempt in self.open_attempts()
+            ]
+            self.now = max(self.now, min([end, *due_ms]))
             for request, attempt in self.open_attempts():
                 if self.requests[request].attempts[attempt].expires_ms <= self.now:
                     self.end_attempt(request, attempt, Outcome.TIMEOUT)
@@ -158,7 +162,7 @@
 
     @staticmethod
     def _settled(record: RequestRecord) -> bool:
-        return record.over and all(t.outcome is not None for t in record.attempts)
+        return record.over and all(attempt.outcome is not None for attempt in record.attempts)
 
     # the rules
 
@@ -176,7 +180,7 @@
             record = self.requests[action.request]
             self._answer(record, action.request)
             cls = self.settings.classes[record.class_index]
-            ran = [t for t in record.attempts if t.outcome not in NEVER_RAN]
+            ran = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
             harmless = cls.effect is Effect.IDEMPOTENT or (
                 cls.effect is Effect.IDEMPOTENT_WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
             )
@@ -204,27 +208,30 @@
         cls = self.settings.classes[record.class_index]
         entry = self.listed.get(action.server)
         assert not record.over, "sent for a request that is over"
-        assert entry is not None, "sent to a server that is gone"
-        assert entry.state is ServerState.READY, "sent to a server that drains or is gone"
+        assert entry is not None, "sent to a server that is not listed"
+        assert entry.state is ServerState.READY, "sent to a server that drains or was removed"
         assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
         if not self.settings.hedging_allowed:
-            assert all(t.outcome is not None for t in record.attempts), "two attempts at once"
-        ran = [t for t in record.attempts if t.outcome not in NEVER_RAN]
+            assert all(attempt.outcome is not None for attempt in record.attempts), "two attempts at once"
+        ran = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
         if cls.effect is Effect.NON_IDEMPOTENT:
-            assert not ran, "unsafe sent again though it may have run"
+            assert not ran, "non-idempotent retried though it may have run"
         if cls.effect is Effect.IDEMPOTENT_WITH_KEY and ran:
-            assert self.now < ran[0].sent_ms + cls.deduplication_ms, "keyed sent again after its memory"
+            assert self.now < ran[0].sent_ms + cls.deduplication_ms, (
+                "keyed retried after its deduplication time"
+            )
             if cls.deduplication_scope is DeduplicationScope.ZONE:
-                assert all(t.zone == entry.zone for t in ran), "keyed sent again outside its zone"
+                assert all(attempt.zone == entry.zone for attempt in ran), "keyed retried outside its zone"
             if cls.deduplication_scope is DeduplicationScope.CELL:
-                assert all((t.zone, t.cell) == (entry.zone, entry.cell) for t in ran), (
-                    "keyed outside its cell"
-                )
+                cells = {(attempt.zone, attempt.cell) for attempt in ran}
+                assert cells == {(entry.zone, entry.cell)}, "keyed retried outside its cell"
         if self.is_warming_up(entry):
             self.warming_sends += 1
             # Own bound: the fair part of the traffic, cut to the capacity of the servers that warm up, and a
             # little to begin with.
-            assert self.warming_sends <= 4 + 1.1 * self.warming_allowance, "server pushed while it warms up"
+            assert self.warming_sends <= 4 + 1.1 * self.warming_allowance, (
+                "server overloaded while it warms up"
+            )
         expires_ms = (
             record.deadline_ms
             if action.timeout_ms <= 0
--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -21,6 +21,8 @@
 
 @dataclass
 class Instance:
+    """An instance: what it knows of the list, and its request to discovery."""
+
     number: int
     freshness: Freshness
     version: int = 0  # of the list that it knows
@@ -234,6 +236,7 @@
 
 
 def most_in_a_second(times_ms: list[float]) -> int:
+    """The largest number of these times that are within one second."""
     times = sorted(times_ms)
     most = first = 0
     for last, time_ms in enumerate(times):
--- a/tests/balancing/policy/test_retry_rules.py
+++ b/tests/balancing/policy/test_retry_rules.py
@@ -27,6 +27,14 @@
     sends,
 )
 
+KEYED = RequestClass(
+    200.0,
+    400.0,
+    Effect.IDEMPOTENT_WITH_KEY,
+    deduplication_scope=DeduplicationScope.ZONE,
+    deduplication_ms=300.0,
+)
+
 
 def test_a_non_idempotent_request_is_retried_only_after_proof_that_nothing_ran() -> None:
     driver = make_driver(servers=5)
@@ -37,19 +45,12 @@
 
 
 def test_a_keyed_request_stays_in_the_zone_of_its_first_server() -> None:
-    keyed = RequestClass(
-        200.0,
-        400.0,
-        Effect.IDEMPOTENT_WITH_KEY,
-        deduplication_scope=DeduplicationScope.ZONE,
-        deduplication_ms=300.0,
-    )
     for seed in range(30):
-        driver = Driver(replace(PLAIN, classes=(keyed,), zones=3), seed)
+        driver = Driver(replace(PLAIN, classes=(KEYED,), zones=3), seed)
         driver.update_list(ListKind.FULL, tuple(ServerEntry(n, zone=n % 3) for n in range(9)))
         driver.request()
         driver.end_attempt(1, 0, Outcome.RESET)
-        zones = {t.zone for t in driver.requests[1].attempts}
+        zones = {attempt.zone for attempt in driver.requests[1].attempts}
         assert len(zones) == 1
         assert len(driver.requests[1].attempts) == 2
 
@@ -79,13 +80,7 @@
 
 
 def test_a_keyed_request_is_not_retried_after_the_deduplication_time_of_its_first_send() -> None:
-    keyed = RequestClass(
-        200.0,
-        5000.0,
-        Effect.IDEMPOTENT_WITH_KEY,
-        deduplication_scope=DeduplicationScope.ALL,
-        deduplication_ms=300.0,
-    )
+    keyed = replace(KEYED, deadline_ms=5000.0, deduplication_scope=DeduplicationScope.ALL)
     request = AttemptedRequest(PLAIN, keyed, [Outcome.RESET])
     assert request.may_send(390.0)
     assert not request.may_send(400.0)
@@ -122,7 +117,7 @@
         driver.request()
         while driver.open_attempts():
             driver.end_attempt(*driver.open_attempts()[0], Outcome.RESET)
-    attempts = sum(len(o.attempts) for o in driver.requests.values())
+    attempts = sum(len(request.attempts) for request in driver.requests.values())
     assert attempts < 200 * 1.3 + 10
 
 
@@ -133,7 +128,7 @@
             driver.request()
             while driver.open_attempts():
                 driver.end_attempt(*driver.open_attempts()[0], outcome)
-        return sum(len(o.attempts) for o in driver.requests.values())
+        return sum(len(request.attempts) for request in driver.requests.values())
 
     assert attempts(Outcome.CONNECT_FAILED) > 1.4 * attempts(Outcome.RESET)
 
@@ -149,7 +144,7 @@
             driver.end_attempt(
                 driver.next_id, len(driver.requests[driver.next_id].attempts) - 1, Outcome.CONNECT_FAILED
             )
-        tried = [one.server for one in driver.requests[driver.next_id].attempts]
+        tried = [attempt.server for attempt in driver.requests[driver.next_id].attempts]
         assert len(set(tried)) == 4
 
 
@@ -160,16 +155,19 @@
     )
     driver = make_driver(settings)
     for _ in range(200):
-        for at in (0, 1):
-            driver.request(at)
+        for class_index in (0, 1):
+            driver.request(class_index)
             driver.advance(20.0)
             driver.end_attempt(driver.next_id, 0, Outcome.OK)
     driver.request(0)
     driver.advance(150.0)
-    assert [one.outcome for one in driver.requests[driver.next_id].attempts] == [Outcome.TIMEOUT, None]
+    assert [attempt.outcome for attempt in driver.requests[driver.next_id].attempts] == [
+        Outcome.TIMEOUT,
+        None,
+    ]
     driver.request(1)
     driver.advance(150.0)
-    assert [one.outcome for one in driver.requests[driver.next_id].attempts] == [None]
+    assert [attempt.outcome for attempt in driver.requests[driver.next_id].attempts] == [None]
 
 
 def test_a_slow_idempotent_attempt_is_not_given_up_while_servers_are_full() -> None:
@@ -186,5 +184,5 @@
         driver.request(1)
         driver.advance(2.0)
     driver.balancer.admission.load = 60.0
-    (send,) = [a for a in driver.request(0) if isinstance(a, Send)]
+    (send,) = [action for action in driver.request(0) if isinstance(action, Send)]
     assert send.timeout_ms > 250.0
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -11,6 +11,7 @@
 
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.tier import Tier
+from tests.balancing.endpoint_freshness.simulated_fleet import most_in_a_second
 
 PLAN = TierPlan(
     forwarders=40,
@@ -29,11 +30,6 @@
 SEEDS = (1, 2)
 
 
-def most_in_a_second(calls_ms: list[float]) -> int:
-    times = sorted(calls_ms)
-    return max((sum(at <= other < at + 1_000.0 for other in times) for at in times), default=0)
-
-
 @pytest.mark.parametrize("instances", [1, 3, 40])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_silent_subscriptions_are_detected_by_servers_that_were_removed(instances: int, seed: int) -> None:
@@ -64,16 +60,20 @@
     tier.at(10_000.0, disconnect)
     tier.run(70_000.0)
     polls_per_instance = len([at for at in tier.discovery.calls_ms if at > 1_010_000.0]) / 40
-    assert (
-        1.0 <= polls_per_instance <= 5.0
-    )  # in a minute: each time that it brings nothing doubles the time to the next
+    # In a minute: each poll that brings nothing doubles the time to the next.
+    assert 1.0 <= polls_per_instance <= 5.0
 
 
 def test_a_full_server_that_still_serves_does_not_cause_polls() -> None:
     """Overload causes rejections too; the list has nothing to say of that."""
     tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
     tier.run(20_000.0)
-    rejected = [s for f in tier.forwarders for s in f.balancer.server_list.servers.values() if s.ejections]
+    rejected = [
+        server
+        for forwarder in tier.forwarders
+        for server in forwarder.balancer.server_list.servers.values()
+        if server.ejections
+    ]
     assert len(tier.discovery.calls_ms) - 3 <= 6, rejected
 
 
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -161,6 +161,4 @@
             slow_start.spend(late, 16_000.0)
             sent += 1
     budget = MULTIPLE * 0.15 * rate_per_s / 20 * WINDOW_MS / 1_000.0
-    assert (
-        0 < sent <= allowed(budget) / 2.0
-    )  # at the most half the budget of a server that warms up is planned for
+    assert 0 < sent <= allowed(budget) / 2.0  # half the budget of a server that warms up is planned for
--- a/tests/balancing/test_invariants.py
+++ b/tests/balancing/test_invariants.py
@@ -125,9 +125,9 @@
                 self.driver.answer_probe((0.0, 0.0))
             if wait:
                 self.driver.advance(wait)
-            mine = [one for one in self.driver.open_attempts() if one[0] == request]
-            if mine:
-                self.driver.end_attempt(*mine[0], outcome)
+            in_flight = [attempt for attempt in self.driver.open_attempts() if attempt[0] == request]
+            if in_flight:
+                self.driver.end_attempt(*in_flight[0], outcome)
 
     @rule(pick=st.integers(0, 10**6), outcome=st.sampled_from([*Outcome, Outcome.OK, Outcome.FULL]))
     def attempt_ends(self, pick: int, outcome: Outcome) -> None:
@@ -154,12 +154,9 @@
         started = self.driver.now if fresh else 0.0
         entries = [ServerEntry(number, state, started, zone=number % 3, cell=number % 2)]
         if kind is ListKind.FULL:
-            kept = [
-                e
-                for e in self.driver.listed.values()
-                if e.server != number and e.state is not ServerState.GONE
-            ]
-            entries = [e for e in entries if e.state is not ServerState.GONE] + kept[1:]
+            others = [entry for entry in self.driver.listed.values() if entry.server != number]
+            kept = [entry for entry in others if entry.state is not ServerState.GONE]
+            entries = [entry for entry in entries if entry.state is not ServerState.GONE] + kept[1:]
         self.driver.update_list(kind, tuple(entries))
 
     @rule()
@@ -174,9 +171,9 @@
 
     @rule(pick=st.integers(0, 10**6))
     def client_disconnects(self, pick: int) -> None:
-        alive = [r for r, o in self.driver.requests.items() if not o.over]
-        if alive:
-            request = alive[pick % len(alive)]
+        waiting = [request for request, record in self.driver.requests.items() if not record.over]
+        if waiting:
+            request = waiting[pick % len(waiting)]
             self.driver.requests[request].over = True
             self.driver.feed(ClientDisconnected(request))
 
@@ -188,7 +185,7 @@
     def teardown(self) -> None:
         if hasattr(self, "driver"):
             self.driver.advance(950.0)
-            assert all(o.over for o in self.driver.requests.values())
+            assert all(record.over for record in self.driver.requests.values())
             assert not self.driver.balancer.requests, "finished requests are kept"
 
 
