--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -213,7 +213,7 @@
         source.start()
         await received.next()
         source.watch(watch_call())
-        assert (await received.next()).kind is ListKind.FAILED  # PATIENCE_S is less than a watch's wait
+        assert (await received.next()).kind is ListKind.FAILED  # long before the watch's wait is over
         source.stop()
         for opened in (*waiting, full):
             opened.close()
@@ -309,8 +309,8 @@
     run(work())
 
 
-Form = Callable[[bytes], list[bytes]]
-FORMS: list[tuple[str, Form]] = [
+SplitResponse = Callable[[bytes], list[bytes]]
+RESPONSES_IN_PIECES: list[tuple[str, SplitResponse]] = [
     ("single bytes", lambda data: [bytes([byte]) for byte in ok(data)]),
     (
         "chunks",
@@ -323,15 +323,19 @@
 ]
 
 
-@pytest.mark.parametrize("form", [form for _, form in FORMS], ids=[name for name, _ in FORMS])
-def test_an_indented_list_that_arrives_in_pieces_is_read(form: Form) -> None:
+@pytest.mark.parametrize(
+    "split_response",
+    [split_response for _, split_response in RESPONSES_IN_PIECES],
+    ids=[name for name, _ in RESPONSES_IN_PIECES],
+)
+def test_an_indented_list_that_arrives_in_pieces_is_read(split_response: SplitResponse) -> None:
     async def work() -> None:
         async with following_discovery() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             rows: list[dict[str, Any]] = [entry("a", 9, lifecycle="leaving")]
             text = json.dumps({"generation": 42, "reset": False, "instances": rows}, indent=4)
-            for piece in form(text.encode()):
+            for piece in split_response(text.encode()):
                 watch.writer.write(piece)
                 await watch.writer.drain()
             await received.next()
