--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -18,7 +18,8 @@
 from sandhatch.http1.errors import Fault
 from sandhatch.http1.events import End, Event
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import NEVER, RequestParser
+from sandhatch.http1.message_parser import NEVER
+from sandhatch.http1.parser import RequestParser
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.socket_writer import SCRATCH
