--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -176,7 +176,7 @@
 
     def _on_deadline(self, exchange: Exchange) -> None:
         """End the attempts of a request whose time is over, then answer what the balancer has not."""
-        if any(not flow.done for flow in exchange.open_flows):
+        if any(not flow.sent for flow in exchange.open_flows):
             if exchange.answer_flow is not None:
                 self._bodies.abort_answer(exchange, TruncatedBy.TIME)
             else:  # the time went on the body's transfer, in which either side may have been slow
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -17,33 +17,33 @@
 from sandhatch.upstream.load_report import LOAD_HEADER
 
 
-class _RequestWatcher:
-    """Watches the flow of a request's body."""
+class _RequestObserver:
+    """Observes the flow of a request's body."""
 
     def __init__(self, bodies: StreamedBodies, exchange: Exchange) -> None:
         self._bodies = bodies
         self._exchange = exchange
 
-    def unrepeatable(self) -> None:
+    def on_unrepeatable(self) -> None:
         """Note that what was sent is no longer kept."""
         self._bodies.on_unrepeatable(self._exchange)
 
-    def passed_on(self) -> None:
+    def on_sent(self) -> None:
         """Note that all of the request has been sent."""
         self._bodies.on_request_sent(self._exchange)
 
 
-class _AnswerWatcher:
-    """Watches the flow of an answer's body."""
+class _AnswerObserver:
+    """Observes the flow of an answer's body."""
 
     def __init__(self, bodies: StreamedBodies, exchange: Exchange) -> None:
         self._bodies = bodies
         self._exchange = exchange
 
-    def unrepeatable(self) -> None:
+    def on_unrepeatable(self) -> None:
         """Do nothing: an answer that has begun is the client's from its first byte."""
 
-    def passed_on(self) -> None:
+    def on_sent(self) -> None:
         """Note that all of the answer has been sent."""
         self._bodies.on_answer_sent(self._exchange)
 
@@ -68,10 +68,9 @@
             connection_pool: the pool's connections.
             callbacks: the dispatcher's.
         """
+        self._shared = shared
         self._clock = shared.clock
         self._logger = shared.logger
-        self._memory_budget = shared.memory_budget
-        self._statistics = shared.flows
         self._exchanges = exchanges
         self._connection_pool = connection_pool
         self._deliver = callbacks.deliver
@@ -84,7 +83,7 @@
 
     def start_request(self, exchange: Exchange, flow: Flow) -> None:
         """Watch the body of a request that is streamed."""
-        flow.watch(_RequestWatcher(self, exchange))
+        flow.observe(_RequestObserver(self, exchange))
         self._check_progress_of(exchange)
 
     def on_unrepeatable(self, exchange: Exchange) -> None:
@@ -119,7 +118,10 @@
             return None
         now_ms = self._clock.now_ms()
         self._restart_timers(exchange, attempt, terms, now_ms)
-        flow = exchange.answer_flow = self._open_answer_flow(exchange, attempt, terms, reserved_bytes)
+        assert attempt.connection is not None  # it brings the answer
+        flow = Flow(terms.answer, self._shared, attempt.connection, reserved_bytes, leases_to_answer=False)
+        flow.observe(_AnswerObserver(self, exchange))
+        exchange.answer_flow = flow
         exchange.answering_attempt = attempt_number
         exchange.status = answer.status
         self._check_progress_of(exchange)
@@ -131,22 +133,6 @@
             flow.attach(exchange.client)
         return flow
 
-    def _open_answer_flow(
-        self, exchange: Exchange, attempt: Attempt, terms: StreamTerms, reserved_bytes: int
-    ) -> Flow:
-        assert attempt.connection is not None
-        flow = Flow(
-            terms.answer,
-            self._clock,
-            self._memory_budget,
-            self._statistics,
-            attempt.connection,
-            reserved_bytes,
-            lends=False,
-        )
-        flow.watch(_AnswerWatcher(self, exchange))
-        return flow
-
     def _restart_timers(
         self, exchange: Exchange, attempt: Attempt, terms: StreamTerms, now_ms: float
     ) -> None:
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -165,10 +165,7 @@
         """Opens the flow of a body that was buffered far enough, and hands the reserved memory to it."""
         terms = self._body_terms
         assert terms is not None
-        shared = self._shared
-        flow = Flow(
-            terms.request, shared.clock, shared.memory_budget, shared.flows, self, self._reserved_bytes
-        )
+        flow = Flow(terms.request, self._shared, self, self._reserved_bytes)
         self._booked_bytes -= self._reserved_bytes  # the flow's from here on
         self._stop_buffering()
         self._request_flow = flow
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -26,6 +26,12 @@
         self.peak_bytes = 0
         self.over = 0
 
+    def count_opened(self) -> None:
+        """Count a flow that is opened now."""
+        self.open += 1
+        self.opened += 1
+        self.most_open = max(self.most_open, self.open)
+
     def snapshot(self) -> dict[str, int]:
         """The counts by the keys that they have in the status ("bodies" on the operators' page)."""
         return {
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -11,7 +11,10 @@
 the pace of the slower side.
 
 The replay buffer keeps the bytes from the first, while they are few: until it is released, another sink can
-be given the complete body. `FlowObserver.unrepeatable` notifies of the release.
+be given the complete body. `FlowObserver.on_unrepeatable` notifies of the release.
+
+A flow has one sink at a time, and may have none. `ended` says that the source has brought the complete body,
+`sent` that the present sink has sent it, `closed` that nothing of it counts any more.
 """
 
 from __future__ import annotations
@@ -19,10 +22,9 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from sandhatch.runtime.flow_statistics import FlowStatistics
-from sandhatch.runtime.memory_budget import MemoryBudget
+from sandhatch.streaming.flow_memory import MIN_CREDIT_BYTES, FlowMemory
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.interfaces import FlowObserver, MonotonicClock, Piece, Sink, Source
+from sandhatch.streaming.interfaces import FlowObserver, FlowResources, Piece, Sink, Source
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.terms import BodyTerms
 
@@ -54,31 +56,28 @@
         terms: The body's limits.
         source: Brings the body; None once all of it has come.
         ended: Whether the source has brought all of it.
-        done: Whether all of it has left through the sink.
+        sent: Whether all of it has left through the present sink.
         closed: Whether the flow has been closed, so that it takes nothing more.
         trailers: Fields behind the body, once it has ended.
     """
 
-    MIN_CREDIT_BYTES = 16 * 1024  # bytes of credit for a body that has begun, however short memory is
+    MIN_CREDIT_BYTES = MIN_CREDIT_BYTES
 
     __slots__ = (
-        "_booked_bytes",
         "_clock",
-        "_leased",
-        "_memory_budget",
+        "_memory",
+        "_observer",
         "_replay_buffer",
         "_replay_bytes",
-        "_reserved_bytes",
         "_sink",
         "_sink_progress",
         "_source_paused",
         "_source_progress",
         "_statistics",
         "_unsent_bytes",
-        "_watcher",
         "closed",
-        "done",
         "ended",
+        "sent",
         "source",
         "terms",
         "trailers",
@@ -87,50 +86,42 @@
     def __init__(
         self,
         terms: BodyTerms,
-        clock: MonotonicClock,
-        memory_budget: MemoryBudget,
-        statistics: FlowStatistics,
+        resources: FlowResources,
         source: Source,
         reserved_bytes: int,
-        lends: bool = True,
+        leases_to_answer: bool = True,
     ) -> None:
         """Open a flow without a sink.
 
         Args:
             terms: The body's limits.
-            clock: Measures the progress of both sides.
-            memory_budget: Where the flow's memory is booked.
-            statistics: Counts all flows of the process.
+            resources: The clock, the memory budget and the statistics of the process.
             source: Brings the body.
-            reserved_bytes: Booked already, and kept until the replay buffer is released; after that the flow
-                keeps `MIN_CREDIT_BYTES`.
-            lends: Whether `MIN_CREDIT_BYTES` of the reserved bytes are for the body of the other direction.
+            reserved_bytes: Booked already in the memory budget; see `FlowMemory`.
+            leases_to_answer: Whether a part of these is for the body of the answer; False for an answer's.
         """
         self.terms = terms
         self.source: Source | None = source
-        self._statistics = statistics
-        self._clock = clock
-        self._memory_budget = memory_budget
-        self._reserved_bytes = reserved_bytes
-        self._booked_bytes = reserved_bytes
-        self._leased = not lends  # the other direction has been given its part
-        self._watcher: FlowObserver | None = None
+        self.ended = False
+        self.sent = False
+        self.closed = False
+        self.trailers: Headers = []
+        self._clock = resources.clock
+        self._statistics = resources.flows
+        self._memory = FlowMemory(
+            resources.memory_budget, resources.flows, terms.ceiling_bytes, reserved_bytes, leases_to_answer
+        )
+        self._observer: FlowObserver | None = None
         self._sink: Sink | None = None
         self._unsent_bytes = 0  # of the sink, as last looked at
         # Before the first sink this is what waits for it; afterwards what another one would be given.
         self._replay_buffer: list[bytes] | None = []
         self._replay_bytes = 0
-        self._source_progress = ProgressMonitor(terms.writer)
-        self._sink_progress = ProgressMonitor(terms.reader)
         self._source_paused = False
-        self.ended = False
-        self.done = False
-        self.closed = False
-        self.trailers: Headers = []
-        statistics.open += 1
-        statistics.opened += 1
-        statistics.most_open = max(statistics.most_open, statistics.open)
-        self._source_progress.start_waiting(clock.now_ms())
+        self._sink_progress = ProgressMonitor(terms.reader)
+        self._source_progress = ProgressMonitor(terms.writer)
+        self._source_progress.start_waiting(self._clock.now_ms())
+        self._statistics.count_opened()
 
     # ------------------------------------------------ called by the source
 
@@ -141,8 +132,9 @@
         Bounded by the body's ceiling and by the free memory; a flow keeps the credit of its reserved bytes
         however short memory is.
         """
-        free_bytes = max(self._reserved_bytes, self._booked_bytes + self._memory_budget.free)
-        return max(0, min(self.terms.ceiling_bytes, free_bytes) - self.memory_bytes)
+        unsent_bytes = self._sink.unsent if self._sink is not None else 0
+        most_bytes = min(self.terms.ceiling_bytes, self._memory.available_bytes)
+        return max(0, most_bytes - self._replay_bytes - unsent_bytes)
 
     def push(self, piece: Piece) -> None:
         """Take the next bytes of the body; a view is copied where it must outlast the call."""
@@ -192,9 +184,9 @@
         """Whether a sink could be given the complete body."""
         return self._replay_buffer is not None
 
-    def watch(self, watcher: FlowObserver) -> None:
-        """Notify this watcher from now on, in place of any other."""
-        self._watcher = watcher
+    def observe(self, observer: FlowObserver) -> None:
+        """Notify this observer from now on, in place of any other."""
+        self._observer = observer
 
     def attach(self, sink: Sink) -> None:
         """Write the body to this sink, from its first byte."""
@@ -216,7 +208,7 @@
         """Write no more to this sink."""
         if self._sink is sink:
             self._sink = None
-            self.done = False
+            self.sent = False
             self._update()
 
     def close(self) -> None:
@@ -225,12 +217,11 @@
             return
         self.closed = True
         self._sink = None
-        self._watcher = None
+        self._observer = None
         self.source = None
         self._replay_buffer = None
         self._replay_bytes = 0
-        self._memory_budget.book(self._booked_bytes, 0)
-        self._booked_bytes = 0
+        self._memory.release()
         self._statistics.open -= 1
 
     def slow_side(self, now_ms: float) -> SlowSide | None:
@@ -255,14 +246,9 @@
         Returns:
             The bytes, which are booked.
         """
-        if self._leased or self.closed:
-            self._memory_budget.book(0, self.MIN_CREDIT_BYTES)
-            return self.MIN_CREDIT_BYTES
-        self._leased = True
-        self._reserved_bytes = max(0, self._reserved_bytes - self.MIN_CREDIT_BYTES)
-        self._booked_bytes -= self.MIN_CREDIT_BYTES
-        self._update()
-        return self.MIN_CREDIT_BYTES
+        if self._memory.lease():
+            self._update()
+        return MIN_CREDIT_BYTES
 
     # ------------------------------------------------
 
@@ -270,10 +256,9 @@
         """Keep what was sent no longer."""
         self._replay_buffer = None
         self._replay_bytes = 0
-        least_bytes = self.MIN_CREDIT_BYTES if self._leased else 2 * self.MIN_CREDIT_BYTES
-        self._reserved_bytes = min(self._reserved_bytes, least_bytes)
-        if self._watcher is not None:
-            self._watcher.unrepeatable()
+        self._memory.shrink_reservation()
+        if self._observer is not None:
+            self._observer.on_unrepeatable()
 
     def _record_sink_progress(self, now_ms: float) -> None:
         unsent_bytes = self._sink.unsent if self._sink is not None else 0
@@ -287,7 +272,7 @@
             return
         now_ms = self._clock.now_ms()
         self._record_sink_progress(now_ms)
-        self._update_booking()
+        self._memory.update(self._replay_bytes + self._unsent_bytes)
         sink_behind = self._unsent_bytes > 0
         if sink_behind:
             self._sink_progress.start_waiting(now_ms)
@@ -297,28 +282,16 @@
             self._source_progress.stop_waiting(now_ms)
         else:
             self._source_progress.start_waiting(now_ms)
-        self._set_source_paused(self._sink is None or sink_behind or not self.credit)
-        if self.ended and not sink_behind and self._sink is not None and not self.done:
-            self.done = True
-            if self._watcher is not None:
-                self._watcher.passed_on()
-
-    def _update_booking(self) -> None:
-        """Book what the flow has in memory, or its reserved bytes where those are more."""
-        held_bytes = self._replay_bytes + self._unsent_bytes
-        statistics = self._statistics
-        if held_bytes > statistics.peak_bytes:
-            statistics.peak_bytes = held_bytes
-        if held_bytes > self.terms.ceiling_bytes:
-            statistics.over += 1
-        booked_bytes = max(held_bytes, self._reserved_bytes)
-        if booked_bytes != self._booked_bytes:
-            booked_before = self._booked_bytes
-            self._booked_bytes = booked_bytes
-            self._memory_budget.book(booked_before, booked_bytes)
+        paused = self._sink is None or sink_behind or not self.credit
+        if paused != self._source_paused:
+            self._set_source_paused(paused)
+        if self.ended and not sink_behind and self._sink is not None and not self.sent:
+            self.sent = True
+            if self._observer is not None:
+                self._observer.on_sent()
 
     def _set_source_paused(self, paused: bool) -> None:
-        if paused == self._source_paused or self.source is None:
+        if self.source is None:
             return
         self._source_paused = paused
         if paused:
--- a/sandhatch/streaming/interfaces.py
+++ b/sandhatch/streaming/interfaces.py
@@ -1,4 +1,4 @@
-"""The contracts around a flow: what brings a body, what takes it, and who is notified.
+"""The contracts around a flow: what brings a body, what takes it, who is notified, and what all flows share.
 
 Types only. Source: `sandhatch.streaming.flow`, whose head shows how they meet.
 """
@@ -7,6 +7,8 @@
 
 from typing import Protocol
 
+from sandhatch.runtime.flow_statistics import FlowStatistics
+from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.streaming.headers import Headers
 
 # A part of a body. A view is valid only during the call that hands it over.
@@ -20,6 +22,22 @@
         """Milliseconds since any fixed moment."""
 
 
+class FlowResources(Protocol):
+    """What all flows of a process share; `SharedResources` has it."""
+
+    @property
+    def clock(self) -> MonotonicClock:
+        """Measures the progress of both sides."""
+
+    @property
+    def memory_budget(self) -> MemoryBudget:
+        """Where the memory of flows is booked."""
+
+    @property
+    def flows(self) -> FlowStatistics:
+        """Counts all flows."""
+
+
 class Source(Protocol):
     """Brings a body."""
 
@@ -47,8 +65,8 @@
 class FlowObserver(Protocol):
     """Is notified of a flow's progress; whoever runs the exchange."""
 
-    def unrepeatable(self) -> None:
+    def on_unrepeatable(self) -> None:
         """What was sent is no longer kept completely: no other sink can be given the body."""
 
-    def passed_on(self) -> None:
+    def on_sent(self) -> None:
         """The complete body, with its end, has left through the sink."""
--- a/sandhatch/upstream/answer_receiver.py
+++ b/sandhatch/upstream/answer_receiver.py
@@ -227,7 +227,7 @@
             Whether the connection can carry another attempt.
         """
         reader = self._reader
-        request_complete = attempt.request_sent and (attempt.flow is None or attempt.flow.done)
+        request_complete = attempt.request_sent and (attempt.flow is None or attempt.flow.sent)
         self._attempt = None
         self._socket_writer = None
         if attempt.flow is not None:
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -70,10 +70,10 @@
     def __init__(self) -> None:
         self.notifications: list[str] = []
 
-    def unrepeatable(self) -> None:
+    def on_unrepeatable(self) -> None:
         self.notifications.append("unrepeatable")
 
-    def passed_on(self) -> None:
+    def on_sent(self) -> None:
         self.notifications.append("passed_on")
 
 
@@ -87,14 +87,14 @@
     ) -> None:
         self.clock = ManualClock()
         self.memory_budget = MemoryBudget(memory_mb)
-        self.flow_statistics = FlowStatistics()
+        self.flow_statistics = self.flows = FlowStatistics()
         self.source = FakeSource()
         self.watcher = RecordingWatcher()
         terms = BodyTerms(1 << 40, 64 * KIB, replay, 256 * KIB, writer, reader)
         reserve = 96 * KIB
         self.memory_budget.book(0, reserve)
-        self.flow = Flow(terms, self.clock, self.memory_budget, self.flow_statistics, self.source, reserve)
-        self.flow.watch(self.watcher)
+        self.flow = Flow(terms, self, self.source, reserve)
+        self.flow.observe(self.watcher)
 
 
 def test_credit_is_what_the_ceiling_leaves_and_the_source_pauses_while_the_sink_is_behind() -> None:
@@ -286,7 +286,7 @@
     sent = 0
     sink: FakeSink | None = None
     flow = fixture.flow
-    while not flow.done:
+    while not flow.sent:
         turn = rng.randrange(6)
         if turn < 3 and sent < len(body) and not fixture.source.paused and flow.credit:
             piece = body[sent : sent + rng.randint(1, min(flow.credit, 64 * KIB))]
@@ -302,7 +302,7 @@
             sink.capacity_bytes = rng.randrange(100 * KIB)
             if not sink.unsent:
                 flow.drained()
-        elif turn == 5 and flow.repeatable and not flow.done and rng.random() < 0.2:
+        elif turn == 5 and flow.repeatable and not flow.sent and rng.random() < 0.2:
             flow.detach(sink)
             sink = None
         assert flow.memory_bytes <= flow.terms.ceiling_bytes
