--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from sandhatch.balancing.actions import Send
 from sandhatch.balancing.events import AttemptEnded, Outcome, ProbeEnded
 from sandhatch.balancing.settings import ReportMode
@@ -23,45 +25,34 @@
 TIME_LEFT_HEADER = b"x-expires-in-ms"  # in lower case, as it is looked up
 
 
+@dataclass(slots=True, eq=False)
 class AttemptContext:
-    """The owner of one attempt of an exchange: what the attempt calls back on."""
-
-    __slots__ = ("_attempt_number", "_exchange", "_runner", "_server", "_started_ms", "_timeout_ms")
+    """The owner of one attempt of an exchange: what the attempt calls back on.
 
-    def __init__(
-        self,
-        runner: AttemptRunner,
-        exchange: Exchange,
-        attempt_number: int,
-        server: UpstreamServer,
-        started_ms: float,
-        timeout_ms: float,
-    ) -> None:
-        """Create the owner of an attempt that is about to start.
+    Attributes:
+        runner: the runner that starts it.
+        exchange: the exchange.
+        attempt_number: the attempt's number within the exchange.
+        server: the server that it goes to.
+        started_ms: when it was started, in Unix milliseconds.
+        timeout_ms: how long its answer is awaited.
+    """
 
-        Args:
-            runner: the runner that starts it.
-            exchange: the exchange.
-            attempt_number: the attempt's number within the exchange.
-            server: the server that it goes to.
-            started_ms: the present time, in Unix milliseconds.
-            timeout_ms: how long its answer is awaited.
-        """
-        self._runner = runner
-        self._exchange = exchange
-        self._attempt_number = attempt_number
-        self._server = server
-        self._started_ms = started_ms
-        self._timeout_ms = timeout_ms
+    runner: AttemptRunner
+    exchange: Exchange
+    attempt_number: int
+    server: UpstreamServer
+    started_ms: float
+    timeout_ms: float
 
     def make_request(self) -> Message:
         """Build the request for the server, with the time that is left for it now."""
-        now_ms = self._runner.clock.now_ms()
-        message = self._exchange.message
+        now_ms = self.runner.clock.now_ms()
+        message = self.exchange.message
         if message.flow is None:
-            time_left_ms = self._started_ms + self._timeout_ms - now_ms
+            time_left_ms = self.started_ms + self.timeout_ms - now_ms
         else:  # the timeout runs from the last byte, and the server's time with it
-            time_left_ms = self._exchange.deadline_ms - now_ms
+            time_left_ms = self.exchange.deadline_ms - now_ms
         request = Message()
         request.method = message.method
         request.target = message.target
@@ -74,55 +65,50 @@
 
     def blocked_by(self) -> Outcome | None:
         """Return DISCARDED if the request is over, or its server has drained for too long."""
-        self._runner.check_client(self._exchange)
-        if self._exchange.closed or self._runner.connection_pool.grace_expired(self._server):
+        self.runner.check_client(self.exchange)
+        if self.exchange.closed or self.runner.connection_pool.grace_expired(self.server):
             return Outcome.DISCARDED
         return None
 
     def on_answer_started(self, attempt: Attempt, answer: Message, reserved_bytes: int) -> Flow | None:
         """Start to stream the answer to the client."""
-        return self._runner.bodies.start_answer(
-            self._exchange, self._attempt_number, attempt, answer, reserved_bytes
+        return self.runner.bodies.start_answer(
+            self.exchange, self.attempt_number, attempt, answer, reserved_bytes
         )
 
     def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
         """Answer the client if this is the answer, and notify the balancer."""
-        attempt = self._exchange.attempts[self._attempt_number]
+        attempt = self.exchange.attempts[self.attempt_number]
         # Not the start: the time a client took to send a long body says nothing of the server.
-        sent_ms = self._started_ms if attempt is None else attempt.sent_ms
-        self._runner.end_attempt(
-            self._exchange, self._attempt_number, self._server.number, outcome, sent_ms, answer
+        sent_ms = self.started_ms if attempt is None else attempt.sent_ms
+        self.runner.end_attempt(
+            self.exchange, self.attempt_number, self.server.number, outcome, sent_ms, answer
         )
 
 
+@dataclass(slots=True, eq=False)
 class ProbeContext:
-    """The owner of one probe: what the probe calls back on."""
+    """The owner of one probe: what the probe calls back on.
 
-    __slots__ = ("_request", "_runner", "_server", "_started_ms")
-
-    def __init__(
-        self, runner: AttemptRunner, server: UpstreamServer, request: Message, started_ms: float
-    ) -> None:
-        """Create the owner of a probe that is about to start.
+    Attributes:
+        runner: the runner that starts it.
+        server: the server that it goes to.
+        request: its request.
+        started_ms: when it was started, in Unix milliseconds.
+    """
 
-        Args:
-            runner: the runner that starts it.
-            server: the server that it goes to.
-            request: its request.
-            started_ms: the present time, in Unix milliseconds.
-        """
-        self._runner = runner
-        self._server = server
-        self._request = request
-        self._started_ms = started_ms
+    runner: AttemptRunner
+    server: UpstreamServer
+    request: Message
+    started_ms: float
 
     def make_request(self) -> Message:
         """Return the probe's request, which names no time that is left."""
-        return self._request
+        return self.request
 
     def blocked_by(self) -> Outcome | None:
         """Return DISCARDED if the server has drained for too long."""
-        return Outcome.DISCARDED if self._runner.connection_pool.grace_expired(self._server) else None
+        return Outcome.DISCARDED if self.runner.connection_pool.grace_expired(self.server) else None
 
     def on_answer_started(
         self,
@@ -135,7 +121,7 @@
 
     def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
         """Notify the balancer, with the load report that came."""
-        self._runner.end_probe(self._server.number, outcome, self._started_ms, answer)
+        self.runner.end_probe(self.server.number, outcome, self.started_ms, answer)
 
 
 class AttemptRunner:
@@ -215,9 +201,7 @@
             self.end_attempt(exchange, attempt_number, action.server, Outcome.DISCARDED, now_ms, None)
             return
         context = AttemptContext(self, exchange, attempt_number, server, now_ms, timeout_ms)
-        attempt = Attempt(server, context, now_ms)
-        attempt.flow = flow
-        attempt.terms = exchange.message.terms
+        attempt = Attempt(server, context, now_ms, flow=flow, terms=exchange.message.terms)
         exchange.attempts[attempt_number] = attempt
         self.connection_pool.start(attempt, timeout_ms)
 
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from enum import StrEnum
 
 from sandhatch.balancing.events import Event, Outcome
@@ -19,6 +19,8 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.attempt import Attempt
 
+NO_ATTEMPT = -1  # in place of an attempt's number
+
 
 class TruncatedBy(StrEnum):
     """Why a streamed body ended early; the values stand in the access log (docs/operators/bodies.md)."""
@@ -29,6 +31,7 @@
     TIME = "time"
 
 
+@dataclass(slots=True, eq=False)
 class Exchange:
     """One request, and all that happens on its behalf.
 
@@ -38,64 +41,35 @@
         message: the request.
         deadline_ms: when it must have been answered, in Unix milliseconds.
         trace: its id.
+        on_done: called once when it is closed and none of its attempts is pending.
         attempts: its attempts by their numbers; None for one that was never started.
+        servers: the servers of its attempts, those never started included.
         pending_attempts: attempts whose end the balancer has not been notified of.
         closed: whether it has been answered, or its client has left.
-        deadline_timer: fires at the deadline.
-        on_done: called once when it is closed and none of its attempts is pending.
-        servers: the servers of its attempts, those never started included.
         status: the status of its answer; 0 if the client left before.
         answered_ms: when it was closed, in Unix milliseconds.
-        answer_flow: the body of its answer, while that is streamed.
-        answering_attempt: the number of the attempt that the streamed answer comes from, -1 for none.
+        deadline_timer: fires at the deadline.
+        answer_flow: the body of its answer, once that is streamed.
+        answering_attempt: the number of the attempt that the streamed answer comes from, or `NO_ATTEMPT`.
         truncated_by: why its body or its answer was truncated.
     """
 
-    __slots__ = (
-        "answer_flow",
-        "answered_ms",
-        "answering_attempt",
-        "attempts",
-        "client",
-        "closed",
-        "deadline_ms",
-        "deadline_timer",
-        "message",
-        "number",
-        "on_done",
-        "pending_attempts",
-        "servers",
-        "status",
-        "trace",
-        "truncated_by",
-    )
-
-    def __init__(
-        self,
-        number: int,
-        client: DownstreamClient,
-        message: Message,
-        deadline_ms: float,
-        trace: bytes,
-        on_done: DoneCallback | None = None,
-    ) -> None:
-        """Create the exchange of a request that has arrived; see the attributes of the class."""
-        self.number = number
-        self.client = client
-        self.message = message
-        self.deadline_ms = deadline_ms
-        self.trace = trace
-        self.attempts: list[Attempt | None] = []
-        self.pending_attempts = 0
-        self.closed = False
-        self.deadline_timer: Timer | None = None
-        self.on_done = on_done
-        self.servers: list[int] = []
-        self.status = 0
-        self.answered_ms = 0.0
-        self.answer_flow: Flow | None = None
-        self.answering_attempt = -1
-        self.truncated_by = TruncatedBy.NOTHING
+    number: int
+    client: DownstreamClient
+    message: Message
+    deadline_ms: float
+    trace: bytes
+    on_done: DoneCallback | None = None
+    attempts: list[Attempt | None] = field(default_factory=list)
+    servers: list[int] = field(default_factory=list)
+    pending_attempts: int = 0
+    closed: bool = False
+    status: int = 0
+    answered_ms: float = 0.0
+    deadline_timer: Timer | None = None
+    answer_flow: Flow | None = None
+    answering_attempt: int = NO_ATTEMPT
+    truncated_by: TruncatedBy = TruncatedBy.NOTHING
 
     @property
     def trace_text(self) -> str:
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -28,7 +28,7 @@
     """Where an answer goes.
 
     The answer is either complete (`answer`), or its head comes first (`begin_answer`) and the client is the
-    sink of a flow until `finished` or `cut`.
+    sink of a flow until `end_answer` or `abort_answer`.
     """
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
@@ -44,10 +44,10 @@
             flow: brings the body, and is notified when written bytes have drained.
         """
 
-    def finished(self) -> None:
-        """Note that all of the streamed answer has been sent."""
+    def end_answer(self) -> None:
+        """End the streamed answer, all of which has been sent."""
 
-    def cut(self) -> None:
+    def abort_answer(self) -> None:
         """Abort the streamed answer, so that the client can tell that it is truncated."""
 
     def has_disconnected(self) -> bool:
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -150,7 +150,7 @@
         if exchange.closed:
             return
         self._exchanges.close(exchange, exchange.status)
-        exchange.client.finished()
+        exchange.client.end_answer()
         self._exchanges.remove_if_done(exchange)
 
     def abort_answer(self, exchange: Exchange, reason: TruncatedBy) -> None:
@@ -159,7 +159,7 @@
             return
         exchange.truncated_by = reason
         self._exchanges.close(exchange, exchange.status)
-        exchange.client.cut()
+        exchange.client.abort_answer()
 
     # ------------------------------------------------ progress
 
@@ -198,6 +198,6 @@
         answer_started = exchange.answer_flow is not None
         self._disconnect(exchange.number, exchange.status if answer_started else 408)
         if answer_started:
-            exchange.client.cut()
+            exchange.client.abort_answer()
         else:
             exchange.client.answer(408, [], b"the request did not come fast enough\n")
--- a/sandhatch/downstream/answer_sender.py
+++ b/sandhatch/downstream/answer_sender.py
@@ -80,7 +80,7 @@
             status: HTTP status code.
             headers: Fields of the head, without those of the framing.
             length: Bytes of the whole body; None if only its end will tell.
-            flow: Brings the body. `finished` or `cut` follows.
+            flow: Brings the body. `end_answer` or `abort_answer` follows.
         """
         message = self._current
         if message is None or self._answer_flow is not None:
@@ -98,13 +98,13 @@
         self._socket_writer.write((head,))
         self._update_booking()
 
-    def finished(self) -> None:
+    def end_answer(self) -> None:
         """End a streamed answer that was sent completely."""
         close = self._close_after_answer or self._request_flow is not None
         self._end_streamed_answer()
         self._after_answer(close)
 
-    def cut(self) -> None:
+    def abort_answer(self) -> None:
         """Abort a streamed answer: the client must see that it is truncated.
 
         What was sent stays sent, and the close comes before the end that the head has announced. Where only
@@ -129,7 +129,7 @@
             notify_disconnect(fault.status)
         self._close_request_flow()
         if self._answer_flow is not None:
-            self.cut()
+            self.abort_answer()
         elif self._current is not None:
             self._current.keep_alive = False
             self.answer(fault.status, [], error_body(fault.text))
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -176,7 +176,7 @@
                 return self.PART_MS
             case ConnectionState.WAITING_FOR_MEMORY:
                 assert self._body_terms is not None  # what the memory is for
-                return self._body_terms.room_wait_ms
+                return self._body_terms.memory_wait_ms
             case ConnectionState.READING:
                 return self.FIRST_MS if self.fresh else self.PART_MS
             case ConnectionState.FRESH:
@@ -319,12 +319,12 @@
 
     def _update_booking(self) -> bool:
         """Book what it holds of the memory budget now; whether the budget allows that much."""
-        held_bytes = max(self._reader.buffered_bytes, self._reserved_bytes) + self._request_bytes
+        buffered_bytes = max(self._reader.buffered_bytes, self._reserved_bytes) + self._request_bytes
         if self._transport is not None and self._answer_flow is None:  # else the flow books it
-            held_bytes += self._transport.get_write_buffer_size()
+            buffered_bytes += self._transport.get_write_buffer_size()
         booked_before = self._booked_bytes
-        self._booked_bytes = held_bytes
-        return self._shared.memory_budget.book(booked_before, held_bytes)
+        self._booked_bytes = buffered_bytes
+        return self._shared.memory_budget.book(booked_before, buffered_bytes)
 
     # ------------------------------------------------ closing
 
--- a/sandhatch/downstream/connection_state.py
+++ b/sandhatch/downstream/connection_state.py
@@ -19,7 +19,7 @@
                        read and discarded (lingering close)
     ANSWER_UNREAD      an answer that the client does not read           aborted after `PART_MS`
     SERVING            a request that is in flight, or queued            aborted if the client disconnected
-    WAITING_FOR_MEMORY the head of a long body                           503 after the terms' `room_wait_ms`
+    WAITING_FOR_MEMORY the head of a long body                           503 after the terms' `memory_wait_ms`
     RECEIVING_BODY     the first part of a body                          408 by its writer's progress limits
     READING            a part of a request                               408 after `FIRST_MS` or `PART_MS`
     FRESH              nothing, and nothing was received before          closed after `FIRST_MS`
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -177,7 +177,7 @@
         if self.shared.clients >= self.shared.client_budget:
             if not has_pending_event(self._socket.fileno()):
                 return False
-            if not self._make_room():
+            if not self._evict_one():
                 self._pause_accepting()
                 return False
         try:
@@ -187,7 +187,7 @@
         except OSError as error:
             if error.errno not in EXHAUSTION_ERRORS:
                 return True  # the client has disconnected already
-            if not self._make_room():
+            if not self._evict_one():
                 self._pause_accepting()
             return False
         self._add_connection(sock)
@@ -211,7 +211,7 @@
             self.left(connection)
             sock.close()
 
-    def _make_room(self) -> bool:
+    def _evict_one(self) -> bool:
         """Evict a connection to free its slot; whether there was one.
 
         One that has never sent a complete request goes first, the oldest before others; then one that has
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -21,23 +21,23 @@
 
     Attributes:
         open: Ids in flight.
-        past: Ids of finished requests, and when each finished, in Unix milliseconds.
+        finished: Ids of finished requests, and when each finished, in Unix milliseconds.
         retention_ms: How long an id is remembered after its request has finished.
     """
 
-    MOST_PAST = 4096  # ids of finished requests
+    MAX_FINISHED = 4096  # ids of finished requests
 
     def __init__(self, retention_ms: float) -> None:
         """No ids yet."""
         self.open: set[bytes] = set()
-        self.past: dict[bytes, float] = {}
+        self.finished: dict[bytes, float] = {}
         # The same, oldest first: a dict that loses its first keys finds its first key ever more slowly.
         self._oldest_first: deque[tuple[float, bytes]] = deque()
         self.retention_ms = retention_ms
 
     def __contains__(self, trace: bytes) -> bool:
         """Whether a request with this id is in flight or has finished lately."""
-        return trace in self.open or trace in self.past
+        return trace in self.open or trace in self.finished
 
     def begin(self, trace: bytes) -> None:
         """A request with this id is in flight."""
@@ -46,12 +46,12 @@
     def end(self, trace: bytes, now_ms: float) -> None:
         """The request has finished; ids that finished too long ago are forgotten."""
         self.open.discard(trace)
-        self.past[trace] = now_ms
+        self.finished[trace] = now_ms
         oldest_first = self._oldest_first
         oldest_first.append((now_ms, trace))
         while oldest_first and (
-            len(oldest_first) > self.MOST_PAST or oldest_first[0][0] <= now_ms - self.retention_ms
+            len(oldest_first) > self.MAX_FINISHED or oldest_first[0][0] <= now_ms - self.retention_ms
         ):
             ended_ms, oldest = oldest_first.popleft()
-            if self.past.get(oldest) == ended_ms:  # else it has been in flight again since
-                del self.past[oldest]
+            if self.finished.get(oldest) == ended_ms:  # else it has been in flight again since
+                del self.finished[oldest]
--- a/sandhatch/streaming/terms.py
+++ b/sandhatch/streaming/terms.py
@@ -39,12 +39,12 @@
         request: Of the request's body.
         answer: Of the answer's body.
         total_ms: Time of the complete exchange, from its begin.
-        room_wait_ms: How long a new request waits for memory before it is rejected.
+        memory_wait_ms: How long a new request waits for memory before it is rejected; the key `room_wait_ms`.
         answer_hold_ms: Time after which an answer that has begun is streamed, however little of it has come.
     """
 
     request: BodyTerms
     answer: BodyTerms
     total_ms: float
-    room_wait_ms: float
+    memory_wait_ms: float
     answer_hold_ms: float
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -17,6 +17,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
 from sandhatch.balancing.events import Outcome
@@ -55,93 +56,41 @@
         """Handle the end of the attempt, with the answer if one arrived. Called exactly once."""
 
 
-class _EndedOwner:
-    """Takes the owner's place once an attempt has ended: nothing more is written or notified."""
-
-    def make_request(self) -> Message:
-        """Raise an error: there is nothing to write."""
-        raise AssertionError("an attempt that has ended is not written")
-
-    def blocked_by(self) -> Outcome | None:
-        """Return that nothing may be written."""
-        return Outcome.DISCARDED
-
-    def on_answer_started(
-        self,
-        attempt: Attempt,  # noqa: ARG002 - part of the protocol
-        answer: Message,  # noqa: ARG002 - part of the protocol
-        reserved_bytes: int,  # noqa: ARG002 - part of the protocol
-    ) -> Flow | None:
-        """Return None: nobody wants the body."""
-        return None
-
-    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
-        """Raise an error: an attempt ends once."""
-        raise AssertionError(f"an attempt ended twice, now with {outcome!r} and {answer!r}")
-
-
-_ENDED_OWNER = _EndedOwner()
-
-
+@dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, or one probe.
+    """One attempt, or one probe; `ConnectionPool.start` starts it.
 
     Attributes:
         server: the server that it goes to.
+        owner: provides the request and is notified of the answer; None once the attempt has ended.
+        sent_ms: since when the answer is awaited, in Unix milliseconds: from the start, or for a streamed
+            request, from when all of it had been sent.
         probe: whether it is a probe.
         flow: the request's body where that is streamed as it arrives, else None.
         terms: the terms on which the answer may be streamed as it arrives, None if it may not.
-        sent_ms: since when the answer is awaited; for a streamed request, when all of it had been sent.
         timeout_ms: how long the answer is awaited.
         timer: the timeout, once it runs.
         connection: the connection that carries it, None before it is written and after its end.
         request_sent: whether the request has crossed the dividing line (see the head of the module).
         answer_seen: whether any byte has come back for it.
-        ended: whether it has had its outcome.
     """
 
-    __slots__ = (
-        "_owner",
-        "answer_seen",
-        "connection",
-        "ended",
-        "flow",
-        "probe",
-        "request_sent",
-        "sent_ms",
-        "server",
-        "terms",
-        "timeout_ms",
-        "timer",
-    )
-
-    def __init__(
-        self,
-        server: UpstreamServer,
-        owner: AttemptOwner,
-        sent_ms: float,
-        probe: bool = False,
-    ) -> None:
-        """Create an attempt that is started by `ConnectionPool.start`.
+    server: UpstreamServer
+    owner: AttemptOwner | None
+    sent_ms: float
+    probe: bool = False
+    flow: Flow | None = None
+    terms: StreamTerms | None = None
+    timeout_ms: float = 0.0
+    timer: Timer | None = None
+    connection: ServerConnection | None = None
+    request_sent: bool = False
+    answer_seen: bool = False
 
-        Args:
-            server: the server that it goes to.
-            owner: provides the request and is notified of the answer.
-            sent_ms: the present time, in Unix milliseconds.
-            probe: whether it is a probe.
-        """
-        self.server = server
-        self.probe = probe
-        self._owner: AttemptOwner = owner
-        self.flow: Flow | None = None
-        self.terms: StreamTerms | None = None
-        self.sent_ms = sent_ms
-        self.connection: ServerConnection | None = None
-        self.timeout_ms = 0.0
-        self.timer: Timer | None = None
-        self.request_sent = False
-        self.answer_seen = False
-        self.ended = False
+    @property
+    def ended(self) -> bool:
+        """Whether it has had its outcome."""
+        return self.owner is None
 
     @property
     def may_have_run(self) -> bool:
@@ -169,8 +118,9 @@
         """
         if not self.may_be_written():
             return False
+        assert self.owner is not None  # it has not ended
         self.connection = connection
-        connection.send(self, self._owner.make_request())
+        connection.send(self, self.owner.make_request())
         return True
 
     def may_be_written(self) -> bool:
@@ -178,16 +128,16 @@
 
         Called before the first byte, and once more before a withheld last byte.
         """
-        if self.ended:
+        if self.owner is None:
             return False
-        blocked_by = self._owner.blocked_by()
+        blocked_by = self.owner.blocked_by()
         if blocked_by is not None:
             self.end(blocked_by)
         return blocked_by is None
 
     def start_answer(self, answer: Message, reserved_bytes: int) -> Flow | None:
         """Offer the owner the head of an answer; see `AttemptOwner.on_answer_started`."""
-        return self._owner.on_answer_started(self, answer, reserved_bytes)
+        return None if self.owner is None else self.owner.on_answer_started(self, answer, reserved_bytes)
 
     def time_out(self) -> None:
         """End the attempt because no answer came in time.
@@ -205,16 +155,15 @@
 
     def end(self, outcome: Outcome, answer: Message | None = None) -> None:
         """Give the attempt its outcome; a second end is ignored."""
-        if self.ended:
+        owner = self.owner
+        if owner is None:
             return
-        self.ended = True
+        # The owner holds the request, which holds its attempts: guards against cycles left to the collector.
+        self.owner = None
         if self.timer is not None:
             self.timer.cancel()
         connection = self.connection
         self.connection = None
         if connection is not None:
             connection.release(self)
-        # The owner holds the request, which holds its attempts: guards against cycles left to the collector.
-        owner = self._owner
-        self._owner = _ENDED_OWNER
         owner.on_ended(outcome, answer)
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -315,10 +315,10 @@
             good.send_request("move", b"x", X_Trace_Id="ab")
             assert (await good.read_response()).status == 200
             assert not balancer.shared.in_flight_ids.open
-            balancer.shared.in_flight_ids.MOST_PAST = 1
+            balancer.shared.in_flight_ids.MAX_FINISHED = 1
             good.send_request("move", b"x", X_Trace_Id="ac")
             assert (await good.read_response()).status == 200
-            assert list(balancer.shared.in_flight_ids.past) == [b"ac"]
+            assert list(balancer.shared.in_flight_ids.finished) == [b"ac"]
         upstream.close()
         assert [item.headers["x-trace-id"] for item in upstream.requests] == ["aa", "ab", "ac"]
         assert [e.outcome for e in script.ends()] == [Outcome.OK] * 3
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -209,7 +209,7 @@
             await wait_until(lambda: balancer.listener._leaving)
             (connection,) = balancer.listener._leaving
             assert connection.undelivered
-            assert not balancer.listener._make_room()
+            assert not balancer.listener._evict_one()
             assert (await read_until_close(client)).endswith(body)
         upstream.close()
 
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -73,8 +73,8 @@
 
 def test_no_more_ids_than_the_limit_are_remembered() -> None:
     ids = InFlightIds(retention_ms=1e9)
-    for number in range(ids.MOST_PAST + 1):
+    for number in range(ids.MAX_FINISHED + 1):
         ids.end(b"%d" % number, 0.0)
-    assert len(ids.past) == ids.MOST_PAST
+    assert len(ids.finished) == ids.MAX_FINISHED
     assert b"0" not in ids
     assert b"1" in ids
