--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -18,7 +18,8 @@
 from sandhatch.http1.errors import Fault
 from sandhatch.http1.events import End, Event
 from sandhatch.http1.message import Message
-from sandhatch.http1.parser import NEVER, RequestParser
+from sandhatch.http1.message_parser import NEVER
+from sandhatch.http1.parser import RequestParser
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.progress import ProgressMonitor
 from sandhatch.streaming.socket_writer import SCRATCH
@@ -164,10 +165,7 @@
         """Opens the flow of a body that was buffered far enough, and hands the reserved memory to it."""
         terms = self._body_terms
         assert terms is not None
-        shared = self._shared
-        flow = Flow(
-            terms.request, shared.clock, shared.memory_budget, shared.flows, self, self._reserved_bytes
-        )
+        flow = Flow(terms.request, self._shared, self, self._reserved_bytes)
         self._booked_bytes -= self._reserved_bytes  # the flow's from here on
         self._stop_buffering()
         self._request_flow = flow
@@ -182,7 +180,7 @@
                 self._request_flow = None
                 flow.end(event.trailers)
                 return events[index + 1 :]
-            if not isinstance(event, Message):
+            if not isinstance(event, Message):  # nor is it: before the end come only pieces
                 flow.push(event)
         fault = self._reader.fault
         if fault is not None and self._request_flow is flow:
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -1,4 +1,8 @@
-"""Counts over all flows of a process, for the status and for measurements. Nothing is sampled."""
+"""Counts over all flows of a process, for the status and for measurements.
+
+Every flow is counted: nothing is sampled, and no decision is based on a count. Source:
+docs/operators/bodies.md, "What you see".
+"""
 
 from __future__ import annotations
 
@@ -26,6 +30,12 @@
         self.peak_bytes = 0
         self.over = 0
 
+    def count_opened(self) -> None:
+        """Count a flow that is opened now."""
+        self.open += 1
+        self.opened += 1
+        self.most_open = max(self.most_open, self.open)
+
     def snapshot(self) -> dict[str, int]:
         """The counts by the keys that they have in the status ("bodies" on the operators' page)."""
         return {
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -55,7 +55,7 @@
     balancer.listener.SWEEP_MS = NEVER_MS
     balancer.listener.DISCONNECT_POLL_MS = disconnect_poll_ms
     client = connect_client(balancer.port)
-    client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.AHEAD)))
+    client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.MAX_QUEUED_REQUESTS)))
     return client
 
 
@@ -124,7 +124,7 @@
         script = ScriptedBalancer([1])
         async with balancer_before(upstream, script) as balancer:
             disconnected: list[ClientConnection] = []
-            balancer.listener.left = disconnected.append  # type: ignore[method-assign]
+            balancer.listener.on_connection_closed = disconnected.append  # type: ignore[method-assign]
             client = connect_client(balancer.port)
             client.sendall(request_bytes("move", b"x"))
             close_and_block_until_delivered(client)
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -81,7 +81,7 @@
 @pytest.fixture
 def give_clients_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """No client is late with its request or with reading its answer, however busy the machine is."""
-    for limit in ("FIRST_MS", "PART_MS", "LINGER_MS"):
+    for limit in ("FIRST_REQUEST_MS", "REQUEST_MS", "LINGER_MS"):
         monkeypatch.setattr(ClientConnection, limit, RESPONSE_TIMEOUT_S * 1000.0)
 
 
@@ -153,7 +153,7 @@
             client.sendall(request_bytes("move", b"x"))
             answer = await read_until_close(client)
             assert answer.count(b"HTTP/1.1 200") == 1
-            assert connection._dropped == 0
+            assert connection._discarded_bytes == 0
             assert len(upstream.requests) == 1
             assert not balancer.listener.open_count
 
@@ -182,7 +182,7 @@
         async with balancer_before(upstream) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes(Connection="close"))
-            await wait_until(lambda: balancer.listener._leaving, "the last answer is written")
+            await wait_until(lambda: balancer.listener._lingering, "the last answer is written")
             client.sendall(b"noise")
             polls = count_shutdown_polls(balancer, monkeypatch)
             ending = asyncio.create_task(drain(balancer))
@@ -233,10 +233,10 @@
             assert accepted._transport is not None
             accepted._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client.sendall(request_bytes(Connection="close"))
-            await wait_until(lambda: balancer.listener._leaving, "the last answer is written")
-            assert accepted in balancer.listener._leaving
+            await wait_until(lambda: balancer.listener._lingering, "the last answer is written")
+            assert accepted in balancer.listener._lingering
             assert accepted.undelivered
-            assert not balancer.listener._make_room()
+            assert not balancer.listener._evict_one()
             assert (await read_until_close(client)).endswith(body)
 
     run(work())
