--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -4,60 +4,78 @@
 
 import asyncio
 import json
-from typing import Any
+from collections.abc import Iterator
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ListUpdate
-from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, entry
-from testkit.servers import FakeServer
-from testkit.wire import RESPONSE_TIMEOUT_S, ok
+from testkit.servers import serve_ok
+from testkit.wire import RESPONSE_TIMEOUT_S, ok, status
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, running
+from tests.fakes import (
+    Loopback,
+    RunningBalancer,
+    ScriptedBalancer,
+    fake_servers,
+    loopback,
+    served,
+    wait_until,
+)
 
+POLLED = SETTINGS | {"Discovery": "on_request"}
 
-def is_update(event: object, kind: ListKind) -> bool:
-    """Return whether it is a list event of that kind; of changes, one that has some."""
-    return (
-        isinstance(event, ListUpdate)
-        and event.kind is kind
-        and bool(event.entries or kind is not ListKind.DELTA)
-    )
+
+def is_update(event: ListUpdate, kind: ListKind) -> bool:
+    """Whether it is a list event of that kind; of changes, one that has some."""
+    return event.kind is kind and bool(event.entries or kind is not ListKind.DELTA)
 
 
 async def next_update(script: ScriptedBalancer, kind: ListKind) -> ListUpdate:
-    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-        while True:
-            event = await script.told.get()
-            if is_update(event, kind):
-                assert isinstance(event, ListUpdate)
-                return event
+    return await script.next_event(ListUpdate, lambda event: is_update(event, kind))
+
+
+def updates(script: ScriptedBalancer, kind: ListKind) -> list[ListUpdate]:
+    """All list events of that kind so far."""
+    return [event for event in script.received(ListUpdate) if is_update(event, kind)]
 
 
-async def next_call(balancer: Any, part: str) -> str:
+async def next_call(balancer: RunningBalancer, part: str) -> str:
+    """The target of the next request to discovery that has this part; those before it are skipped."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
-            call: str = await balancer.discovery.calls.get()
+            call = await balancer.discovery.calls.get()
             if part in call:
                 return call
 
 
+def remaining_calls(discovery: FakeDiscovery) -> Iterator[str]:
+    while not discovery.calls.empty():
+        yield discovery.calls.get_nowait()
+
+
+def order_watch(balancer: RunningBalancer, number: int) -> None:
+    """Orders a watch from generation 1 on, as the balancer does where discovery is polled."""
+    balancer.dispatcher._act(WatchList(True, number, 1, 20_000.0, 20_000.0))
+
+
+def servers_of(update: ListUpdate) -> list[int]:
+    return [row.server for row in update.entries]
+
+
 def test_known_list_is_published_first_and_changes_follow() -> None:
     """Guards the start: a request is served from `known`, and the watch goes on from its generation."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(upstream.entry("a"), script=script) as balancer:
-            first = await next_update(script, ListKind.CACHED)
-            assert [row.server for row in first.entries] == [1]
+        async with loopback(serve_ok, clients=0, script=script) as network:
+            balancer = network.balancer
+            assert servers_of(await next_update(script, ListKind.CACHED)) == [1]
             assert "after=1&" in await next_call(balancer, "after=")
             balancer.discovery.change(entry("b", 9, zone="south", startedAtMs=123))
             change = await next_update(script, ListKind.DELTA)
             assert [(row.server, row.zone, row.started_ms) for row in change.entries] == [(2, 1, 123.0)]
             assert "after=2&" in await next_call(balancer, "after=")
-        upstream.close()
 
     run(work())
 
@@ -66,19 +84,13 @@
     """Guards a server whose address changes: requests go to the new address only."""
 
     async def work() -> None:
-        old = await FakeServer().start()
-        new = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(old.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
-            client.send_request()
-            assert (await client.read_response()).status == 200
-            balancer.discovery.change(new.entry("a"))
+        async with fake_servers(serve_ok) as (new,), loopback(serve_ok, script=script) as network:
+            await served(network.client)
+            network.balancer.discovery.change(new.entry("a"))
             await next_update(script, ListKind.DELTA)
-            client.send_request()
-            assert (await client.read_response()).status == 200
-            assert len(old.requests) == len(new.requests) == 1
-        old.close()
-        new.close()
+            await served(network.client)
+            assert len(network.server.requests) == len(new.requests) == 1
 
     run(work())
 
@@ -87,20 +99,13 @@
     """Guards against connections that lead to a process that has ended."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            client.send_request()
-            await client.read_response()
-            balancer.discovery.change(upstream.entry("a", startedAtMs=5000))
+        async with loopback(serve_ok, script=script) as network:
+            await served(network.client)
+            network.balancer.discovery.change(network.server.entry("a", startedAtMs=5000))
             await next_update(script, ListKind.DELTA)
-            client.send_request()
-            await client.read_response()
-            assert upstream.connections == 2
-        upstream.close()
+            await served(network.client)
+            assert network.server.connections == 2
 
     run(work())
 
@@ -109,17 +114,14 @@
     """Guards /ready: 503 without a list, 200 once discovery has answered with one."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(script=script, known={}) as balancer, HttpClient(balancer.port) as client:
+        async with loopback(script=script, known={}) as network:
             await next_update(script, ListKind.FULL)
-            client.send_request(target="/ready")
-            assert (await client.read_response()).status == 503
-            balancer.discovery.change(upstream.entry("a"))
+            network.client.send_request(target="/ready")
+            assert (await network.client.read_response()).status == 503
+            network.balancer.discovery.change(entry("a", 9))
             await next_update(script, ListKind.DELTA)
-            client.send_request(target="/ready")
-            assert (await client.read_response()).status == 200
-        upstream.close()
+            await served(network.client, target="/ready")
 
     run(work())
 
@@ -128,21 +130,17 @@
     """Guards the removal of a server that a complete list no longer names."""
 
     async def work() -> None:
-        a = await FakeServer().start()
-        b = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(a.entry("a"), b.entry("b"), script=script) as balancer:
-            await next_call(balancer, "after=")
-            only_b = {"generation": 9, "reset": True, "instances": [b.entry("b")]}
-            balancer.discovery.garbage.append(ok(json.dumps(only_b).encode()))
-            balancer.discovery.generation = 9
-            balancer.discovery.wake()
+        async with loopback(serve_ok, serve_ok, clients=0, script=script) as network:
+            await next_call(network.balancer, "after=")
+            discovery = network.balancer.discovery
+            only_b = {"generation": 9, "reset": True, "instances": [network.servers[1].entry("b")]}
+            discovery.garbage.append(ok(json.dumps(only_b).encode()))
+            discovery.generation = 9
+            discovery.wake()
             # The pending watch answers with no changes; the next one with the complete list.
-            full = await next_update(script, ListKind.FULL)
-            assert [row.server for row in full.entries] == [2]
-            assert set(balancer.dispatcher.connection_pool.table) == {2}
-        a.close()
-        b.close()
+            assert servers_of(await next_update(script, ListKind.FULL)) == [2]
+            assert set(network.pool.table) == {2}
 
     run(work())
 
@@ -151,51 +149,45 @@
     """Guards against applying changes to another list than the one they belong to."""
 
     async def work() -> None:
-        a = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(a.entry("a"), script=script, generation=40) as balancer:
-            await next_call(balancer, "after=40")
-            balancer.discovery.generation = 3
-            balancer.discovery.wake()
+        async with loopback(serve_ok, clients=0, script=script, generation=40) as network:
+            await next_call(network.balancer, "after=40")
+            network.balancer.discovery.generation = 3
+            network.balancer.discovery.wake()
             full = await next_update(script, ListKind.FULL)
             assert full.version == 3
-            assert not any(is_update(event, ListKind.DELTA) for event in script.events)
-        a.close()
+            assert not updates(script, ListKind.DELTA)
 
     run(work())
 
 
+PARTLY_VALID = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
+MALFORMED_ANSWERS = [
+    b"\x00nonsense\r\n\r\n",
+    ok(b"not json"),
+    ok(b"[" * 50_000),
+    ok(b"[]"),
+    ok(json.dumps(PARTLY_VALID).encode()),
+    status(503),
+]
+
+
 def test_malformed_answers_are_failed_calls_and_the_list_stays() -> None:
     """Guards against lists valid in part: nothing of a malformed answer counts, and the watch goes on."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            await next_call(balancer, "after=")
-            bad_entry = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
-            balancer.discovery.garbage += [
-                b"\x00nonsense\r\n\r\n",
-                ok(b"not json"),
-                ok(b"[" * 50_000),
-                ok(b"[]"),
-                ok(json.dumps(bad_entry).encode()),
-                b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-            ]
-            balancer.discovery.stop()
-            await balancer.discovery.start()
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while balancer.discovery.garbage:
-                    await asyncio.sleep(0.01)
-            client.send_request()
-            assert (await client.read_response()).status == 200
-            balancer.discovery.change(entry("b", 9))
+        async with loopback(serve_ok, script=script) as network:
+            discovery = network.balancer.discovery
+            await next_call(network.balancer, "after=")
+            discovery.garbage += MALFORMED_ANSWERS
+            discovery.stop()
+            await discovery.start()
+            await wait_until(lambda: not discovery.garbage)
+            await served(network.client)
+            discovery.change(entry("b", 9))
             change = await next_update(script, ListKind.DELTA)
-            assert [row.server for row in change.entries] == [2]  # no number was used up by malformed answers
-        upstream.close()
+            assert servers_of(change) == [2]  # no number was used up by malformed answers
 
     run(work())
 
@@ -204,89 +196,71 @@
     """Guards service while discovery is down, and the watch's return with what changed meanwhile."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            await next_call(balancer, "after=")
-            balancer.discovery.stop()
-            client.send_request()
-            assert (await client.read_response()).status == 200
-            balancer.discovery.change(entry("b", 9))
-            await balancer.discovery.start()
-            change = await next_update(script, ListKind.DELTA)
-            assert [row.server for row in change.entries] == [2]
-        failed = [
-            event
-            for event in script.events
-            if isinstance(event, ListUpdate) and event.kind is ListKind.FAILED
-        ]
+        async with loopback(serve_ok, script=script) as network:
+            await next_call(network.balancer, "after=")
+            network.balancer.discovery.stop()
+            await served(network.client)
+            network.balancer.discovery.change(entry("b", 9))
+            await network.balancer.discovery.start()
+            assert servers_of(await next_update(script, ListKind.DELTA)) == [2]
+        failed = updates(script, ListKind.FAILED)
         assert failed
         assert all(event.version == 1 and not event.entries and event.call for event in failed)
-        upstream.close()
 
     run(work())
 
 
-def test_polled_discovery_publishes_a_failure_and_is_polled_again() -> None:
+def test_polled_discovery_publishes_a_failure_and_is_polled_once_more() -> None:
     """Guards polled discovery: no call before it is ordered, FAILED when it breaks."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1], follows=False)
-        settings = SETTINGS | {"Discovery": "on_request"}
-        async with running(upstream.entry("a"), script=script, base=settings) as balancer:
+        async with loopback(serve_ok, clients=0, script=script, base=POLLED) as network:
+            discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
-            assert balancer.discovery.calls.empty()
-            balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
-            await next_call(balancer, "after=1")
-            balancer.discovery.stop()
+            assert discovery.calls.empty()
+            order_watch(network.balancer, 1)
+            await next_call(network.balancer, "after=1")
+            discovery.stop()
             await next_update(script, ListKind.FAILED)
-            await balancer.discovery.start()
-            balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
-            await next_call(balancer, "after=1")
-        upstream.close()
+            await discovery.start()
+            order_watch(network.balancer, 2)
+            await next_call(network.balancer, "after=1")
 
     run(work())
 
 
+async def relocate_while_a_change_is_sent(network: Loopback, new: FakeDiscovery) -> None:
+    """Discovery moves to another address while the old one is sending a change."""
+    await next_call(network.balancer, "after=1")
+    network.balancer.discovery.change(entry("late", 9))
+    network.balancer.watch.relocate(("127.0.0.1", new.port))
+
+
 def test_no_late_answer_from_the_previous_address_counts() -> None:
     """Guards the move to another address: the present list stays valid until the new one has arrived, the old
     connection ends, and what the old service writes in that moment is dropped.
     """
 
     async def work() -> None:
-        a = await FakeServer().start()
-        b = await FakeServer().start()
-        new = await FakeDiscovery([b.entry("b")]).start()
         script = ScriptedBalancer([1])
-        async with running(a.entry("a"), script=script) as balancer, HttpClient(balancer.port) as client:
-            await next_call(balancer, "after=1")
-            balancer.discovery.change(entry("late", 9))  # on its way when the move is made
-            balancer.watch.relocate(("127.0.0.1", new.port))
-            client.send_request()
-            assert (await client.read_response()).status == 200
+        async with fake_servers(serve_ok) as (b,), loopback(serve_ok, script=script) as network:
+            old = network.balancer.discovery
+            new = await FakeDiscovery([b.entry("b")]).start()
+            await relocate_while_a_change_is_sent(network, new)
+            await served(network.client)
             full = await next_update(script, ListKind.FULL)
-            assert (
-                set(balancer.dispatcher.connection_pool.table) == {row.server for row in full.entries} == {2}
-            )
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while balancer.discovery._writers:  # the old connection is closed
-                    await asyncio.sleep(0.01)
+            assert set(network.pool.table) == set(servers_of(full)) == {2}
+            await wait_until(lambda: not old._writers)  # the old connection is closed
             new.change(b.entry("b", lifecycle="leaving"))
             change = await next_update(script, ListKind.DELTA)
-            assert [row.server for row in change.entries] == [2]
-            deltas = [event for event in script.events if is_update(event, ListKind.DELTA)]
-            assert deltas == [change]
-            balancer.watch.stop()
-            balancer.watch.relocate(("127.0.0.1", balancer.discovery.port))  # too late: no call
-        while not balancer.discovery.calls.empty():
-            assert "after=" in balancer.discovery.calls.get_nowait()
+            assert servers_of(change) == [2]
+            assert updates(script, ListKind.DELTA) == [change]
+            network.balancer.watch.stop()
+            network.balancer.watch.relocate(("127.0.0.1", old.port))  # too late: no call
+        assert all("after=" in call for call in remaining_calls(old))
         new.stop()
-        a.close()
-        b.close()
 
     run(work())
 
@@ -297,18 +271,16 @@
     """
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        slow = await FakeDiscovery([upstream.entry("late")]).start()
+        slow = await FakeDiscovery([entry("late", 9)]).start()
         slow.delay_s = 2.2
-        async with running(script=script) as balancer:
-            balancer.watch.relocate(("127.0.0.1", slow.port))
+        async with loopback(clients=0, script=script) as network:
+            network.balancer.watch.relocate(("127.0.0.1", slow.port))
             listing = await next_update(script, ListKind.FULL)
             assert len(listing.entries) == 1
             assert slow.calls.get_nowait() == "/v1/endpoints"
             assert slow.calls.empty() or "after=" in slow.calls.get_nowait()
         slow.stop()
-        upstream.close()
 
     run(work())
 
@@ -319,23 +291,17 @@
     """
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1], follows=False)
-        settings = SETTINGS | {"Discovery": "on_request"}
-        async with running(upstream.entry("a"), script=script, base=settings) as balancer:
+        async with loopback(serve_ok, clients=0, script=script, base=POLLED) as network:
+            discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
-            discovery = balancer.discovery
             discovery.silent = True
-            balancer.dispatcher._act(WatchList(True, 1, 1, 20_000.0, 20_000.0))
-            await next_call(balancer, "after=1")
+            order_watch(network.balancer, 1)
+            await next_call(network.balancer, "after=1")
             discovery.change(entry("b", 9))
             discovery.silent = False
-            balancer.dispatcher._act(WatchList(True, 2, 1, 20_000.0, 20_000.0))
-            change = await next_update(script, ListKind.DELTA)
-            assert [row.server for row in change.entries] == [2]
-            assert not any(
-                event.kind is ListKind.FAILED for event in script.events if isinstance(event, ListUpdate)
-            )
-        upstream.close()
+            order_watch(network.balancer, 2)
+            assert servers_of(await next_update(script, ListKind.DELTA)) == [2]
+            assert not updates(script, ListKind.FAILED)
 
     run(work())
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -21,10 +21,10 @@
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data, entry
 from testkit.ports import free_port
-from testkit.servers import FakeServer
+from testkit.servers import FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
-from tests.fakes import running
+from tests.fakes import fake_servers, running, served, wait_until
 from tests.platform.harness import ready, spawn
 
 SERVERS = 1_500
@@ -63,59 +63,71 @@
 
 def test_change_within_a_large_list_is_applied() -> None:
     async def work() -> None:
-        upstream = await FakeServer().start()
-        listed = rows(SERVERS, upstream.entry("a"))
-        async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
-            table = balancer.dispatcher.connection_pool.table
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while not balancer.dispatcher.ready:
-                    await asyncio.sleep(0.01)
-            assert len(table) == SERVERS
-            balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while len(table) == SERVERS:
-                    await asyncio.sleep(0.01)
-            client.send_request()
-            assert (await client.read_response()).status == 200
-        upstream.close()
+        async with fake_servers(serve_ok) as (upstream,):
+            listed = rows(SERVERS, upstream.entry("a"))
+            async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
+                table = balancer.dispatcher.connection_pool.table
+                await wait_until(lambda: balancer.dispatcher.ready)
+                assert len(table) == SERVERS
+                balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
+                await wait_until(lambda: len(table) > SERVERS)
+                await served(client)
 
     run(work())
 
 
+def write_config(path: Path, listed: list[dict[str, Any]], discovery: FakeDiscovery, port: int) -> Path:
+    """A small instance's configuration, which knows the list at the start."""
+    data = config_data(
+        listed,
+        discovery.port,
+        listen=f"127.0.0.1:{port}",
+        settings=SETTINGS | {"Discovery": "on_request"},
+        limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
+    )
+    path.write_text(json.dumps(data))
+    return path
+
+
+def peak_memory_mb(process_id: int) -> float:
+    """The most memory that the process has had so far."""
+    status = Path(f"/proc/{process_id}/status").read_text()
+    peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
+    return int(peak.split()[1]) / 1024
+
+
+async def listed_watch(discovery: FakeDiscovery) -> None:
+    """Waits for the watch that follows the complete list."""
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+        while "after=" not in await discovery.calls.get():
+            pass
+
+
 def test_large_list_fits_a_small_instance(tmp_path: Path) -> None:
     """As known at the start, and as the complete list that discovery answers with."""
 
-    async def work() -> None:
-        upstream = await FakeServer().start()
-        listed = rows(SERVERS, upstream.entry("a"))
-        discovery = await FakeDiscovery(listed).start()
-        discovery.generation = 3  # a later one than is known
+    async def work(server: FakeServer, discovery: FakeDiscovery, listed: list[dict[str, Any]]) -> None:
         port = free_port()
-        data = config_data(
-            listed,
-            discovery.port,
-            listen=f"127.0.0.1:{port}",
-            settings=SETTINGS | {"Discovery": "on_request"},
-            limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
-        )
-        path = tmp_path / "config.json"
-        path.write_text(json.dumps(data))
-        process = await spawn(path)
+        process = await spawn(write_config(tmp_path / "config.json", listed, discovery, port))
         try:
             await ready(port)
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while "after=" not in await discovery.calls.get():
-                    pass
+            await listed_watch(discovery)
             async with HttpClient(port) as client:
-                client.send_request()
-                assert (await client.read_response()).status == 200
-            status = Path(f"/proc/{process.pid}/status").read_text()
-            peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
-            assert int(peak.split()[1]) / 1024 <= MEMORY_MB, peak
+                await served(client)
+            assert len(server.requests) == 1
+            assert peak_memory_mb(process.pid) <= MEMORY_MB
         finally:
             process.kill()
             await process.wait()
-            discovery.stop()
-            upstream.close()
 
-    run(work())
+    async def with_fakes() -> None:
+        async with fake_servers(serve_ok) as (server,):
+            listed = rows(SERVERS, server.entry("a"))
+            discovery = await FakeDiscovery(listed).start()
+            discovery.generation = 3  # a later one than is known
+            try:
+                await work(server, discovery, listed)
+            finally:
+                discovery.stop()
+
+    run(with_fakes())
--- a/tests/dispatch/test_exchange.py
+++ b/tests/dispatch/test_exchange.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
 
 from sandhatch.dispatch.exchange import Exchange, ExchangeTable
 from sandhatch.http1.message import Message
@@ -39,44 +38,40 @@
         return False
 
 
-def with_exchange(check: Callable[[ExchangeTable, Exchange, RecordingClient, list[Exchange]], None]) -> None:
-    """Check a table that has one open exchange; the list receives it when it is done."""
+class OpenExchange:
+    """A table with one open exchange; `done` receives the exchange when it is done."""
 
-    async def work() -> None:
+    def __init__(self) -> None:
         shared = SharedResources(asyncio.get_running_loop(), "test", 64, 1_000.0, 100)
-        exchanges = ExchangeTable(shared.clock, shared.in_flight_ids)
-        client = RecordingClient()
-        done: list[Exchange] = []
-        exchange = Exchange(1, client, Message(), shared.clock.now_ms() + 500.0, b"id", done.append)
-        exchanges.add(exchange)
+        self.table = ExchangeTable(shared.clock, shared.in_flight_ids)
+        self.client = RecordingClient()
+        self.done: list[Exchange] = []
+        deadline_ms = shared.clock.now_ms() + 500.0
+        self.exchange = Exchange(1, self.client, Message(), deadline_ms, b"id", self.done.append)
+        self.table.add(self.exchange)
         assert b"id" in shared.in_flight_ids.open
-        check(exchanges, exchange, client, done)
-
-    run(work())
 
 
 def test_second_answer_is_dropped() -> None:
-    def check(
-        exchanges: ExchangeTable, exchange: Exchange, client: RecordingClient, done: list[Exchange]
-    ) -> None:
-        exchanges.answer(exchange, 200, [(b"A", b"1")], b"first")
-        exchanges.answer(exchange, 502)
-        assert client.answers == [(200, [(b"A", b"1")], b"first")]
-        assert exchange.status == 200
+    async def work() -> None:
+        opened = OpenExchange()
+        opened.table.answer(opened.exchange, 200, [(b"A", b"1")], b"first")
+        opened.table.answer(opened.exchange, 502)
+        assert opened.client.answers == [(200, [(b"A", b"1")], b"first")]
+        assert opened.exchange.status == 200
 
-    with_exchange(check)
+    run(work())
 
 
 def test_answered_exchange_stays_open_while_an_attempt_is_pending() -> None:
-    def check(
-        exchanges: ExchangeTable, exchange: Exchange, client: RecordingClient, done: list[Exchange]
-    ) -> None:
-        exchange.pending_attempts = 1
-        exchanges.answer(exchange, 200)
-        assert (len(exchanges), exchanges.unanswered, done) == (1, 0, [])
-        exchange.pending_attempts = 0
-        exchanges.remove_if_done(exchange)
-        exchanges.remove_if_done(exchange)
-        assert (len(exchanges), done) == (0, [exchange])
-
-    with_exchange(check)
+    async def work() -> None:
+        opened = OpenExchange()
+        opened.exchange.pending_attempts = 1
+        opened.table.answer(opened.exchange, 200)
+        assert (len(opened.table), opened.table.unanswered, opened.done) == (1, 0, [])
+        opened.exchange.pending_attempts = 0
+        opened.table.remove_if_done(opened.exchange)
+        opened.table.remove_if_done(opened.exchange)
+        assert (len(opened.table), opened.done) == (0, [opened.exchange])
+
+    run(work())
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -3,18 +3,16 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Any
 
 import pytest
 
 from sandhatch.balancing.actions import Action, Fail, Reject, Send
-from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived
-from testkit.clients import HttpClient, request_bytes
-from testkit.servers import FakeConnection, FakeServer
-from testkit.wire import ReceivedRequest, ok
+from sandhatch.balancing.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
+from testkit.behaviours import echoes_target, never_responds, waits_for
+from testkit.clients import request_bytes
+from testkit.servers import serve_ok
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, running
-from tests.upstream.behaviours import stays_silent
+from tests.fakes import Loopback, ScriptedBalancer, loopback, served
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
@@ -81,26 +79,16 @@
     """Each kind is answered, and the other requests go on."""
 
     async def work() -> None:
-        go = asyncio.Event()
-
-        async def answers_late(request: ReceivedRequest, talk: FakeConnection) -> None:
-            await go.wait()
-            await talk.send(ok())
-
-        upstream = await FakeServer(answers_late).start()
-        async with (
-            running(upstream.entry("a")) as balancer,
-            HttpClient(balancer.port) as good,
-            HttpClient(balancer.port) as bad,
-        ):
+        released = asyncio.Event()
+        async with loopback(waits_for(released, serve_ok), clients=2) as network:
+            good, bad = network.clients
             good.send_request()
-            await upstream.arrived.get()
+            await network.server.arrived.get()
             bad.send(data)
             assert (await bad.read_response()).status == code
-            go.set()
+            released.set()
             assert (await good.read_response()).status == 200
-        upstream.close()
-        assert len(upstream.requests) == 1
+        assert len(network.server.requests) == 1
 
     run(work())
 
@@ -109,19 +97,12 @@
     """Clients need not state one."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            client.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
-            assert (await client.read_response()).status == 200
-            client.send_request(X_Expires_In_Ms="999999999")
-            assert (await client.read_response()).status == 200
-        upstream.close()
-        lefts = [e.time_left_ms for e in script.events if isinstance(e, RequestArrived)]
-        assert lefts == [8000.0, 8000.0]
+        async with loopback(serve_ok, script=script) as network:
+            network.client.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
+            assert (await network.client.read_response()).status == 200
+            await served(network.client, X_Expires_In_Ms="999999999")
+        assert [event.time_left_ms for event in script.received(RequestArrived)] == [8000.0, 8000.0]
 
     run(work())
 
@@ -130,17 +111,13 @@
     """Order and exactly one answer hold where a client does not wait."""
 
     async def work() -> None:
-        async def echo(request: ReceivedRequest, talk: FakeConnection) -> None:
-            await talk.send(ok(request.target.encode()))
-
-        upstream = await FakeServer(echo).start()
-        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
-            client.send(b"".join(request_bytes(target=f"/api?n={n}") for n in range(3)) + b"garbage\r\n\r\n")
+        async with loopback(echoes_target) as network:
+            requests = [request_bytes(target=f"/api?n={n}") for n in range(3)]
+            network.client.send(b"".join(requests) + b"garbage\r\n\r\n")
             for n in range(3):
-                assert (await client.read_response()).body == b"/api?n=%d" % n
-            assert (await client.read_response()).status == 400
-            assert await client.read_to_end() == b""
-        upstream.close()
+                assert (await network.client.read_response()).body == b"/api?n=%d" % n
+            assert (await network.client.read_response()).status == 400
+            assert await network.client.read_to_end() == b""
 
     run(work())
 
@@ -149,15 +126,14 @@
     """Else such a client would wait in vain."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
-        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
+        async with loopback(serve_ok) as network:
             head, _, _ = request_bytes("move", b"body", Expect="100-continue").partition(b"\r\n\r\n")
-            client.send(head + b"\r\n\r\n")
-            assert (await client.reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
-            client.send(b"body")
-            assert (await client.read_response()).status == 200
-        upstream.close()
-        assert upstream.requests[0].body == b"body"
+            network.client.send(head + b"\r\n\r\n")
+            interim = await network.client.reader.readuntil(b"\r\n\r\n")
+            assert interim.startswith(b"HTTP/1.1 100")
+            network.client.send(b"body")
+            assert (await network.client.read_response()).status == 200
+        assert network.server.requests[0].body == b"body"
 
     run(work())
 
@@ -166,100 +142,80 @@
     """A client may say that the connection ends with this answer."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
-        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
-            client.send_request(Connection="close")
-            answer = await client.read_response()
-            assert (answer.status, answer.headers["connection"]) == (200, "close")
-            assert await client.read_to_end() == b""
-        upstream.close()
+        async with loopback(serve_ok) as network:
+            answer = await served(network.client, Connection="close")
+            assert answer.headers["connection"] == "close"
+            assert await network.client.read_to_end() == b""
 
     run(work())
 
 
 def test_rejections_carry_retry_after_in_decimal_seconds() -> None:
-    """Guards Refuse: 503 at once, with Retry-After where the decisions advise it, and without where not."""
+    """Guards Reject: 503 at once, with Retry-After where the decisions advise it, and without where not."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
-        script = ScriptedBalancer([1])
-        waits = [1250.0, 0.0]
+        waits_ms = [1250.0, 0.0]
 
         def reject(event: Event) -> list[Action] | None:
-            return [Reject(event.request, waits.pop(0))] if isinstance(event, RequestArrived) else None
+            return [Reject(event.request, waits_ms.pop(0))] if isinstance(event, RequestArrived) else None
 
+        script = ScriptedBalancer([1])
         script.more = reject
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            client.send_request()
-            first = await client.read_response()
-            client.send_request()
-            second = await client.read_response()
-        upstream.close()
+        async with loopback(serve_ok, script=script) as network:
+            network.client.send_request()
+            first = await network.client.read_response()
+            network.client.send_request()
+            second = await network.client.read_response()
         assert (first.status, first.headers.get("retry-after")) == (503, "1.250")
         assert (second.status, second.headers.get("retry-after")) == (503, None)
 
     run(work())
 
 
-def test_an_error_in_one_request_is_answered_500_with_its_id_in_the_log(capfd: Any) -> None:
+def raise_for_class_2(event: Event) -> list[Action] | None:
+    if isinstance(event, RequestArrived) and event.class_index == 2:
+        raise RuntimeError("a fault")
+    return None
+
+
+def test_an_error_in_one_request_is_answered_500_with_its_id_in_the_log(
+    capfd: pytest.CaptureFixture[str],
+) -> None:
     """Guards the process against a fault in the decisions: that request alone ends, and the log names it."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-
-        def fault(event: Event) -> list[Action] | None:
-            if isinstance(event, RequestArrived) and event.class_index == 2:
-                raise RuntimeError("a fault")
-            return None
-
-        script.more = fault
-        async with (
-            running(upstream.entry("a"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            client.send_request("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
-            assert (await client.read_response()).status == 500
-            client.send_request()
-            assert (await client.read_response()).status == 200
-        upstream.close()
+        script.more = raise_for_class_2
+        async with loopback(serve_ok, script=script) as network:
+            network.client.send_request("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
+            assert (await network.client.read_response()).status == 500
+            await served(network.client)
 
     run(work())
     assert "9b1f03aa5c7e2d41" in capfd.readouterr().err
 
 
+def answer_class_2_twice(event: Event) -> list[Action] | None:
+    """Two answers to a request that has an attempt in flight."""
+    if isinstance(event, RequestArrived) and event.class_index == 2:
+        return [Send(event.request, 1, 300.0), Fail(event.request), Reject(event.request)]
+    return None
+
+
 def test_a_second_final_answer_is_dropped() -> None:
     """Guards 'exactly one answer': decisions that answer twice while an attempt is out must not answer the
     client's next request in place of a server.
     """
 
     async def work() -> None:
-        upstream = await FakeServer(stays_silent).start()
-        script = ScriptedBalancer([1])
-
-        def twice(event: Event) -> list[Action] | None:
-            if isinstance(event, RequestArrived) and event.class_index == 2:
-                return [Send(event.request, 1, 300.0), Fail(event.request), Reject(event.request)]
-            return None
-
-        script.more = twice
-        other = await FakeServer().start()
-        script.servers = [2]
-        async with (
-            running(upstream.entry("a"), other.entry("b"), script=script) as balancer,
-            HttpClient(balancer.port) as client,
-        ):
-            client.send(request_bytes("move", b"x") + request_bytes())
-            assert [(await client.read_response()).status for _ in range(2)] == [502, 200]
-            first = next(e for e in script.events if isinstance(e, RequestArrived))
-            while (event := await script.ended()).request != first.request:
-                pass
-            assert event.final  # the decisions are notified of the attempt's end all the same
-        upstream.close()
-        other.close()
+        script = ScriptedBalancer([2])
+        script.more = answer_class_2_twice
+        async with loopback(never_responds, serve_ok, script=script) as network:
+            network.client.send(request_bytes("move", b"x") + request_bytes())
+            assert [(await network.client.read_response()).status for _ in range(2)] == [502, 200]
+            first = script.received(RequestArrived)[0]
+            end = await script.next_event(AttemptEnded, lambda event: event.request == first.request)
+            assert end.final  # the decisions are notified of the attempt's end all the same
 
     run(work())
 
@@ -268,60 +224,53 @@
     """The client has shut down its sending side before the last byte."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(upstream.entry("a"), script=script) as balancer:
-            async with HttpClient(balancer.port) as client:
-                client.send(request_bytes("move", b"whole")[:-1])
-                await client.writer.drain()
-                client.writer.write_eof()
-                assert await client.read_to_end() == b""
-            async with HttpClient(balancer.port) as client:
-                client.send_request(target="/ready")
-                assert (await client.read_response()).status == 200
-        upstream.close()
-        assert upstream.requests == []
-        assert not any(isinstance(e, RequestArrived | ClientDisconnected) for e in script.events)
+        async with loopback(serve_ok, clients=2, script=script) as network:
+            incomplete, other = network.clients
+            incomplete.send(request_bytes("move", b"whole")[:-1])
+            await incomplete.writer.drain()
+            incomplete.writer.write_eof()
+            assert await incomplete.read_to_end() == b""
+            await served(other, target="/ready")
+        assert network.server.requests == []
+        assert not script.received(RequestArrived)
+        assert not script.received(ClientDisconnected)
 
     run(work())
 
 
+async def assert_id_rejected(network: Loopback, cls: str, body: bytes, trace: str) -> None:
+    """Send a request under an id that is taken, on a connection of its own, which is closed then."""
+    client = await network.connect()
+    client.send_request(cls, body, X_Trace_Id=trace)
+    assert (await client.read_response()).status == 409
+    assert await client.read_to_end() == b""
+
+
 def test_a_request_under_the_id_of_a_recent_one_is_rejected() -> None:
     """The first request is answered as if there were no second; neither is one forwarded that comes just
     after that answer.
     """
 
     async def work() -> None:
-        go = asyncio.Event()
-
-        async def answers_late(request: ReceivedRequest, talk: FakeConnection) -> None:
-            await go.wait()
-            await talk.send(ok())
-
-        upstream = await FakeServer(answers_late).start()
+        released = asyncio.Event()
         script = ScriptedBalancer([1])
-        async with running(upstream.entry("a"), script=script) as balancer, HttpClient(balancer.port) as good:
+        async with loopback(waits_for(released, serve_ok), script=script) as network:
+            ids = network.balancer.shared.in_flight_ids
+            good = network.client
             good.send_request("move", b"x", X_Trace_Id="aa")
-            await upstream.arrived.get()
-            async with HttpClient(balancer.port) as bad:
-                bad.send_request("look", X_Trace_Id="aa")
-                assert (await bad.read_response()).status == 409
-                assert await bad.read_to_end() == b""
-            go.set()
-            assert (await good.read_response()).status == 200
-            async with HttpClient(balancer.port) as bad:
-                bad.send_request("move", b"x", X_Trace_Id="aa")
-                assert (await bad.read_response()).status == 409
-            good.send_request("move", b"x", X_Trace_Id="ab")
-            assert (await good.read_response()).status == 200
-            assert not balancer.shared.in_flight_ids.open
-            balancer.shared.in_flight_ids.MOST_PAST = 1
-            good.send_request("move", b"x", X_Trace_Id="ac")
+            await network.server.arrived.get()
+            await assert_id_rejected(network, "look", b"", "aa")
+            released.set()
             assert (await good.read_response()).status == 200
-            assert list(balancer.shared.in_flight_ids.past) == [b"ac"]
-        upstream.close()
-        assert [item.headers["x-trace-id"] for item in upstream.requests] == ["aa", "ab", "ac"]
-        assert [e.outcome for e in script.ends()] == [Outcome.OK] * 3
+            await assert_id_rejected(network, "move", b"x", "aa")
+            await served(good, "move", b"x", X_Trace_Id="ab")
+            assert not ids.open
+            ids.MOST_PAST = 1
+            await served(good, "move", b"x", X_Trace_Id="ac")
+            assert list(ids.past) == [b"ac"]
+        assert [item.headers["x-trace-id"] for item in network.server.requests] == ["aa", "ab", "ac"]
+        assert [event.outcome for event in script.ends()] == [Outcome.OK] * 3
 
     run(work())
 
@@ -330,15 +279,13 @@
     """Prevents request smuggling: two parsers might find the end of such a message in two places."""
 
     async def work() -> None:
-        upstream = await FakeServer().start()
-        async with running(upstream.entry("a")) as balancer, HttpClient(balancer.port) as client:
+        async with loopback(serve_ok) as network:
             inner = request_bytes("move", b"x")
             outer = b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (len(inner) + 5)
-            client.send(HEAD + b"X-Trace-Id: 1\r\n" + outer + inner)
-            assert (await client.read_response()).status == 400
-            client.send(request_bytes("move", b"x"))
-            assert await client.read_to_end() == b""
-        upstream.close()
-        assert upstream.requests == []
+            network.client.send(HEAD + b"X-Trace-Id: 1\r\n" + outer + inner)
+            assert (await network.client.read_response()).status == 400
+            network.client.send(request_bytes("move", b"x"))
+            assert await network.client.read_to_end() == b""
+        assert network.server.requests == []
 
     run(work())
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -7,11 +7,13 @@
 
 import asyncio
 import json
+import time
 from collections.abc import AsyncIterator, Callable
-from contextlib import asynccontextmanager
+from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
 from random import Random
-from typing import Any
+from string import ascii_lowercase
+from typing import Any, TypeVar
 
 from sandhatch.balancing.actions import Action, Fail, Send
 from sandhatch.balancing.endpoint_freshness import COOKIES, Freshness
@@ -24,9 +26,29 @@
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.program import PlatformProgram
 from sandhatch.runtime.shared_resources import SharedResources
+from sandhatch.upstream.connection_pool import ConnectionPool
+from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
-from testkit.wire import RESPONSE_TIMEOUT_S
+from testkit.servers import Behaviour, FakeServer
+from testkit.wire import RESPONSE_TIMEOUT_S, Answer
+
+SomeEvent = TypeVar("SomeEvent", bound=Event)
+SERVER_NAMES = ascii_lowercase
+POLL_S = 0.001  # between two looks at a condition that the program has no event for
+
+
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Let the loop run until the condition holds.
+
+    Raises:
+        TimeoutError: it did not hold within `RESPONSE_TIMEOUT_S`.
+    """
+    deadline_s = time.monotonic() + RESPONSE_TIMEOUT_S
+    while not condition():
+        if time.monotonic() > deadline_s:
+            raise TimeoutError(f"the condition did not hold within {RESPONSE_TIMEOUT_S:g} s")
+        await asyncio.sleep(POLL_S)
 
 
 class ScriptedBalancer:
@@ -43,12 +65,12 @@
         self.servers = servers
         self.timeout_ms = timeout_ms
         self.events: list[Event] = []
-        self.told: asyncio.Queue[Event] = asyncio.Queue()
-        self.more: Callable[[Event], list[Action] | None] = lambda event: None
+        self.notifications: asyncio.Queue[Event] = asyncio.Queue()
+        self.more: Callable[[Event], list[Action] | None] = lambda _event: None
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         self.events.append(event)
-        self.told.put_nowait(event)
+        self.notifications.put_nowait(event)
         if isinstance(event, ListUpdate):
             return self.freshness.on_list_update(event, now_ms)
         if isinstance(event, TimerFired) and event.cookie in COOKIES:
@@ -67,17 +89,27 @@
             return [Fail(event.request)]
         return []
 
-    async def ended(self) -> AttemptEnded:
-        """The next end of an attempt."""
+    async def next_event(
+        self, kind: type[SomeEvent], matches: Callable[[SomeEvent], bool] = lambda _event: True
+    ) -> SomeEvent:
+        """The next event of a kind that matches; those before it are skipped."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while True:
-                event = await self.told.get()
-                if isinstance(event, AttemptEnded):
+                event = await self.notifications.get()
+                if isinstance(event, kind) and matches(event):
                     return event
 
+    async def ended(self) -> AttemptEnded:
+        """The next end of an attempt."""
+        return await self.next_event(AttemptEnded)
+
+    def received(self, kind: type[SomeEvent]) -> list[SomeEvent]:
+        """All events of a kind so far."""
+        return [event for event in self.events if isinstance(event, kind)]
+
     def ends(self) -> list[AttemptEnded]:
         """All ends of attempts so far."""
-        return [event for event in self.events if isinstance(event, AttemptEnded)]
+        return self.received(AttemptEnded)
 
 
 @dataclass
@@ -109,6 +141,19 @@
     return RunningBalancer(dispatcher, listener, discovery, listener.port, program.shared, program.discovery)
 
 
+def _merge_settings(
+    base: dict[str, Any] | None,
+    limits: dict[str, Any] | None,
+    stats: dict[str, Any] | None,
+    categories: list[dict[str, Any]] | None,
+) -> dict[str, Any]:
+    return (base or SETTINGS) | {
+        "PolicyLimits": SETTINGS["PolicyLimits"] | (limits or {}),
+        "Stats": stats or SETTINGS["Stats"],
+        "Categories": categories or SETTINGS["Categories"],
+    }
+
+
 @asynccontextmanager
 async def running(
     *entries: dict[str, Any],
@@ -117,7 +162,6 @@
     stats: dict[str, Any] | None = None,
     categories: list[dict[str, Any]] | None = None,
     base: dict[str, Any] | None = None,
-    machine: dict[str, Any] | None = None,
     generation: int = 1,
     rest_ms: float = 0.0,
     **more: Any,
@@ -131,23 +175,18 @@
         stats: the settings' `Stats`.
         categories: the settings' `Categories`.
         base: the settings that those above change.
-        machine: the configuration's `limits`.
         generation: of the list that is known at the start.
         rest_ms: how long a connection to a server rests between attempts.
-        more: further keys of the configuration.
+        more: further keys of the configuration; `machine` is its `limits`.
     """
-    discovery = await FakeDiscovery(list(entries)).start()
+    listed = list(entries)
+    discovery = await FakeDiscovery(listed).start()
     discovery.generation = generation
-    if machine is not None:
-        more["limits"] = machine
-    more.setdefault("known", {"generation": generation, "reset": True, "instances": list(entries)})
-    settings = (base or SETTINGS) | {
-        "PolicyLimits": SETTINGS["PolicyLimits"] | (limits or {}),
-        "Stats": stats or SETTINGS["Stats"],
-        "Categories": categories or SETTINGS["Categories"],
-    }
-    data = config_data(list(entries), discovery.port, settings=settings, **more)
-    config = decode(json.dumps(data), {})
+    if "machine" in more:
+        more["limits"] = more.pop("machine")
+    more.setdefault("known", {"generation": generation, "reset": True, "instances": listed})
+    settings = _merge_settings(base, limits, stats, categories)
+    config = decode(json.dumps(config_data(listed, discovery.port, settings=settings, **more)), {})
     program = PlatformProgram(config, asyncio.get_running_loop(), script)
     program.dispatcher.connection_pool.COOLDOWN_MS = rest_ms
     balancer = start_parts(program, discovery)
@@ -156,3 +195,82 @@
     finally:
         balancer.stop()
         await asyncio.sleep(0)
+
+
+@asynccontextmanager
+async def fake_servers(*behaviours: Behaviour) -> AsyncIterator[list[FakeServer]]:
+    """A fake server for each behaviour."""
+    servers = [await FakeServer(behave).start() for behave in behaviours]
+    try:
+        yield servers
+    finally:
+        for server in servers:
+            server.close()
+
+
+class Loopback:
+    """Clients, a balancer and fake servers, connected over loopback.
+
+    Attributes:
+        balancer: the balancer's real parts.
+        servers: the fake servers; the balancer knows them as 1, 2 and so on, discovery as `a`, `b` and so on.
+        clients: those that have a connection.
+    """
+
+    def __init__(
+        self, balancer: RunningBalancer, servers: list[FakeServer], connections: AsyncExitStack
+    ) -> None:
+        self.balancer = balancer
+        self.servers = servers
+        self.clients: list[HttpClient] = []
+        self._connections = connections
+
+    @property
+    def server(self) -> FakeServer:
+        """The first server."""
+        return self.servers[0]
+
+    @property
+    def client(self) -> HttpClient:
+        """The first client."""
+        return self.clients[0]
+
+    @property
+    def pool(self) -> ConnectionPool:
+        """The balancer's connections to the servers."""
+        return self.balancer.dispatcher.connection_pool
+
+    async def connect(self) -> HttpClient:
+        """Open the connection of a further client; it is closed before the balancer stops."""
+        client = await self._connections.enter_async_context(HttpClient(self.balancer.port))
+        self.clients.append(client)
+        return client
+
+
+@asynccontextmanager
+async def loopback(
+    *behaviours: Behaviour, clients: int = 1, entries: tuple[dict[str, Any], ...] = (), **more: Any
+) -> AsyncIterator[Loopback]:
+    """Starts fake servers, a balancer that knows them, and clients that are connected to it.
+
+    Args:
+        behaviours: one for each server.
+        clients: how many are connected.
+        entries: of further servers, which the balancer numbers behind these.
+        more: as for `running`; without a `script` the decisions are the balancer's own.
+    """
+    async with fake_servers(*behaviours) as servers:
+        listed = [server.entry(name) for name, server in zip(SERVER_NAMES, servers, strict=False)]
+        async with running(*listed, *entries, **more) as balancer, AsyncExitStack() as connections:
+            network = Loopback(balancer, servers, connections)
+            for _ in range(clients):
+                await network.connect()
+            yield network
+
+
+async def served(client: HttpClient, *request: Any, **headers: str) -> Answer:
+    """Send a request, as `HttpClient.send_request` does; its answer, which must have status 200."""
+    client.send_request(*request, **headers)
+    answer = await client.read_response()
+    assert answer.status == 200
+    return answer
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -71,7 +71,7 @@
             assert 2.0 * balancer.listener.DISCONNECT_POLL_MS <= MAX_NOTICE_MS
             client.close()
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):  # it is looked out for, though the upstream hangs
-                while not isinstance(await script.told.get(), ClientDisconnected):
+                while not isinstance(await script.notifications.get(), ClientDisconnected):
                     pass
             released.set()
             await wait_until(lambda: not balancer.dispatcher.open)
--- a/tests/upstream/behaviours.py
+++ b/tests/upstream/behaviours.py
@@ -1,49 +1,35 @@
-"""Behaviours of a fake server, and fake servers that the usual one does not cover."""
+"""Faults that `testkit.behaviours` does not have, and servers that `FakeServer` does not cover."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
-from collections.abc import Awaitable, Callable
+from collections.abc import Iterator
+from contextlib import ExitStack, contextmanager
 
 from testkit.servers import FakeConnection
 from testkit.wire import ReceivedRequest, ok, read_head
 
 
-def sends(data: bytes) -> Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]:
-    """Answer with these bytes."""
-
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        await talk.send(data)
-
-    return behave
-
-
-async def resets(request: ReceivedRequest, talk: FakeConnection) -> None:
-    """Reset the connection in place of an answer."""
-    talk.reset()
-
-
-async def closes(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def closes(_request: ReceivedRequest, talk: FakeConnection) -> None:
     """Close the connection in place of an answer."""
     talk.writer.close()
 
 
-async def resets_inside_the_answer(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def resets_inside_the_answer(_request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send a part of an answer, then reset the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     talk.reset()
 
 
-async def ends_the_answer_by_closing(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def ends_the_answer_by_closing(_request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send an answer without a length, then close the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\n\r\nhow long is it")
     talk.writer.close()
 
 
-async def stays_silent(request: ReceivedRequest, talk: FakeConnection) -> None:
-    """Send nothing until the connection ends."""
-    await talk.ended()
+def port_of(listener: socket.socket) -> int:
+    return int(listener.getsockname()[1])
 
 
 def listener_with_small_buffer() -> socket.socket:
@@ -56,18 +42,18 @@
     return listener
 
 
-def listener_with_full_backlog() -> tuple[socket.socket, list[socket.socket]]:
-    """Listen with a full backlog: further connections never come up. The sockets that fill it are second."""
-    listener = socket.socket()
-    listener.bind(("127.0.0.1", 0))
-    listener.listen(0)
-    fillers = []
-    for _ in range(8):
-        filler = socket.socket()
-        filler.setblocking(False)
-        filler.connect_ex(listener.getsockname())
-        fillers.append(filler)
-    return listener, fillers
+@contextmanager
+def full_backlog() -> Iterator[int]:
+    """The port of a listener whose backlog is full: further connections never come up."""
+    with ExitStack() as sockets:
+        listener = sockets.enter_context(socket.socket())
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
+        for _ in range(8):
+            filler = sockets.enter_context(socket.socket())
+            filler.setblocking(False)
+            filler.connect_ex(listener.getsockname())
+        yield port_of(listener)
 
 
 class DeadAfterOneRequest:
