--- /dev/null
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -0,0 +1,89 @@
+"""Changes while a body flows: a draining server, a new configuration, and a graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+
+from testkit.clients import HttpClient
+from testkit.streaming_server import StreamingServer
+from tests.streaming.harness import (
+    BODY,
+    KIB,
+    MIB,
+    Deployment,
+    answer_head,
+    answer_of,
+    assert_stored,
+    deployed,
+    run,
+    send_upload,
+    store_upload,
+    upload_head,
+)
+
+SIZE = 4 * MIB
+FIRST_PART = BODY.whole(SIZE)[:MIB]
+REST = BODY.whole(SIZE)[MIB:]
+
+
+async def begin_upload(deployment: Deployment, client: HttpClient) -> StreamingServer:
+    """Send the first part of a body; the server that it flows to."""
+    client.send(upload_head(SIZE) + FIRST_PART)
+    await deployment.until(lambda: deployment.requests_seen > 0)
+    return next(server for server in deployment.servers if server.seen)
+
+
+def test_a_draining_server_finishes_the_body_that_flows_to_it_and_gets_nothing_new() -> None:
+    async def work() -> None:
+        async with deployed(store_upload, store_upload) as deployment, HttpClient(deployment.port) as client:
+            busy = await begin_upload(deployment, client)
+            data = deployment.active_configuration()
+            servers = data["pools"]["drawings"]["servers"]
+            named = next(name for name, row in servers.items() if row["address"].endswith(f":{busy.port}"))
+            servers[named]["state"] = "draining"
+            await deployment.kept.confirmed(data)
+            await asyncio.sleep(2.1)  # past the grace
+            client.send(REST)
+            assert (await answer_of(client))[0] == 200
+            for _ in range(8):
+                async with HttpClient(deployment.port) as other:
+                    await send_upload(other, 100 * KIB)
+                    assert (await answer_of(other))[0] == 200
+            assert len(busy.seen) == 1
+            await deployment.until_idle()
+
+    run(work())
+
+
+def test_a_body_stays_with_the_version_that_it_began_under() -> None:
+    async def work() -> None:
+        async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
+            await begin_upload(deployment, client)
+            data = deployment.active_configuration()
+            data["default"] = {"answer": {"status": 404}}
+            data["classes"]["draw"]["bodies"]["request"]["most_bytes"] = 1024
+            await deployment.kept.confirmed(data)
+            client.send(REST)
+            await assert_stored(client, SIZE)
+            async with HttpClient(deployment.port) as other:
+                other.send(upload_head(MIB))
+                assert (await answer_head(other))[0] == 404
+            await deployment.until(lambda: bool(deployment.records))
+            assert deployment.records[0].version == 1
+
+    run(work())
+
+
+def test_graceful_shutdown_waits_for_the_end_of_a_body() -> None:
+    async def work() -> None:
+        async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
+            await begin_upload(deployment, client)
+            draining = asyncio.create_task(deployment.service.drain())
+            await asyncio.sleep(0.7)  # past the time in which new requests are still accepted
+            assert not draining.done()
+            client.send(REST)
+            status, headers = await answer_head(client)
+            assert (status, headers["connection"]) == (200, "close")
+            await draining
+
+    run(work())
