--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -66,18 +66,20 @@
         row = (message.method, message.target, message.status, fields, body, complete, tuple(trailers))
         self.seen.append(ParsedMessage(*row))
 
-    def last(self) -> ParsedMessage | None:
-        """The message that is still open."""
-        if self._open is None:
-            return None
-        before = self.seen
-        self.seen = []
-        self._add(self._open, b"".join(self._parts), False, [])
-        found, self.seen = self.seen[0], before
-        return found
+
+def random_chunks(rng: Random, body: bytes) -> bytes:
+    """The body in chunks of random sizes, some with a trailer."""
+    framed = b""
+    at = 0
+    while at < len(body):
+        size = rng.choice([1, 7, 500, 9_000]) if len(body) > 100 else rng.randint(1, 9)
+        size = max(size, len(body) // 200)
+        framed += b"".join(bytes(part) for part in chunk(body[at : at + size]))
+        at += size
+    return framed + last_chunk([(b"X-Sum", b"1")] if rng.random() < 0.5 else [])
 
 
-def messages(rng: Random, request: bool) -> bytes:
+def random_messages(rng: Random, request: bool) -> bytes:
     """One to three well-formed messages."""
     out = []
     for _ in range(rng.randint(1, 3)):
@@ -89,14 +91,7 @@
             framed = body
         else:
             fields.append(b"Transfer-Encoding: chunked")
-            framed = b""
-            at = 0
-            while at < len(body):
-                size = rng.choice([1, 7, 500, 9_000]) if len(body) > 100 else rng.randint(1, 9)
-                size = max(size, len(body) // 200)
-                framed += b"".join(bytes(part) for part in chunk(body[at : at + size]))
-                at += size
-            framed += last_chunk([(b"X-Sum", b"1")] if rng.random() < 0.5 else [])
+            framed = random_chunks(rng, body)
         out.append(first + b"\r\n" + b"\r\n".join(fields) + b"\r\n\r\n" + framed)
     return b"".join(out)
 
@@ -114,7 +109,7 @@
 @given(st.integers(0, 2**32), st.booleans(), st.sampled_from([0, 100, 64 * KIB]))
 def test_random_splits_of_random_messages_give_the_same_events(seed: int, request: bool, hold: int) -> None:
     rng = Random(seed)
-    data = messages(rng, request)
+    data = random_messages(rng, request)
     unsplit = Collected(make_parser(request), 1 << 40)  # never opened: each comes in one piece
     for at in range(0, len(data), 50_000):
         unsplit.feed(data[at : at + 50_000])
@@ -141,36 +136,60 @@
 )
 
 
-def parse_with_h11(data: bytes, request: bool) -> tuple[list[ParsedMessage], str]:
-    """What h11 makes of it, and the fault that it found."""
-    rows: list[ParsedMessage] = []
+class ParsedByH11(NamedTuple):
+    """What h11 makes of some bytes, and the fault that it found; empty for none."""
+
+    messages: list[ParsedMessage]
+    fault: str
+
+
+def connection_of_h11(data: bytes, request: bool) -> h11.Connection:
+    """An h11 connection that has received these bytes and is due to read a message."""
+    connection = h11.Connection(h11.SERVER if request else h11.CLIENT, MAX_BODY_BYTES)
+    if not request:
+        connection.send(h11.Request(method="POST", target="/", headers=[("host", "a")]))
+        connection.send(h11.EndOfMessage())
+    connection.receive_data(data)
+    return connection
+
+
+def next_of_h11(connection: h11.Connection) -> ParsedMessage | None:
+    """The next message, None if it is incomplete.
+
+    Raises:
+        h11.RemoteProtocolError: the message is malformed.
+    """
+    head: h11.Request | h11.Response | None = None
+    body = b""
+    while True:
+        event = connection.next_event()
+        if event is h11.NEED_DATA or event is h11.PAUSED:
+            return None
+        if isinstance(event, h11.Request | h11.Response):
+            head = event
+        elif isinstance(event, h11.Data):
+            body += bytes(event.data)
+        elif isinstance(event, h11.EndOfMessage):
+            break
+    method = head.method if isinstance(head, h11.Request) else b""
+    target = head.target if isinstance(head, h11.Request) else b""
+    status = head.status_code if isinstance(head, h11.Response) else 0
+    return ParsedMessage(method, target, status, (), body, True, ())
+
+
+def parse_with_h11(data: bytes, request: bool) -> ParsedByH11:
+    messages: list[ParsedMessage] = []
     while data:
-        connection = h11.Connection(h11.SERVER if request else h11.CLIENT, MAX_BODY_BYTES)
-        if not request:
-            connection.send(h11.Request(method="POST", target="/", headers=[("host", "a")]))
-            connection.send(h11.EndOfMessage())
-        connection.receive_data(data)
-        head: h11.Request | h11.Response | None = None
-        body = b""
+        connection = connection_of_h11(data, request)
         try:
-            while True:
-                event = connection.next_event()
-                if event is h11.NEED_DATA or event is h11.PAUSED:
-                    return rows, ""
-                if isinstance(event, h11.Request | h11.Response):
-                    head = event
-                elif isinstance(event, h11.Data):
-                    body += bytes(event.data)
-                elif isinstance(event, h11.EndOfMessage):
-                    break
+            message = next_of_h11(connection)
         except h11.RemoteProtocolError as problem:
-            return rows, str(problem)
-        method = head.method if isinstance(head, h11.Request) else b""
-        target = head.target if isinstance(head, h11.Request) else b""
-        status = head.status_code if isinstance(head, h11.Response) else 0
-        rows.append(ParsedMessage(method, target, status, (), body, True, ()))
+            return ParsedByH11(messages, str(problem))
+        if message is None:
+            break
+        messages.append(message)
         data = connection.trailing_data[0]
-    return rows, ""
+    return ParsedByH11(messages, "")
 
 
 def damaged(rng: Random, data: bytes) -> bytes:
@@ -199,7 +218,7 @@
 def test_what_is_accepted_means_the_same_to_h11(seed: int, request: bool) -> None:
     """Being stricter than it is no fault; to find another end of a message would be smuggling."""
     rng = Random(seed)
-    data = messages(rng, request)
+    data = random_messages(rng, request)
     if rng.random() < 0.8:
         data = damaged(rng, data)
     ours = Collected(make_parser(request), rng.choice([0, 100, 64 * KIB]))
@@ -217,7 +236,7 @@
 @given(st.integers(0, 2**32), st.booleans())
 def test_well_formed_messages_are_accepted_as_h11_does(seed: int, request: bool) -> None:
     rng = Random(seed)
-    data = messages(rng, request)
+    data = random_messages(rng, request)
     ours = Collected(make_parser(request), 100)
     for piece in split(rng, data):
         ours.feed(piece)
@@ -234,7 +253,7 @@
     rng = Random(seed)
     for request in (True, False):
         ours = Collected(make_parser(request), 0)
-        for piece in split(rng, messages(rng, request)[: rng.randrange(400)] + data) or [data]:
+        for piece in split(rng, random_messages(rng, request)[: rng.randrange(400)] + data) or [data]:
             ours.feed(piece)
 
 
