--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -31,7 +31,7 @@
 
 BODY = SeededBody(1)  # what clients send
 TEST_LIMIT_S = 90.0
-# Small, so that a megabyte is a long body: 64 KiB are buffered and kept, and 192 KiB are the ceiling.
+# Small, so that a megabyte is a long body: 64 KiB are buffered for replay, and 192 KiB are the ceiling.
 DIRECTION = {"ceiling_bytes": 192 * KIB, "writer_stall_ms": 20_000, "reader_stall_ms": 20_000}
 
 
--- a/tests/streaming/test_changes_in_mid_body.py
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -42,7 +42,7 @@
             named = next(name for name, row in servers.items() if row["address"].endswith(f":{busy.port}"))
             servers[named]["state"] = "draining"
             await deployment.kept.confirmed(data)
-            await asyncio.sleep(2.1)  # past the grace
+            await asyncio.sleep(2.1)  # longer than the grace period
             client.send(REST)
             assert (await answer_of(client))[0] == 200
             for _ in range(8):
@@ -79,7 +79,7 @@
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             await begin_upload(deployment, client)
             draining = asyncio.create_task(deployment.service.drain())
-            await asyncio.sleep(0.7)  # past the time in which new requests are still accepted
+            await asyncio.sleep(0.7)  # longer than the time in which new requests are still accepted
             assert not draining.done()
             client.send(REST)
             status, headers = await answer_head(client)
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -107,7 +107,7 @@
     fixture.flow.attach(sink)
     assert not fixture.source.paused
     sink.capacity_bytes = 1000
-    fixture.flow.push(b"y" * 100 * KIB)  # past the replay buffer, which is released
+    fixture.flow.push(b"y" * 100 * KIB)  # more than the replay buffer, which is released
     assert fixture.watcher.notifications == ["unrepeatable"]
     assert fixture.flow.memory_bytes == 100 * KIB - 1000
     assert fixture.source.paused
--- a/tests/streaming/test_server_failures.py
+++ b/tests/streaming/test_server_failures.py
@@ -146,7 +146,7 @@
             size = 4 * MIB
             client.send(upload_head(size, X_Qos="look"))
             body = BODY.whole(size)
-            client.send(body[: 64 * KIB])  # what is held before the first send; the rest follows the failure
+            client.send(body[: 64 * KIB])  # buffered before the first attempt; the rest follows the failure
             await deployment.until(lambda: len(deployment.decisions.ends) == 1)
             assert not deployment.decisions.of(Unrepeatable)
             client.send(body[64 * KIB :])
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -233,7 +233,7 @@
 
 
 def test_the_time_that_a_client_took_to_send_is_not_its_servers() -> None:
-    """What the module learns as a server's latency runs from the last byte to the answer."""
+    """What the balancer learns as a server's latency runs from the last byte to the answer."""
 
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
@@ -271,7 +271,7 @@
         async with deployed(silent) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(MIB) + BODY.whole(MIB))
             await deployment.server.arrived.get()
-            # The module's time-out for the attempt is the class's aim, which has not begun to run before.
+            # The attempt's timeout is the class's latency objective, which has not begun to run before.
             (exchange,) = deployment.dispatcher._exchanges.values()
             attempt = exchange.attempts[0]
             assert attempt is not None
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -27,7 +27,7 @@
     """Guards against silent retries: the pooled connection breaks once the request is on it."""
 
     async def work() -> None:
-        # With the real balancer: it must not try the other server either.
+        # With the real balancer: it must not retry at the other server either.
         async with loopback(serve_ok, serve_ok) as network:
             while not all(server.requests for server in network.servers):  # both have a pooled connection
                 await served(network.client)
