--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -46,7 +46,7 @@
         return ExitCode.FAILED
     loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).ask)
     freeze_garbage_collector()
-    service.logger.line(f"version {service.transactions.active.number} in force; control at {args.control}")
+    service.logger.line(f"version {service.lifecycle.active.number} in force; control at {args.control}")
     await stopping.wait()
     await control.stop()
     await service.drain()
--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -1,4 +1,4 @@
-"""What the transactions ask their owner to do.
+"""What the lifecycle of versions asks its owner to do.
 
 The owner carries the actions out in their order and reports how they ended. Each action is a small frozen
 dataclass; none of them does anything by itself. The owner is `sandhatch.service`.
@@ -27,7 +27,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Write to disk what `Transactions.record` returns now; report `saved` or `save_failed` with `step`."""
+    """Write to disk what `VersionLifecycle.record` returns now.
+
+    Report `saved` or `save_failed` with `step`.
+    """
 
     step: int
     version: Version | None
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -16,13 +16,15 @@
 import fcntl
 import json
 import os
-from collections.abc import Callable
-from dataclasses import dataclass, field
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass, replace
 from hashlib import sha256
 from pathlib import Path
 from typing import Any
 
 from sandhatch.config.errors import HistoryError
+from sandhatch.config.history_record import HistoryRow, Record
+from sandhatch.config.version import State
 
 FORMAT = 1
 STATE_FILE = "state.json"
@@ -31,7 +33,6 @@
 LOCK_FILE = "lock"
 DIRECTORY_MODE = 0o700
 FILE_MODE = 0o600
-LOST_STATE = "lost"  # `version.State.LOST` as it is stored
 LOST_REASON = "the process ended before it was confirmed"
 
 
@@ -44,7 +45,7 @@
         data: Its content.
         next_number: The number of the next version.
         lost_version: The number of the version that was never confirmed; 0 for none.
-        rows: The rows of the history, oldest first; see `Version.row`.
+        rows: The rows of the history, oldest first.
         notes: Warnings about damaged files that were not used.
     """
 
@@ -52,8 +53,8 @@
     data: dict[str, Any]
     next_number: int
     lost_version: int = 0
-    rows: list[dict[str, Any]] = field(default_factory=list)
-    notes: list[str] = field(default_factory=list)
+    rows: tuple[HistoryRow, ...] = ()
+    notes: tuple[str, ...] = ()
 
 
 def seal(content: Any) -> bytes:
@@ -70,6 +71,11 @@
     return json.loads(body)
 
 
+def _lost(row: HistoryRow) -> HistoryRow:
+    """Return the row of a version that was in progress when the process ended."""
+    return replace(row, state=State.LOST, why=LOST_REASON)
+
+
 def _no_step(name: str) -> None:
     """Do nothing before a step."""
 
@@ -118,14 +124,14 @@
             if not path.exists():
                 continue
             try:
-                return self._read(path, notes)
+                return replace(self._read(path), notes=tuple(notes))
             except (OSError, ValueError, KeyError, TypeError) as problem:
                 notes.append(f"{path}: not used: {problem}")
         if notes:
             raise HistoryError("; ".join(notes))
         return None
 
-    def _read(self, path: Path, notes: list[str]) -> Saved:
+    def _read(self, path: Path) -> Saved:
         """Read a state and the content of its confirmed version."""
         state = unseal(path.read_bytes())
         if state["format"] != FORMAT:
@@ -134,13 +140,10 @@
         data = self._read_content(number)
         if not isinstance(data, dict):
             raise ValueError(f"version {number} holds no mapping")
-        rows = list(state["versions"])
         pending = int(state["pending"])
-        for row in rows:
-            if row["version"] == pending:
-                row["state"] = LOST_STATE
-                row["why"] = LOST_REASON
-        return Saved(number, data, int(state["next"]), pending, rows, notes)
+        stored_rows = [HistoryRow.from_data(row) for row in state["versions"]]
+        rows = tuple(_lost(row) if row.number == pending else row for row in stored_rows)
+        return Saved(number, data, int(state["next"]), pending, rows)
 
     def _read_content(self, number: int) -> Any:
         return unseal(self._content_path(number).read_bytes())
@@ -158,21 +161,11 @@
 
     # -------------------------------------------- writing
 
-    def save(
-        self,
-        confirmed: int,
-        pending: int,
-        next_number: int,
-        rows: list[dict[str, Any]],
-        contents: dict[int, dict[str, Any]],
-    ) -> None:
+    def save(self, record: Record, contents: Mapping[int, dict[str, Any]]) -> None:
         """Write contents first, then the state that names them; then remove what no state names any more.
 
         Args:
-            confirmed: The number of the version to use at the next start.
-            pending: The number of the version that is not confirmed yet; 0 for none.
-            next_number: The number of the next version.
-            rows: The rows of the history, oldest first; see `Version.row`.
+            record: The state.
             contents: The content of versions by number; those already there are not written a second time.
 
         Raises:
@@ -184,10 +177,10 @@
                 self._write(path, seal(data))
         state = {
             "format": FORMAT,
-            "confirmed": confirmed,
-            "pending": pending,
-            "next": next_number,
-            "versions": rows,
+            "confirmed": record.confirmed,
+            "pending": record.pending,
+            "next": record.next_number,
+            "versions": [row.to_data() for row in record.rows],
         }
         path = self._directory / STATE_FILE
         needed_before = self._named_versions(path)
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -11,7 +11,7 @@
 
 from sandhatch.config.check import Checked
 from sandhatch.config.diff import merge
-from sandhatch.config.errors import MergeError, RejectedError, RejectionReason
+from sandhatch.config.errors import CheckError, MergeError, RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.version import Version
 
@@ -27,7 +27,7 @@
         proposal: The change.
         base: The version that it was made from.
         active: The version that is active now.
-        check: Checks merged data in full; raises ValueError.
+        check: Checks merged data in full; raises CheckError.
 
     Raises:
         RejectedError: CONFLICT, if both change the same keys, if the proposal does not ask to be merged, or
@@ -43,8 +43,8 @@
         raise conflict(proposal, active, [])
     try:
         return check(data)
-    except ValueError as problem:
-        lines = [str(line) for line in getattr(problem, "problems", [problem])]
+    except CheckError as failure:
+        lines = [str(problem) for problem in failure.problems]
         raise RejectedError(
             RejectionReason.CONFLICT, f"merged with version {active.number} it has errors", problems=lines
         ) from None
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -38,6 +38,7 @@
     State.LOST: frozenset(),
 }
 OVER = frozenset(state for state, targets in TRANSITIONS.items() if not targets)
+NOT_APPLIED = frozenset((State.STAGING, State.SAVING))
 RUNNING = frozenset((State.ACTIVE, State.CONFIRMING))
 
 
@@ -95,16 +96,3 @@
             raise AssertionError(f"version {self.number}: {self.state.value} -> {target.value}")
         self.state = target
         self.why = reason or self.why
-
-    def row(self) -> dict[str, Any]:
-        """Return what the history stores and shows of it; the keys are those of stored data."""
-        return {
-            "version": self.number,
-            "base": self.base,
-            "state": self.state.value,
-            "author": self.author,
-            "comment": self.comment,
-            "made_ms": self.made_ms,
-            "changes": self.changes,
-            "why": self.why,
-        }
--- /dev/null
+++ b/sandhatch/config/version_lifecycle.py
@@ -0,0 +1,272 @@
+"""The lifecycle of the versions of one process: the one in progress, its confirmation and its rollback.
+
+A state machine without I/O or clock: calls and times go in, actions come out. The owner carries the actions
+out in their order and reports how they ended. What may become a version is decided in `transactions`.
+
+    state       call                                            next state   actions
+    ----------  ----------------------------------------------  -----------  --------------------------------
+    STAGING     staged                                          SAVING       Save
+    STAGING     failed, roll_back_pending, stop                 FAILED       DiscardStaged
+    SAVING      saved                                           ACTIVE       Apply; Watch if it is watched
+    SAVING      save_failed, failed, roll_back_pending, stop    FAILED       DiscardStaged
+    ACTIVE      confirm; tick at the end of the watch; at once  CONFIRMING   EndWatch if it was watched; Save
+                if it needs neither a watch nor a confirmation
+    ACTIVE      goodput_fell, roll_back_pending; tick if it is  ROLLED_BACK  EndWatch if it was watched;
+                not confirmed in time                                        Apply of the confirmed version,
+                                                                             Retire, Save
+    CONFIRMING  saved                                           CONFIRMED    Retire of the one before
+    CONFIRMING  save_failed, roll_back_pending                  ROLLED_BACK  Apply of the confirmed version,
+                                                                             Retire, Save
+
+CONFIRMED, FAILED and ROLLED_BACK are final. LOST is what `history` makes of a version that was in progress
+when the process ended. Each change of state is checked against `version.TRANSITIONS`. A call that does not
+fit the state is a late report and changes nothing, or is rejected where a person has made it. The rules:
+
+- One change is in progress at a time.
+- On activation the disk changes first, on rollback last. A process that ends at any step finds one complete
+  version at its next start: the last confirmed one.
+- Until a version is confirmed the one before it stays built, so that a rollback needs no staging.
+
+Source: NETCONF's confirmed commit (RFC 6241, section 8.4), and Envoy's versions that are acknowledged or
+rejected.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
+from sandhatch.config.errors import RejectedError, RejectionReason
+from sandhatch.config.history_record import HistoryRow, Record
+from sandhatch.config.version import NOT_APPLIED, RUNNING, State, Version
+
+MOST_RECORDS = 100  # versions that the history shows and that may be a base
+
+
+class VersionLifecycle:
+    """The versions of one process and the states that they pass through.
+
+    Attributes:
+        versions: The last versions by number, oldest first.
+        active: The active version; every new request belongs to it.
+        confirmed: The version that a rollback or a restart goes back to.
+        pending: The version in progress, from STAGING to its final state; None if there is none.
+        stopping: Whether the process ends and takes no further change.
+    """
+
+    def __init__(self, first: Version, next_number: int = 0) -> None:
+        """Start with a confirmed version.
+
+        Args:
+            first: The version that is active from the start.
+            next_number: The number of the next version, as far as the history knows; 0 where it doesn't.
+        """
+        first.state = State.CONFIRMED
+        self.versions: OrderedDict[int, Version] = OrderedDict({first.number: first})
+        self.active = first
+        self.confirmed = first
+        self.pending: Version | None = None
+        self.stopping = False
+        self._actions: list[Action] = []
+        self._next_number = max(next_number, first.number + 1)
+        self._last_save = 0
+
+    @property
+    def next_number(self) -> int:
+        """The number of the next version."""
+        return self._next_number
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions since the last call, to be carried out in their order."""
+        actions = self._actions
+        self._actions = []
+        return actions
+
+    def record(self) -> Record:
+        """Return what must be on disk now."""
+        rows = tuple(HistoryRow.of(version) for version in self.versions.values())
+        confirmed = self.confirmed.number
+        pending = 0
+        if self.pending is not None:
+            match self.pending.state:
+                case State.SAVING | State.ACTIVE:
+                    pending = self.pending.number
+                case State.CONFIRMING:
+                    # Counts as confirmed on disk first: once that is written it is final.
+                    confirmed = self.pending.number
+        return Record(confirmed, pending, self._next_number, rows)
+
+    def previous_confirmed(self) -> Version | None:
+        """Return the last version that was confirmed before the confirmed one; None if there is none."""
+        earlier = [
+            version
+            for version in self.versions.values()
+            if version.state is State.CONFIRMED and version is not self.confirmed
+        ]
+        return max(earlier, key=lambda version: version.number, default=None)
+
+    # -------------------------------------------- staging and saving
+
+    def begin(self, version: Version) -> None:
+        """Start to stage a version, which has the next number, while no other one is in progress."""
+        assert self.pending is None
+        assert version.number == self._next_number
+        self._next_number += 1
+        self.versions[version.number] = version
+        self.pending = version
+        self._forget_oldest()
+        self._actions.append(Stage(version))
+
+    def _forget_oldest(self) -> None:
+        """Forget the oldest versions beyond MOST_RECORDS, except those still needed."""
+        needed = {self.active.number, self.confirmed.number}
+        for number in list(self.versions):
+            if len(self.versions) <= MOST_RECORDS:
+                break
+            if number not in needed and self.versions[number] is not self.pending:
+                del self.versions[number]
+
+    def staged(self, version: Version) -> None:
+        """Report that `Stage` succeeded."""
+        if version is not self.pending or version.state is not State.STAGING:
+            self._actions.append(DiscardStaged(version))  # rolled back meanwhile
+            return
+        version.transition(State.SAVING)
+        self._save(version)
+
+    def failed(self, version: Version, why: str) -> None:
+        """Report that a version could not be staged; nothing has changed."""
+        if version is self.pending and version.state in NOT_APPLIED:
+            version.transition(State.FAILED, why)
+            self.pending = None
+            self._actions += [DiscardStaged(version), Say(f"version {version.number} not applied: {why}")]
+
+    def _save(self, version: Version | None) -> None:
+        self._last_save += 1
+        self._actions.append(Save(self._last_save, version))
+
+    def saved(self, now_ms: float, step: int) -> None:
+        """Report that `Save` number `step` is on disk; any but the last one changes nothing."""
+        version = self.pending
+        if step != self._last_save or version is None:
+            return
+        if version.state is State.SAVING:
+            self._activate(now_ms, version)
+        elif version.state is State.CONFIRMING:
+            self._finish_confirmation(version)
+
+    def save_failed(self, step: int, why: str) -> None:
+        """Report that `Save` number `step` failed; any but the last one changes nothing."""
+        version = self.pending
+        if step != self._last_save or version is None:
+            return
+        if version.state is State.SAVING:
+            self.failed(version, f"it can't be saved: {why}")
+        elif version.state is State.CONFIRMING:
+            self._roll_back(version, f"its confirmation can't be saved: {why}")
+
+    def _activate(self, now_ms: float, version: Version) -> None:
+        version.transition(State.ACTIVE)
+        self.active = version
+        self._actions += [Apply(version), Say(f"version {version.number} is in force")]
+        if version.confirm_within_ms is not None:
+            version.confirm_by_ms = version.confirm_within_ms + now_ms
+        if version.watch_window_ms is not None:
+            version.watch_until_ms = version.watch_window_ms + now_ms
+            self._actions.append(Watch(version))
+        if version.confirm_by_ms is None and version.watch_until_ms is None:
+            self._begin_confirmation(version)
+
+    # -------------------------------------------- confirming
+
+    def tick(self, now_ms: float) -> None:
+        """Confirm or roll back the active version if its watch or its time to be confirmed is over."""
+        version = self.pending
+        if version is None or version.state is not State.ACTIVE:
+            return
+        if version.confirm_by_ms is not None:
+            if now_ms >= version.confirm_by_ms:
+                self._roll_back(version, "it was not confirmed in time")
+        elif version.watch_until_ms is not None and now_ms >= version.watch_until_ms:
+            self._begin_confirmation(version)
+
+    def confirm(self, number: int | None = None) -> Version:
+        """Confirm the pending version by hand; a watch that still runs ends with it.
+
+        Raises:
+            RejectedError: No such version waits to be confirmed, or it is not active.
+        """
+        version = self._unconfirmed(number)
+        self._begin_confirmation(version)
+        return version
+
+    def extend(self, now_ms: float, within_ms: float, number: int | None = None) -> Version:
+        """Move the time by which to confirm by hand, or require it where there was only a watch.
+
+        Raises:
+            RejectedError: No such version waits to be confirmed, or it is not active.
+        """
+        version = self._unconfirmed(number)
+        version.confirm_by_ms = now_ms + within_ms
+        return version
+
+    def _unconfirmed(self, number: int | None) -> Version:
+        """Return the pending version, which must be active and have that number if one is given."""
+        version = self.pending
+        if version is None or (number is not None and version.number != number):
+            raise RejectedError(RejectionReason.NOTHING, "no such version waits to be confirmed")
+        if version.state is not State.ACTIVE:
+            raise RejectedError(RejectionReason.BUSY, f"version {version.number} is {version.state.value}")
+        return version
+
+    def _begin_confirmation(self, version: Version) -> None:
+        if version.watch_until_ms is not None:
+            self._actions.append(EndWatch(version))
+        version.transition(State.CONFIRMING)
+        self._save(version)
+
+    def _finish_confirmation(self, version: Version) -> None:
+        version.transition(State.CONFIRMED)
+        predecessor = self.confirmed
+        self.confirmed = version
+        self.pending = None
+        self._actions += [Retire(predecessor), Say(f"version {version.number} is confirmed")]
+        self._forget_oldest()
+
+    # -------------------------------------------- rolling back
+
+    def goodput_fell(self, version: Version, why: str) -> None:
+        """Report that the watch has seen the goodput fall."""
+        if version is self.pending and version.state is State.ACTIVE:
+            self._roll_back(version, why)
+
+    def roll_back_pending(self, author: str = "") -> Version:
+        """Roll back the pending version by hand, or give it up if it is not active yet; return it."""
+        version = self.pending
+        assert version is not None
+        signature = f", {author}" if author else ""
+        if version.state in RUNNING:
+            self._roll_back(version, f"by hand{signature}")
+        else:
+            self.failed(version, f"given up by hand{signature}")
+        return version
+
+    def _roll_back(self, version: Version, why: str) -> None:
+        if version.watch_until_ms is not None and version.state is State.ACTIVE:
+            self._actions.append(EndWatch(version))
+        version.transition(State.ROLLED_BACK, why)
+        self.active = self.confirmed
+        self.pending = None
+        self._actions += [
+            Apply(self.confirmed, back=True),
+            Retire(version),
+            Say(f"version {version.number} taken back: {why}; version {self.confirmed.number} is in force"),
+        ]
+        self._save(None)
+
+    def stop(self) -> None:
+        """Take no further change; a version that is not active yet fails."""
+        self.stopping = True
+        pending = self.pending
+        if pending is not None and pending.state in NOT_APPLIED:
+            self.failed(pending, "the process ended")
--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -38,7 +38,7 @@
         text = call.text("text")
         checked = await _check_text(text)
         proposal = self._service.propose_checked(checked, base, call.author, comment, merge, len(text))
-        base_data = self._service.transactions.versions[proposal.base].data
+        base_data = self._service.lifecycle.versions[proposal.base].data
         return {
             "proposal": proposal.number,
             "base": proposal.base,
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -21,12 +21,12 @@
     async def status(self, _call: Call) -> dict[str, Any]:
         """The state of the process: versions, pools, listeners, proposals, planners and memory."""
         service = self._service
-        transactions = service.transactions
-        pending = transactions.pending
+        lifecycle = service.lifecycle
+        pending = lifecycle.pending
         return {
             "name": service.shared.name,
-            "in_force": transactions.active.number,
-            "confirmed": transactions.confirmed.number,
+            "in_force": lifecycle.active.number,
+            "confirmed": lifecycle.confirmed.number,
             "pending": version_row(pending, service.now_ms) if pending else None,
             "ready": service.request_handler.ready,
             "versions": {str(number): version.open for number, version in service.running.items()},
@@ -60,10 +60,10 @@
 
     async def history(self, _call: Call) -> dict[str, Any]:
         """The versions there were, oldest first."""
-        return {"versions": self._service.history_rows()}
+        return {"versions": [row.to_data() for row in self._service.history_rows()]}
 
     async def show(self, call: Call) -> dict[str, Any]:
         """A version's configuration as YAML; the active version's if none is named."""
-        number = call.integer("version", self._service.transactions.active.number)
+        number = call.integer("version", self._service.lifecycle.active.number)
         data = self._service.version_data(number)
         return {"version": number, "text": yaml.safe_dump(data, sort_keys=False)}
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -1,7 +1,7 @@
 """The running program under its own configuration: assembly, start, shutdown and calls.
 
-What a call may do is decided in `config.transactions` and carried out in `version_changes`. The disk is
-written on a thread, one state after the other.
+What a call may do is decided in `config.transactions` and `config.version_lifecycle`, and carried out in
+`version_changes`. The disk is written on a thread, one state after the other.
 """
 
 from __future__ import annotations
@@ -13,9 +13,11 @@
 from sandhatch.config.check import Checked
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.history import History, Saved
+from sandhatch.config.history_record import HistoryRow
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.transactions import Transactions
 from sandhatch.config.version import OVER, RUNNING, State, Version
+from sandhatch.config.version_lifecycle import VersionLifecycle
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
 from sandhatch.service.errors import StageError
@@ -40,7 +42,8 @@
 
     Attributes:
         shared: Clock, logger, budgets and in-flight ids.
-        transactions: Versions and proposals, and what may be done with them.
+        lifecycle: The versions, and what becomes of the one in progress.
+        transactions: The proposals, and what may be done with them.
         request_handler: Request handler of all listeners.
         pools: Pools of all versions that run.
         forwarding: The link to the planners.
@@ -69,16 +72,17 @@
         self.shared = build_shared_resources(loop, first)
         self.clock = self.shared.clock
         self.logger = self.shared.logger
-        self.transactions = self._first_transactions(first, saved)
+        self.lifecycle = self._first_lifecycle(first, saved)
+        self.transactions = Transactions(self.lifecycle, check_data)
         self.request_handler = RequestHandler(self.shared, seed)
         self.pools = Pools(self.shared)
         self.forwarding = Forwarding(self.shared, seed)
         self.goodput = GoodputMonitor(self.clock, first)
         self._listener_set = ListenerSet(self.shared, self.request_handler)
-        self._store = VersionStore(self.shared, self.transactions, history, saved)
+        self._store = VersionStore(self.shared, self.lifecycle, history, saved)
         self.changes = VersionChanges(
             self.shared,
-            self.transactions,
+            self.lifecycle,
             self.request_handler,
             self.pools,
             self._listener_set,
@@ -91,11 +95,11 @@
         self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
-    def _first_transactions(self, first: Checked, saved: Saved | None) -> Transactions:
+    def _first_lifecycle(self, first: Checked, saved: Saved | None) -> VersionLifecycle:
         """The first version has the number of the saved one that it continues, if there is one."""
         number = saved.confirmed if saved else 1
         version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
-        return Transactions(version, check_data, saved.next_number if saved else 0)
+        return VersionLifecycle(version, saved.next_number if saved else 0)
 
     @property
     def running(self) -> dict[int, RunningVersion]:
@@ -120,7 +124,7 @@
         Raises:
             StageError: Its listeners can't be bound, or its keys can't be read.
         """
-        version = self.transactions.active
+        version = self.lifecycle.active
         running = self.changes.build(version)
         # There is no earlier version to stay with: the first one starts with the servers that there are.
         for pool in running.pools.values():
@@ -135,7 +139,7 @@
     async def drain(self) -> None:
         """Shut down gracefully: accept for a while, answer what was received, then close."""
         self._begin_shutdown()
-        self.transactions.stop()
+        self.lifecycle.stop()
         self.changes.carry_out()
         # Bodies that are streamed have no deadline of a class's, so the longest request counts.
         longest_request_ms = max(
@@ -208,17 +212,17 @@
 
     def confirm(self, number: int | None = None) -> Version:
         """Confirm the pending version, which must have this number if one is given."""
-        version = self.transactions.confirm(number)
+        version = self.lifecycle.confirm(number)
         self.changes.carry_out()
         return version
 
     def extend(self, within_ms: float, number: int | None = None) -> Version:
         """Give the pending version this much time from now on to be confirmed."""
-        return self.transactions.extend(self.now_ms, within_ms, number)
+        return self.lifecycle.extend(self.now_ms, within_ms, number)
 
     def rollback(self, author: str = "", to: int | None = None) -> Version:
         """Roll back the pending version, or commit the content of an earlier one."""
-        if to is not None and to not in self.transactions.versions:
+        if to is not None and to not in self.lifecycle.versions:
             return self.commit(self._propose_saved(to, author).number)
         result = self.transactions.rollback(self.now_ms, author, to)
         if isinstance(result, Proposal):
@@ -244,12 +248,12 @@
         Raises:
             RejectedError: There is no such version in memory.
         """
-        version = self.transactions.versions.get(number)
+        version = self.lifecycle.versions.get(number)
         if version is None:
             raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number}")
         return version.data
 
-    def history_rows(self) -> list[dict[str, Any]]:
+    def history_rows(self) -> tuple[HistoryRow, ...]:
         """The history of versions, oldest first."""
         return self._store.rows()
 
@@ -270,10 +274,10 @@
         current = self.request_handler.current
         if current is not None:
             fall = self.goodput.check(now_ms, current.longest_objective_ms)
-            if fall is not None and self.transactions.pending is not None:
-                self.transactions.goodput_fell(self.transactions.pending, str(fall))
+            if fall is not None and self.lifecycle.pending is not None:
+                self.lifecycle.goodput_fell(self.lifecycle.pending, str(fall))
             self.pools.withdraw_unlisted(current.pools, now_ms)
-        self.transactions.tick(now_ms)
+        self.lifecycle.tick(now_ms)
         self.changes.carry_out()
         self._listener_set.end_idle()
         if not self.stopping:
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -1,8 +1,8 @@
-"""Carries out what the transactions decide: versions are staged, activated, retired and saved.
+"""Carries out what the lifecycle of versions decides: versions are staged, activated, retired and saved.
 
 Everything here runs on one event loop, so that a version is activated between two requests: there is no
 moment at which some traffic is under one version and some under the next. What may happen, and in which
-order, is decided in `config.transactions`.
+order, is decided in `config.version_lifecycle`.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from typing import Any
 
 from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
-from sandhatch.config.transactions import Transactions
 from sandhatch.config.version import State, Version
+from sandhatch.config.version_lifecycle import VersionLifecycle
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.forwarding import Forwarding
@@ -29,7 +29,7 @@
 
 
 class VersionChanges:
-    """Executes the actions of the transactions on the parts of a service.
+    """Executes the actions of the lifecycle on the parts of a service.
 
     Attributes:
         running: Versions that are staged, active or still have requests, by number.
@@ -39,7 +39,7 @@
     def __init__(
         self,
         shared: SharedResources,
-        transactions: Transactions,
+        lifecycle: VersionLifecycle,
         request_handler: RequestHandler,
         pools: Pools,
         listeners: ListenerSet,
@@ -49,7 +49,7 @@
     ) -> None:
         """Connect the parts; nothing is carried out yet."""
         self._shared = shared
-        self._transactions = transactions
+        self._lifecycle = lifecycle
         self._request_handler = request_handler
         self._pools = pools
         self._listeners = listeners
@@ -69,7 +69,7 @@
             return
         self._carrying_out = True
         try:
-            while actions := self._transactions.take_actions():
+            while actions := self._lifecycle.take_actions():
                 for action in actions:
                     self._execute(action)
         finally:
@@ -90,7 +90,7 @@
             case Retire(version=version):
                 self._retire(version)
             case Watch(version=version):
-                self._goodput.begin(version, self._transactions.confirmed)
+                self._goodput.begin(version, self._lifecycle.confirmed)
             case EndWatch(version=version):
                 self._end_watch(version)
             case Say(text=text):
@@ -125,12 +125,12 @@
             running = self.build(version)
             await asyncio.gather(*(_wait_unless_ready(pool) for pool in running.pools.values()))
         except StageError as problem:
-            self._transactions.failed(version, str(problem))
+            self._lifecycle.failed(version, str(problem))
         except Exception as problem:
             # Guards what runs: whatever error a new version meets, it must not stay half built.
-            self._transactions.failed(version, f"{type(problem).__name__}: {problem}")
+            self._lifecycle.failed(version, f"{type(problem).__name__}: {problem}")
         else:
-            self._transactions.staged(version)
+            self._lifecycle.staged(version)
         self.carry_out()
 
     def _unstage(self, version: Version) -> None:
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -9,12 +9,13 @@
 import asyncio
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from typing import Any
 
 from sandhatch.config.history import History, Saved
-from sandhatch.config.transactions import MOST_RECORDS, Record, Transactions
-from sandhatch.config.version import Version
+from sandhatch.config.history_record import HistoryRow, Record
+from sandhatch.config.version import State, Version
+from sandhatch.config.version_lifecycle import MOST_RECORDS, VersionLifecycle
 from sandhatch.runtime.shared_resources import SharedResources
 
 
@@ -23,14 +24,14 @@
     """One state to be saved.
 
     Attributes:
-        step: Number by which the transactions learn the result.
-        record: What lasts of all versions.
+        step: Number by which the lifecycle learns the result.
+        record: The state of all versions.
         contents: Configurations by version number.
     """
 
     step: int
     record: Record
-    contents: dict[int, Any]
+    contents: dict[int, dict[str, Any]]
 
 
 class VersionStore:
@@ -39,38 +40,38 @@
     def __init__(
         self,
         shared: SharedResources,
-        transactions: Transactions,
+        lifecycle: VersionLifecycle,
         history: History | None,
         saved: Saved | None,
     ) -> None:
         """Save into `history`, None for nowhere; `saved` is what it held at the start."""
         self._shared = shared
-        self._transactions = transactions
+        self._lifecycle = lifecycle
         self._history = history
-        self._earlier_rows = saved.rows if saved else []
+        self._earlier_rows = saved.rows if saved else ()
         self._queue: deque[_QueuedSave] = deque()
         self._task: asyncio.Task[None] | None = None
         self.on_saved: Callable[[], None] = lambda: None  # called after each save, also one that failed
 
-    def rows(self) -> list[dict[str, Any]]:
+    def rows(self) -> tuple[HistoryRow, ...]:
         """The history of versions, oldest first."""
-        rows = list(self._transactions.record().versions)
-        numbers = {row["version"] for row in rows}
-        earlier = [row for row in self._earlier_rows if row["version"] not in numbers]
-        return sorted([*earlier, *rows], key=lambda row: int(row["version"]))[-MOST_RECORDS:]
+        rows = self._lifecycle.record().rows
+        numbers = {row.number for row in rows}
+        earlier = [row for row in self._earlier_rows if row.number not in numbers]
+        return tuple(sorted([*earlier, *rows], key=lambda row: row.number)[-MOST_RECORDS:])
 
     def confirmed_content(self, number: int) -> dict[str, Any] | None:
         """The configuration of a confirmed version from before this process, None if there is none."""
         if self._history is None:
             return None
-        if not any(row["version"] == number and row["state"] == "confirmed" for row in self._earlier_rows):
+        if not any(row.number == number and row.state is State.CONFIRMED for row in self._earlier_rows):
             return None
         return self._history.content(number)
 
     def queue_save(self, step: int, version: Version | None) -> None:
         """Save the state of now, with the content of `version` if one is given."""
-        record = self._transactions.record()
-        contents = {record.confirmed: self._transactions.versions[record.confirmed].data}
+        record = self._lifecycle.record()
+        contents = {record.confirmed: self._lifecycle.versions[record.confirmed].data}
         if version is not None:
             contents[version.number] = version.data
         self._queue.append(_QueuedSave(step, record, contents))
@@ -85,22 +86,16 @@
             except OSError as problem:
                 self._shared.logger.line(f"versions can't be saved: {problem.strerror}")
                 reason = problem.strerror or str(problem)
-                self._transactions.save_failed(self._shared.clock.now_ms(), save.step, reason)
+                self._lifecycle.save_failed(save.step, reason)
             else:
-                self._transactions.saved(self._shared.clock.now_ms(), save.step)
+                self._lifecycle.saved(self._shared.clock.now_ms(), save.step)
             self.on_saved()
 
     async def _write(self, save: _QueuedSave) -> None:
         if self._history is None:
             return
-        await asyncio.to_thread(
-            self._history.save,
-            save.record.confirmed,
-            save.record.pending,
-            save.record.next_number,
-            self.rows(),
-            save.contents,
-        )
+        record = replace(save.record, rows=self.rows())
+        await asyncio.to_thread(self._history.save, record, save.contents)
 
     async def close(self) -> None:
         """Wait for the saves in progress, and let go of the state directory."""
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -12,6 +12,8 @@
 from sandhatch.config.check import check_text
 from sandhatch.config.errors import HistoryError
 from sandhatch.config.history import History, seal, unseal
+from sandhatch.config.history_record import HistoryRow, Record
+from sandhatch.config.version import State
 
 STATE_BEFORE_RENAME = Path(__file__).parent / "fixtures" / "state-before-rename"
 
@@ -29,7 +31,7 @@
 def test_a_state_directory_of_the_version_before_the_rename_is_opened(history_before_rename: History) -> None:
     saved = history_before_rename.load()
     assert saved is not None
-    assert (saved.confirmed, saved.lost_version, saved.next_number, saved.notes) == (2, 4, 5, [])
+    assert (saved.confirmed, saved.lost_version, saved.next_number, saved.notes) == (2, 4, 5, ())
     assert saved.data["pools"]["web"]["max_attempts"] == 3
     assert saved.data["classes"]["order"] == {
         "effect": "unsafe",
@@ -43,10 +45,11 @@
 def test_the_rows_stored_by_the_version_before_the_rename_are_kept(history_before_rename: History) -> None:
     saved = history_before_rename.load()
     assert saved is not None
+    rows = [row.to_data() for row in saved.rows]
     common = {"author": "anna", "changes": 1}
-    made_ms = [row.pop("made_ms") for row in saved.rows]
+    made_ms = [row.pop("made_ms") for row in rows]
     assert made_ms == [1796188917729.1335, 1796188917733.4277, 1796188917794.5588, 1796188917815.9807]
-    assert saved.rows == [
+    assert rows == [
         {"version": 1, "base": 0, "state": "confirmed", "why": "", "author": "", "changes": 0, "comment": ""},
         {"version": 2, "base": 1, "state": "confirmed", "why": "", "comment": "three attempts"} | common,
         {"version": 3, "base": 2, "state": "taken back", "why": "by hand, anna", "comment": "four attempts"}
@@ -62,6 +65,16 @@
     ]
 
 
+def test_the_state_stored_before_the_rename_is_written_back_byte_for_byte(tmp_path: Path) -> None:
+    stored = (STATE_BEFORE_RENAME / "state.json").read_bytes()
+    state = unseal(stored)
+    rows = tuple(HistoryRow.from_data(row) for row in state["versions"])
+    history = History(tmp_path)
+    history.save(Record(state["confirmed"], state["pending"], state["next"], rows), {})
+    history.close()
+    assert (tmp_path / "state.json").read_bytes() == stored
+
+
 def test_each_version_stored_before_the_rename_can_be_read_and_written_back_byte_for_byte(
     history_before_rename: History,
 ) -> None:
@@ -92,8 +105,8 @@
 
 
 def save(history: History, confirmed: int, pending: int, contents: dict[int, Any]) -> None:
-    rows = [{"version": n, "state": "x", "why": ""} for n in (confirmed, pending) if n]
-    history.save(confirmed, pending, max(confirmed, pending) + 1, rows, contents)
+    rows = tuple(HistoryRow(number, 0, State.CONFIRMED) for number in (confirmed, pending) if number)
+    history.save(Record(confirmed, pending, max(confirmed, pending) + 1, rows), contents)
 
 
 STEPS: list[tuple[int, int, dict[int, Any]]] = [
@@ -175,7 +188,7 @@
     saved = history.load()
     assert saved is not None
     assert (saved.confirmed, saved.lost_version, saved.next_number) == (2, 3, 4)
-    assert saved.rows[-1]["state"] == "lost"
+    assert saved.rows[-1].state is State.LOST
     history.close()
 
 
--- /dev/null
+++ b/tests/config/test_version_lifecycle.py
@@ -0,0 +1,187 @@
+"""The state machine of versions, driven by hand and by many seeds."""
+
+from __future__ import annotations
+
+from contextlib import suppress
+from random import Random
+
+import pytest
+
+from sandhatch.config.check import Checked
+from sandhatch.config.errors import RejectedError
+from sandhatch.config.version import OVER, RUNNING, TRANSITIONS, State
+from sandhatch.config.version_lifecycle import MOST_RECORDS
+from tests.config.fake_owner import ORDERS3, WEB3, WEB4, FakeOwner
+from tests.config.samples import checked, sample
+
+
+def test_a_change_passes_every_state_until_it_is_confirmed() -> None:
+    owner = FakeOwner()
+    version = owner.commit(WEB3)
+    assert version.state is State.STAGING
+    assert owner.in_force.number == 1
+    owner.finish_staging()
+    assert version.state is State.SAVING
+    assert owner.in_force.number == 1
+    assert owner.disk == (1, 2)
+    owner.finish_save()
+    assert version.state is State.ACTIVE
+    assert owner.in_force is version
+    assert owner.watched == [2]
+    owner.now += 29_999.0
+    owner.lifecycle.tick(owner.now)
+    assert version.state is State.ACTIVE
+    owner.now += 1.0
+    owner.lifecycle.tick(owner.now)
+    owner.carry_out()
+    assert version.state is State.CONFIRMING
+    assert owner.disk == (2, 0)
+    owner.finish_save()
+    assert version.state is State.CONFIRMED
+    assert owner.retired == [1]
+    assert owner.lifecycle.pending is None
+
+
+def test_a_version_not_confirmed_in_time_is_rolled_back() -> None:
+    owner = FakeOwner()
+    version = owner.activate(WEB3, confirm_within_ms=500.0)
+    owner.now += 400.0
+    owner.lifecycle.extend(owner.now, 500.0)
+    owner.now += 400.0
+    owner.lifecycle.tick(owner.now)
+    assert version.state is State.ACTIVE
+    owner.now += 200.0
+    owner.lifecycle.tick(owner.now)
+    owner.carry_out()
+    assert version.state is State.ROLLED_BACK
+    assert owner.in_force.number == 1
+    assert owner.retired == [2]
+    assert owner.disk == (1, 0)
+
+
+def test_a_fall_of_goodput_rolls_back_with_its_reason() -> None:
+    owner = FakeOwner()
+    version = owner.activate(WEB3)
+    owner.lifecycle.goodput_fell(version, "the goodput fell")
+    owner.carry_out()
+    assert version.state is State.ROLLED_BACK
+    assert version.why == "the goodput fell"
+    owner.lifecycle.goodput_fell(version, "again")
+    assert owner.lifecycle.take_actions() == []
+
+
+def test_a_save_that_fails_changes_nothing() -> None:
+    owner = FakeOwner()
+    version = owner.commit(WEB3)
+    owner.finish_staging()
+    owner.lifecycle.save_failed(owner.saves.pop(0), "No space left on device")
+    owner.carry_out()
+    assert version.state is State.FAILED
+    assert "No space" in version.why
+    assert owner.in_force.number == 1
+    version = owner.activate(WEB3, watched=False)
+    owner.lifecycle.save_failed(owner.saves.pop(0), "I/O error")
+    owner.carry_out()
+    assert version.state is State.ROLLED_BACK
+    assert owner.in_force.number == 1
+
+
+def test_memory_is_bounded_over_ten_thousand_commits() -> None:
+    owner = FakeOwner()
+    contents = [checked(WEB3), checked(WEB4)]
+    base = 1
+    for index in range(10_000):
+        proposal = owner.transactions.propose(owner.now, base, contents[index % 2])
+        base = owner.transactions.commit(owner.now, proposal.number, watched=False).number
+        owner.carry_out()
+        owner.finish_staging()
+        owner.finish_save()
+        owner.finish_save()
+    assert len(owner.lifecycle.versions) <= MOST_RECORDS
+    assert not owner.transactions.proposals
+    assert owner.in_force.number == 10_001
+
+
+def test_every_state_leads_to_a_final_one() -> None:
+    for state in State:
+        seen = set()
+        waiting = [state]
+        while waiting:
+            current = waiting.pop()
+            seen.add(current)
+            waiting += [target for target in TRANSITIONS[current] if target not in seen]
+        assert seen & OVER
+
+
+@pytest.mark.parametrize("block", range(10))
+def test_in_any_order_of_calls_one_complete_version_is_active(block: int) -> None:
+    """Random calls, times, failures and late reports from a seed. After each, one version is active, which is
+    the confirmed or the pending one; the disk names a confirmed version; and only allowed transitions took
+    place.
+    """
+    choices = [sample(pools__web__max_attempts=n) for n in range(1, 6)] + [ORDERS3]
+    configurations = [checked(data) for data in choices]
+    for seed in range(block * 20, block * 20 + 20):
+        rng = Random(seed)
+        owner = FakeOwner()
+        for _ in range(120):
+            owner.now += rng.random() * 5_000.0
+            with suppress(RejectedError):
+                random_call(owner, rng, configurations)
+            owner.carry_out()
+            check_one_version_is_active(owner, f"seed {seed}")
+
+
+def check_one_version_is_active(owner: FakeOwner, where: str) -> None:
+    lifecycle = owner.lifecycle
+    pending = lifecycle.pending
+    assert lifecycle.active in (lifecycle.confirmed, pending), where
+    assert lifecycle.confirmed.state is State.CONFIRMED, where
+    if lifecycle.active is not lifecycle.confirmed:
+        assert pending is not None, where
+        assert pending.state in RUNNING, where
+        assert owner.disk in ((lifecycle.confirmed.number, pending.number), (pending.number, 0)), where
+    moving = [version for version in lifecycle.versions.values() if version.state not in OVER]
+    assert moving == ([pending] if pending else []), where
+
+
+def random_call(owner: FakeOwner, rng: Random, configurations: list[Checked]) -> None:
+    """Make one call that people, the watch or the clock might make, or report how an action ended."""
+    lifecycle = owner.lifecycle
+    transactions = owner.transactions
+    call = rng.randrange(10)
+    if call <= 1:
+        base = rng.choice(list(lifecycle.versions))
+        transactions.propose(owner.now, base, rng.choice(configurations), merged=rng.random() < 0.5)
+    elif call <= 3 and transactions.proposals:
+        within = rng.choice([None, 3_000.0])
+        transactions.commit(owner.now, rng.choice(list(transactions.proposals)), within, rng.random() < 0.5)
+    elif call == 4 and owner.staging:
+        end_staging(owner, succeeds=rng.random() < 0.8)
+    elif call <= 6 and owner.saves:
+        end_save(owner, succeeds=rng.random() < 0.9)
+    elif call == 7:
+        transactions.rollback(owner.now, to=rng.choice([None, *lifecycle.versions]))
+    elif call == 8 and lifecycle.pending is not None:
+        if rng.random() < 0.5:
+            lifecycle.goodput_fell(lifecycle.pending, "fell")
+        else:
+            lifecycle.confirm()
+    else:
+        lifecycle.tick(owner.now)
+
+
+def end_staging(owner: FakeOwner, succeeds: bool) -> None:
+    version = owner.staging.pop(0)
+    if succeeds:
+        owner.lifecycle.staged(version)
+    else:
+        owner.lifecycle.failed(version, "no")
+
+
+def end_save(owner: FakeOwner, succeeds: bool) -> None:
+    step = owner.saves.pop(0)
+    if succeeds:
+        owner.lifecycle.saved(owner.now, step)
+    else:
+        owner.lifecycle.save_failed(step, "disk")
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -332,6 +332,6 @@
             assert (await run_verb("abort", "2"))[0] == 0
             assert (await run_verb("abort", "2"))[0] == 1
             assert "web:" in (await run_verb("show"))[1]
-            assert running.service.transactions.versions[3].state is State.CONFIRMED
+            assert running.service.lifecycle.versions[3].state is State.CONFIRMED
 
     run(work())
