--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -103,12 +103,14 @@
             case "explain":
                 return self._explain(call.get("server"), call.get("pool"))
             case _:
-                return fault("invalid", f"op: {name!r:.60} is none; there are: status, explain")
+                return fault("invalid", f"op: unknown operation {name!r:.60}; there are: status, explain")
 
     def _explain(self, address: Any, pool: Any) -> dict[str, Any]:
         """Answer why a server gets what it gets, in one pool or in each that it is in."""
-        if not isinstance(address, str) or not isinstance(pool, str | None):
-            return fault("invalid", "server: an address as host:port is wanted; pool: a name")
+        if not isinstance(address, str):
+            return fault("invalid", f"server: expected an address as host:port, got {address!r:.60}")
+        if not isinstance(pool, str | None):
+            return fault("invalid", f"pool: expected the name of a pool, got {pool!r:.60}")
         planner = self._server.planner
         now_ms = self._server.clock.now_ms()
         pools = [pool] if pool is not None else list(planner.pools)
--- a/sandhatch/config/check.py
+++ b/sandhatch/config/check.py
@@ -14,7 +14,7 @@
 from sandhatch.config.document import Document, parse, read
 from sandhatch.config.errors import CheckError, Problem
 from sandhatch.config.model import Configuration
-from sandhatch.config.problems import model_problems, sorted_problems
+from sandhatch.config.problems import model_problems, shown, sorted_problems
 from sandhatch.config.references import ReferenceCheck
 from sandhatch.config.route_compilation import compile_route, compile_target
 from sandhatch.routing.coverage import unreachable
@@ -45,7 +45,7 @@
         CheckError: It has errors; the exception holds all problems.
     """
     if not isinstance(document.data, dict):
-        raise CheckError([document.problem((), "the file holds no mapping of keys")])
+        raise CheckError([document.problem((), f"expected a mapping of keys, got {shown(document.data)}")])
     try:
         model = Configuration.model_validate(document.data)
     except ValidationError as failure:
@@ -56,7 +56,9 @@
     routes = [compile_route(route) for route in model.routes]
     for covered in unreachable(routes):
         cover = routes[covered.covered_by]
-        text = f"it can never match: {cover.name!r} before it takes all that it would"
+        text = (
+            f"this route can never match: the earlier route {cover.name!r} takes every request that it would"
+        )
         problems.append(document.problem(("routes", covered.index), text, warning=True))
     table = RouteTable(routes, compile_target(model.default, b"default"))
     return Checked(document.data, model, table, tuple(sorted_problems(problems, document)))
--- a/sandhatch/config/class_model.py
+++ b/sandhatch/config/class_model.py
@@ -49,7 +49,8 @@
         least = 2 * max(self.hold_bytes, self.replay_bytes) + READ_BYTES
         if self.ceiling_bytes < least:
             raise ValueError(
-                f"ceiling_bytes {self.ceiling_bytes} is below twice what is held or kept and 32 KiB: {least}"
+                f"ceiling_bytes: expected at least {least}, got {self.ceiling_bytes}: it must hold 32 KiB"
+                " and twice the larger of hold_bytes and replay_bytes"
             )
         return self
 
@@ -116,11 +117,13 @@
     @model_validator(mode="after")
     def _check_times(self) -> Self:
         if self.aim_ms > self.deadline_ms:
-            raise ValueError(f"aim_ms {self.aim_ms:g} is past deadline_ms {self.deadline_ms:g}")
+            raise ValueError(
+                f"aim_ms: expected at most deadline_ms, {self.deadline_ms:g}, got {self.aim_ms:g}"
+            )
         if self.bodies.total_ms < self.deadline_ms:
             raise ValueError(
-                f"bodies.total_ms {self.bodies.total_ms:g} is below deadline_ms {self.deadline_ms:g}: a long"
-                " body may take longer than a short one, not less"
+                f"bodies.total_ms: expected at least deadline_ms, {self.deadline_ms:g}, got"
+                f" {self.bodies.total_ms:g}: a long body may take longer than a short one, not less"
             )
         return self
 
--- a/sandhatch/config/document.py
+++ b/sandhatch/config/document.py
@@ -96,7 +96,9 @@
         """Take the next event; DocumentError if what it stands for is not accepted."""
         match event:
             case yaml.AliasEvent():
-                raise self._error(event, f"alias *{event.anchor}: aliases are not taken; write the value out")
+                raise self._error(
+                    event, f"expected the value itself, got alias *{event.anchor}: aliases are not supported"
+                )
             case yaml.ScalarEvent():
                 self._add_scalar(event)
             case yaml.MappingStartEvent() | yaml.SequenceStartEvent():
@@ -106,7 +108,7 @@
             case yaml.DocumentStartEvent():
                 self._documents += 1
                 if self._documents > 1:
-                    raise self._error(event, "a second document; one file holds one")
+                    raise self._error(event, "expected one document in the file, got a second one")
 
     def _error(self, event: yaml.Event, text: str) -> DocumentError:
         path = self._stack[-1].path if self._stack else ()
@@ -121,7 +123,9 @@
 
     def _add_scalar(self, event: yaml.ScalarEvent) -> None:
         if event.tag not in (None, "!", TAG_PREFIX + "str"):
-            raise self._error(event, f"tag {event.tag}: tags are not taken")
+            raise self._error(
+                event, f"expected a value without a tag, got tag {event.tag}: tags are not supported"
+            )
         mapping = self._awaiting_key()
         if mapping is None:
             self._add_value(event, _scalar_value(event))
@@ -134,18 +138,22 @@
         path = (*mapping.path, key)
         if key in mapping.value:
             first = self.document.lines[path]
-            raise self._error(event, f"key {key!r:.60} is there twice, first in line {first}")
+            raise self._error(
+                event, f"expected each key once, got {key!r:.60} a second time; first in line {first}"
+            )
         mapping.key = key
         mapping.value[key] = None
         self.document.lines[path] = _line(event)
 
     def _open(self, event: yaml.CollectionStartEvent) -> None:
         if event.tag not in (None, TAG_PREFIX + "map", TAG_PREFIX + "seq"):
-            raise self._error(event, f"tag {event.tag}: tags are not taken")
+            raise self._error(
+                event, f"expected a value without a tag, got tag {event.tag}: tags are not supported"
+            )
         if len(self._stack) >= MAX_DEPTH:
-            raise self._error(event, f"nested more than {MAX_DEPTH} deep")
+            raise self._error(event, f"expected at most {MAX_DEPTH} levels of nesting, got more")
         if self._awaiting_key() is not None:
-            raise self._error(event, "a key must be a plain word")
+            raise self._error(event, "expected a plain word as a key, got a mapping or a list")
         value: dict[str, Any] | list[Any] = {} if isinstance(event, yaml.MappingStartEvent) else []
         path = self._add_value(event, value)
         self._stack.append(_OpenCollection(value, path))
@@ -227,7 +235,7 @@
 
 
 def _too_large(file: str, size_bytes: int) -> DocumentError:
-    return DocumentError(Problem(file, 0, "", f"{size_bytes} bytes; {MAX_BYTES} at most are read"))
+    return DocumentError(Problem(file, 0, "", f"expected at most {MAX_BYTES} bytes, got {size_bytes}"))
 
 
 def read(path: str) -> Document:
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -12,8 +12,8 @@
 
 from sandhatch.config.document import Document, read
 from sandhatch.config.errors import CheckError
-from sandhatch.config.problems import model_problems, sorted_problems
-from sandhatch.config.value_types import AddressText, KeyText, Model, Name
+from sandhatch.config.problems import model_problems, shown, sorted_problems
+from sandhatch.config.value_types import AddressText, KeyText, Model, Name, require_exactly_one
 
 LEAST_LEASES_PER_LOAN = 1.25  # a part must be leased to the planner for longer than a grant out of it
 
@@ -54,17 +54,16 @@
 
     @model_validator(mode="after")
     def _check_keys_and_leases(self) -> Self:
-        if (self.shared_key_file is None) == (self.private_key_file is None):
-            raise ValueError("either shared_key_file or private_key_file is wanted, and not both")
-        if bool(self.forwarders) != (self.private_key_file is not None):
-            raise ValueError(
-                "forwarders names the public keys that private_key_file goes with, and only then"
-            )
+        require_exactly_one(self, "shared_key_file", "private_key_file")
+        if self.private_key_file is not None and not self.forwarders:
+            raise ValueError("forwarders: expected their public keys, since there is a private_key_file")
+        if self.private_key_file is None and self.forwarders:
+            raise ValueError("forwarders: expected no public keys, since there is no private_key_file")
         least_ms = LEAST_LEASES_PER_LOAN * self.lease_ms
         if self.lend_ms < least_ms:
             raise ValueError(
-                f"lend_ms {self.lend_ms:g} is below {LEAST_LEASES_PER_LOAN} times lease_ms, {least_ms:g}: a"
-                " part must be lent for longer than a grant made of it lives"
+                f"lend_ms: expected at least {least_ms:g}, {LEAST_LEASES_PER_LOAN} times lease_ms, got"
+                f" {self.lend_ms:g}: a share must be leased for longer than a grant out of it is valid"
             )
         return self
 
@@ -72,7 +71,7 @@
 def check_planner(document: Document) -> PlannerConfig:
     """Check a document; CheckError holds every problem."""
     if not isinstance(document.data, dict):
-        raise CheckError([document.problem((), "the file holds no mapping of keys")])
+        raise CheckError([document.problem((), f"expected a mapping of keys, got {shown(document.data)}")])
     try:
         return PlannerConfig.model_validate(document.data)
     except ValidationError as failure:
--- a/sandhatch/config/planning_model.py
+++ b/sandhatch/config/planning_model.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, model_validator
 
-from sandhatch.config.value_types import AddressText, KeyText, Model, Name
+from sandhatch.config.value_types import AddressText, KeyText, Model, Name, require_exactly_one
 
 MAX_PLANNERS = 16
 
@@ -53,12 +53,16 @@
     def _check_keys(self) -> Self:
         if not self.planners:
             return self
-        if (self.shared_key_file is None) == (self.private_key_file is None):
-            raise ValueError("either shared_key_file or private_key_file is wanted, and not both")
+        require_exactly_one(self, "shared_key_file", "private_key_file")
         for name, peer in self.planners.items():
-            if (peer.public_key is None) == (self.private_key_file is not None):
-                verb = "is wanted with" if peer.public_key is None else "has no use without"
-                raise ValueError(f"planners.{name}.public_key {verb} private_key_file")
+            if peer.public_key is None and self.private_key_file is not None:
+                raise ValueError(
+                    f"planners.{name}.public_key: expected a key, since there is a private_key_file"
+                )
+            if peer.public_key is not None and self.private_key_file is None:
+                raise ValueError(
+                    f"planners.{name}.public_key: expected none, since there is no private_key_file"
+                )
         return self
 
     @property
--- a/sandhatch/config/pool_model.py
+++ b/sandhatch/config/pool_model.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, model_validator
 
-from sandhatch.config.value_types import AddressText, Milliseconds, Model, Name
+from sandhatch.config.value_types import AddressText, Milliseconds, Model, Name, require_exactly_one
 
 MAX_SERVERS = 10_000
 
@@ -90,8 +90,10 @@
 
     @model_validator(mode="after")
     def _check_origin_and_burst(self) -> Self:
-        if (self.servers is None) == (self.source is None):
-            raise ValueError("either servers or source is wanted, and not both")
+        require_exactly_one(self, "servers", "source")
         if 0.0 < self.ramp_burst < 1.0:
-            raise ValueError(f"ramp_burst {self.ramp_burst:g} lets no call through; 1 is the least")
+            raise ValueError(
+                f"ramp_burst: expected 0 or at least 1, got {self.ramp_burst:g}:"
+                " a smaller burst lets no request through"
+            )
         return self
--- a/sandhatch/config/problems.py
+++ b/sandhatch/config/problems.py
@@ -18,18 +18,24 @@
 MOST_PROBLEMS = 200  # reported; the rest are counted
 MOST_VALUE_CHARACTERS = 60
 
-# What is said of a value, by pydantic's type of error.
-MESSAGES = {
-    "missing": "this key is wanted",
-    "extra_forbidden": "no such key here",
-    "string_type": "a text is wanted",
-    "int_type": "a whole number is wanted",
-    "float_type": "a number is wanted",
-    "bool_type": "true or false is wanted",
-    "list_type": "a list is wanted",
-    "dict_type": "a mapping is wanted",
-    "model_type": "a mapping is wanted",
-    "model_attributes_type": "a mapping is wanted",
+# What would be right, by pydantic's type of error. Names in braces are those of the error's context.
+EXPECTED = {
+    "string_type": "a text",
+    "string_pattern_mismatch": "a text that matches {pattern}",
+    "string_too_short": "at least {min_length} characters",
+    "string_too_long": "at most {max_length} characters",
+    "int_type": "a whole number",
+    "float_type": "a number",
+    "bool_type": "true or false",
+    "literal_error": "{expected}",
+    "greater_than": "a number greater than {gt:g}",
+    "greater_than_equal": "a number of at least {ge:g}",
+    "less_than": "a number less than {lt:g}",
+    "less_than_equal": "a number of at most {le:g}",
+    "list_type": "a list",
+    "dict_type": "a mapping",
+    "model_type": "a mapping",
+    "model_attributes_type": "a mapping",
 }
 
 
@@ -37,9 +43,9 @@
     """Yield a problem for each error that pydantic has found in the document."""
     for error in failure.errors(include_url=False, include_input=False):
         path = tuple(part for part in error["loc"] if part != "[key]")
-        value = _value_of(document.data, path)
-        shown = "" if value is None or isinstance(value, dict | list) else f"{_shown(value)}: "
-        yield document.problem(path, shown + _message(error))
+        concerns_key = error["loc"][-1:] == ("[key]",)
+        value = path[-1] if concerns_key else _value_of(document.data, path)
+        yield document.problem(path, _message(error, value))
 
 
 def sorted_problems(problems: Iterable[Problem], document: Document) -> list[Problem]:
@@ -52,35 +58,54 @@
     return in_order
 
 
+class _Missing:
+    """Stands for a value that is not there."""
+
+
+_MISSING: Any = _Missing()
+
+
 def _value_of(data: Any, path: KeyPath) -> Any:
-    """Return the value of a key; None where the path does not lead to one."""
+    """Return the value of a key; `_MISSING` where the path does not lead to one."""
     for part in path:
         try:
             data = data[part]
         except (KeyError, IndexError, TypeError):
-            return None
+            return _MISSING
     return data
 
 
-def _shown(value: Any) -> str:
+def shown(value: Any) -> str:
+    """Return a value in short; only the kind of a mapping or a list."""
+    if value is None:
+        return "null"
+    if isinstance(value, dict):
+        return "a mapping"
+    if isinstance(value, list):
+        return "a list"
     text = repr(value)
     if len(text) <= MOST_VALUE_CHARACTERS:
         return text
     return text[: MOST_VALUE_CHARACTERS - 3] + "..."
 
 
-def _message(error: ErrorDetails) -> str:
+def _message(error: ErrorDetails, value: Any) -> str:
     context = error.get("ctx", {})
     match error["type"]:
-        case kind if kind in MESSAGES:
-            return MESSAGES[kind]
+        case "missing":
+            return "required key is missing"
+        case "extra_forbidden":
+            return f"unknown key with {shown(value)} as its value"
+        case "too_short":
+            return f"expected at least {context['min_length']} items, got {context['actual_length']}"
+        case "too_long":
+            return f"expected at most {context['max_length']} items, got {len(value)}"
+        case "value_error" if isinstance(value, dict):
+            return str(context["error"])  # names the keys and the values that it is about
         case "value_error":
-            return str(context["error"])
-        case "literal_error":
-            return f"one of {context['expected']} is wanted"
-        case "string_pattern_mismatch":
-            return f"a text like {context['pattern']} is wanted"
+            expectation = str(context["error"])
+        case kind if kind in EXPECTED:
+            expectation = f"expected {EXPECTED[kind].format(**context)}"
         case _:
-            return (
-                error["msg"].replace("Input should be", "it should be").replace("Dictionary", "the mapping")
-            )
+            expectation = error["msg"].replace("Input should be", "expected")
+    return f"{expectation}, got {shown(value)}"
--- a/sandhatch/config/references.py
+++ b/sandhatch/config/references.py
@@ -50,7 +50,7 @@
     def _check_name(self, path: KeyPath, name: str, kind: str, existing: Collection[str]) -> None:
         if name not in existing:
             names = ", ".join(sorted(existing)[:MOST_NAMES_SHOWN]) or "none"
-            self._error(path, f"{name!r} names no {kind}; there are: {names}")
+            self._error(path, f"expected the name of a {kind} (there are: {names}), got {name!r}")
 
     # -------------------------------------------- routes
 
@@ -60,7 +60,7 @@
             first = first_by_name.setdefault(route.name, index)
             if first != index:
                 line = self._document.line(("routes", first))
-                text = f"{route.name!r} is there twice, first in line {line}"
+                text = f"expected a name of its own, got {route.name!r} a second time; first in line {line}"
                 self._error(("routes", index, "name"), text)
 
     def _check_match(self, path: KeyPath, match: Match) -> None:
@@ -70,7 +70,7 @@
             self._check_name((*path, "classes", index), name, "class", self._model.classes)
         for index, host in enumerate(match.hosts or ()):
             if "*" in host.removeprefix("*.") or ":" in host or not host.isascii():
-                text = f"{host!r}: a host without port is wanted, or *. and a host"
+                text = f"expected a host without a port, or *. and a host, got {host!r}"
                 self._error((*path, "hosts", index), text)
 
     def _check_target(self, path: KeyPath, target: TargetModel) -> None:
@@ -92,7 +92,8 @@
             address = listener.address
             first = first_by_address.setdefault(address, name)
             if first != name and not address.endswith(":0"):  # port 0: the system picks a free one
-                self._error(("listeners", name, "address"), f"{address!r} is listener {first!r}'s already")
+                text = f"expected an address of its own, got {address!r}, which listener {first!r} has"
+                self._error(("listeners", name, "address"), text)
 
     def _check_pool(self, name: str, pool: Pool) -> None:
         if name not in self._used_pools:
@@ -108,18 +109,21 @@
         instance_index = planning.place if planning is not None else 0
         shared = pool.ramp_per_s > 0.0 or (has_planners and pool.planned)
         if shared and instance_index >= pool.copies:
-            text = f"{instance_index}: pool {name!r} has {pool.copies} copies, with places from 0 on"
+            text = f"expected a number below {pool.copies}, the copies of pool {name!r}, got {instance_index}"
             self._error(("planning", "place"), text)
         if pool.ramp_per_s and pool.copies > 1 and planning is None:
-            text = f"{pool.copies} copies share it; planning.place must say which of them this one is"
+            text = (
+                f"expected planning.place to say which of the {pool.copies} copies that share it this one is"
+            )
             self._error(("pools", name, "ramp_per_s"), text)
 
     def _check_servers(self, name: str, servers: dict[str, Server]) -> None:
         if not any(server.state == "ready" for server in servers.values()):
-            self._warn(("pools", name, "servers"), "no server is ready: every request will be refused")
+            self._warn(("pools", name, "servers"), "no server is ready: every request will be rejected")
         first_by_address: dict[str, str] = {}
         for server_name, server in servers.items():
             first = first_by_address.setdefault(server.address, server_name)
             if first != server_name:
                 path: KeyPath = ("pools", name, "servers", server_name, "address")
-                self._error(path, f"{server.address!r} is server {first!r}'s already")
+                text = f"expected an address of its own, got {server.address!r}, which server {first!r} has"
+                self._error(path, text)
--- a/sandhatch/config/route_model.py
+++ b/sandhatch/config/route_model.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field, StringConstraints, model_validator
 
-from sandhatch.config.value_types import HeaderName, Model, Name, PathText, Pattern
+from sandhatch.config.value_types import HeaderName, Model, Name, PathText, Pattern, require_exactly_one
 
 MAX_BODY_CHARACTERS = 64 * 1024
 MAX_HEADERS = 16
@@ -20,11 +20,6 @@
 Method = Literal["GET", "POST", "PUT", "PATCH", "DELETE"]
 
 
-def _count(*values: object) -> int:
-    """Return how many of the values are given."""
-    return sum(value is not None for value in values)
-
-
 class PathMatch(Model):
     """A condition on the path, which is matched without its query. Exactly one key.
 
@@ -40,8 +35,7 @@
 
     @model_validator(mode="after")
     def _check_one_key(self) -> Self:
-        if _count(self.exact, self.prefix, self.regex) != 1:
-            raise ValueError("exactly one of exact, prefix and regex is wanted")
+        require_exactly_one(self, "exact", "prefix", "regex")
         return self
 
 
@@ -64,8 +58,7 @@
 
     @model_validator(mode="after")
     def _check_one_key(self) -> Self:
-        if _count(self.exact, self.prefix, self.regex, self.present) != 1:
-            raise ValueError("exactly one of exact, prefix, regex and present is wanted")
+        require_exactly_one(self, "exact", "prefix", "regex", "present")
         return self
 
 
@@ -110,7 +103,7 @@
     @model_validator(mode="after")
     def _check_weights(self) -> Self:
         if not sum(part.weight for part in self.pools):
-            raise ValueError("pools: at least one weight above 0 is wanted")
+            raise ValueError("pools: expected at least one weight above 0, got only weights of 0")
         return self
 
 
@@ -133,8 +126,7 @@
 
     @model_validator(mode="after")
     def _check_one_key(self) -> Self:
-        if _count(self.pool, self.weighted, self.answer) != 1:
-            raise ValueError("exactly one of pool, weighted and answer is wanted")
+        require_exactly_one(self, "pool", "weighted", "answer")
         return self
 
 
--- a/sandhatch/config/value_types.py
+++ b/sandhatch/config/value_types.py
@@ -24,6 +24,16 @@
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True, hide_input_in_errors=True)
 
 
+def require_exactly_one(model: Model, *keys: str) -> None:
+    """Check that exactly one of the model's keys is given; ValueError says which are."""
+    given = [key for key in keys if getattr(model, key) is not None]
+    if len(given) != 1:
+        *others, last = keys
+        raise ValueError(
+            f"expected exactly one of {', '.join(others)} and {last}, got {' and '.join(given) or 'none'}"
+        )
+
+
 def _check_address(text: str) -> str:
     read_address(text)
     return text
@@ -39,15 +49,15 @@
     except re2.error as problem:
         reason = problem.args[0] if problem.args else ""
         reason = reason.decode("utf-8", "replace") if isinstance(reason, bytes) else str(reason)
-        raise ValueError(f"not a regular expression of RE2: {reason}") from None
+        raise ValueError(f"expected a regular expression that RE2 accepts ({reason})") from None
     return text
 
 
 def _check_path(text: str) -> str:
     if not text.startswith("/"):
-        raise ValueError("a path starts with /")
+        raise ValueError("expected a path that starts with /")
     if "?" in text or "#" in text:
-        raise ValueError("a path is matched without its query; it holds no ? or #")
+        raise ValueError("expected a path without ? and #, since paths are matched without their query")
     return text
 
 
--- a/sandhatch/control/call.py
+++ b/sandhatch/control/call.py
@@ -12,6 +12,8 @@
 
 MAX_DURATION_MS = 86_400_000.0  # a day
 
+EXPECTED: dict[type, str] = {str: "a text", bool: "true or false", int: "a whole number", float: "a number"}
+
 T = TypeVar("T", str, int, bool)
 
 
@@ -37,7 +39,7 @@
         if unknown:
             raise RejectedError(
                 RejectionReason.INVALID,
-                f"{unknown[0]}: no such argument; there are: {', '.join(sorted(known))}",
+                f"{unknown[0]}: unknown argument; there are: {', '.join(sorted(known)) or 'none'}",
             )
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -65,7 +67,8 @@
             raise _wrong_type(key, value, float)
         if not 0.0 < value <= MAX_DURATION_MS:
             raise RejectedError(
-                RejectionReason.INVALID, f"{key}: {value:g} is not a time of up to a day, in milliseconds"
+                RejectionReason.INVALID,
+                f"{key}: expected milliseconds above 0 and at most {MAX_DURATION_MS:.0f}, got {value:g}",
             )
         return value
 
@@ -77,7 +80,7 @@
         if key in self.arguments:
             return self.arguments[key]
         if default is None:
-            raise RejectedError(RejectionReason.INVALID, f"{key} is wanted")
+            raise RejectedError(RejectionReason.INVALID, f"{key}: required argument is missing")
         return default
 
     def _of_type(self, key: str, kind: type[T], default: T | None = None) -> T:
@@ -88,4 +91,4 @@
 
 
 def _wrong_type(key: str, value: Any, kind: type) -> RejectedError:
-    return RejectedError(RejectionReason.INVALID, f"{key}: {value!r:.60} is not of type {kind.__name__}")
+    return RejectedError(RejectionReason.INVALID, f"{key}: expected {EXPECTED[kind]}, got {value!r:.60}")
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -76,5 +76,7 @@
         operation = self._operations.get(name) if isinstance(name, str) else None
         if operation is None:
             known = ", ".join(self._operations)
-            raise RejectedError(RejectionReason.INVALID, f"op: {name!r:.60} is none; there are: {known}")
+            raise RejectedError(
+                RejectionReason.INVALID, f"op: unknown operation {name!r:.60}; there are: {known}"
+            )
         return operation
--- a/sandhatch/runtime/address.py
+++ b/sandhatch/runtime/address.py
@@ -23,9 +23,9 @@
     try:
         IPv4Address(host)
     except AddressValueError:
-        raise ValueError("an IPv4 address and port is wanted, as 127.0.0.1:8080") from None
+        raise ValueError("expected an IPv4 address and port, such as 127.0.0.1:8080") from None
     if not port.isascii() or not port.isdigit() or len(port) > MAX_PORT_DIGITS or int(port) > MAX_PORT:
-        raise ValueError("a port from 0 to 65535 is wanted after the colon")
+        raise ValueError(f"expected a port from 0 to {MAX_PORT} after the colon")
     return host, int(port)
 
 
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -47,13 +47,15 @@
     assert [line.split(":")[1] for line in found] == ["1", "3", "5", "5", "8", "8", "9"]
     reported = "\n".join(found)
     for words in (
-        "f.yaml:1: format: 2: one of 1 is wanted",
-        "listeners.front.address: 'localhost:80': an IPv4 address and port is wanted",
-        "classes.look.effect: 'maybe': one of 'safe', 'keyed' or 'unsafe' is wanted",
-        "classes.look.aim_ms: 0: it should be greater than 0",
-        "pools.web.servers.w1.address: '127.0.0.1:99999': a port from 0 to 65535",
-        "pools.web.servers.w1.wieght: 2: no such key here",
-        "pools.web.max_attempts: 'many': a whole number is wanted",
+        "f.yaml:1: format: expected 1, got 2",
+        "f.yaml:3: listeners.front.address: expected an IPv4 address and port, such as 127.0.0.1:8080,"
+        " got 'localhost:80'",
+        "classes.look.effect: expected 'safe', 'keyed' or 'unsafe', got 'maybe'",
+        "classes.look.aim_ms: expected a number greater than 0, got 0",
+        "pools.web.servers.w1.address: expected a port from 0 to 65535 after the colon,"
+        " got '127.0.0.1:99999'",
+        "pools.web.servers.w1.wieght: unknown key with 2 as its value",
+        "pools.web.max_attempts: expected a whole number, got 'many'",
     ):
         assert words in reported
 
@@ -61,44 +63,98 @@
 @pytest.mark.parametrize(
     ("change", "words"),
     [
-        ({"default": {"pool": "wbe"}}, "default.pool: 'wbe' names no pool; there are: orders, web"),
-        ({"routes__0__to": {"pool": "x"}}, "routes[0].to.pool: 'x' names no pool"),
+        (
+            {"default": {"pool": "wbe"}},
+            "default.pool: expected the name of a pool (there are: orders, web), got 'wbe'",
+        ),
+        (
+            {"routes__0__to": {"pool": "x"}},
+            "routes[0].to.pool: expected the name of a pool (there are: orders, web), got 'x'",
+        ),
         (
             {"routes__0__to": {"weighted": {"pools": [{"pool": "y", "weight": 1}]}}},
-            "routes[0].to.weighted.pools[0].pool: 'y' names no pool",
-        ),
-        ({"routes__0__match": {"classes": ["lok"]}}, "routes[0].match.classes[0]: 'lok' names no class"),
-        ({"routes__0__match": {"listeners": ["back"]}}, "names no listener; there are: front"),
-        ({"default_class": "none"}, "default_class: 'none' names no class"),
-        ({"routes__0__match": {"hosts": ["a:80"]}}, "a host without port"),
-        ({"routes__0__match": {"path": {"regex": "(a"}}}, "not a regular expression"),
-        ({"routes__0__match": {"path": {"regex": "(a)\\1"}}}, "not a regular expression of RE2"),
-        ({"routes__0__match": {"path": {"prefix": "a"}}}, "a path starts with /"),
-        ({"routes__0__match": {"path": {"exact": "/a?b"}}}, "without its query"),
-        ({"routes__0__match": {"path": {"exact": "/a", "prefix": "/b"}}}, "exactly one of exact"),
-        ({"routes__0__match": {"headers": [{"name": "X"}]}}, "exactly one of exact"),
-        ({"routes__0__to": {}}, "exactly one of pool, weighted and answer"),
+            "routes[0].to.weighted.pools[0].pool: expected the name of a pool (there are: orders, web),"
+            " got 'y'",
+        ),
+        (
+            {"routes__0__match": {"classes": ["lok"]}},
+            "routes[0].match.classes[0]: expected the name of a class (there are: look, order), got 'lok'",
+        ),
+        (
+            {"routes__0__match": {"listeners": ["back"]}},
+            "expected the name of a listener (there are: front), got 'back'",
+        ),
+        (
+            {"default_class": "none"},
+            "default_class: expected the name of a class (there are: look, order), got 'none'",
+        ),
+        (
+            {"routes__0__match": {"hosts": ["a:80"]}},
+            "expected a host without a port, or *. and a host, got 'a:80'",
+        ),
+        (
+            {"routes__0__match": {"path": {"regex": "(a"}}},
+            "expected a regular expression that RE2 accepts (missing ): (a), got '(a'",
+        ),
+        (
+            {"routes__0__match": {"path": {"regex": "(a)\\1"}}},
+            "expected a regular expression that RE2 accepts (invalid escape sequence: \\1), got '(a)",
+        ),
+        ({"routes__0__match": {"path": {"prefix": "a"}}}, "expected a path that starts with /, got 'a'"),
+        (
+            {"routes__0__match": {"path": {"exact": "/a?b"}}},
+            "expected a path without ? and #, since paths are matched without their query, got '/a?b'",
+        ),
+        (
+            {"routes__0__match": {"path": {"exact": "/a", "prefix": "/b"}}},
+            "path: expected exactly one of exact, prefix and regex, got exact and prefix",
+        ),
+        (
+            {"routes__0__match": {"headers": [{"name": "X"}]}},
+            "headers[0]: expected exactly one of exact, prefix, regex and present, got none",
+        ),
+        ({"routes__0__to": {}}, "expected exactly one of pool, weighted and answer, got none"),
         (
             {"routes__0__to": {"weighted": {"pools": [{"pool": "web", "weight": 0}]}}},
-            "at least one weight above 0",
+            "expected at least one weight above 0, got only weights of 0",
+        ),
+        (
+            {"pools__web": {"servers": {}, "source": {"discovery": "127.0.0.1:1"}}},
+            "expected exactly one of servers and source, got servers and source",
+        ),
+        ({"pools__web": {}}, "pools.web: expected exactly one of servers and source, got none"),
+        (
+            {"classes__look__aim_ms": 9000},
+            "classes.look: aim_ms: expected at most deadline_ms, 8000, got 9000",
         ),
-        ({"pools__web": {"servers": {}, "source": {"discovery": "127.0.0.1:1"}}}, "either servers or source"),
-        ({"pools__web": {}}, "either servers or source"),
-        ({"classes__look__aim_ms": 9000}, "past deadline_ms"),
         (
             {"pools__web__servers": {"a": {"address": "127.0.0.1:1"}, "b": {"address": "127.0.0.1:1"}}},
-            "pools.web.servers.b.address: '127.0.0.1:1' is server 'a''s already",
+            "pools.web.servers.b.address: expected an address of its own, got '127.0.0.1:1',"
+            " which server 'a' has",
         ),
         (
             {"listeners": {"a": {"address": "127.0.0.1:1"}, "b": {"address": "127.0.0.1:1"}}},
-            "is listener 'a''s already",
-        ),
-        ({"limits": {"sockets": 3}}, "limits.sockets: 3: it should be greater than or equal to 64"),
-        ({"pools__web__drain_grace_ms": 5000}, "less than or equal to 2000"),
-        ({"classes": {}}, "classes"),
-        ({"routes__0__match": {"headers": [{"name": "X", "present": True}] * 17}}, "at most 16 items"),
-        ({"tenants": {f"t{number}": {"quota_per_s": 1} for number in range(1_001)}}, "at most 1000 items"),
-        ({"format": None}, "format: this key is wanted"),
+            "listeners.b.address: expected an address of its own, got '127.0.0.1:1', which listener 'a' has",
+        ),
+        ({"limits": {"sockets": 3}}, "limits.sockets: expected a number of at least 64, got 3"),
+        (
+            {"pools__web__drain_grace_ms": 5000},
+            "pools.web.drain_grace_ms: expected a number of at most 2000, got 5000",
+        ),
+        ({"classes": {}}, "classes: expected at least 1 items, got 0"),
+        (
+            {"routes__0__match": {"headers": [{"name": "X", "present": True}] * 17}},
+            "expected at most 16 items, got 17",
+        ),
+        (
+            {"tenants": {f"t{number}": {"quota_per_s": 1} for number in range(1_001)}},
+            "tenants: expected at most 1000 items, got 1001",
+        ),
+        (
+            {"pools__a b": {"servers": {}}},
+            "pools.a b: expected a text that matches ^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$, got 'a b'",
+        ),
+        ({"format": None}, "format: required key is missing"),
     ],
 )
 def test_errors_between_keys_name_the_key_and_the_value(change: dict[str, Any], words: str) -> None:
@@ -108,7 +164,12 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "words"), [(b"", "no mapping"), (b"[1]", "no mapping"), (b"\xff\xfe\xff", "")]
+    ("data", "words"),
+    [
+        (b"", "expected a mapping of keys, got null"),
+        (b"[1]", "expected a mapping of keys, got a list"),
+        (b"\xff\xfe\xff", "not YAML"),
+    ],
 )
 def test_a_file_that_is_no_mapping_is_rejected(data: bytes, words: str) -> None:
     with pytest.raises(CheckError) as caught:
@@ -130,7 +191,10 @@
     warnings = [str(problem) for problem in checked(data).warnings]
     assert any("pools.spare: no route leads to this pool" in line for line in warnings)
     assert any("no server is ready" in line for line in warnings)
-    assert any("routes[1]: it can never match: 'orders' before it" in line for line in warnings)
+    assert any(
+        "routes[1]: this route can never match: the earlier route 'orders' takes every request" in line
+        for line in warnings
+    )
     assert len(warnings) == 3
 
 
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -42,14 +42,18 @@
 @pytest.mark.parametrize(
     ("text", "line", "words"),
     [
-        ("a: 1\na: 2\n", 2, "twice, first in line 1"),
-        ("a: &x 1\nb: *x\n", 2, "aliases are not taken"),
-        ("a: !!python/object:os.system x\n", 1, "tags are not taken"),
+        ("a: 1\na: 2\n", 2, "expected each key once, got 'a' a second time; first in line 1"),
+        ("a: &x 1\nb: *x\n", 2, "expected the value itself, got alias *x: aliases are not supported"),
+        (
+            "a: !!python/object:os.system x\n",
+            1,
+            "got tag tag:yaml.org,2002:python/object:os.system: tags are not supported",
+        ),
         ("a: [1, 2\nb: 3\n", 2, "not YAML"),
-        ("a: 1\n---\nb: 2\n", 2, "second document"),
-        ("? [a]\n: 1\n", 1, "plain word"),
+        ("a: 1\n---\nb: 2\n", 2, "expected one document in the file, got a second one"),
+        ("? [a]\n: 1\n", 1, "expected a plain word as a key, got a mapping or a list"),
         ("a:\n\t- b\n", 2, "not YAML"),
-        ("[" * 100, 1, "nested more than"),
+        ("[" * 100, 1, "expected at most 32 levels of nesting, got more"),
         pytest.param("[" * 100_000, 1, "nest", id="a hundred thousand deep"),
         ("\0", 0, "not YAML"),
     ],
@@ -65,7 +69,7 @@
     path = tmp_path / "large.yaml"
     with path.open("wb") as file:
         file.truncate(100 * 1024 * 1024)
-    with pytest.raises(DocumentError, match=f"104857600 bytes; {MAX_BYTES} at most"):
+    with pytest.raises(DocumentError, match=f"large.yaml: expected at most {MAX_BYTES} bytes, got 104857600"):
         read(str(path))
 
 
--- a/tests/config/test_planning_model.py
+++ b/tests/config/test_planning_model.py
@@ -24,29 +24,37 @@
 def test_a_shared_warm_up_must_say_which_instance_this_is() -> None:
     reported = problems(pools__web__ramp_per_s=50, pools__web__copies=3)
     assert (
-        "pools.web.ramp_per_s: 3 copies share it; planning.place must say which of them this one is"
+        "pools.web.ramp_per_s: expected planning.place to say which of the 3 copies that share it this one is"
         in reported
     )
     reported = problems(pools__web__ramp_per_s=50, pools__web__copies=3, planning={"place": 3})
-    assert "planning.place: 3: pool 'web' has 3 copies, with places from 0 on" in reported
-    assert "ramp_burst 0.5 lets no call through" in problems(pools__web__ramp_burst=0.5)
+    assert "planning.place: expected a number below 3, the copies of pool 'web', got 3" in reported
+    assert (
+        "pools.web: ramp_burst: expected 0 or at least 1, got 0.5: a smaller burst lets no request through"
+        in problems(pools__web__ramp_burst=0.5)
+    )
 
 
 def test_planners_need_the_keys_that_go_with_them() -> None:
-    assert "either shared_key_file or private_key_file" in problems(planning={"planners": {"p": PEER}})
+    assert "planning: expected exactly one of shared_key_file and private_key_file, got none" in problems(
+        planning={"planners": {"p": PEER}}
+    )
     reported = problems(planning={"planners": {"p": PEER}, "private_key_file": "k"})
-    assert "planners.p.public_key is wanted with private_key_file" in reported
+    assert "planners.p.public_key: expected a key, since there is a private_key_file" in reported
     peer = PEER | {"public_key": "ab" * 32}
     reported = problems(planning={"planners": {"p": peer}, "shared_key_file": "k"})
-    assert "planners.p.public_key has no use without private_key_file" in reported
-    assert "a text like" in problems(
-        planning={"planners": {"p": PEER | {"public_key": "short"}}, "private_key_file": "k"}
+    assert "planners.p.public_key: expected none, since there is no private_key_file" in reported
+    assert (
+        "planning.planners.p.public_key: expected a text that matches ^[0-9a-fA-F]{64}$, got 'short'"
+        in problems(planning={"planners": {"p": PEER | {"public_key": "short"}}, "private_key_file": "k"})
     )
 
 
 def test_a_planned_pool_must_count_this_forwarder_and_other_pools_need_not() -> None:
     planning = {"place": 2, "planners": {"p": PEER}, "shared_key_file": "k"}
-    assert "pool 'web' has 1 copies" in problems(planning=planning)
+    assert "planning.place: expected a number below 1, the copies of pool 'web', got 2" in problems(
+        planning=planning
+    )
     data = sample(planning=planning, pools__web__copies=3, pools__orders__planned=False)
     model = check_text(json.dumps(data)).model
     settings = pool_settings(model, model.pools["web"])
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -75,7 +75,9 @@
     owner.activate_and_confirm(BASE, 2)
     with rejected(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now, late)
-    assert any("names no pool" in line for line in info.value.problems)
+    assert any(
+        "expected the name of a pool" in line and "got 'spare'" in line for line in info.value.problems
+    )
     assert owner.in_force.data == BASE
 
 
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -282,8 +282,8 @@
     bad.write_text("format: 1\npools: 5\n")
     code, _, err = command("check", str(bad))
     assert code == 1
-    assert f"{bad}:2: pools: 5: a mapping is wanted" in err
-    assert "classes: this key" in err
+    assert f"{bad}:2: pools: expected a mapping, got 5" in err
+    assert "classes: required key is missing" in err
     code, out, _ = command("check", "--json", str(bad))
     assert code == 1
     assert json.loads(out)["problems"][0]["line"] in (0, 2)
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -155,22 +155,22 @@
         assert not out
         return err.replace(str(file), "FILE")
 
-    assert "FILE:3: listen: 'here': an IPv4 address and port is wanted" in errors(
+    assert "FILE:3: listen: expected an IPv4 address and port, such as 127.0.0.1:8080, got 'here'" in errors(
         "format: 1\nname: p0\nlisten: here\nshared_key_file: k\n"
     )
-    assert "either shared_key_file or private_key_file is wanted" in errors(
+    assert "expected exactly one of shared_key_file and private_key_file, got none" in errors(
         "format: 1\nname: p0\nlisten: 127.0.0.1:0\n"
     )
-    assert "lend_ms 2000 is below 1.25 times lease_ms, 2500" in errors(
+    assert "lend_ms: expected at least 2500, 1.25 times lease_ms, got 2000" in errors(
         "format: 1\nname: p0\nlisten: 127.0.0.1:0\nshared_key_file: k\nlend_ms: 2000\n"
     )
-    assert "forwarders names the public keys" in errors(
+    assert "forwarders: expected their public keys, since there is a private_key_file" in errors(
         "format: 1\nname: p0\nlisten: 127.0.0.1:0\nprivate_key_file: k\n"
     )
-    assert "FILE:5: lease: 3: no such key here" in errors(
+    assert "FILE:5: lease: unknown key with 3 as its value" in errors(
         "format: 1\nname: p0\nlisten: 127.0.0.1:0\nshared_key_file: k\nlease: 3\n"
     )
-    assert "holds no mapping" in errors("- 1\n")
+    assert "FILE: expected a mapping of keys, got a list" in errors("- 1\n")
     assert "No such file" in run_command("planner", "check", str(tmp_path / "none")).err
 
 
