--- a/tests/cli/test_output.py
+++ b/tests/cli/test_output.py
@@ -46,6 +46,12 @@
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
         self.operations: list[str] = []
+        self.path = ""
+
+    def connect(self, path: str, timeout_s: float) -> FakeClient:
+        assert timeout_s > 0.0
+        self.path = path
+        return self
 
     def __enter__(self) -> FakeClient:
         return self
@@ -76,10 +82,11 @@
     verb: str, answer: Answer, code: ExitCode, monkeypatch: pytest.MonkeyPatch, console: Console
 ) -> None:
     service = FakeClient(answer)
-    monkeypatch.setattr("sandhatch.cli.service_call.Client", lambda path, timeout_s: service)
+    monkeypatch.setattr("sandhatch.cli.service_call.Client", service.connect)
     args = argparse.Namespace(verb=verb, json=False, control="unused.sock")
-    assert call_service(args, console, lambda args: {}, lambda answer, console: None) == code
+    assert call_service(args, console, lambda _args: {}, lambda _answer, _console: None) == code
     assert service.operations == [verb]
+    assert service.path == "unused.sock"
 
 
 def test_the_exit_codes_are_those_of_the_help(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -24,6 +24,8 @@
 from testkit.clients import HttpClient
 from tests.service.harness import FakeServers, RunningService, run, serving
 
+SOCKET_NAME = "c.sock"
+
 
 class Peer:
     """A connection to the control socket."""
@@ -56,7 +58,7 @@
 ) -> AsyncIterator[tuple[RunningService, FakeServers, str]]:
     farm = await FakeServers().start("a1", "b1", "o1")
     async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
-        path = str(tmp / "c.sock")
+        path = str(tmp / SOCKET_NAME)
         server = ControlServer(Calls(running.service), running.service.logger, path, call_timeout_s)
         await server.start()
         try:
@@ -66,6 +68,10 @@
     farm.close()
 
 
+def file_mode(path: str) -> int:
+    return Path(path).stat().st_mode
+
+
 def change(farm: FakeServers, **more: Any) -> str:
     return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
 
@@ -77,7 +83,7 @@
             Peer(path) as peer,
             HttpClient(running.port) as client,
         ):
-            assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
+            assert stat.S_IMODE(file_mode(path)) == 0o600
             proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
             assert proposed["ok"]
             assert proposed["changes"] == 2
@@ -175,9 +181,10 @@
 
 def test_a_call_that_is_too_long_is_rejected_and_not_buffered() -> None:
     reader = LineReader(1000)
+    for _ in range(10):
+        assert reader.feed(b"x" * 100) == []
     with pytest.raises(CallError, match="more than 1000 bytes"):
-        for _ in range(20):
-            reader.feed(b"x" * 100)
+        reader.feed(b"x")
     assert reader.buffered_bytes == 0
     assert LineReader().feed(b'{"a":1}\n{"b":2}\n{"c"') == [{"a": 1}, {"b": 2}]
 
@@ -240,7 +247,7 @@
 def test_a_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path):
-            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda sock: os.geteuid() + 4711)
+            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda _socket: os.geteuid() + 4711)
             async with Peer(path) as peer:
                 assert await peer.reader.read() == b""  # closed without an answer
             monkeypatch.undo()
@@ -261,9 +268,9 @@
                     Calls(running.service), running.service.logger, str(tmp_path / "file")
                 ).start()
             assert (tmp_path / "file").read_text() == "mine"
-        assert not os.path.exists(path)
 
     run(work())
+    assert not (tmp_path / SOCKET_NAME).exists()
 
 
 # ------------------------------------------------ the command line
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -22,6 +22,11 @@
 ROOT = Path(__file__).parent.parent.parent
 
 
+def write_config(path: Path, data: dict[str, Any]) -> None:
+    """Write a configuration to its file."""
+    path.write_text(json.dumps(data))
+
+
 async def spawn(path: Path, descriptors: int | None = None, **more: str) -> asyncio.subprocess.Process:
     """Start the program.
 
@@ -67,7 +72,7 @@
     path: Path, data: dict[str, Any], descriptors: int | None = None, **more: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """The program with a configuration that is written to the path; killed at the end if it still runs."""
-    path.write_text(json.dumps(data))
+    write_config(path, data)
     process = await spawn(path, descriptors, **more)
     try:
         yield process
@@ -77,6 +82,18 @@
             await process.wait()
 
 
+def open_descriptors(process: asyncio.subprocess.Process) -> int:
+    """How many descriptors the program has open."""
+    return len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
+
+
+async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
+    """The next line that the program writes to its log."""
+    assert process.stderr is not None
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+        return await process.stderr.readline()
+
+
 async def exit_code(process: asyncio.subprocess.Process) -> int:
     """Wait until the program has ended by itself."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -4,23 +4,34 @@
 
 import asyncio
 import json
-import os
 import resource
 import signal
 import sys
+from contextlib import AbstractAsyncContextManager
 from pathlib import Path
 from typing import Any
 
 import pytest
 
+from testkit.behaviours import serves, waits_for
 from testkit.clients import HttpClient, request_bytes
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
 from testkit.ports import free_port
-from testkit.servers import FakeConnection, FakeServer
-from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
+from testkit.servers import FakeServer, serve_ok
+from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
-from tests.platform.harness import ROOT, exit_code, ready, running_program, spawn, started
+from tests.platform.harness import (
+    ROOT,
+    exit_code,
+    next_log_line,
+    open_descriptors,
+    ready,
+    running_program,
+    spawn,
+    started,
+    write_config,
+)
 
 
 async def check_served(port: int) -> None:
@@ -30,10 +41,21 @@
         assert (await client.read_response()).status == 200
 
 
-async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
-    assert process.stderr is not None
+async def wait_until_shutting_down(port: int) -> None:
+    """Wait until the program has received its signal: new connections find it not ready."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-        return await process.stderr.readline()
+        while True:
+            async with HttpClient(port) as fresh:
+                fresh.send_request(target="/ready")
+                if (await fresh.read_response()).status == 503:
+                    return
+
+
+async def check_served_with_close(client: HttpClient) -> None:
+    """A request is answered 200, and the answer is the last of its connection."""
+    client.send_request()
+    answer = await client.read_response()
+    assert (answer.status, answer.headers.get("connection")) == (200, "close")
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
@@ -44,40 +66,25 @@
 
     async def work() -> None:
         released = asyncio.Event()
-
-        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
-            if request.target == "/api?slow":
-                await released.wait()
-            await talk.send(ok())
-
-        upstream = await FakeServer(serve).start()
+        upstream = await FakeServer(waits_for(released, serves(b"slow"))).start()
         async with (
             running_program(tmp_path, upstream) as (process, port),
             HttpClient(port) as in_flight,
             HttpClient(port) as reused,
             HttpClient(port) as idle,
         ):
-            reused.send_request()
-            assert (await reused.read_response()).headers.get("connection") != "close"
             idle.send_request(target="/ready")
             assert (await idle.read_response()).status == 200
-            in_flight.send_request("move", b"x", "/api?slow")
-            while (await upstream.arrived.get()).target != "/api?slow":
-                pass
-            process.send_signal(number)
-            async with asyncio.timeout(RESPONSE_TIMEOUT_S):  # until the program has received the signal
-                while True:
-                    async with HttpClient(port) as fresh:
-                        fresh.send_request(target="/ready")
-                        if (await fresh.read_response()).status == 503:
-                            break
+            in_flight.send_request("move", b"x")
+            await upstream.arrived.get()
+            upstream.behave = serve_ok
             reused.send_request()
-            answer = await reused.read_response()
-            assert (answer.status, answer.headers.get("connection")) == (200, "close")
+            assert (await reused.read_response()).headers.get("connection") != "close"
+            process.send_signal(number)
+            await wait_until_shutting_down(port)
+            await check_served_with_close(reused)
             async with HttpClient(port) as fresh:
-                fresh.send_request()
-                answer = await fresh.read_response()
-                assert (answer.status, answer.headers.get("connection")) == (200, "close")
+                await check_served_with_close(fresh)
             assert await idle.read_to_end() == b""
             assert process.returncode is None  # a request is unanswered
             released.set()
@@ -99,7 +106,7 @@
                 client.writer.close()
             for _ in range(30):
                 await check_served(port)
-            assert len(os.listdir(f"/proc/{process.pid}/fd")) <= 64
+            assert open_descriptors(process) <= 64
             process.send_signal(signal.SIGTERM)
             assert await exit_code(process) == 0
         upstream.close()
@@ -117,7 +124,7 @@
         async with running_program(tmp_path, upstream) as (process, port):
             await check_served(port)
             # Descriptors below the highest in use stay usable; new ones fail from here on.
-            used_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+            used_descriptors = open_descriptors(process)
             resource.prlimit(
                 process.pid, resource.RLIMIT_NOFILE, (used_descriptors + 8, used_descriptors + 8)
             )
@@ -140,6 +147,51 @@
     run(work())
 
 
+class TwoDiscoveries:
+    """Two servers, each listed by a discovery of its own: the program starts at `old` and is moved to `new`.
+
+    The environment names `old` throughout. Requests to the first server wait until `released` is set.
+    """
+
+    def __init__(self, path: Path) -> None:
+        self.path = path
+        self.port = free_port()
+        self.released = asyncio.Event()
+
+    async def __aenter__(self) -> TwoDiscoveries:
+        self.first_server = await FakeServer(waits_for(self.released, serves(b"first"))).start()
+        self.second_server = await FakeServer(serves(b"second")).start()
+        self.old = await FakeDiscovery([self.first_server.entry("a")]).start()
+        self.new = await FakeDiscovery([self.second_server.entry("b")]).start()
+        entries = [self.first_server.entry("a")]
+        self.data = config_data(entries, self.old.port, listen=f"127.0.0.1:{self.port}")
+        return self
+
+    async def __aexit__(self, *_: object) -> None:
+        self.old.stop()
+        self.new.stop()
+        self.first_server.close()
+        self.second_server.close()
+
+    def started(self) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
+        """The program, with the old discovery in its file and in its environment."""
+        environment = {
+            "GW_LISTEN": f"127.0.0.1:{self.port}",
+            "GW_DISCOVERY": f"127.0.0.1:{self.old.port}",
+        }
+        return started(self.path, self.data, **environment)
+
+    def write_new_address(self) -> None:
+        """Name the new discovery in the file."""
+        write_config(self.path, self.data | {"discovery": f"127.0.0.1:{self.new.port}"})
+
+    async def new_is_followed(self) -> None:
+        """Wait until the program has the complete list of the new discovery and asks for changes."""
+        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+            assert await self.new.calls.get() == "/v1/endpoints"  # the complete list first
+            assert "after=" in await self.new.calls.get()
+
+
 def test_sighup_follows_discovery_to_the_address_in_the_file(tmp_path: Path) -> None:
     """Guards reloads: the file's discovery takes precedence over the environment's, and its list counts.
 
@@ -148,52 +200,29 @@
     """
 
     async def work() -> None:
-        released = asyncio.Event()
-
-        async def serve_when_released(request: ReceivedRequest, talk: FakeConnection) -> None:
-            await released.wait()
-            await talk.send(ok(b"first"))
-
-        async def serve_second(request: ReceivedRequest, talk: FakeConnection) -> None:
-            await talk.send(ok(b"second"))
-
-        first_server = await FakeServer(serve_when_released).start()
-        second_server = await FakeServer(serve_second).start()
-        old = await FakeDiscovery([first_server.entry("a")]).start()
-        new = await FakeDiscovery([second_server.entry("b")]).start()
-        port = free_port()
-        path = tmp_path / "config.json"
-        data = config_data([first_server.entry("a")], old.port, listen=f"127.0.0.1:{port}")
-        environment = {"GW_LISTEN": f"127.0.0.1:{port}", "GW_DISCOVERY": f"127.0.0.1:{old.port}"}
-        async with started(path, data, **environment) as process:
-            await ready(port)
-            async with HttpClient(port) as in_flight, HttpClient(port) as client:
+        async with TwoDiscoveries(tmp_path / "config.json") as setting, setting.started() as process:
+            await ready(setting.port)
+            async with HttpClient(setting.port) as in_flight, HttpClient(setting.port) as client:
                 in_flight.send_request("move", b"x")
-                await first_server.arrived.get()
-                path.write_text("{")
+                await setting.first_server.arrived.get()
+                setting.path.write_text("{")
                 process.send_signal(signal.SIGHUP)
                 line = await next_log_line(process)
                 assert b"reload" in line
                 assert b"GW_CONFIG" in line
-                path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
+                setting.write_new_address()
                 for _ in range(5):
                     process.send_signal(signal.SIGHUP)
-                async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                    assert await new.calls.get() == "/v1/endpoints"  # the complete list first
-                    assert "after=" in await new.calls.get()
+                await setting.new_is_followed()
                 client.send_request()
                 assert (await client.read_response()).body == b"second"
-                released.set()
+                setting.released.set()
                 assert (await in_flight.read_response()).body == b"first"
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 client.send_request()
                 assert (await client.read_response()).status == 200
                 assert await exit_code(process) == 0
-        old.stop()
-        new.stop()
-        first_server.close()
-        second_server.close()
 
     run(work())
 
