--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -11,7 +11,7 @@
 
 from sandhatch.cli.console import Console, ExitCode
 from sandhatch.config.planner import PlannerConfig
-from sandhatch.control.errors import ControlError
+from sandhatch.control.errors import ControlError, FaultReason
 from sandhatch.control.framing import fault
 from sandhatch.control.server import ControlServer
 from sandhatch.planning.errors import BadKeyError
@@ -103,19 +103,23 @@
             case "explain":
                 return self._explain(call.get("server"), call.get("pool"))
             case _:
-                return fault("invalid", f"op: unknown operation {name!r:.60}; there are: status, explain")
+                return fault(
+                    FaultReason.INVALID, f"op: unknown operation {name!r:.60}; there are: status, explain"
+                )
 
     def _explain(self, address: Any, pool: Any) -> dict[str, Any]:
         """Answer why a server gets what it gets, in one pool or in each that it is in."""
         if not isinstance(address, str):
-            return fault("invalid", f"server: expected an address as host:port, got {address!r:.60}")
+            return fault(
+                FaultReason.INVALID, f"server: expected an address as host:port, got {address!r:.60}"
+            )
         if not isinstance(pool, str | None):
-            return fault("invalid", f"pool: expected the name of a pool, got {pool!r:.60}")
+            return fault(FaultReason.INVALID, f"pool: expected the name of a pool, got {pool!r:.60}")
         planner = self._server.planner
         now_ms = self._server.clock.now_ms()
         pools = [pool] if pool is not None else list(planner.pools)
         explanations = [planner.explain(name, address, now_ms) for name in pools]
         servers = [explanation for explanation in explanations if explanation is not None]
         if not servers:
-            return fault("unknown", f"no forwarder has named server {address:.80}")
+            return fault(FaultReason.UNKNOWN, f"no forwarder has named server {address:.80}")
         return {"ok": True, "servers": servers}
--- a/sandhatch/cli/service_call.py
+++ b/sandhatch/cli/service_call.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from sandhatch.cli.console import Console, ExitCode
-from sandhatch.config.errors import CheckError
+from sandhatch.config.errors import CheckError, RejectionReason
+from sandhatch.config.version import State
 from sandhatch.control.client import Client
 
 TIMEOUT_S = 60.0
@@ -22,11 +23,11 @@
 Show = Callable[[Answer, Console], None]
 
 EXIT_CODES = {
-    "conflict": ExitCode.CONFLICT,
-    "busy": ExitCode.BUSY,
-    "too many proposals": ExitCode.BUSY,
+    RejectionReason.CONFLICT.value: ExitCode.CONFLICT,
+    RejectionReason.BUSY.value: ExitCode.BUSY,
+    RejectionReason.FULL.value: ExitCode.BUSY,
 }  # by an answer's `why`
-STATES_OF_FAILURE = ("failed", "taken back", "lost")
+STATES_OF_FAILURE = (State.FAILED.value, State.ROLLED_BACK.value, State.LOST.value)
 VERBS_THAT_CHANGE = ("commit", "confirm")
 
 
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -44,7 +44,7 @@
     except (HistoryError, ControlError, StageError, CheckError, OSError) as problem:
         console.error(problem)
         return ExitCode.FAILED
-    loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).ask)
+    loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).trigger)
     freeze_garbage_collector()
     service.logger.line(f"version {service.lifecycle.active.number} in force; control at {args.control}")
     await stopping.wait()
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -61,14 +61,14 @@
     known_endpoints: dict[str, Any] = field(default_factory=dict)
 
 
-def decode(text: str, env: Mapping[str, str], again: bool = False) -> PlatformConfig:
+def decode(text: str, env: Mapping[str, str], is_reload: bool = False) -> PlatformConfig:
     """Decode the file's text and the environment, which goes first where both give the same.
 
     Args:
         text: A JSON object.
         env: The environment.
-        again: Whether the file is reloaded: its discovery goes first then, since the environment still gives
-            the address of the start.
+        is_reload: Whether the file is reloaded: its discovery goes first then, since the environment still
+            gives the address of the start.
 
     Raises:
         ConfigError: Names the key and the value that can't be used.
@@ -84,7 +84,7 @@
     return PlatformConfig(
         name=str(env.get("GW_NAME") or data.get("name", "")),
         listen=parse_address(env.get("GW_LISTEN") or data.get("listen"), "listen"),
-        discovery=_discovery(data, env, again),
+        discovery=_discovery(data, env, is_reload),
         seed=_seed(data.get("seed", "0")),
         sockets=_sockets(_limits(data)),
         memory_mb=_memory_mb(_limits(data)),
@@ -97,7 +97,7 @@
     )
 
 
-def load(env: Mapping[str, str] = os.environ, again: bool = False) -> PlatformConfig:
+def load(env: Mapping[str, str] = os.environ, is_reload: bool = False) -> PlatformConfig:
     """Read and decode the file that GW_CONFIG names; the arguments and errors are those of `decode`."""
     path = env.get("GW_CONFIG")
     if not path:
@@ -106,7 +106,7 @@
         text = Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as problem:
         raise ConfigError(f"GW_CONFIG: {path!r} can't be read: {problem}") from None
-    return decode(text, env, again)
+    return decode(text, env, is_reload)
 
 
 def _object(data: Any, key: str) -> dict[str, Any]:
@@ -138,10 +138,11 @@
     return float(grace_ms)
 
 
-def _discovery(data: dict[str, Any], env: Mapping[str, str], again: bool) -> Address:
+def _discovery(data: dict[str, Any], env: Mapping[str, str], is_reload: bool) -> Address:
     in_file = data.get("discovery")
     in_environment = env.get("GW_DISCOVERY")
-    return parse_address(in_file or in_environment if again else in_environment or in_file, "discovery")
+    preferred = in_file or in_environment if is_reload else in_environment or in_file
+    return parse_address(preferred, "discovery")
 
 
 def _seed(value: object) -> int:
--- a/sandhatch/control/framing.py
+++ b/sandhatch/control/framing.py
@@ -9,7 +9,7 @@
 import json
 from typing import Any
 
-from sandhatch.control.errors import CallError
+from sandhatch.control.errors import CallError, FaultReason
 
 MAX_LINE_BYTES = 40 * 1024 * 1024  # the largest configuration, written as a JSON string
 
@@ -73,6 +73,6 @@
     return json.dumps(message, separators=(",", ":"), default=str).encode() + b"\n"
 
 
-def fault(why: str, text: str) -> dict[str, Any]:
+def fault(reason: FaultReason, text: str) -> dict[str, Any]:
     """The answer to a call that is rejected without conflicting keys or problems to list."""
-    return {"ok": False, "why": why, "text": text, "keys": [], "problems": []}
+    return {"ok": False, "why": reason.value, "text": text, "keys": [], "problems": []}
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from sandhatch.control.errors import CallError, ControlError
+from sandhatch.control.errors import CallError, ControlError, FaultReason
 from sandhatch.control.framing import LineReader, encode, fault
 from sandhatch.runtime.logger import Logger
 
@@ -86,7 +86,9 @@
             if uid not in (0, os.geteuid()):
                 self._logger.line(f"control: user {uid} was rejected")
             elif len(self._peers) > MAX_PEERS:
-                await self._answer(writer, fault("busy", f"{MAX_PEERS} peers are connected already"))
+                await self._answer(
+                    writer, fault(FaultReason.BUSY, f"{MAX_PEERS} peers are connected already")
+                )
             else:
                 await self._serve_calls(reader, writer, user_name(uid))
         except (OSError, asyncio.CancelledError):
@@ -107,7 +109,7 @@
                 for call in calls:
                     await self._answer(writer, await self._run(call, author))
         except CallError as problem:
-            await self._answer(writer, fault("invalid", str(problem)))
+            await self._answer(writer, fault(FaultReason.INVALID, str(problem)))
         finally:
             self._buffered_bytes -= lines.buffered_bytes
 
@@ -145,7 +147,7 @@
         except Exception as problem:
             # Guards the service: an unexpected error of one call must not end it.
             self._logger.line(f"control: {call.get('op')!r:.40}: {type(problem).__name__}: {problem}")
-            return fault("internal", f"{type(problem).__name__}: {problem}")
+            return fault(FaultReason.INTERNAL, f"{type(problem).__name__}: {problem}")
 
     async def _answer(self, writer: asyncio.StreamWriter, answer: dict[str, Any]) -> None:
         writer.write(encode(answer))
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -10,6 +10,8 @@
 from sandhatch.control.version_row import version_row
 from sandhatch.service.service import Service
 
+SHOWN_FINGERPRINT_DIGITS = 8
+
 
 class StatusCalls:
     """Each method answers one operation, or raises RejectedError. Keys are part of the control protocol."""
@@ -30,7 +32,7 @@
             "pending": version_row(pending, service.now_ms) if pending else None,
             "ready": service.request_handler.ready,
             "versions": {str(number): version.open for number, version in service.running.items()},
-            "pools": service.pools.status(),
+            "pools": self._pool_rows(),
             "bodies": service.shared.flows.snapshot(),
             "listeners": self._listener_rows(),
             "proposals": self._proposal_rows(),
@@ -41,6 +43,20 @@
             },
         }
 
+    def _pool_rows(self) -> dict[str, Any]:
+        """Each pool's row by the first digits of its fingerprint."""
+        return {
+            pool.fingerprint[:SHOWN_FINGERPRINT_DIGITS]: {
+                "pool": pool.name,
+                "versions": pool.versions,
+                "ready": pool.ready_servers,
+                "servers": pool.servers,
+                "connections": pool.connections,
+                "requests": pool.requests,
+            }
+            for pool in self._service.pools.status()
+        }
+
     def _listener_rows(self) -> list[dict[str, Any]]:
         return [
             {"name": listener.name, "address": key, "connections": listener.connections}
--- a/sandhatch/platform/reload.py
+++ b/sandhatch/platform/reload.py
@@ -27,7 +27,7 @@
     async def _reload(self) -> None:
         try:
             # On a thread: requests don't wait for a disk or for a long file to be checked.
-            config = await asyncio.to_thread(load, again=True)
+            config = await asyncio.to_thread(load, is_reload=True)
         except ConfigError as problem:
             self._logger.line(f"reload: {problem}; the configuration read before stays in use")
             return
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -67,6 +67,6 @@
             record.status in OVERLOAD_STATUSES,
         )
 
-    def check(self, now_ms: float, longest_aim_ms: float) -> Fall | None:
+    def check(self, now_ms: float, longest_objective_ms: float) -> Fall | None:
         """The fall in goodput that is established by now, if any; called regularly."""
-        return self.watch.close(now_ms, longest_aim_ms)
+        return self.watch.close(now_ms, longest_objective_ms)
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -10,8 +10,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
-from typing import Any
 
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
@@ -33,6 +33,29 @@
 WITHDRAW_BEFORE_GRACE_END_MS = 500.0
 
 
+@dataclass(slots=True, frozen=True)
+class PoolStatus:
+    """What one pool has at the moment.
+
+    Attributes:
+        fingerprint: The hash of what it is run by.
+        name: In the configuration.
+        versions: How many versions use it.
+        ready_servers: Servers that requests may be sent to.
+        servers: All servers that it knows.
+        connections: To its servers.
+        requests: Those that have not ended.
+    """
+
+    fingerprint: str
+    name: str
+    versions: int
+    ready_servers: int
+    servers: int
+    connections: int
+    requests: int
+
+
 class Pools:
     """The pools of all versions that still have requests or may become active."""
 
@@ -121,11 +144,13 @@
 
     @staticmethod
     def _transfer_state(previous: RunningPool, successor: RunningPool) -> None:
-        moved_servers = previous.dispatcher.connection_pool.migrate_idle(successor.dispatcher.connection_pool)
+        migrated_servers = previous.dispatcher.connection_pool.migrate_idle(
+            successor.dispatcher.connection_pool
+        )
         previous_balancer = previous.dispatcher.balancer
         balancer = successor.dispatcher.balancer
         if isinstance(balancer, Balancer) and isinstance(previous_balancer, Balancer):
-            inherit(balancer, previous_balancer, frozenset(moved_servers))
+            inherit(balancer, previous_balancer, frozenset(migrated_servers))
 
     def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
         """Stop superseded pools from sending to servers that their successors don't list."""
@@ -156,22 +181,20 @@
         for pool in self.alive.values():
             _stop(pool)
 
-    def status(self) -> dict[str, Any]:
-        """Each pool's servers and connections, by the first digits of its fingerprint.
-
-        The keys are part of the control protocol's status.
-        """
-        return {
-            pool.fingerprint[:8]: {
-                "pool": pool.name,
-                "versions": pool.version_count,
-                "ready": len(pool.ready_numbers),
-                "servers": len(pool.dispatcher.connection_pool.table),
-                "connections": pool.dispatcher.connection_pool.sockets,
-                "requests": pool.dispatcher.open,
-            }
+    def status(self) -> list[PoolStatus]:
+        """Each pool's servers, connections and requests."""
+        return [
+            PoolStatus(
+                fingerprint=pool.fingerprint,
+                name=pool.name,
+                versions=pool.version_count,
+                ready_servers=len(pool.ready_numbers),
+                servers=len(pool.dispatcher.connection_pool.table),
+                connections=pool.dispatcher.connection_pool.sockets,
+                requests=pool.dispatcher.open,
+            )
             for pool in self.alive.values()
-        }
+        ]
 
 
 def _stop(pool: RunningPool) -> None:
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -18,13 +18,13 @@
 
 
 class Reload:
-    """Reads the configuration file again whenever `ask` is called; calls meanwhile cause one more run."""
+    """Reads the configuration file again whenever `trigger` is called; calls meanwhile cause one more run."""
 
     def __init__(self, service: Service, path: str) -> None:
         """Reload the file at `path` into the service."""
         self._service = service
         self._path = path
-        self.ask = CoalescingRunner(self._reload).trigger
+        self.trigger = CoalescingRunner(self._reload).trigger
 
     async def _reload(self) -> None:
         logger = self._service.logger
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -112,8 +112,9 @@
                 count[LIST_COLUMNS[record.list_kind]] += 1
             self._apply_list(record)
         elif record.event == SENDS_EVENT:
-            for server, sent in record.sends_by_server:
-                self._count_attempts(self._address(record.instance, server), record.time_s, count, sent)
+            for sends in record.sends_by_server:
+                address = self._address(record.instance, sends.server)
+                self._count_attempts(address, record.time_s, count, sends.count)
             self._count_list_age(record.list_age_ms, count)
         for send in record.sends:
             self._count_send(record, send, count)
--- a/sandhatch/telemetry/record_format.py
+++ b/sandhatch/telemetry/record_format.py
@@ -139,6 +139,14 @@
     list_age_ms: float | None  # of the endpoint list it was chosen from; older records lack it
 
 
+@dataclass(frozen=True, slots=True)
+class ServerSends:
+    """How many attempts were sent to one server."""
+
+    server: int  # the instance's own number for it
+    count: int
+
+
 @dataclass(frozen=True, slots=True)
 class EventRecord:
     """One line of the record, parsed. Fields that its event lacks have the defaults."""
@@ -154,7 +162,7 @@
     outcome: Outcome | None = None  # of an attempt
     list_kind: str = ""  # of a list update, as `ListKind` spells it
     servers: tuple[RecordedServer, ...] = ()
-    sends_by_server: tuple[tuple[int, int], ...] = ()  # (server's number, count) of a span's sends
+    sends_by_server: tuple[ServerSends, ...] = ()  # of a span
     list_age_ms: float | None = None  # the oldest list's that a span's sends were chosen from
 
 
@@ -188,7 +196,9 @@
         details["list_kind"] = str(fields["kind"])
         details["servers"] = tuple(_parse_server(row) for row in fields["servers"])
     elif event == SENDS_EVENT:
-        details["sends_by_server"] = tuple((int(number), sent) for number, sent in fields["sent"].items())
+        details["sends_by_server"] = tuple(
+            ServerSends(int(number), sent) for number, sent in fields["sent"].items()
+        )
         details["list_age_ms"] = fields["age_ms"]
     return EventRecord(
         time_s=fields["t"],
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -148,7 +148,7 @@
     assert not any(run.block(0.0) for _ in range(20))
 
 
-def test_blocks_wait_for_slow_requests_but_not_past_the_longest_objective() -> None:
+def test_blocks_wait_for_slow_requests_but_not_beyond_the_longest_objective() -> None:
     watch = GoodputWatch(BLOCK_MS, 30_000.0)
     for n in range(40):
         watch.request_arrived(n * BLOCK_MS, "order", "web", 1.0)
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -179,7 +179,7 @@
     history.close()
 
 
-def test_a_version_that_was_never_confirmed_is_not_used_again(tmp_path: Path) -> None:
+def test_a_version_that_was_never_confirmed_is_reported_as_lost(tmp_path: Path) -> None:
     history = History(str(tmp_path))
     for step in STEPS[:4]:
         save(history, *step)
@@ -192,7 +192,7 @@
     history.close()
 
 
-def test_a_second_process_is_refused_the_directory(tmp_path: Path) -> None:
+def test_a_second_process_cannot_use_the_directory(tmp_path: Path) -> None:
     history = History(str(tmp_path))
     with pytest.raises(HistoryError, match="in use"):
         History(str(tmp_path))
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 import yaml
@@ -276,15 +276,23 @@
 # ------------------------------------------------ the command line
 
 
-def command(*arguments: str) -> tuple[int, str, str]:
+class CommandResult(NamedTuple):
+    """How one run of the command line ended, and what it printed."""
+
+    code: int
+    out: str
+    err: str
+
+
+def command(*arguments: str) -> CommandResult:
     out, err = io.StringIO(), io.StringIO()
     code = cli.main(arguments, out, err)
-    return code, out.getvalue(), err.getvalue()
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 def test_check_reports_every_problem_and_its_exit_code(tmp_path: Path) -> None:
     good = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
-    assert command("check", str(good))[0] == 0
+    assert command("check", str(good)).code == 0
     bad = tmp_path / "bad.yaml"
     bad.write_text("format: 1\npools: 5\n")
     code, _, err = command("check", str(bad))
@@ -294,9 +302,9 @@
     code, out, _ = command("check", "--json", str(bad))
     assert code == 1
     assert json.loads(out)["problems"][0]["line"] in (0, 2)
-    assert command("check", str(tmp_path / "none"))[0] == 1
-    assert command("nonsense")[0] == 2
-    assert command("status", "--control", str(tmp_path / "no.sock"))[0] == 3
+    assert command("check", str(tmp_path / "none")).code == 1
+    assert command("nonsense").code == 2
+    assert command("status", "--control", str(tmp_path / "no.sock")).code == 3
 
 
 def test_a_file_in_another_encoding_is_rejected_without_a_traceback(tmp_path: Path) -> None:
@@ -312,7 +320,7 @@
     async def work() -> None:
         async with controlled(tmp_path) as (running, farm, path):
 
-            async def run_verb(*arguments: str) -> tuple[int, str, str]:
+            async def run_verb(*arguments: str) -> CommandResult:
                 verb, *rest = arguments
                 return await asyncio.to_thread(command, verb, "--control", path, *rest)
 
@@ -320,9 +328,9 @@
             second = tmp_path / "second.yaml"
             first.write_text(change(farm, max_attempts=3))
             second.write_text(change(farm, max_attempts=4))
-            assert (await run_verb("propose", str(first), "--base", "1"))[1].startswith("proposal 1: 3 keys")
-            assert (await run_verb("propose", str(second), "--base", "1"))[0] == 0
-            assert "max_attempts" in (await run_verb("diff", "--proposal", "1"))[1]
+            assert (await run_verb("propose", str(first), "--base", "1")).out.startswith("proposal 1: 3 keys")
+            assert (await run_verb("propose", str(second), "--base", "1")).code == 0
+            assert "max_attempts" in (await run_verb("diff", "--proposal", "1")).out
             code, out, _ = await run_verb("commit", "1", "--confirm-within", "60")
             assert code == 0
             assert "version 2: in force" in out
@@ -330,15 +338,15 @@
             code, _, err = await run_verb("commit", "2")
             assert code == 4
             assert "pools.web.max_attempts" in err
-            assert (await run_verb("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
+            assert (await run_verb("status")).out.startswith("sandhatch: version 2 in force, 1 confirmed")
             assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
-            assert (await run_verb("rollback"))[0] == 0
+            assert (await run_verb("rollback")).code == 0
             await running.until(lambda: running.service.transactions.active.number == 3)
-            assert "confirmed" in (await run_verb("history"))[1]
-            assert json.loads((await run_verb("status", "--json"))[1])["in_force"] == 3
-            assert (await run_verb("abort", "2"))[0] == 0
-            assert (await run_verb("abort", "2"))[0] == 1
-            assert "web:" in (await run_verb("show"))[1]
+            assert "confirmed" in (await run_verb("history")).out
+            assert json.loads((await run_verb("status", "--json")).out)["in_force"] == 3
+            assert (await run_verb("abort", "2")).code == 0
+            assert (await run_verb("abort", "2")).code == 1
+            assert "web:" in (await run_verb("show")).out
             assert running.service.lifecycle.versions[3].state is State.CONFIRMED
 
     run(work())
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -60,7 +60,7 @@
         (b"/" + b"/" * 5000, "root"),
     ],
 )
-def test_prefixes_match_whole_segments(path: bytes, found: str) -> None:
+def test_prefixes_match_complete_segments(path: bytes, found: str) -> None:
     table = RouteTable([Route("a", "p", prefix=b"/a/"), Route("root", "p", prefix=b"/")], "d")
     assert matched_name(table, query(path)) == found
 
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -30,8 +30,8 @@
         Split.of([WeightedPool("a", weight), WeightedPool("b", 100 - weight)], b"c", b"r")
         for weight in (90, 88)
     )
-    moved = sum(
+    rehashed = sum(
         before.choose([(b"c", b"%d" % n)], lambda: 0.0) != after.choose([(b"c", b"%d" % n)], lambda: 0.0)
         for n in range(2000)
     )
-    assert 0 < moved < 2000 * 0.04
+    assert 0 < rehashed < 2000 * 0.04
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -27,9 +27,8 @@
         ):
             version = await running.confirmed(farm.config(discovered_pool(discovery), farm.pool("o1")))
             client.send_request()
-            assert (
-                await client.read_response()
-            ).body == b"b1"  # the list was there before the version was active
+            # The list was there before the version was active.
+            assert (await client.read_response()).body == b"b1"
             discovery.change(
                 farm.servers["b1"].entry("b1", lifecycle="leaving"), farm.servers["b2"].entry("b2")
             )
@@ -73,7 +72,7 @@
     run(work())
 
 
-def test_a_rollback_from_discovery_to_listed_servers_uses_them_all_again() -> None:
+def test_a_rollback_from_discovery_to_listed_servers_uses_all_of_them() -> None:
     """The earlier version's servers are withdrawn once the grace is over, and used after a rollback."""
 
     async def work() -> None:
--- a/tests/service/test_request_handling.py
+++ b/tests/service/test_request_handling.py
@@ -26,8 +26,8 @@
         ]
         async with serving(data) as running, HttpClient(running.port) as client:
             client.send(b"GET /gone?x=1 HTTP/1.1\r\nHost: h\r\n\r\n")
-            gone = await client.read_response()
-            assert (gone.status, gone.body, gone.headers["content-type"]) == (410, b"no", "text/plain")
+            fixed = await client.read_response()
+            assert (fixed.status, fixed.body, fixed.headers["content-type"]) == (410, b"no", "text/plain")
             client.send(b"GET /any HTTP/1.1\r\nHost: Orders.example:8080\r\n\r\n")
             assert (await client.read_response()).body == b"o1"
             seen = farm.servers["o1"].requests[0]
