--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -80,16 +80,7 @@
         self.goodput = GoodputMonitor(self.clock, first)
         self._listener_set = ListenerSet(self.shared, self.request_handler)
         self._store = VersionStore(self.shared, self.lifecycle, history, saved)
-        self.changes = VersionChanges(
-            self.shared,
-            self.lifecycle,
-            self.request_handler,
-            self.pools,
-            self._listener_set,
-            self.forwarding,
-            self._store,
-            self.goodput,
-        )
+        self.changes = self._version_changes()
         self.request_handler.on_request_received = self.goodput.request_received
         self.request_handler.on_request_finished = self._request_finished
         self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
@@ -101,6 +92,18 @@
         version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
         return VersionLifecycle(version, saved.next_number if saved else 0)
 
+    def _version_changes(self) -> VersionChanges:
+        return VersionChanges(
+            self.shared,
+            self.lifecycle,
+            self.request_handler,
+            self.pools,
+            self._listener_set,
+            self.forwarding,
+            self._store,
+            self.goodput,
+        )
+
     @property
     def running(self) -> dict[int, RunningVersion]:
         """Versions that are staged, active or still have requests, by number."""
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -7,11 +7,13 @@
 import os
 import resource
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Coroutine
 from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
+import uvloop
+
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import config_data
@@ -21,6 +23,10 @@
 
 ROOT = Path(__file__).parent.parent.parent
 
+TEST_LIMIT_S = 300.0
+START_TIMEOUT_S = 100.0  # for the program to serve, from its start on
+POLL_S = 0.02
+
 
 def write_config(path: Path, data: dict[str, Any]) -> None:
     """Write a configuration to its file."""
@@ -55,7 +61,7 @@
 
 async def ready(port: int, status: int = 200) -> None:
     """Wait until `/ready` answers with this status."""
-    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             try:
                 async with HttpClient(port) as client:
@@ -64,7 +70,7 @@
                         return
             except (ConnectionError, AssertionError):
                 pass
-            await asyncio.sleep(0.02)
+            await asyncio.sleep(POLL_S)
 
 
 @asynccontextmanager
@@ -82,9 +88,46 @@
             await process.wait()
 
 
-def open_descriptors(process: asyncio.subprocess.Process) -> int:
-    """How many descriptors the program has open."""
-    return len(list(Path(f"/proc/{process.pid}/fd").iterdir()))
+def open_descriptors(process: asyncio.subprocess.Process) -> list[int]:
+    """The descriptors that the program has open."""
+    return [int(path.name) for path in Path(f"/proc/{process.pid}/fd").iterdir()]
+
+
+def descriptors_left(process: asyncio.subprocess.Process, limit: int) -> int:
+    """How many descriptors the program may still open: those below its limit that are free."""
+    return limit - sum(descriptor < limit for descriptor in open_descriptors(process))
+
+
+async def use_up_descriptors(
+    process: asyncio.subprocess.Process, port: int, limit: int, least_clients: int, first_bytes: bytes = b""
+) -> list[HttpClient]:
+    """Connect clients until the program has no descriptor left for another, or the one of an eviction.
+
+    Args:
+        process: The program.
+        port: Where it listens.
+        limit: Its limit of descriptors.
+        least_clients: How many clients there are at least.
+        first_bytes: What each sends before the next one connects.
+    """
+    clients: list[HttpClient] = []
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+        while len(clients) < least_clients or descriptors_left(process, limit) > 1:
+            client = await HttpClient(port).__aenter__()
+            clients.append(client)
+            client.send(first_bytes)
+            await client.writer.drain()
+            if len(clients) > least_clients:
+                await asyncio.sleep(POLL_S)  # the program has not accepted all of them yet
+    return clients
+
+
+def run(work: Coroutine[Any, Any, None]) -> None:
+    """Run a test to its end on the program's event loop, or fail it after `TEST_LIMIT_S`.
+
+    The limit is longer than that of other tests: each starts a program, which takes long beside other work.
+    """
+    uvloop.run(asyncio.wait_for(work, TEST_LIMIT_S))
 
 
 async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -20,16 +20,17 @@
 from testkit.ports import free_port
 from testkit.servers import FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S
-from tests.event_loop import run
 from tests.platform.harness import (
     ROOT,
     exit_code,
     next_log_line,
     open_descriptors,
     ready,
+    run,
     running_program,
     spawn,
     started,
+    use_up_descriptors,
     write_config,
 )
 
@@ -106,7 +107,7 @@
                 client.writer.close()
             for _ in range(30):
                 await check_served(port)
-            assert open_descriptors(process) <= 64
+            assert len(open_descriptors(process)) <= 64
             process.send_signal(signal.SIGTERM)
             assert await exit_code(process) == 0
         upstream.close()
@@ -124,20 +125,15 @@
         async with running_program(tmp_path, upstream) as (process, port):
             await check_served(port)
             # Descriptors below the highest in use stay usable; new ones fail from here on.
-            used_descriptors = open_descriptors(process)
-            resource.prlimit(
-                process.pid, resource.RLIMIT_NOFILE, (used_descriptors + 8, used_descriptors + 8)
-            )
-            idle = [await HttpClient(port).__aenter__() for _ in range(30)]
+            limit = len(open_descriptors(process)) + 8
+            resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (limit, limit))
+            idle = await use_up_descriptors(process, port, limit, least_clients=30)
             await check_served(port)
             for client in idle:
                 client.writer.close()
-            busy = []
-            for _ in range(12):  # each sends before the next one connects, so that none is idle
-                client = await HttpClient(port).__aenter__()
-                busy.append(client)
-                client.send(request_bytes()[:-2])
-                await client.writer.drain()
+            # Each sends before the next one connects, so that none is idle.
+            incomplete = request_bytes()[:-2]
+            busy = await use_up_descriptors(process, port, limit, least_clients=12, first_bytes=incomplete)
             await check_served(port)
             for client in busy:
                 client.writer.close()
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -57,16 +57,16 @@
         self._books = books
         self.released = asyncio.Event()
         self.first_arrived = asyncio.Event()
-        self.traces: list[str] = []
+        self.trace_ids: list[str] = []
 
     async def __call__(self, request: ReceivedRequest, talk: FakeConnection) -> None:
-        self.traces.append(request.headers["x-trace-id"])
-        if len(self.traces) > 1:
+        self.trace_ids.append(request.headers["x-trace-id"])
+        if len(self.trace_ids) > 1:
             await talk.send(ok(b"second"))
             return
         self.first_arrived.set()
         await self.released.wait()
-        entry = self._books.entries.get(self.traces[0])
+        entry = self._books.entries.get(self.trace_ids[0])
         if entry is not None:
             entry.ran.clear()  # rejected before it ran
         await talk.send(status(503, "X-Never-Ran: 1\r\n"))
@@ -102,7 +102,7 @@
             record = next(record for record in running.records if record.trace_id == b"between")
             assert record.version == version.number
             assert len(record.servers) == 2
-            assert behaviour.traces == ["between", "between"]
+            assert behaviour.trace_ids == ["between", "between"]
         farm.close()
 
     run(work())
