--- a/sandhatch/routing/targets.py
+++ b/sandhatch/routing/targets.py
@@ -42,13 +42,13 @@
 
     Attributes:
         pools: Their names; those with weight 0 are left out.
-        upto: The running sums of their weights.
+        cumulative_weights: The running sums of their weights.
         by: The header whose value keeps a client with one pool, in lower case; empty for none.
         salt: Makes the hashes differ from those of other splits.
     """
 
     pools: tuple[str, ...]
-    upto: tuple[int, ...]
+    cumulative_weights: tuple[int, ...]
     by: bytes
     salt: bytes
 
@@ -74,7 +74,7 @@
                 point = int.from_bytes(digest) / HASH_RANGE
         if point is None:
             point = draw()
-        index = bisect_right(self.upto, point * self.upto[-1])
+        index = bisect_right(self.cumulative_weights, point * self.cumulative_weights[-1])
         return self.pools[min(index, len(self.pools) - 1)]
 
 
