--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -10,6 +10,8 @@
 from sandhatch.control.version_row import version_row
 from sandhatch.service.service import Service
 
+SHOWN_FINGERPRINT_DIGITS = 8
+
 
 class StatusCalls:
     """Each method answers one operation, or raises RejectedError. Keys are part of the control protocol."""
@@ -21,16 +23,16 @@
     async def status(self, _call: Call) -> dict[str, Any]:
         """The state of the process: versions, pools, listeners, proposals, planners and memory."""
         service = self._service
-        transactions = service.transactions
-        pending = transactions.pending
+        lifecycle = service.lifecycle
+        pending = lifecycle.pending
         return {
             "name": service.shared.name,
-            "in_force": transactions.active.number,
-            "confirmed": transactions.confirmed.number,
+            "in_force": lifecycle.active.number,
+            "confirmed": lifecycle.confirmed.number,
             "pending": version_row(pending, service.now_ms) if pending else None,
             "ready": service.request_handler.ready,
             "versions": {str(number): version.open for number, version in service.running.items()},
-            "pools": service.pools.status(),
+            "pools": self._pool_rows(),
             "bodies": service.shared.flows.snapshot(),
             "listeners": self._listener_rows(),
             "proposals": self._proposal_rows(),
@@ -41,6 +43,20 @@
             },
         }
 
+    def _pool_rows(self) -> dict[str, Any]:
+        """Each pool's row by the first digits of its fingerprint."""
+        return {
+            pool.fingerprint[:SHOWN_FINGERPRINT_DIGITS]: {
+                "pool": pool.name,
+                "versions": pool.versions,
+                "ready": pool.ready_servers,
+                "servers": pool.servers,
+                "connections": pool.connections,
+                "requests": pool.requests,
+            }
+            for pool in self._service.pools.status()
+        }
+
     def _listener_rows(self) -> list[dict[str, Any]]:
         return [
             {"name": listener.name, "address": key, "connections": listener.connections}
@@ -60,10 +76,10 @@
 
     async def history(self, _call: Call) -> dict[str, Any]:
         """The versions there were, oldest first."""
-        return {"versions": self._service.history_rows()}
+        return {"versions": [row.to_data() for row in self._service.history_rows()]}
 
     async def show(self, call: Call) -> dict[str, Any]:
         """A version's configuration as YAML; the active version's if none is named."""
-        number = call.integer("version", self._service.transactions.active.number)
+        number = call.integer("version", self._service.lifecycle.active.number)
         data = self._service.version_data(number)
         return {"version": number, "text": yaml.safe_dump(data, sort_keys=False)}
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 import yaml
@@ -24,6 +24,8 @@
 from testkit.clients import HttpClient
 from tests.service.harness import FakeServers, RunningService, run, serving
 
+SOCKET_NAME = "c.sock"
+
 
 class Peer:
     """A connection to the control socket."""
@@ -56,7 +58,7 @@
 ) -> AsyncIterator[tuple[RunningService, FakeServers, str]]:
     farm = await FakeServers().start("a1", "b1", "o1")
     async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
-        path = str(tmp / "c.sock")
+        path = str(tmp / SOCKET_NAME)
         server = ControlServer(Calls(running.service), running.service.logger, path, call_timeout_s)
         await server.start()
         try:
@@ -66,6 +68,10 @@
     farm.close()
 
 
+def file_mode(path: str) -> int:
+    return Path(path).stat().st_mode
+
+
 def change(farm: FakeServers, **more: Any) -> str:
     return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
 
@@ -77,7 +83,7 @@
             Peer(path) as peer,
             HttpClient(running.port) as client,
         ):
-            assert stat.S_IMODE(os.stat(path).st_mode) == 0o600
+            assert stat.S_IMODE(file_mode(path)) == 0o600
             proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
             assert proposed["ok"]
             assert proposed["changes"] == 2
@@ -175,9 +181,10 @@
 
 def test_a_call_that_is_too_long_is_rejected_and_not_buffered() -> None:
     reader = LineReader(1000)
+    for _ in range(10):
+        assert reader.feed(b"x" * 100) == []
     with pytest.raises(CallError, match="more than 1000 bytes"):
-        for _ in range(20):
-            reader.feed(b"x" * 100)
+        reader.feed(b"x")
     assert reader.buffered_bytes == 0
     assert LineReader().feed(b'{"a":1}\n{"b":2}\n{"c"') == [{"a": 1}, {"b": 2}]
 
@@ -240,7 +247,7 @@
 def test_a_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path):
-            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda sock: os.geteuid() + 4711)
+            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda _socket: os.geteuid() + 4711)
             async with Peer(path) as peer:
                 assert await peer.reader.read() == b""  # closed without an answer
             monkeypatch.undo()
@@ -261,35 +268,43 @@
                     Calls(running.service), running.service.logger, str(tmp_path / "file")
                 ).start()
             assert (tmp_path / "file").read_text() == "mine"
-        assert not os.path.exists(path)
 
     run(work())
+    assert not (tmp_path / SOCKET_NAME).exists()
 
 
 # ------------------------------------------------ the command line
 
 
-def command(*arguments: str) -> tuple[int, str, str]:
+class CommandResult(NamedTuple):
+    """How one run of the command line ended, and what it printed."""
+
+    code: int
+    out: str
+    err: str
+
+
+def command(*arguments: str) -> CommandResult:
     out, err = io.StringIO(), io.StringIO()
     code = cli.main(arguments, out, err)
-    return code, out.getvalue(), err.getvalue()
+    return CommandResult(code, out.getvalue(), err.getvalue())
 
 
 def test_check_reports_every_problem_and_its_exit_code(tmp_path: Path) -> None:
     good = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
-    assert command("check", str(good))[0] == 0
+    assert command("check", str(good)).code == 0
     bad = tmp_path / "bad.yaml"
     bad.write_text("format: 1\npools: 5\n")
     code, _, err = command("check", str(bad))
     assert code == 1
-    assert f"{bad}:2: pools: 5: a mapping is wanted" in err
-    assert "classes: this key" in err
+    assert f"{bad}:2: pools: expected a mapping, got 5" in err
+    assert "classes: required key is missing" in err
     code, out, _ = command("check", "--json", str(bad))
     assert code == 1
     assert json.loads(out)["problems"][0]["line"] in (0, 2)
-    assert command("check", str(tmp_path / "none"))[0] == 1
-    assert command("nonsense")[0] == 2
-    assert command("status", "--control", str(tmp_path / "no.sock"))[0] == 3
+    assert command("check", str(tmp_path / "none")).code == 1
+    assert command("nonsense").code == 2
+    assert command("status", "--control", str(tmp_path / "no.sock")).code == 3
 
 
 def test_a_file_in_another_encoding_is_rejected_without_a_traceback(tmp_path: Path) -> None:
@@ -305,7 +320,7 @@
     async def work() -> None:
         async with controlled(tmp_path) as (running, farm, path):
 
-            async def run_verb(*arguments: str) -> tuple[int, str, str]:
+            async def run_verb(*arguments: str) -> CommandResult:
                 verb, *rest = arguments
                 return await asyncio.to_thread(command, verb, "--control", path, *rest)
 
@@ -313,9 +328,9 @@
             second = tmp_path / "second.yaml"
             first.write_text(change(farm, max_attempts=3))
             second.write_text(change(farm, max_attempts=4))
-            assert (await run_verb("propose", str(first), "--base", "1"))[1].startswith("proposal 1: 3 keys")
-            assert (await run_verb("propose", str(second), "--base", "1"))[0] == 0
-            assert "max_attempts" in (await run_verb("diff", "--proposal", "1"))[1]
+            assert (await run_verb("propose", str(first), "--base", "1")).out.startswith("proposal 1: 3 keys")
+            assert (await run_verb("propose", str(second), "--base", "1")).code == 0
+            assert "max_attempts" in (await run_verb("diff", "--proposal", "1")).out
             code, out, _ = await run_verb("commit", "1", "--confirm-within", "60")
             assert code == 0
             assert "version 2: in force" in out
@@ -323,15 +338,15 @@
             code, _, err = await run_verb("commit", "2")
             assert code == 4
             assert "pools.web.max_attempts" in err
-            assert (await run_verb("status"))[1].startswith("sandhatch: version 2 in force, 1 confirmed")
+            assert (await run_verb("status")).out.startswith("sandhatch: version 2 in force, 1 confirmed")
             assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
-            assert (await run_verb("rollback"))[0] == 0
+            assert (await run_verb("rollback")).code == 0
             await running.until(lambda: running.service.transactions.active.number == 3)
-            assert "confirmed" in (await run_verb("history"))[1]
-            assert json.loads((await run_verb("status", "--json"))[1])["in_force"] == 3
-            assert (await run_verb("abort", "2"))[0] == 0
-            assert (await run_verb("abort", "2"))[0] == 1
-            assert "web:" in (await run_verb("show"))[1]
-            assert running.service.transactions.versions[3].state is State.CONFIRMED
+            assert "confirmed" in (await run_verb("history")).out
+            assert json.loads((await run_verb("status", "--json")).out)["in_force"] == 3
+            assert (await run_verb("abort", "2")).code == 0
+            assert (await run_verb("abort", "2")).code == 1
+            assert "web:" in (await run_verb("show")).out
+            assert running.service.lifecycle.versions[3].state is State.CONFIRMED
 
     run(work())
