--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -38,7 +38,7 @@
 
 # Leases that outlast a slow link, there and back.
 SLOW_LINK_MS = 300.0
-SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, lend_ms=9_000.0, lost_ms=9_000.0)
+SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, share_lease_ms=9_000.0, member_timeout_ms=9_000.0)
 
 
 @dataclass(frozen=True)
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -13,10 +13,11 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, ServerState
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.actions import Action, Drop, GuideBalancer, SendReport
+from sandhatch.planning.actions import Action, Drop, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import PoolReport, RampShareRow, Row
 from sandhatch.planning.observer import Observer
+from sandhatch.planning.pool_reporter import BudgetedReport
 from sandhatch.planning.terms import ForwarderTerms
 from sandhatch.runtime.address import server_label
 from testkit.simulation.clock import START_MS
@@ -55,7 +56,7 @@
 
 
 class ModelReporter:
-    """Stands for what the planning machine gets from `Observer.tell`, whose methods it has.
+    """Stands for what the planning machine gets from `Observer.new_reporter`, whose methods it has.
 
     It reports the names of the servers at first, then rows of servers drawn at random.
     """
@@ -77,23 +78,23 @@
         self,
         pool: str,
         now_ms: float,  # noqa: ARG002 - the machine gives it
-        budget: int,
-        held: Iterable[RampShareRow] = (),
-    ) -> tuple[PoolReport, int]:
-        """The pool's part of a report, and what is left of the budget of rows."""
+        budget_bytes: int,
+        previous_grants: Iterable[RampShareRow] = (),
+    ) -> BudgetedReport:
+        """The pool's part of a report; the budget is left as it is, since the model doesn't count bytes."""
         model = self._model
-        report = PoolReport(pool, anew=not self._has_reported_names, held=list(held))
+        report = PoolReport(pool, anew=not self._has_reported_names, previous_grants=list(previous_grants))
         if not self._has_reported_names:
             self._has_reported_names = True
             report.names = model.names
             report.warm = list(range(len(model.servers)))
-        report.cold = model.restarts[self._restarts_reported :]
+        report.warming_up = model.restarts[self._restarts_reported :]
         self._restarts_reported = len(model.restarts)
         attempts = int(model.attempts_per_step)
         drawn = model.rng.sample(range(len(model.servers)), min(2 * attempts, len(model.servers)))
         report.rows = [Row(number, index % 2, 1, 0, 0, 20.0, [20, 1]) for index, number in enumerate(drawn)]
         report.demand = {REQUEST_CLASS: attempts}
-        return report, budget
+        return BudgetedReport(report, budget_bytes)
 
 
 class ModelObserver:
@@ -103,7 +104,7 @@
         """Creates an observer of the model."""
         self._model = model
 
-    def tell(self) -> ModelReporter:
+    def new_reporter(self) -> ModelReporter:
         """What reports to one planner are made from."""
         return ModelReporter(self._model)
 
@@ -155,7 +156,7 @@
             match action:
                 case SendReport():
                     reports.append(action)
-                case GuideBalancer():
+                case NotifyBalancer():
                     self._apply(action.event, now_ms)
                 case Drop():
                     raise AssertionError(f"{action.planner} was dropped: {action.why}")
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -74,11 +74,11 @@
 def _terms(config: PlannerConfig) -> PlannerTerms:
     return PlannerTerms(
         lease_ms=config.lease_ms,
-        lend_ms=config.lend_ms,
-        look_ms=config.look_ms,
-        lost_ms=config.lend_ms,
-        enough=config.enough,
-        most_holders=config.most_holders,
+        share_lease_ms=config.lend_ms,
+        weights_interval_ms=config.look_ms,
+        member_timeout_ms=config.lend_ms,
+        min_reporting_fraction=config.enough,
+        max_ramp_holders=config.most_holders,
     )
 
 
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -21,8 +21,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class GuideBalancer:
-    """Give an event to a pool's balancer; if it rejects the event, `Forwarder.rejected` must be called."""
+class NotifyBalancer:
+    """Hand an event to a pool's balancer; if it rejects the event, `Forwarder.rejected` must be called."""
 
     pool: str
     event: Guidance | OwnSharesLeased
@@ -43,4 +43,4 @@
     text: str
 
 
-Action = SendReport | GuideBalancer | Drop | Note
+Action = SendReport | NotifyBalancer | Drop | Note
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, RampShare, ServerWeight
 from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Drop, GuideBalancer, Note, SendReport
+from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
 from sandhatch.planning.lessors import CLOCK_DRIFT
 from sandhatch.planning.messages import Advice, PoolAdvice, RampShareRow, Report, WeightRow
 from sandhatch.planning.observer import Observer
@@ -81,7 +81,7 @@
         self.terms = terms or ForwarderTerms()
         self.peers = {planner: PlannerPeer(planner, rank) for rank, planner in enumerate(planners)}
         self.pools: dict[str, _Pool] = {}
-        quiet_ms = self.terms.most_lease_ms * (1.0 + CLOCK_DRIFT) if quiet_ms is None else quiet_ms
+        quiet_ms = self.terms.max_lease_ms * (1.0 + CLOCK_DRIFT) if quiet_ms is None else quiet_ms
         self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + quiet_ms)
         self._ramp_shares: dict[str, Sequence[RampShare]] = {}  # granted last, by pool
         self._ramp_shares_until_ms = -math.inf
@@ -92,7 +92,7 @@
         return self._selection.lessee
 
     @property
-    def bound_ms(self) -> float:
+    def leased_until_ms(self) -> float:
         """Until then other forwarders may use this forwarder's own shares."""
         return self._selection.leased_until_ms
 
@@ -103,13 +103,13 @@
         known = self.pools.get(name)
         if known is not None and known.observer is observer:
             known.settings = settings
-            return [GuideBalancer(name, OwnSharesLeased(self.bound_ms))]
-        self.drop_pool(name)
-        self.pools[name] = _Pool(name, settings, observer)
-        for peer in self.peers.values():
-            if peer.connected:
-                peer.reporters[name] = observer.tell()
-        return [GuideBalancer(name, OwnSharesLeased(self.bound_ms))]
+        else:
+            self.drop_pool(name)
+            self.pools[name] = _Pool(name, settings, observer)
+            for peer in self.peers.values():
+                if peer.connected:
+                    peer.reporters[name] = observer.new_reporter()
+        return [NotifyBalancer(name, OwnSharesLeased(self.leased_until_ms))]
 
     def drop_pool(self, name: str) -> None:
         """Remove a pool."""
@@ -126,7 +126,7 @@
         if epoch < peer.epoch:
             reason = f"epoch {epoch} is before {peer.epoch}"
             return [*self._fault(peer, reason, now_ms), Drop(planner, reason)]
-        reporters = {name: pool.observer.tell() for name, pool in self.pools.items()}
+        reporters = {name: pool.observer.new_reporter() for name, pool in self.pools.items()}
         peer.begin_session(epoch, reporters, self.terms.bytes_per_s, now_ms)
         return []
 
@@ -146,7 +146,7 @@
         if not peer.connected:
             return []
         peer.advices += 1
-        rejection_reason = peer.rejection_reason(advice, self.terms.most_lease_ms)
+        rejection_reason = peer.rejection_reason(advice, self.terms.max_lease_ms)
         if rejection_reason is not None:
             return self._fault(peer, rejection_reason, now_ms)
         peer.version = advice.version
@@ -166,7 +166,7 @@
             pool = self.pools.get(pool_advice.pool)
             reporter = peer.reporters.get(pool_advice.pool)
             if pool is not None and reporter is not None:
-                actions.append(GuideBalancer(pool.name, self._guidance(applied, pool_advice, reporter)))
+                actions.append(NotifyBalancer(pool.name, self._guidance(applied, pool_advice, reporter)))
         if has_lease:
             self._ramp_shares_until_ms = until_ms
         return actions
@@ -186,7 +186,7 @@
             applied.valid_until_ms,
             weights,
             applied.has_lease,
-            self.bound_ms if applied.has_lease else 0.0,
+            self.leased_until_ms if applied.has_lease else 0.0,
             ramp_shares,
             pool_advice.own_share if applied.has_lease else None,
         )
@@ -247,26 +247,21 @@
         if leases_shares:
             lease_end_ms = peer.applied_ms + peer.share_lease_ms * (1.0 + CLOCK_DRIFT)
             if self._selection.extend(lease_end_ms):
-                actions += [GuideBalancer(pool, OwnSharesLeased(self.bound_ms)) for pool in self.pools]
+                actions += [
+                    NotifyBalancer(pool, OwnSharesLeased(self.leased_until_ms)) for pool in self.pools
+                ]
         self._add_pools(report, peer, now_ms)
         actions.append(SendReport(peer.name, report))
         return actions
 
     def _add_pools(self, report: Report, peer: PlannerPeer, now_ms: float) -> None:
         """Add all pools to a report, within the peer's credit of bytes."""
-        # Grants of a planner's previous incarnation go on, so the new one must know of them.
-        reports_held = (
-            peer.learning and self._selection.last_lessee == peer.name and now_ms < self._ramp_shares_until_ms
-        )
         budget_bytes = int(peer.credit_bytes) - REPORT_OVERHEAD_BYTES
         for name, pool in self.pools.items():
-            held = [
-                RampShareRow(share.server, share.rate, share.burst)
-                for share in self._ramp_shares.get(name, ())
-            ]
             pool_budget_bytes = max(0, budget_bytes - POOL_OVERHEAD_BYTES)
+            previous_grants = self._previous_grants(name, peer, now_ms)
             pool_report, remaining_bytes = peer.reporters[name].report(
-                name, now_ms, pool_budget_bytes, held if reports_held else ()
+                name, now_ms, pool_budget_bytes, previous_grants
             )
             pool_report.instances = pool.settings.instances
             pool_report.instance_index = pool.settings.instance_index
@@ -275,13 +270,24 @@
             report.pools.append(pool_report)
         peer.credit_bytes = max(0.0, float(budget_bytes))
 
+    def _previous_grants(self, pool: str, peer: PlannerPeer, now_ms: float) -> list[RampShareRow]:
+        """Ramp shares to report to a planner whose previous incarnation granted them.
+
+        They stay valid, so the new incarnation must know of them before it grants anything.
+        """
+        was_lessee = self._selection.last_lessee == peer.name
+        if not (peer.learning and was_lessee and now_ms < self._ramp_shares_until_ms):
+            return []
+        shares = self._ramp_shares.get(pool, ())
+        return [RampShareRow(share.server, share.rate, share.burst) for share in shares]
+
     # ------------------------------------------------ for operators
 
     def status(self, now_ms: float) -> dict[str, Any]:
         """The link, as values for JSON; the keys are part of the interface of `sandhatch status`."""
         own_shares_in_ms = None
         if self.leased_to is None:
-            own_shares_in_ms = max(0, round(self.bound_ms - now_ms))
+            own_shares_in_ms = max(0, round(self.leased_until_ms - now_ms))
         return {
             "forwarder": self.name,
             "lends_to": self.leased_to,
--- a/sandhatch/planning/grant_ledger.py
+++ b/sandhatch/planning/grant_ledger.py
@@ -52,7 +52,7 @@
         # Sums are maintained incrementally: with hundreds of forwarders and of servers warming up, each
         # advice would otherwise visit all grants. Grants that ended since the last full pass are still
         # included, which errs on the safe side.
-        self._max_held: dict[str, RampAmount] = {}
+        self._max_granted: dict[str, RampAmount] = {}
         self._total_rate = 0.0
         self._total_burst = 0.0
         self._next_pass_ms = math.inf  # when the first of the grants ends
@@ -62,14 +62,14 @@
         """Forwarders with grants."""
         return list(self._grants)
 
-    def held(self, forwarder: str, now_ms: float) -> RampAmount:
-        """The most that a forwarder may hold, over its grants that are valid and not superseded."""
+    def granted(self, forwarder: str, now_ms: float) -> RampAmount:
+        """The most that a forwarder may use, over its grants that are valid and not superseded."""
         self._drop_ended(now_ms)
         return self._refresh(forwarder, now_ms)
 
-    def held_by_others(self, forwarder: str, now_ms: float) -> RampAmount:
-        """The most that all other forwarders may hold together."""
-        own = self.held(forwarder, now_ms)
+    def granted_to_others(self, forwarder: str, now_ms: float) -> RampAmount:
+        """The most that all other forwarders may use together."""
+        own = self.granted(forwarder, now_ms)
         rate = max(0.0, self._total_rate - own.rate)
         burst = max(0.0, self._total_burst - own.burst)
         return RampAmount(rate, burst)
@@ -83,11 +83,11 @@
         now_ms: float,
         until_ms: float,
     ) -> RampAmount:
-        """Grant as much of `wanted` as is leased until `until_ms` and not held by other forwarders.
+        """Grant as much of `wanted` as is leased until `until_ms` and not granted to other forwarders.
 
         A burst of less than one attempt grants nothing.
         """
-        others = self.held_by_others(forwarder, now_ms)
+        others = self.granted_to_others(forwarder, now_ms)
         rate = min(wanted.rate, leased.rate - others.rate)
         burst = min(wanted.burst, leased.burst - others.burst)
         if rate <= 0.0 or burst < 1.0:
@@ -98,7 +98,7 @@
         return amount
 
     def claim(self, forwarder: str, amount: RampAmount, now_ms: float, until_ms: float) -> None:
-        """Record what a forwarder reports to hold from this planner's previous incarnation."""
+        """Record what a forwarder reports to have from this planner's previous incarnation."""
         self._add(forwarder, Grant(PREVIOUS_INCARNATION_VERSION, amount, until_ms))
         self._refresh(forwarder, now_ms)
 
@@ -107,8 +107,8 @@
         self._next_pass_ms = min(self._next_pass_ms, grant.until_ms)
 
     def _refresh(self, forwarder: str, now_ms: float) -> RampAmount:
-        """Drop a forwarder's ended and superseded grants; returns the most that it may still hold."""
-        before = self._max_held.pop(forwarder, NOTHING)
+        """Drop a forwarder's ended and superseded grants; returns the most that it may still use."""
+        before = self._max_granted.pop(forwarder, NOTHING)
         self._total_rate -= before.rate
         self._total_burst -= before.burst
         grants = self._grants.get(forwarder)
@@ -124,7 +124,7 @@
             most_rate = max([grant.amount.rate for grant in grants])
             most_burst = max([grant.amount.burst for grant in grants])
             most = RampAmount(most_rate, most_burst)
-        self._max_held[forwarder] = most
+        self._max_granted[forwarder] = most
         self._total_rate += most.rate
         self._total_burst += most.burst
         return most
@@ -133,7 +133,7 @@
         """Form the sums again once the first of the grants has ended."""
         if now_ms < self._next_pass_ms:
             return
-        self._max_held = {}
+        self._max_granted = {}
         self._total_rate = 0.0
         self._total_burst = 0.0
         for forwarder in list(self._grants):
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Event, Guidance, ListUpdate, OwnSharesLeased
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Drop, GuideBalancer, Note, SendReport
+from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
 from sandhatch.planning.backoff import Backoff
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.keys import Identity
@@ -179,7 +179,7 @@
             match action:
                 case SendReport():
                     self._send(action)
-                case GuideBalancer():
+                case NotifyBalancer():
                     dispatcher = self._dispatchers.get(action.pool)
                     if dispatcher is not None:
                         dispatcher.apply_guidance(action.event)
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -129,7 +129,7 @@
                 )
             self._number(member, report.names)
         self._check_numbers(report, len(member.readiness))
-        for number in report.cold:
+        for number in report.warming_up:
             self._set_readiness(member, number, Readiness.WARMING_UP)
         for number in report.warm:
             self._set_readiness(member, number, Readiness.WARM)
@@ -143,7 +143,7 @@
 
     def _check_numbers(self, report: PoolReport, known: int) -> None:
         row_numbers = (row.server for row in report.rows)
-        highest = max(chain(report.cold, report.warm, report.not_ready, row_numbers), default=-1)
+        highest = max(chain(report.warming_up, report.warm, report.not_ready, row_numbers), default=-1)
         if highest >= known:
             raise InvalidReportError(f"pool {self.name}: server {highest} has no name in this session")
 
--- a/sandhatch/planning/messages.py
+++ b/sandhatch/planning/messages.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from typing import Annotated
+from typing import Annotated, TypeVar
 
 import msgspec
 from msgspec import Meta, Struct, field
@@ -18,6 +18,8 @@
 
 VERSION = 1  # of the protocol
 
+T = TypeVar("T")
+
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Address = Annotated[str, Meta(min_length=1, max_length=300)]
 Count = Annotated[int, Meta(ge=0, lt=2**48)]
@@ -51,7 +53,13 @@
 
 
 class RampShareRow(Struct, array_like=True, frozen=True):
-    """A share in a server's warm-up ramp: a fraction of its rate, and a number of attempts at once."""
+    """A share in a server's warm-up ramp.
+
+    Attributes:
+        server: The session's number of the server.
+        rate: Fraction of the ramp's rate.
+        burst: Attempts that may be sent at once.
+    """
 
     server: Count
     rate: Annotated[float, Meta(ge=0.0, le=1.0)]
@@ -68,12 +76,12 @@
         burst: Burst of a warm-up ramp, in attempts of all instances together.
         names: Addresses of servers, numbered in this session in the order in which they are sent.
         rows: Observations of servers.
-        cold: Servers that started warming up since the last report.
+        warming_up: Servers that started warming up since the last report.
         warm: Servers that became warm since the last report.
         not_ready: Servers that were removed from the endpoint list or started draining.
         demand: Requests that arrived, by request class.
-        held: Ramp shares granted by the planner's previous incarnation that are still valid; sent in the
-            first reports of a session.
+        previous_grants: Ramp shares granted by the planner's previous incarnation that are still valid; sent
+            in the first reports of a session.
         anew: The numbering of servers and all totals start again.
     """
 
@@ -83,11 +91,11 @@
     burst: Amount = 1.0
     names: list[Address] = []
     rows: list[Row] = []
-    cold: list[Count] = []
+    warming_up: list[Count] = field(default_factory=list, name="cold")
     warm: list[Count] = []
     not_ready: list[Count] = field(default_factory=list, name="left")
     demand: dict[Name, Count] = {}
-    held: list[RampShareRow] = []
+    previous_grants: list[RampShareRow] = field(default_factory=list, name="held")
     anew: bool = False
 
 
@@ -196,8 +204,12 @@
     Raises:
         BadMessageError: The payload is not such a message.
     """
+    return _decode(_decoder, payload)
+
+
+def _decode(decoder: msgspec.msgpack.Decoder[T], payload: bytes | memoryview) -> T:
     try:
-        return _decoder.decode(payload)
+        return decoder.decode(payload)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise BadMessageError(str(problem)) from None
 
@@ -231,7 +243,14 @@
 
 
 class WelcomeBody(Struct):
-    """The authenticated part of a `Welcome`: version chosen, planner's name, epoch and X25519 key."""
+    """The authenticated part of a `Welcome`.
+
+    Attributes:
+        version: Protocol version that the planner chose.
+        name: The planner's name.
+        epoch: The planner's incarnation.
+        ephemeral: X25519 public key of this session.
+    """
 
     version: Count
     name: Name
@@ -274,10 +293,7 @@
     Raises:
         BadMessageError: The payload is not such a message.
     """
-    try:
-        return _handshake_decoder.decode(payload)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise BadMessageError(str(problem)) from None
+    return _decode(_handshake_decoder, payload)
 
 
 def decode_body(payload: bytes) -> WelcomeBody:
@@ -286,7 +302,4 @@
     Raises:
         BadMessageError: The payload is not such a body.
     """
-    try:
-        return _body_decoder.decode(payload)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise BadMessageError(str(problem)) from None
+    return _decode(_body_decoder, payload)
--- a/sandhatch/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -76,8 +76,8 @@
         counts = zip(self._classes, self._request_counts, strict=True)
         return {name: count for name, count in counts if count}
 
-    def tell(self) -> PoolReporter:
-        """Create the reporter of a session with a planner."""
+    def new_reporter(self) -> PoolReporter:
+        """Create a reporter for a session with a planner."""
         reporter = PoolReporter(self)
         self.reporters.add(reporter)
         return reporter
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -52,7 +52,7 @@
 
     def learning(self, now_ms: float) -> bool:
         """Whether grants of this planner's previous incarnation may still be valid somewhere."""
-        return now_ms < self.started_ms + self.terms.lend_ms * (1.0 + CLOCK_DRIFT)
+        return now_ms < self.started_ms + self.terms.share_lease_ms * (1.0 + CLOCK_DRIFT)
 
     def joined(self, name: str, now_ms: float) -> None:
         """A forwarder's session begins."""
@@ -91,7 +91,7 @@
             raise
         self._leave_unreported_pools(name, report)
         has_lease = report.leases_shares and member.applied.version > 0 and not member.conflict
-        until_ms = member.applied.sent_ms + self.terms.lend_ms
+        until_ms = member.applied.sent_ms + self.terms.share_lease_ms
         for plan in self.pools.values():
             plan.set_lease(name, has_lease, until_ms)
         return self._advise(member, report, has_lease, now_ms)
@@ -137,12 +137,12 @@
         To be called several times a second, between the reports.
         """
         span_ms = now_ms - self._weights_updated_ms
-        if span_ms >= self.terms.look_ms:
+        if span_ms >= self.terms.weights_interval_ms:
             self._weights_updated_ms = now_ms
             for plan in self.pools.values():
                 plan.load.update_weights(span_ms, unbounded_steps=self.learning(now_ms))
         for name, member in list(self.members.items()):
-            if now_ms - member.last_report_ms >= self.terms.lost_ms:
+            if now_ms - member.last_report_ms >= self.terms.member_timeout_ms:
                 self._remove(name)
 
     def _remove(self, name: str) -> None:
@@ -169,7 +169,7 @@
             member.version,
             report.serial,
             self.terms.lease_ms,
-            self.terms.lend_ms,
+            self.terms.share_lease_ms,
             has_lease,
             learning,
             member.conflict[:MAX_NOTE_CHARACTERS],
@@ -204,8 +204,10 @@
         """
         if plan.lessors is None or self.learning(now_ms):
             return False
-        has_waited = now_ms >= self.started_ms + LEARNING_TIMES_WAITED * self.terms.lend_ms
-        return has_waited or len(plan.load.members) >= self.terms.enough * plan.lessors.instances
+        has_waited = now_ms >= self.started_ms + LEARNING_TIMES_WAITED * self.terms.share_lease_ms
+        return (
+            has_waited or len(plan.load.members) >= self.terms.min_reporting_fraction * plan.lessors.instances
+        )
 
     def _grant_end_ms(self, now_ms: float) -> float:
         """When a grant of now has ended at every forwarder; what it is made of must be leased until then."""
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -206,7 +206,9 @@
             self.fault_times_ms.popleft()
         if len(self.fault_times_ms) < terms.fault_limit:
             return None
-        backoff_ms = min(terms.max_backoff_ms, terms.shun_ms * 2.0 ** min(self.backoffs, MAX_DOUBLINGS))
+        backoff_ms = min(
+            terms.max_backoff_ms, terms.min_backoff_ms * 2.0 ** min(self.backoffs, MAX_DOUBLINGS)
+        )
         self.backoffs += 1
         self.backoff_until_ms = now_ms + backoff_ms
         self.fault_times_ms.clear()
--- a/sandhatch/planning/planner_status.py
+++ b/sandhatch/planning/planner_status.py
@@ -32,7 +32,7 @@
     ledger = plan.ledgers.get(address)
     granted = {}
     if ledger is not None:
-        granted = {name: ledger.held(name, now_ms) for name in ledger.holders}
+        granted = {name: ledger.granted(name, now_ms) for name in ledger.holders}
     leased = NOTHING
     if plan.lessors is not None:
         leased = plan.lessors.leased(server_label(address), until_ms)
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -120,10 +120,10 @@
         They are valid for one lease time at most.
         """
         views = self.load.members[forwarder].numbering.views
-        for row in report.held:
+        for row in report.previous_grants:
             if row.server < len(views):
                 amount = RampAmount(row.rate, min(row.burst, report.burst))
-                until_ms = now_ms + self._terms.lend_ms
+                until_ms = now_ms + self._terms.share_lease_ms
                 self.ledger(views[row.server]).claim(forwarder, amount, now_ms, until_ms)
 
     def covers_grants(self, forwarder: str, now_ms: float, until_ms: float) -> bool:
@@ -135,12 +135,12 @@
             ledger = self.ledgers.get(load.numbering.views[number].address)
             if ledger is None:
                 continue
-            held = ledger.held(forwarder, now_ms)
-            others = ledger.held_by_others(forwarder, now_ms)
+            own = ledger.granted(forwarder, now_ms)
+            others = ledger.granted_to_others(forwarder, now_ms)
             leased = self.lessors.leased(ledger.label, until_ms)
-            if held.rate + others.rate > leased.rate + TOLERANCE:
+            if own.rate + others.rate > leased.rate + TOLERANCE:
                 return False
-            if held.burst + others.burst > leased.burst + TOLERANCE:
+            if own.burst + others.burst > leased.burst + TOLERANCE:
                 return False
         return True
 
@@ -170,7 +170,7 @@
             ledger = self.ledger(view)
             leased = self.lessors.leased(ledger.label, until_ms)
             if learning or shares is None:
-                wanted = ledger.held(forwarder, now_ms)
+                wanted = ledger.granted(forwarder, now_ms)
             else:
                 # A whole burst stays an integer: it is encoded as one on the wire.
                 burst = max(1.0, math.floor(leased.burst / len(shares)))
@@ -202,7 +202,7 @@
             if address in self.ramp_shares:
                 continue
             label = self.ledger(view).label
-            max_holders = min(self._terms.most_holders, int(self.lessors.leased(label, until_ms).burst))
+            max_holders = min(self._terms.max_ramp_holders, int(self.lessors.leased(label, until_ms).burst))
             shares = assign_ramp(self._demands, label, max_holders)
             before = previous.get(address, {})
             self.ramp_shares[address] = before if is_similar(before, shares) else shares
@@ -216,7 +216,7 @@
         warmed_up = [address for address in self.ledgers if address not in self.load.warming_up]
         for address in warmed_up:
             ledger = self.ledgers[address]
-            if not any(ledger.held(name, now_ms).burst for name in ledger.holders):
+            if not any(ledger.granted(name, now_ms).burst for name in ledger.holders):
                 del self.ledgers[address]
 
     def own_share(self, forwarder: str, until_ms: float) -> float | None:
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -104,7 +104,7 @@
         self._reported_totals.pop(server, None)
 
     def report(
-        self, pool: str, now_ms: float, budget_bytes: int, held: Iterable[RampShareRow] = ()
+        self, pool: str, now_ms: float, budget_bytes: int, previous_grants: Iterable[RampShareRow] = ()
     ) -> BudgetedReport:
         """Report what changed, as much of it as fits.
 
@@ -114,17 +114,18 @@
             pool: Name of the pool.
             now_ms: The time.
             budget_bytes: Maximum encoded size of the names, numbers, shares and rows.
-            held: Ramp shares that are still held, by the balancer's numbers of the servers.
+            previous_grants: Ramp shares that the planner's previous incarnation granted, by the balancer's
+                numbers of the servers.
         """
         report = PoolReport(pool, anew=self._is_first)
         self._is_first = False
         remaining_bytes = self._add_names(report, budget_bytes)
         remaining_bytes = self._add_readiness(report, now_ms, remaining_bytes)
         self._add_demand(report)
-        for share in held:
+        for share in previous_grants:
             number = self._numbers.get(share.server)
             if number is not None and remaining_bytes >= RAMP_SHARE_BYTES:
-                report.held.append(RampShareRow(number, share.rate, share.burst))
+                report.previous_grants.append(RampShareRow(number, share.rate, share.burst))
                 remaining_bytes -= RAMP_SHARE_BYTES
         return BudgetedReport(report, self._add_rows(report, remaining_bytes))
 
@@ -166,7 +167,7 @@
     def _add_number(report: PoolReport, number: int, readiness: Readiness) -> None:
         match readiness:
             case Readiness.WARMING_UP:
-                report.cold.append(number)
+                report.warming_up.append(number)
             case Readiness.WARM:
                 report.warm.append(number)
             case Readiness.NOT_READY:
--- a/sandhatch/planning/terms.py
+++ b/sandhatch/planning/terms.py
@@ -14,24 +14,24 @@
 
     Attributes:
         lease_ms: How long advice is valid.
-        lend_ms: How long a forwarder's own shares stay leased to the planner after each advice. Must exceed
-            `lease_ms` by the time of a few reports.
-        look_ms: Interval at which server weights are updated.
-        lost_ms: Silence after which a forwarder is no longer a member.
-        enough: Fraction of a pool's forwarders that must report before weights are advised.
+        share_lease_ms: How long a forwarder's own shares stay leased to the planner after each advice. Must
+            exceed `lease_ms` by the time of a few reports.
+        weights_interval_ms: Interval at which server weights are updated.
+        member_timeout_ms: Silence after which a forwarder is no longer a member.
+        min_reporting_fraction: Fraction of a pool's forwarders that must report before weights are advised.
         assignment_interval_ms: Interval at which ramp shares are assigned anew.
-        most_holders: Maximum number of forwarders with a share in one server's warm-up ramp.
+        max_ramp_holders: Maximum number of forwarders with a share in one server's warm-up ramp.
         own_share_floor: Fraction of a forwarder's even share of the tier's capacity that is never given to
             other forwarders.
     """
 
     lease_ms: float = 2_000.0
-    lend_ms: float = 3_000.0
-    look_ms: float = 250.0
-    lost_ms: float = 3_000.0
-    enough: float = 0.5
+    share_lease_ms: float = 3_000.0
+    weights_interval_ms: float = 250.0
+    member_timeout_ms: float = 3_000.0
+    min_reporting_fraction: float = 0.5
     assignment_interval_ms: float = 1_000.0
-    most_holders: int = 64
+    max_ramp_holders: int = 64
     own_share_floor: float = 0.5
 
 
@@ -42,20 +42,20 @@
     Attributes:
         report_ms: Interval between two reports to a planner.
         bytes_per_s: Maximum rate of report bytes to each planner.
-        most_lease_ms: Longest lease that is accepted.
+        max_lease_ms: Longest lease that is accepted.
         hold_ms: How long a planner earlier in the configured order must be healthy before the forwarder
             returns its lease to it.
         fault_limit: Number of faults within `fault_window_ms` that opens the circuit of a planner.
         fault_window_ms: Time over which faults are counted.
-        shun_ms: Backoff after the circuit opens for the first time; doubled each time after.
+        min_backoff_ms: Backoff after the circuit opens for the first time; doubled each time after.
         max_backoff_ms: Upper bound of that backoff.
     """
 
     report_ms: float = 250.0
     bytes_per_s: float = 65_536.0
-    most_lease_ms: float = 10_000.0
+    max_lease_ms: float = 10_000.0
     hold_ms: float = 5_000.0
     fault_limit: int = 3
     fault_window_ms: float = 60_000.0
-    shun_ms: float = 10_000.0
+    min_backoff_ms: float = 10_000.0
     max_backoff_ms: float = 600_000.0
--- a/sandhatch/planning/weights.py
+++ b/sandhatch/planning/weights.py
@@ -16,7 +16,7 @@
 MEMORY_MS = 10_000.0  # time constant of the decay of evidence
 MIN_ATTEMPTS = 8.0  # decayed count before a server is assessed
 TOLERATED_SLOWNESS = 1.5  # multiple of the median latency up to which a server is not slow
-TOLERATED_EXCESS_FAILURES = 0.05  # failure rate beyond the bound that is not held against a server
+TOLERATED_EXCESS_FAILURES = 0.05  # failure rate beyond the bound that does not count against a server
 MIN_WEIGHT = 0.1
 MIN_LOAD_FACTOR = 0.3
 DRAIN_MS = 1_000.0  # within which outstanding attempts beyond the mean should be gone
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -72,7 +72,7 @@
     def _replace_link(self, spec: Planning | None) -> None:
         now_ms = self._shared.clock.now_ms()
         if self.link is not None:
-            self._earlier_leases_until_ms = self.link.forwarder.bound_ms
+            self._earlier_leases_until_ms = self.link.forwarder.leased_until_ms
             self.link.stop()
             self.link = None
         self._spec = spec
@@ -123,7 +123,7 @@
     return ForwarderTerms(
         report_ms=spec.report_ms,
         bytes_per_s=spec.bytes_per_s,
-        most_lease_ms=spec.most_lease_ms,
+        max_lease_ms=spec.most_lease_ms,
         hold_ms=spec.hold_ms,
-        shun_ms=spec.shun_ms,
+        min_backoff_ms=spec.shun_ms,
     )
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Event, ListUpdate, TimerFired
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.actions import Action as PlanningAction
-from sandhatch.planning.actions import Drop, GuideBalancer, Note, SendReport
+from sandhatch.planning.actions import Drop, Note, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Report
 from sandhatch.planning.observer import Observer
@@ -140,7 +140,7 @@
             match action:
                 case SendReport():
                     self._surroundings.link.report(self, action.planner, self.lie(action.report))
-                case GuideBalancer():
+                case NotifyBalancer():
                     self.feed(action.event)
                 case Drop():
                     self._surroundings.link.disconnect(self, action.planner)
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -23,7 +23,7 @@
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
 CLASS = RequestClass(objective_ms=100.0, deadline_ms=1000.0, effect=Effect.IDEMPOTENT, name="view")
 SETTINGS = Settings(classes=[CLASS], instances=4, ramp_per_s=100.0, tier=1, max_attempts=2)
-TERMS = ForwarderTerms(report_ms=50.0, most_lease_ms=10_000.0, hold_ms=100.0)
+TERMS = ForwarderTerms(report_ms=50.0, max_lease_ms=10_000.0, hold_ms=100.0)
 
 
 class FakeDispatcher:
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -6,7 +6,7 @@
 
 from sandhatch.balancing.events import Guidance, ListKind, ListUpdate, OwnSharesLeased, ServerEntry
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.actions import Action, Drop, GuideBalancer, Note, SendReport
+from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Advice, PoolAdvice, PoolReport, Report, Row
 from sandhatch.planning.observer import Observer
@@ -46,9 +46,9 @@
                     self.drops.append(action)
                 case Note():
                     self.notes.append(action.text)
-                case GuideBalancer(event=Guidance() as guidance):
+                case NotifyBalancer(event=Guidance() as guidance):
                     self.guidances.append(guidance)
-                case GuideBalancer(event=OwnSharesLeased() as leased):
+                case NotifyBalancer(event=OwnSharesLeased() as leased):
                     self.lease_ends_ms.append(leased.until_ms)
 
     def connect(self, planner: str, epoch: int = 1) -> None:
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -75,12 +75,12 @@
     link = kept.service.forwarding.link
     assert link is not None
     await until(lambda: link.forwarder.leased_to == "p0")
-    lease_end_ms = link.forwarder.bound_ms
+    lease_end_ms = link.forwarder.leased_until_ms
     await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
     replacement = kept.service.forwarding.link
     assert replacement is not None
     assert replacement is not link
-    assert replacement.forwarder.bound_ms >= lease_end_ms - 1.0
+    assert replacement.forwarder.leased_until_ms >= lease_end_ms - 1.0
     await until(lambda: "other" in planner.planner.members)
 
 
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -53,7 +53,7 @@
     driver.connect("p0", epoch=2)
     report = driver.reports["p0"]
     assert (report.epoch, report.version) == (0, 0)
-    assert [(share.rate, share.burst) for share in report.pools[0].held] == [(0.5, 2.0)]
+    assert [(share.rate, share.burst) for share in report.pools[0].previous_grants] == [(0.5, 2.0)]
     driver.answer("p0", learning=True, has_lease=False)
     driver.tick(0.0)
     assert driver.reports["p0"].leases_shares
@@ -90,7 +90,7 @@
 
 
 def test_the_circuit_opens_after_repeated_faults_with_exponential_backoff() -> None:
-    driver = ForwarderDriver("p0", shun_ms=1_000.0, fault_limit=2)
+    driver = ForwarderDriver("p0", min_backoff_ms=1_000.0, fault_limit=2)
     backoffs_ms = []
     for _ in range(3):
         driver.connect("p0")
--- a/tests/planning/test_grant_ledger.py
+++ b/tests/planning/test_grant_ledger.py
@@ -28,10 +28,10 @@
     leased = RampAmount(1.0, 10.0)
     ledger.grant("a", 1, RampAmount(1.0, 5.0), leased, 0.0, 2_000.0)
     ledger.grant("a", 2, RampAmount(0.2, 1.0), leased, 100.0, 2_100.0)
-    assert ledger.held("a", 200.0) == RampAmount(1.0, 5.0)
+    assert ledger.granted("a", 200.0) == RampAmount(1.0, 5.0)
     assert ledger.grant("b", 3, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == NOTHING
     applied["a"] = 2
-    assert ledger.held("a", 200.0) == RampAmount(0.2, 1.0)  # refreshed whenever the forwarder reports
+    assert ledger.granted("a", 200.0) == RampAmount(0.2, 1.0)  # refreshed whenever the forwarder reports
     assert ledger.grant("b", 4, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == RampAmount(0.8, 5.0)
 
 
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -61,7 +61,7 @@
             (pool,) = reports[0].pools
             assert (pool.pool, pool.instances, pool.burst, pool.names) == ("core", 4, 4.0, ADDRESSES)
             assert pool.warm == [0, 1, 2, 3]
-            assert not pool.cold
+            assert not pool.warming_up
             assert not reports[0].leases_shares
 
     run(work())
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -12,7 +12,7 @@
 def test_a_new_session_replaces_what_the_forwarder_reported_before() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
-    forwarder.report(0.0, rows=[Row(0, 5)], cold=[1])
+    forwarder.report(0.0, rows=[Row(0, 5)], warming_up=[1])
     planner.joined("f0", 10.0)
     view = planner.pools["core"].load.servers[ADDRESSES[0]]
     assert (view.outstanding, view.listed_in, view.warming_up_in) == (0, 0, 0)
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -52,7 +52,7 @@
     forwarder = ReportingForwarder(planner, 0)
     advice = forwarder.report(0.0)
     assert not advice.has_lease
-    advice = forwarder.report(250.0, cold=[3])
+    advice = forwarder.report(250.0, warming_up=[3])
     assert advice.has_lease
     assert [(share.server, share.rate) for share in advice.pools[0].ramp_shares] == [(3, 0.25)]
 
@@ -62,7 +62,7 @@
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
-    forwarder.report(100.0, cold=[3])
+    forwarder.report(100.0, warming_up=[3])
     acknowledged = forwarder.version
     assert planner.pools["core"].lessors is not None
     for now, number in ((900.0, 1), (1_150.0, 0)):
@@ -77,8 +77,8 @@
     busy, idle = reporting_forwarders(planner, 2)
     busy.instances = idle.instances = 2
     for turn in range(40):
-        busy.report(turn * 250.0, cold=[3] if turn == 10 else [], demand={"view": 300})
-        idle.report(turn * 250.0, cold=[3] if turn == 10 else [], demand={"view": 100})
+        busy.report(turn * 250.0, warming_up=[3] if turn == 10 else [], demand={"view": 300})
+        idle.report(turn * 250.0, warming_up=[3] if turn == 10 else [], demand={"view": 100})
     rates = [forwarder.report(10_000.0).pools[0].ramp_shares[0].rate for forwarder in (busy, idle)]
     assert rates[0] > 2.0 * rates[1]
     assert sum(rates) <= 1.0 + 1e-9
@@ -102,8 +102,8 @@
     planner = Planner("p0", 1, -10_000.0)
     first, second = ReportingForwarder(planner, 0), ReportingForwarder(planner, 0, name="twin")
     for now in (0.0, 250.0):
-        first.report(now, cold=[3])
-        advice = second.report(now, cold=[3])
+        first.report(now, warming_up=[3])
+        advice = second.report(now, warming_up=[3])
     assert "place 0 is f0's" in advice.note
     assert not advice.has_lease
     assert not advice.pools[0].ramp_shares
@@ -137,7 +137,7 @@
     for turn in range(60):
         for forwarder in forwarders:
             factor = 10 if forwarder.instance_index == 0 else 1
-            forwarder.report(turn * 250.0, demand={"view": 40 * factor}, cold=[3] if turn == 20 else [])
+            forwarder.report(turn * 250.0, demand={"view": 40 * factor}, warming_up=[3] if turn == 20 else [])
         planner.tick(turn * 250.0)
     advices = [forwarder.report(15_000.0).pools[0] for forwarder in forwarders]
     own_shares = [advice.own_share or 0.0 for advice in advices]
--- a/tests/planning/test_planner_peer.py
+++ b/tests/planning/test_planner_peer.py
@@ -36,7 +36,7 @@
 
 
 def test_faults_outside_the_window_do_not_open_the_circuit() -> None:
-    terms = ForwarderTerms(fault_limit=2, fault_window_ms=1_000.0, shun_ms=100.0)
+    terms = ForwarderTerms(fault_limit=2, fault_window_ms=1_000.0, min_backoff_ms=100.0)
     peer = connected_peer()
     assert peer.record_fault("first", 0.0, terms) is None
     assert peer.record_fault("second", 1_000.0, terms) is None
--- a/tests/planning/test_planner_selection.py
+++ b/tests/planning/test_planner_selection.py
@@ -11,7 +11,7 @@
     driver.connect("p1")
     driver.rounds(4, "p0", "p1")
     driver.machine.lost("p0")
-    lease_end_ms = driver.machine.bound_ms
+    lease_end_ms = driver.machine.leased_until_ms
     while driver.machine.leased_to != "p1":
         driver.rounds(1, "p1")
         assert driver.now < lease_end_ms + 300.0
@@ -24,11 +24,13 @@
     driver.rounds(4, "p0")
     assert driver.machine.leased_to == "p0"
     driver.tick(250.0)  # acknowledges the last advice that came
-    lease_end_ms = driver.machine.bound_ms
+    lease_end_ms = driver.machine.leased_until_ms
     for _ in range(20):
         driver.tick(250.0)
     assert driver.machine.leased_to is None
-    assert driver.machine.bound_ms == lease_end_ms  # reports that acknowledge nothing newer do not extend it
+    assert (
+        driver.machine.leased_until_ms == lease_end_ms
+    )  # reports that acknowledge nothing newer do not extend it
     assert not driver.reports["p0"].leases_shares
 
 
--- a/tests/planning/test_planner_status.py
+++ b/tests/planning/test_planner_status.py
@@ -9,7 +9,7 @@
 
 def test_the_status_has_its_documented_keys() -> None:
     planner = Planner("p0", 1, -10_000.0)
-    ReportingForwarder(planner, 0).report(0.0, cold=[3], demand={"view": 10})
+    ReportingForwarder(planner, 0).report(0.0, warming_up=[3], demand={"view": 10})
     status = planner.status(100.0)
     assert list(status) == ["name", "epoch", "learning", "reports", "refused", "forwarders", "pools"]
     assert status["forwarders"] == [
@@ -32,7 +32,7 @@
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
-    forwarder.report(250.0, cold=[3], rows=[Row(3, 2, 2, 0, 0, 20.0)])
+    forwarder.report(250.0, warming_up=[3], rows=[Row(3, 2, 2, 0, 0, 20.0)])
     assert planner.explain("core", ADDRESSES[3], 250.0) == {
         "pool": "core",
         "server": ADDRESSES[3],
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -47,11 +47,11 @@
 
 def test_the_first_report_names_servers_in_address_order_and_later_ones_only_changes() -> None:
     observer = observer_of(started_ms={1: 1_000.0})
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     first, _ = reporter.report("core", 2_000.0, 10_000)
     assert first.anew
     assert first.names == ["10.0.0.0:80", "10.0.0.1:80", "10.0.0.2:80"]
-    assert (first.warm, first.cold, first.not_ready, first.rows) == ([0, 2], [1], [], [])
+    assert (first.warm, first.warming_up, first.not_ready, first.rows) == ([0, 2], [1], [], [])
     second, _ = reporter.report("core", 2_100.0, 10_000)
     assert second == PoolReport("core")
     rows = [ServerEntry(0, ServerState.DRAINING), ServerEntry(9)]
@@ -63,7 +63,7 @@
 
 def test_a_server_is_reported_warm_after_its_warm_up_and_warming_up_again_after_a_restart() -> None:
     observer = observer_of(started_ms={1: 1_000.0})
-    reporter, other = observer.tell(), observer.tell()
+    reporter, other = observer.new_reporter(), observer.new_reporter()
     reporter.report("core", 2_000.0, 10_000)
     other.report("core", 2_000.0, 10_000)
     assert reporter.report("core", 11_000.0, 10_000).report.warm == [1]
@@ -71,12 +71,12 @@
     observer.on_endpoint_list(
         ListUpdate(ListKind.DELTA, 2, [ServerEntry(1, started_ms=12_000.0)]), ["10.0.0.1:80"]
     )
-    assert reporter.report("core", 12_000.0, 10_000).report.cold == [1]
+    assert reporter.report("core", 12_000.0, 10_000).report.warming_up == [1]
 
 
 def test_rows_carry_attempts_that_ended_since_the_last_row_and_those_in_flight() -> None:
     observer = observer_of()
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     reporter.report("core", 0.0, 10_000)
     attempt(observer, 0)
     attempt(observer, 0, Outcome.ERROR)
@@ -96,7 +96,7 @@
 
 def test_each_reporter_reports_everything_since_its_own_last_report() -> None:
     observer = observer_of()
-    first, second = observer.tell(), observer.tell()
+    first, second = observer.new_reporter(), observer.new_reporter()
     for reporter in (first, second):
         reporter.report("core", 0.0, 10_000)
     attempt(observer, 0)
@@ -110,7 +110,7 @@
 
 def test_reports_stay_within_their_budget_and_lose_nothing() -> None:
     observer = observer_of(200)
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     rng, sent = Random(1), [0] * 200
     reported = [0] * 200
     names = 0
@@ -134,7 +134,7 @@
 
 def test_the_server_that_changed_most_is_reported_first() -> None:
     observer = observer_of(20)
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     reporter.report("core", 0.0, 10_000)
     for server in range(20):
         attempt(observer, server)
@@ -146,7 +146,7 @@
 
 def test_a_server_removed_before_it_was_named_is_not_reported() -> None:
     observer = observer_of()
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     observer.on_endpoint_list(ListUpdate(ListKind.FULL, 2, [ServerEntry(0)]), ["10.0.0.0:80"])
     report, _ = reporter.report("core", 0.0, 10_000)
     assert (report.names, report.not_ready) == (["10.0.0.0:80"], [])
@@ -155,7 +155,7 @@
 
 def test_attempts_in_flight_at_a_removed_server_are_not_reported_and_nothing_is_kept_of_it() -> None:
     observer = observer_of()
-    reporter = observer.tell()
+    reporter = observer.new_reporter()
     reporter.report("core", 0.0, 10_000)
     attempt(observer, 1, None)
     assert [row.outstanding for row in reporter.report("core", 1.0, 10_000).report.rows] == [1]
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -168,7 +168,7 @@
     tier.leave(3)
     tier.run(RESTART_MS + 3_000.0 + plan.planner_terms.lease_ms - 300.0)
     assert "f3" in granted()
-    tier.run(RESTART_MS + 3_000.0 + plan.planner_terms.lost_ms + 600.0)
+    tier.run(RESTART_MS + 3_000.0 + plan.planner_terms.member_timeout_ms + 600.0)
     assert "f3" not in granted()
     # Its own share is granted to nobody: another process may replace it.
     assert sum(granted().values()) <= 0.75 + 1e-9
@@ -185,7 +185,7 @@
     tier.restart(0)
     begin = tier.now
     assert restarted.machine is not None
-    assert restarted.machine.bound_ms >= begin + 3_000.0
+    assert restarted.machine.leased_until_ms >= begin + 3_000.0
     ramp = restarted.balancer.guidance_state.ramp
     assert ramp is not None
     assert ramp.part(restarted.balancer.server_list.servers[0], begin + 2_000.0) == RampAllocation(0.0, 0.0)
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -68,7 +68,9 @@
     async def planner(self, name: str) -> None:
         clock = Clock(asyncio.get_running_loop())
         key = SharedKey(read_key(str(self.key)))
-        terms = PlannerTerms(lease_ms=800.0, lend_ms=1_200.0, lost_ms=1_200.0, look_ms=200.0)
+        terms = PlannerTerms(
+            lease_ms=800.0, share_lease_ms=1_200.0, member_timeout_ms=1_200.0, weights_interval_ms=200.0
+        )
         server = PlannerServer(name, ("127.0.0.1", 0), key, clock, lambda line: None, terms)
         await server.start()
         self.planners[name] = server
