--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -20,9 +20,10 @@
 from sandhatch.planning.backoff import Backoff
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.keys import Identity
-from sandhatch.planning.link_connection import HANDSHAKE_TIMEOUT_MS, PlannerConnection
+from sandhatch.planning.link_connection import PlannerConnection
 from sandhatch.planning.messages import Advice
 from sandhatch.planning.observer import Observer
+from sandhatch.planning.peer_connection import HANDSHAKE_TIMEOUT_MS
 from sandhatch.planning.session import Established, ForwarderSession
 from sandhatch.planning.terms import ForwarderTerms
 from sandhatch.runtime.address import Address
--- a/sandhatch/planning/link_connection.py
+++ b/sandhatch/planning/link_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a forwarder to a planner: the asyncio protocol around `ForwarderSession`.
+"""One connection of a forwarder to a planner.
 
 It decides nothing: it hands events to its owner and ends when the planner exceeds a bound. Source:
 docs/planning-link.md.
@@ -7,20 +7,16 @@
 from __future__ import annotations
 
 import asyncio
-from typing import Protocol, cast
+from typing import ClassVar, Protocol
 
 from sandhatch.planning.actions import SendReport
 from sandhatch.planning.errors import SessionError
 from sandhatch.planning.messages import Advice, Bye
-from sandhatch.planning.receive_limit import ReceiveLimit
+from sandhatch.planning.peer_connection import PeerConnection
 from sandhatch.planning.session import Established, Event, ForwarderSession
 from sandhatch.runtime.clock import Clock
 
-HANDSHAKE_TIMEOUT_MS = 5_000.0
-MAX_UNSENT_BYTES = 1 << 20  # beyond which a planner that does not read is disconnected
-PLANNER_FRAMES_PER_S = 20.0
 PLANNER_BYTES_PER_S = 2.0e6
-PLANNER_BURST_S = 5.0
 
 
 class ConnectionOwner(Protocol):
@@ -44,53 +40,30 @@
         """The connection has ended."""
 
 
-class PlannerConnection(asyncio.Protocol):
+class PlannerConnection(PeerConnection):
     """One connection to a planner.
 
     Attributes:
         planner: The planner's name.
-        session: The session on this connection.
         established: Whether the session is established and not closed.
     """
 
+    PEER_ROLE: ClassVar[str] = "planner"
+
     def __init__(self, owner: ConnectionOwner, planner: str, session: ForwarderSession) -> None:
         """Prepare a connection; asyncio opens it."""
+        super().__init__(session, owner.clock, PLANNER_BYTES_PER_S)
         self._owner = owner
         self.planner = planner
-        self.session = session
         self.established = False
-        self._limit = ReceiveLimit(
-            PLANNER_FRAMES_PER_S, PLANNER_BYTES_PER_S, PLANNER_BURST_S, owner.clock.now_ms()
-        )
-        self._transport: asyncio.Transport | None = None
-        self._deadline = owner.clock.call_after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the first frame of the handshake."""
-        self._transport = cast(asyncio.Transport, transport)
+        super().connection_made(transport)
         self._owner.opened(self)
         self.flush()
 
-    def _handshake_timed_out(self) -> None:
-        if not self.established:
-            self.close("no handshake in time")
-
-    def data_received(self, data: bytes) -> None:
-        """Handle the events that these bytes complete."""
-        now_ms = self._owner.clock.now_ms()
-        try:
-            for event, size in self.session.feed(data):
-                if not self._limit.take(size, now_ms):
-                    raise SessionError("more messages than a planner may send")
-                self._handle(event)
-                if self._transport is None:
-                    return
-        except SessionError as problem:
-            self._owner.broken(self, str(problem))
-            self.close(str(problem))
-        self.flush()
-
-    def _handle(self, event: Event) -> None:
+    def _handle(self, event: Event, now_ms: float) -> None:  # noqa: ARG002 - the planner's end needs it
         match event:
             case Established():
                 self.established = True
@@ -103,24 +76,22 @@
             case _:
                 raise SessionError(f"a {type(event).__name__} from a planner")
 
+    def _session_failed(self, problem: SessionError) -> None:
+        self._owner.broken(self, str(problem))
+        self.close(str(problem))
+
     def send(self, report: SendReport) -> None:
         """Send a report; a planner that leaves too much unread is disconnected instead."""
-        transport = self._transport
-        if transport is None:
+        if self._transport is None:
             return
-        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+        if self._peer_does_not_read:
             self.close("it does not read")
             return
         self.session.send(report.report)
         self.flush()
 
-    def flush(self) -> None:
-        """Write what the session has to send."""
-        if self._transport is not None and self.session.has_output:
-            self._transport.write(self.session.take_out())
-
     def close(self, why: str) -> None:
-        """Write what the session has to send, and close."""
+        """Write what the session has to send, and close at once."""
         self._deadline.cancel()
         transport = self._transport
         self._transport = None
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -9,76 +9,54 @@
 import asyncio
 import time
 from collections.abc import Callable
-from typing import Any, cast
+from typing import Any, ClassVar
 
 from sandhatch.planning.errors import EpochOverError, InvalidReportError, SessionError
 from sandhatch.planning.keys import Identity
 from sandhatch.planning.messages import Bye, Hello, Report
+from sandhatch.planning.peer_connection import PeerConnection
 from sandhatch.planning.planner import Planner
-from sandhatch.planning.receive_limit import ReceiveLimit
 from sandhatch.planning.session import Established, Event, PlannerSession
 from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.address import Address
 from sandhatch.runtime.clock import Clock
 
 TICK_MS = 100.0
-HANDSHAKE_TIMEOUT_MS = 5_000.0
 CLOSE_TIMEOUT_MS = 2_000.0  # for a forwarder to read what is left
 SILENCE_TIMEOUT_MS = 30_000.0  # without a report
-MAX_UNSENT_BYTES = 1 << 20
 LISTEN_BACKLOG = 1_024
-FORWARDER_FRAMES_PER_S = 20.0
-FORWARDER_BURST_S = 5.0
+MAX_FORWARDER_BYTES_PER_S = 262_144.0
+MAX_CONNECTIONS = 10_000
 
 
-class _ForwarderConnection(asyncio.Protocol):
+class _ForwarderConnection(PeerConnection):
     """One forwarder's connection.
 
     Attributes:
-        session: The session on this connection.
         name: The forwarder's name; empty before the handshake is complete.
         last_report_ms: When it reported last, or completed the handshake.
     """
 
+    PEER_ROLE: ClassVar[str] = "forwarder"
+
     def __init__(self, server: PlannerServer) -> None:
         """Prepare a connection; asyncio opens it."""
+        session = PlannerSession(server.identity, server.planner.name, server.planner.epoch)
+        super().__init__(session, server.clock, server.bytes_per_s)
         self._server = server
-        self.session = PlannerSession(server.identity, server.planner.name, server.planner.epoch)
         self.name = ""
-        now_ms = server.clock.now_ms()
-        self.last_report_ms = now_ms
-        self._limit = ReceiveLimit(FORWARDER_FRAMES_PER_S, server.bytes_per_s, FORWARDER_BURST_S, now_ms)
-        self._transport: asyncio.Transport | None = None
-        self._deadline = server.clock.call_after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
+        self.last_report_ms = server.clock.now_ms()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Admit the connection, or close it if there are too many."""
-        self._transport = cast(asyncio.Transport, transport)
+        super().connection_made(transport)
         if not self._server.admit(self):
-            self.leave(f"{self._server.max_connections} connections are there already")
-
-    def _handshake_timed_out(self) -> None:
-        if not self.name:
-            self.leave("no handshake in time")
+            self.close(f"{self._server.max_connections} connections are there already")
 
     def data_received(self, data: bytes) -> None:
-        """Handle the events that these bytes complete."""
-        now_ms = self._server.clock.now_ms()
+        """Count these bytes, and handle the events that they complete."""
         self._server.bytes_in += len(data)
-        try:
-            for event, size in self.session.feed(data):
-                if not self._limit.take(size, now_ms):
-                    raise SessionError("more messages than a forwarder may send")
-                self._handle(event, now_ms)
-                if self._transport is None:
-                    return
-        except EpochOverError as problem:
-            self._flush()
-            self._server.start_new_incarnation(problem.known_epoch + 1)
-        except SessionError as problem:
-            self._server.rejected(self, str(problem))
-            self.leave(str(problem))
-        self._flush()
+        super().data_received(data)
 
     def _handle(self, event: Event, now_ms: float) -> None:
         match event:
@@ -91,7 +69,7 @@
                 self.last_report_ms = now_ms
                 self._answer(event, now_ms)
             case Bye():
-                self.close()
+                self._close_transport()
             case Hello():
                 pass  # the session has answered it
             case _:
@@ -103,21 +81,25 @@
             advice = self._server.planner.report(self.name, report, now_ms)
         except InvalidReportError as problem:
             raise SessionError(str(problem)) from None
-        if self._transport is not None and self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+        if self._peer_does_not_read:
             raise SessionError("it does not read")
         self._server.bytes_out += self.session.send(advice)
 
-    def _flush(self) -> None:
-        if self._transport is not None and self.session.has_output:
-            self._transport.write(self.session.take_out())
+    def _session_failed(self, problem: SessionError) -> None:
+        if isinstance(problem, EpochOverError):
+            self.flush()
+            self._server.start_new_incarnation(problem.known_epoch + 1)
+            return
+        self._server.rejected(self, str(problem))
+        self.close(str(problem))
 
-    def leave(self, why: str) -> None:
+    def close(self, why: str) -> None:
         """Tell the forwarder why, and close."""
         self.session.bye(why)
-        self._flush()
-        self.close()
+        self.flush()
+        self._close_transport()
 
-    def close(self) -> None:
+    def _close_transport(self) -> None:
         """Close once the forwarder has read what was sent, or after a time."""
         self._deadline.cancel()
         transport = self._transport
@@ -125,7 +107,7 @@
         self._server.remove(self)
         if transport is not None:
             transport.close()
-            self._server.clock.call_after(CLOSE_TIMEOUT_MS, transport.abort)
+            self._clock.call_after(CLOSE_TIMEOUT_MS, transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of asyncio's protocol
         """The forwarder or the network closed the connection."""
@@ -156,8 +138,8 @@
         clock: Clock,
         log: Callable[[str], None],
         terms: PlannerTerms | None = None,
-        bytes_per_s: float = 262_144.0,
-        max_connections: int = 10_000,
+        bytes_per_s: float = MAX_FORWARDER_BYTES_PER_S,
+        max_connections: int = MAX_CONNECTIONS,
         epoch: int | None = None,
     ) -> None:
         """Prepare the server; `start` listens.
@@ -180,8 +162,7 @@
         self._log = log
         self._address = address
         self._terms = terms or PlannerTerms()
-        # A later process has a higher time; if it was set back, forwarders report the epoch that they know.
-        first_epoch = int(time.time() * 1000.0) if epoch is None else epoch
+        first_epoch = _epoch_of_now() if epoch is None else epoch
         self.planner = Planner(name, first_epoch, clock.now_ms(), self._terms)
         self._connections: dict[_ForwarderConnection, None] = {}
         self._by_name: dict[str, _ForwarderConnection] = {}
@@ -216,14 +197,14 @@
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
-            connection.leave("the planner stops")
+            connection.close("the planner stops")
 
     def start_new_incarnation(self, epoch: int) -> None:
         """Replace the state machine by an empty one with an epoch above one that a forwarder knows of."""
         self._log(f"epoch {epoch}: a forwarder knows of one after {self.planner.epoch}; starting empty")
         self.planner = Planner(self.planner.name, epoch, self.clock.now_ms(), self._terms)
         for connection in list(self._connections):
-            connection.leave("the planner begins anew")
+            connection.close("the planner begins anew")
 
     # ------------------------------------------------ connections
 
@@ -239,7 +220,7 @@
         before = self._by_name.get(connection.name)
         self._by_name[connection.name] = connection
         if before is not None:
-            before.leave("another connection has come in its place")
+            before.close("another connection has come in its place")
         self.planner.joined(connection.name, self.clock.now_ms())
 
     def remove(self, connection: _ForwarderConnection) -> None:
@@ -264,7 +245,7 @@
             if connection.name and now_ms - connection.last_report_ms > SILENCE_TIMEOUT_MS
         ]
         for connection in silent:
-            connection.leave("no report for too long")
+            connection.close("no report for too long")
         self.clock.call_after(TICK_MS, self._tick)
 
     # ------------------------------------------------ for operators
@@ -277,3 +258,11 @@
         status["bytes_in"] = self.bytes_in
         status["bytes_out"] = self.bytes_out
         return status
+
+
+def _epoch_of_now() -> int:
+    """An epoch above those of earlier processes, unless the system's time was set back.
+
+    In that case, forwarders report the epoch that they know, and the planner takes the next one.
+    """
+    return int(time.time() * 1000.0)
