--- a/sandhatch/planning/backoff.py
+++ b/sandhatch/planning/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts to connect: exponential backoff with jitter.
+"""Exponential backoff: delays between attempts, which double up to a bound.
 
 No I/O, no clock: it gives durations, and the caller waits. Source: "Exponential Backoff And Jitter" (AWS
 Architecture Blog, 2015).
@@ -11,6 +11,17 @@
 MAX_DOUBLINGS = 16
 
 
+def backoff_bound_ms(min_ms: float, max_ms: float, failures: int) -> float:
+    """The longest delay after this number of earlier failures.
+
+    Args:
+        min_ms: Delay after the first failure.
+        max_ms: Bound of all delays.
+        failures: Number of failures before this one.
+    """
+    return min(max_ms, min_ms * 2.0 ** min(failures, MAX_DOUBLINGS))
+
+
 class Backoff:
     """Delays that grow until `reset`, each drawn between half the minimum and the present bound."""
 
@@ -29,7 +40,7 @@
 
     def next_ms(self) -> float:
         """The delay before the next attempt."""
-        bound_ms = min(self._max_ms, self._min_ms * 2.0 ** min(self._attempts, MAX_DOUBLINGS))
+        bound_ms = backoff_bound_ms(self._min_ms, self._max_ms, self._attempts)
         self._attempts += 1
         return self._rng.uniform(self._min_ms / 2.0, bound_ms)
 
--- a/sandhatch/planning/keys.py
+++ b/sandhatch/planning/keys.py
@@ -42,7 +42,7 @@
         """Whether a proof is that of the peer of this name."""
 
 
-def _proven(role: bytes, transcript: bytes) -> bytes:
+def _covered_bytes(role: bytes, transcript: bytes) -> bytes:
     """What a proof covers."""
     return PROOF_CONTEXT + role + b"\0" + transcript
 
@@ -64,7 +64,7 @@
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
         """A proof of the key over a handshake's transcript."""
-        return hmac.digest(self._key, _proven(role, transcript), sha256)
+        return hmac.digest(self._key, _covered_bytes(role, transcript), sha256)
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:  # noqa: ARG002 - part of the protocol
         """Whether a proof was made with the key; the name is not covered by it."""
@@ -94,7 +94,7 @@
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
         """A signature over a handshake's transcript."""
-        return self._private.sign(_proven(role, transcript))
+        return self._private.sign(_covered_bytes(role, transcript))
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:
         """Whether a proof is a signature of the peer of this name."""
@@ -102,7 +102,7 @@
         if key is None:
             return False
         try:
-            key.verify(proof, _proven(role, transcript))
+            key.verify(proof, _covered_bytes(role, transcript))
         except InvalidSignature:
             return False
         return True
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -46,6 +46,10 @@
         self._counted_for_ms = 0.0
         self._earliest_end_ms = 0.0
 
+    def agree_on(self, instances: int, burst: float) -> bool:
+        """Whether these are the number of instances and the burst that the lessors have reported."""
+        return self.instances == instances and self.burst == burst
+
     def lease(self, instance_index: int, until_ms: float) -> None:
         """Record an instance's lease; an earlier, longer one stays."""
         if instance_index not in self._until_ms:
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -123,23 +123,22 @@
             member = self.members[name] = MemberLoad(self._numberings.empty)
         member.instance_index = report.instance_index
         if report.names:
-            if len(member.readiness) + len(report.names) > MAX_SERVERS:
-                raise InvalidReportError(
-                    f"pool {self.name}: more than {MAX_SERVERS} servers named in one session"
-                )
             self._number(member, report.names)
         self._check_numbers(report, len(member.readiness))
+        self._apply_readiness(member, report)
+        self._add_rows(member, report)
+        if span_ms > 0.0:
+            rate_per_s = sum(report.demand.values()) / span_ms * 1000.0
+            keep = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
+            member.demand_per_s = keep * member.demand_per_s + (1.0 - keep) * rate_per_s
+
+    def _apply_readiness(self, member: MemberLoad, report: PoolReport) -> None:
         for number in report.warming_up:
             self._set_readiness(member, number, Readiness.WARMING_UP)
         for number in report.warm:
             self._set_readiness(member, number, Readiness.WARM)
         for number in report.not_ready:
             self._set_readiness(member, number, Readiness.NOT_READY)
-        self._add_rows(member, report)
-        if span_ms > 0.0:
-            rate_per_s = sum(report.demand.values()) / span_ms * 1000.0
-            keep = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
-            member.demand_per_s = keep * member.demand_per_s + (1.0 - keep) * rate_per_s
 
     def _check_numbers(self, report: PoolReport, known: int) -> None:
         row_numbers = (row.server for row in report.rows)
@@ -149,6 +148,10 @@
 
     def _number(self, member: MemberLoad, names: list[str]) -> None:
         """Append addresses to a session's numbering."""
+        if len(member.readiness) + len(names) > MAX_SERVERS:
+            raise InvalidReportError(
+                f"pool {self.name}: more than {MAX_SERVERS} servers named in one session"
+            )
         key = self._numberings.key_after(member.key, names)
         numbering = self._numberings.get(key)
         if numbering is None:
@@ -205,13 +208,17 @@
             if row.outstanding != member.outstanding.get(row.server, 0):
                 self._set_outstanding(member, row.server, row.outstanding)
         if rows_with_attempts:
-            weight = 1.0 - ROW_MEAN_RETENTION**rows_with_attempts
-            row_mean = min(ended / rows_with_attempts, MAX_ROW_MEAN_RATIO * self._mean_row_attempts)
-            self._mean_row_attempts += weight * (row_mean - self._mean_row_attempts)
+            self._update_mean_row(ended, rows_with_attempts)
         if successes:
             weight = successes / (successes + BASELINE_PRIOR_ATTEMPTS) if baseline_ms else 1.0
             member.baseline_ms += weight * (spent_ms / successes - baseline_ms)
 
+    def _update_mean_row(self, ended: int, rows: int) -> None:
+        """Move the mean attempts of a row towards that of a report with so many rows."""
+        weight = 1.0 - ROW_MEAN_RETENTION**rows
+        row_mean = min(ended / rows, MAX_ROW_MEAN_RATIO * self._mean_row_attempts)
+        self._mean_row_attempts += weight * (row_mean - self._mean_row_attempts)
+
     @staticmethod
     def _set_outstanding(member: MemberLoad, number: int, outstanding: int) -> None:
         before = member.outstanding.get(number, 0)
@@ -238,7 +245,9 @@
             view.decay(keep, smoothing)
         warm = [view for view in listed if not view.warming_up]
         if warm:
-            median_latency_ms = median(m.baseline_ms for m in self.members.values() if m.baseline_ms)
+            median_latency_ms = median(
+                member.baseline_ms for member in self.members.values() if member.baseline_ms
+            )
             step_span_ms = math.inf if unbounded_steps else span_ms
             if assess_servers(warm, median_latency_ms, step_span_ms):
                 self.weights_version += 1
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from sandhatch.planning.backoff import backoff_bound_ms
 from sandhatch.planning.messages import Advice
 from sandhatch.planning.pool_reporter import PoolReporter
 from sandhatch.planning.terms import ForwarderTerms
 
 MAX_UNANSWERED_REPORTS = 64  # that an answer may still name
 CREDIT_S = 4.0  # of the report rate, that may be saved up; the first reports carry the whole endpoint list
-MAX_DOUBLINGS = 16  # of the backoff
 
 
 @dataclass(slots=True, frozen=True)
@@ -206,9 +206,7 @@
             self.fault_times_ms.popleft()
         if len(self.fault_times_ms) < terms.fault_limit:
             return None
-        backoff_ms = min(
-            terms.max_backoff_ms, terms.min_backoff_ms * 2.0 ** min(self.backoffs, MAX_DOUBLINGS)
-        )
+        backoff_ms = backoff_bound_ms(terms.min_backoff_ms, terms.max_backoff_ms, self.backoffs)
         self.backoffs += 1
         self.backoff_until_ms = now_ms + backoff_ms
         self.fault_times_ms.clear()
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -66,16 +66,15 @@
         Returns:
             Why it cannot have the index; empty if it has it.
         """
-        terms = (report.instances, report.burst)
         if self.lessors is None:
-            self.lessors = Lessors(*terms)
-        if (self.lessors.instances, self.lessors.burst) != terms:
+            self.lessors = Lessors(report.instances, report.burst)
+        elif not self.lessors.agree_on(report.instances, report.burst):
             if any(name != forwarder and name in members for name in self.instances.values()):
                 return (
                     f"pool {report.pool}: {report.instances} forwarders and a burst of {report.burst:g};"
                     f" others say {self.lessors.instances} and {self.lessors.burst:g}"
                 )
-            self.lessors = Lessors(*terms)
+            self.lessors = Lessors(report.instances, report.burst)
             self.instances = {}
         holder = self.instances.get(report.instance_index)
         if holder is not None and holder != forwarder and holder in members:
@@ -86,9 +85,7 @@
     def set_lease(self, forwarder: str, has_lease: bool, until_ms: float) -> None:
         """Record whether a forwarder leases its own shares, and until when."""
         load = self.load.members.get(forwarder)
-        if load is None or self.lessors is None:
-            return
-        if self.instances.get(load.instance_index) != forwarder:
+        if load is None or self.lessors is None or not self._is_registered(forwarder, load.instance_index):
             return
         if has_lease:
             self.lessors.lease(load.instance_index, until_ms)
@@ -98,12 +95,15 @@
     def remove(self, forwarder: str) -> None:
         """Forget a forwarder: its grants run to their ends, its own shares are its own again."""
         load = self.load.members.get(forwarder)
-        is_registered = load is not None and self.instances.get(load.instance_index) == forwarder
-        if load is not None and self.lessors is not None and is_registered:
-            self.lessors.end(load.instance_index)
+        if load is not None and self._is_registered(forwarder, load.instance_index):
+            if self.lessors is not None:
+                self.lessors.end(load.instance_index)
             del self.instances[load.instance_index]
         self.load.remove(forwarder)
 
+    def _is_registered(self, forwarder: str, instance_index: int) -> bool:
+        return self.instances.get(instance_index) == forwarder
+
     # ------------------------------------------------ grants
 
     def ledger(self, view: ServerView) -> GrantLedger:
@@ -120,10 +120,10 @@
         They are valid for one lease time at most.
         """
         views = self.load.members[forwarder].numbering.views
+        until_ms = now_ms + self._terms.share_lease_ms
         for row in report.previous_grants:
             if row.server < len(views):
                 amount = RampAmount(row.rate, min(row.burst, report.burst))
-                until_ms = now_ms + self._terms.share_lease_ms
                 self.ledger(views[row.server]).claim(forwarder, amount, now_ms, until_ms)
 
     def covers_grants(self, forwarder: str, now_ms: float, until_ms: float) -> bool:
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -205,11 +205,7 @@
     def _row(self, server: int, remaining_bytes: int) -> _BudgetedRow:
         now = self._observer.totals[server]
         before = self._reported_totals.get(server, _NO_TOTALS)
-        sketch_pairs: list[int] = []
-        for bucket, count in now.sketch.items():
-            added = count - before.sketch.get(bucket, 0)
-            if added:
-                sketch_pairs += (bucket, added)
+        sketch_pairs = _added_pairs(before.sketch, now.sketch)
         cost_bytes = ROW_BYTES + SKETCH_PAIR_BYTES * len(sketch_pairs) // 2
         if cost_bytes > remaining_bytes:
             return _BudgetedRow(None, remaining_bytes)
@@ -224,3 +220,13 @@
         )
         self._reported_totals[server] = now.copy()
         return _BudgetedRow(row, remaining_bytes - cost_bytes)
+
+
+def _added_pairs(before: Mapping[int, int], now: Mapping[int, int]) -> list[int]:
+    """What was added to a sketch's counts, as pairs of a bucket and its count."""
+    pairs: list[int] = []
+    for bucket, count in now.items():
+        added = count - before.get(bucket, 0)
+        if added:
+            pairs += (bucket, added)
+    return pairs
--- a/sandhatch/planning/weights.py
+++ b/sandhatch/planning/weights.py
@@ -24,6 +24,11 @@
 MERIT_STEP_PER_S = 0.3
 MIN_REPORTED_FAILURE_RATE = 0.01  # divisor at least, where a failure rate is given as a ratio
 
+# Reasons for a weight, as advice and the planner's status state them.
+SLOW = "slow"
+FAILING = "failing"
+CROWDED = "crowded"
+
 
 @dataclass(slots=True, frozen=True)
 class Merit:
@@ -113,7 +118,7 @@
     reason = target.reason
     ratio = target.ratio
     if load_factor < view.merit:
-        reason = "crowded"
+        reason = CROWDED
         ratio = (view.mean_outstanding + 1.0) / (baseline.mean_outstanding + 1.0)
     return _Candidate(view, view.merit * load_factor, reason, ratio)
 
@@ -133,11 +138,11 @@
         relative_slowness = view.slowness / median_slowness
         if relative_slowness > TOLERATED_SLOWNESS:
             weight = TOLERATED_SLOWNESS / relative_slowness
-            reason = "slow"
+            reason = SLOW
             ratio = relative_slowness
         excess_failures = view.failure_rate - 2.0 * tier_failure_rate - 1.0 / view.attempts
         if excess_failures > TOLERATED_EXCESS_FAILURES and 1.0 - excess_failures < weight:
             weight = 1.0 - excess_failures
-            reason = "failing"
+            reason = FAILING
             ratio = view.failure_rate / max(tier_failure_rate, MIN_REPORTED_FAILURE_RATE)
     return Merit(max(MIN_WEIGHT, weight), reason, ratio)
