--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -13,7 +13,7 @@
 from time import perf_counter
 
 from benchmarks.relay import RelaySide
-from testkit.bodies import BLOCK, Body, SeededBody, head, read_body
+from testkit.bodies import BLOCK_BYTES, Body, SeededBody, head, read_body
 from testkit.streaming_server import StreamedRequest, StreamingServer
 from testkit.wire import read_head
 
@@ -71,13 +71,13 @@
     if upload.method == "POST":
         body = await upload.body(pause=throttle.after_piece_of_body())
         text = f"{body.size} {body.crc}".encode()
-        await upload.talk.send(head("HTTP/1.1 200 OK", Content_Length=str(len(text))) + text)
+        await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(len(text))) + text)
         return
     size = int(upload.headers["x-size"])
     seed = int(upload.headers["x-seed"])
-    await upload.talk.send(head("HTTP/1.1 200 OK", Content_Length=str(size)))
+    await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(size)))
     for piece in SeededBody(seed).pieces(size):
-        await upload.talk.send(bytes(piece))
+        await upload.connection.send(bytes(piece))
         await throttle.after(len(piece))
 
 
@@ -117,7 +117,7 @@
 
     async def run(self) -> tuple[str, int]:
         """How it went (`ANSWERED`, a status or an error), and the body's bytes that passed."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self._port, limit=BLOCK)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self._port, limit=BLOCK_BYTES)
         try:
             await self._send(writer)
             response_head = await read_head(reader)
@@ -155,7 +155,7 @@
             text = await reader.readexactly(int(headers["content-length"]))
             return text.decode() == f"{expected[0]} {expected[1]}"
         body = await read_body(reader, headers, pause=self._throttle.after_piece_of_body())
-        return body.whole and (body.size, body.crc) == expected
+        return body.complete and (body.size, body.crc) == expected
 
 
 async def run_clients(port: int, first: int, count: int, at_once: int, size: int, seed: int) -> None:
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -46,10 +46,10 @@
 fails = fails_with(500)
 
 
-async def responds_late(request: ReceivedRequest, talk: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
+async def responds_late(request: ReceivedRequest, connection: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds past the latency objective."""
     await asyncio.sleep(LATE_S)
-    await talk.send(ok())
+    await connection.send(ok())
 
 
 class BurstingFailures:
@@ -68,12 +68,12 @@
             await asyncio.sleep(self._rng.uniform(0.05, 0.4))
             self._bursting = False
 
-    async def behave(self, request: ReceivedRequest, talk: FakeConnection) -> None:
+    async def behave(self, request: ReceivedRequest, connection: FakeConnection) -> None:
         """Fails during a burst more often than not."""
         if self._bursting and self._rng.random() < 0.6:
-            await fails(request, talk)
+            await fails(request, connection)
         else:
-            await talk.send(ok())
+            await connection.send(ok())
 
 
 @dataclass(frozen=True, slots=True)
@@ -148,9 +148,7 @@
     served = sum(
         WORTH[entry.request_class]
         for entry in entries
-        if entry.answers
-        and entry.answers[0].status == 200
-        and entry.answered_s - entry.asked_s <= OBJECTIVE_S
+        if entry.answers and entry.answers[0].status == 200 and entry.answered_s - entry.sent_s <= OBJECTIVE_S
     )
     return 1.0 - served / requested
 
--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+from functools import partial
 
 from testkit.servers import Behaviour, FakeConnection
 from testkit.wire import ReceivedRequest, ok, status
@@ -16,11 +17,7 @@
 
 def responds(data: bytes) -> Behaviour:
     """Writes these bytes, whatever they are, in response to each request."""
-
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        await talk.send(data)
-
-    return behave
+    return partial(_send, data)
 
 
 def serves(body: bytes) -> Behaviour:
@@ -35,47 +32,53 @@
 
 def waits_for(event: asyncio.Event, behaviour: Behaviour) -> Behaviour:
     """Behaves as `behaviour` once the event is set."""
+    return partial(_wait_and_behave, event, behaviour)
 
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        await event.wait()
-        await behaviour(request, talk)
-
-    return behave
 
-
-async def echoes_target(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def echoes_target(request: ReceivedRequest, connection: FakeConnection) -> None:
     """Responds with the request's target as the body."""
-    await talk.send(ok(request.target.encode()))
+    await connection.send(ok(request.target.encode()))
 
 
-async def never_responds(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def never_responds(request: ReceivedRequest, connection: FakeConnection) -> None:
     """Sends nothing until the balancer closes."""
-    await talk.ended()
+    await connection.ended()
 
 
-async def disconnects(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def disconnects(request: ReceivedRequest, connection: FakeConnection) -> None:
     """Ends the connection in place of a response."""
-    talk.reset()
+    connection.reset()
 
 
 def disconnects_after(body_bytes: int) -> Behaviour:
     """Begins a response, and ends the connection after so many bytes of its body."""
-
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        await talk.send(_truncated_response(body_bytes))
-        talk.reset()
-
-    return behave
+    return partial(_send_and_disconnect, _truncated_response(body_bytes))
 
 
 def stalls_after(body_bytes: int) -> Behaviour:
     """Begins a response, and sends nothing more after so many bytes of its body."""
+    return partial(_send_and_stall, _truncated_response(body_bytes))
+
+
+async def _send(data: bytes, request: ReceivedRequest, connection: FakeConnection) -> None:
+    await connection.send(data)
+
+
+async def _wait_and_behave(
+    event: asyncio.Event, behaviour: Behaviour, request: ReceivedRequest, connection: FakeConnection
+) -> None:
+    await event.wait()
+    await behaviour(request, connection)
+
+
+async def _send_and_disconnect(data: bytes, request: ReceivedRequest, connection: FakeConnection) -> None:
+    await connection.send(data)
+    connection.reset()
 
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        await talk.send(_truncated_response(body_bytes))
-        await talk.ended()
 
-    return behave
+async def _send_and_stall(data: bytes, request: ReceivedRequest, connection: FakeConnection) -> None:
+    await connection.send(data)
+    await connection.ended()
 
 
 def _truncated_response(body_bytes: int) -> bytes:
--- a/testkit/bodies.py
+++ b/testkit/bodies.py
@@ -12,8 +12,8 @@
 from random import Random
 from zlib import crc32
 
-BLOCK = 64 * 1024  # bytes
-PATTERN_BYTES = BLOCK + 997  # not a multiple of what anyone reads at once
+BLOCK_BYTES = 64 * 1024
+PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of what anyone reads at once
 UNLIMITED_BYTES = 1 << 60
 
 
@@ -24,19 +24,19 @@
         """Draws the block that the body repeats."""
         self._block = Random(seed).randbytes(PATTERN_BYTES)
 
-    def pieces(self, size: int, most: int = 0) -> Iterator[memoryview]:
-        """The first `size` bytes, in pieces of at most `most` bytes, or of any size if that is 0."""
+    def pieces(self, size: int, max_piece_bytes: int = 0) -> Iterator[memoryview]:
+        """The first `size` bytes, in pieces of at most `max_piece_bytes`, or of any size if that is 0."""
         view = memoryview(self._block)
-        most = most or len(view)
+        piece_bytes = max_piece_bytes or len(view)
         offset = 0
         while size > 0:
-            piece = view[offset : offset + min(size, most)]
+            piece = view[offset : offset + min(size, piece_bytes)]
             yield piece
             size -= len(piece)
             offset = (offset + len(piece)) % len(view)
 
-    def whole(self, size: int) -> bytes:
-        """The first `size` bytes in one."""
+    def prefix(self, size: int) -> bytes:
+        """The first `size` bytes in one piece."""
         return b"".join(self.pieces(size))
 
     def crc(self, size: int) -> int:
@@ -49,11 +49,11 @@
 
 @dataclass
 class Body:
-    """What was received of a body; `whole` says that it came to its end."""
+    """What was received of a body; `complete` says that it came to its end."""
 
     size: int = 0
     crc: int = 0
-    whole: bool = False
+    complete: bool = False
     trailers: dict[str, str] = field(default_factory=dict)
 
     def add(self, piece: bytes) -> None:
@@ -68,11 +68,13 @@
 class BodyReader:
     """Reads one body, with a Content-Length or chunked, at the pace of a `pause`."""
 
-    def __init__(self, reader: asyncio.StreamReader, most: int, pause: Pause | None, stop_at: int) -> None:
+    def __init__(
+        self, reader: asyncio.StreamReader, max_read_bytes: int, pause: Pause | None, stop_at: int
+    ) -> None:
         """Creates a reader; its arguments are those of `read_body`."""
         self.body = Body()
         self._reader = reader
-        self._most = most
+        self._max_read_bytes = max_read_bytes
         self._pause = pause
         self._stop_at = stop_at
 
@@ -83,7 +85,7 @@
             size = int(size_line.split(b";")[0], 16)
             if size == 0:
                 await self._read_trailers()
-                self.body.whole = True
+                self.body.complete = True
                 return
             await self._read_piecewise(size)
             if self.body.size < self._stop_at:
@@ -92,11 +94,11 @@
     async def read_length(self, length: int) -> None:
         """Reads a body of this length."""
         await self._read_piecewise(length)
-        self.body.whole = self.body.size == length
+        self.body.complete = self.body.size == length
 
     async def _read_piecewise(self, size: int) -> None:
         while size > 0 and self.body.size < self._stop_at:
-            piece = await self._reader.read(min(size, self._most, self._stop_at - self.body.size))
+            piece = await self._reader.read(min(size, self._max_read_bytes, self._stop_at - self.body.size))
             if not piece:
                 raise asyncio.IncompleteReadError(b"", size)
             self.body.add(piece)
@@ -113,7 +115,7 @@
 async def read_body(
     reader: asyncio.StreamReader,
     headers: dict[str, str],
-    most: int = BLOCK,
+    max_read_bytes: int = BLOCK_BYTES,
     pause: Pause | None = None,
     stop_at: int = UNLIMITED_BYTES,
 ) -> Body:
@@ -122,11 +124,11 @@
     Args:
         reader: of the connection, behind the message's head.
         headers: the message's, names in lower case.
-        most: bytes that are read at once.
+        max_read_bytes: bytes that are read at once.
         pause: awaited after each piece.
         stop_at: bytes after which the rest is left unread.
     """
-    body_reader = BodyReader(reader, most, pause, stop_at)
+    body_reader = BodyReader(reader, max_read_bytes, pause, stop_at)
     with suppress(asyncio.IncompleteReadError, ConnectionError):
         if headers.get("transfer-encoding") == "chunked":
             await body_reader.read_chunked()
--- a/testkit/clients.py
+++ b/testkit/clients.py
@@ -10,7 +10,7 @@
 
 from testkit.wire import RESPONSE_TIMEOUT_S, Answer, read_answer
 
-TRACES = count(1)  # numbers of trace ids: each request has a new one
+TRACE_NUMBERS = count(1)  # numbers of trace ids: each request has a new one
 
 
 class HttpClient:
@@ -60,7 +60,7 @@
     """
     fields = {
         "Host": "api.internal",
-        "X-Trace-Id": f"9b1f03aa{next(TRACES):08x}",
+        "X-Trace-Id": f"9b1f03aa{next(TRACE_NUMBERS):08x}",
         "X-Qos": cls,
         "X-Customer": "acme",
         "X-Expires-In-Ms": "8000",
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -14,25 +14,26 @@
 from collections.abc import Mapping
 from copy import deepcopy
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any
 
 import yaml
 
-from testkit.behaviours import fails_with, serves
-from testkit.load_generator import LoadGenerator
+from testkit.load_generator import LoadGenerator, RequestChoice
 from testkit.ports import free_port, wait_until_listening
 from testkit.request_log import RequestLog
 from testkit.servers import Behaviour, FakeConnection, FakeServer
-from testkit.wire import ReceivedRequest, read_answer
+from testkit.wire import ReceivedRequest, ok, read_answer, status
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
 NON_IDEMPOTENT = frozenset(("place-order", "save-quote", "send-drawing"))
 # How many of a hundred requests are of each class.
 CLASS_WEIGHTS = {"view-config": 38, "save-quote": 30, "send-drawing": 18, "place-order": 14}
-SERVICE_TIME_S = (0.02, 0.04)  # at least and at most
+MIN_SERVICE_TIME_S = 0.02
+MAX_SERVICE_TIME_S = 0.04
 STEADY_S = 4.0
 AFTER_COMMIT_S = 3.0
 AFTER_ROLLBACK_S = 2.0
@@ -52,9 +53,10 @@
 }
 
 
-def choose_request(rng: Random) -> tuple[str, str]:
-    """Draws the class and the target of a request."""
-    return rng.choices(list(CLASS_WEIGHTS), list(CLASS_WEIGHTS.values()))[0], "/configurator"
+def choose_request(rng: Random) -> RequestChoice:
+    """Draws a request to the web front."""
+    request_class = rng.choices(list(CLASS_WEIGHTS), list(CLASS_WEIGHTS.values()))[0]
+    return RequestChoice(request_class, "/configurator")
 
 
 class Tiers:
@@ -83,22 +85,19 @@
             server.close()
 
     def _behaviour(self, pool: str, name: str) -> Behaviour:
-        fail = fails_with(500)
-        respond = serves(name.encode())
-        below = CALLS_BELOW.get(pool)
-
-        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
-            self.seen[name] += 1
-            if name in self.broken:
-                await fail(request, talk)
-                return
-            await asyncio.sleep(self._rng.uniform(*SERVICE_TIME_S))
-            if below is not None and not await self._call(request, below):
-                await fail(request, talk)
-                return
-            await respond(request, talk)
-
-        return serve
+        return partial(self._serve, name, CALLS_BELOW.get(pool))
+
+    async def _serve(
+        self, name: str, below: Downstream | None, request: ReceivedRequest, connection: FakeConnection
+    ) -> None:
+        """Serves a request at the server of this name, which calls the tier below if it has one."""
+        self.seen[name] += 1
+        if name in self.broken:
+            await connection.send(status(500))
+            return
+        await asyncio.sleep(self._rng.uniform(MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S))
+        has_succeeded = below is None or await self._call(request, below)
+        await connection.send(ok(name.encode()) if has_succeeded else status(500))
 
     async def _call(self, request: ReceivedRequest, below: Downstream) -> bool:
         """Calls the tier below; whether it responded with status 200."""
@@ -131,7 +130,7 @@
         self._control = f"{directory}/sandhatch.sock"
         self._port = 0  # the balancer's
         self._tiers = Tiers()
-        self._books = RequestLog()
+        self._request_log = RequestLog()
         self._configuration: dict[str, Any] = yaml.safe_load(EXAMPLE.read_text())
 
     async def run(self) -> int:
@@ -148,7 +147,7 @@
             balancer.terminate()
             await balancer.wait()
             self._tiers.close()
-        faults = [line for line in self._books.faults(NON_IDEMPOTENT) if "answers" in line]
+        faults = [line for line in self._request_log.faults(NON_IDEMPOTENT) if "answers" in line]
         print(f"\nin all{self._summary(0)}; requests without exactly one answer: {len(faults)}")
         return 1 if faults else 0
 
@@ -177,7 +176,12 @@
 
     async def _play_changes(self) -> None:
         load = LoadGenerator(
-            self._port, self._books, choose_request, clients=6, pause_s=0.04, unsafe=NON_IDEMPOTENT
+            self._port,
+            self._request_log,
+            choose_request,
+            clients=6,
+            pause_s=0.04,
+            non_idempotent=NON_IDEMPOTENT,
         )
         await asyncio.sleep(STEADY_S)
         await self._command("status")
@@ -195,7 +199,7 @@
         await self._command("propose", path, "--comment", "web-4 for web-1")
         await self._command("diff", "--proposal", "1")
         await self._command("commit", "1", "--confirm-within", "30")
-        since = len(self._books.entries)
+        since = len(self._request_log.entries)
         seen_before = self._tiers.seen["web-1"]
         await asyncio.sleep(AFTER_COMMIT_S)
         await self._command("confirm")
@@ -212,10 +216,10 @@
         pool["new_servers"] = "warm"
         path = self._write_configuration("third.yaml", configuration)
         await self._command("propose", path, "--comment", "another store")
-        since = len(self._books.entries)
+        since = len(self._request_log.entries)
         await self._command("commit", "2", "--wait")
         print(self._summary(since))
-        since = len(self._books.entries)
+        since = len(self._request_log.entries)
         await asyncio.sleep(AFTER_ROLLBACK_S)
         print("   after the rollback:\n" + self._summary(since))
         await self._command("history")
@@ -237,7 +241,7 @@
 
     def _summary(self, since: int) -> str:
         """Requests and statuses from the entry with this number on."""
-        entries = list(self._books.entries.values())[since:]
+        entries = list(self._request_log.entries.values())[since:]
         statuses = Counter(entry.answers[0].status for entry in entries if entry.answers)
         return f"   {len(entries)} requests, answers {dict(sorted(statuses.items()))}"
 
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -69,8 +69,7 @@
         self._writers.add(writer)
         try:
             while (head := await read_head(reader)) is not None:
-                start_line, _ = head
-                target = start_line.split()[1]
+                target = head.start_line.split()[1]
                 self.calls.put_nowait(target)
                 if self.garbage:
                     writer.write(self.garbage.pop(0))
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -9,47 +9,57 @@
 from collections.abc import Callable
 from itertools import count
 from random import Random
+from typing import NamedTuple
 
 from testkit.request_log import RequestLog
 from testkit.wire import read_answer
 
 REQUEST_NUMBERS = count(1)  # of trace ids, over all generators of the process
-Choose = Callable[[Random], tuple[str, str]]  # draws a request's class and target
+
+
+class RequestChoice(NamedTuple):
+    """What a client requests."""
+
+    request_class: str
+    target: str
+
+
+Choose = Callable[[Random], RequestChoice]
 
 
 class LoadGenerator:
-    """Sends requests from its creation on, until `stop` or after `most` requests in all."""
+    """Sends requests from its creation on, until `stop` or after `max_requests` in all."""
 
     def __init__(
         self,
         port: int,
-        books: RequestLog,
+        request_log: RequestLog,
         choose: Choose,
         clients: int = 8,
         pause_s: float = 0.0,
         seed: int = 1,
-        most: int = 1_000_000,
-        unsafe: frozenset[str] = frozenset(("order",)),
+        max_requests: int = 1_000_000,
+        non_idempotent: frozenset[str] = frozenset(("order",)),
     ) -> None:
         """Creates a generator and starts its clients as tasks of the running event loop.
 
         Args:
             port: of the loopback, where the balancer listens.
-            books: the log of requests.
+            request_log: where every request is logged.
             choose: draws the class and the target of a request.
             clients: how many there are, each with a connection.
             pause_s: the average pause of a client between two requests.
             seed: of the draws.
-            most: requests in all.
-            unsafe: classes that are not idempotent; their requests are POSTs.
+            max_requests: requests of all clients together.
+            non_idempotent: classes that are not idempotent; their requests are POSTs.
         """
         self._port = port
-        self._books = books
+        self._request_log = request_log
         self._choose = choose
         self._pause_s = pause_s
-        self._unsafe = unsafe
+        self._non_idempotent = non_idempotent
         self._stopping = asyncio.Event()
-        self._requests_left = most
+        self._requests_left = max_requests
         self._tasks = [
             asyncio.create_task(self._run_client(Random(seed * 1000 + number))) for number in range(clients)
         ]
@@ -77,7 +87,7 @@
         """Sends one request and logs its response; whether the connection may be used again."""
         request_class, target = self._choose(rng)
         trace = f"load-{next(REQUEST_NUMBERS):x}"
-        entry = self._books.add(trace, request_class, asyncio.get_running_loop().time())
+        entry = self._request_log.add(trace, request_class, asyncio.get_running_loop().time())
         try:
             writer.write(self._request(request_class, target, trace))
             answer = await read_answer(reader)
@@ -89,7 +99,7 @@
         return answer.headers.get("connection") != "close"
 
     def _request(self, request_class: str, target: str, trace: str) -> bytes:
-        method = "POST" if request_class in self._unsafe else "GET"
+        method = "POST" if request_class in self._non_idempotent else "GET"
         length = "Content-Length: 0\r\n" if method == "POST" else ""
         return (
             f"{method} {target} HTTP/1.1\r\nHost: a.example\r\nX-Trace-Id: {trace}\r\n"
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -13,21 +13,17 @@
 
 from sandhatch.planning.errors import SessionError
 from sandhatch.planning.keys import Identity
-from sandhatch.planning.messages import Advice, Bye, PoolAdvice, Report
+from sandhatch.planning.messages import Advice, PoolAdvice, Report
 from sandhatch.planning.session import PlannerSession
 from testkit.listening import ListeningFake
 
 READ_BYTES = 65536
 LEASE_MS = 2_000.0
-LEND_MS = 3_000.0
+SHARE_LEASE_MS = 3_000.0
 
 
 class ForwarderConnection:
-    """One forwarder's connection, as the script sees it.
-
-    `frames` are the sealed frames of the advice that was sent, `said` the reasons that the
-    forwarder gave for its end.
-    """
+    """One forwarder's connection, as the script sees it."""
 
     def __init__(
         self, session: PlannerSession, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -38,15 +34,13 @@
         self._writer = writer
         self._reports: list[Report] = []
         self._version = 0
-        self.frames: list[bytes] = []
-        self.said: list[str] = []
 
-    async def established(self) -> None:
+    async def wait_established(self) -> None:
         """Waits until the handshake is over."""
         while not self.session.established:
             await self._read()
 
-    async def report(self) -> Report:
+    async def next_report(self) -> Report:
         """The next report.
 
         Raises:
@@ -64,33 +58,29 @@
         for event, _ in self.session.feed(data):
             if isinstance(event, Report):
                 self._reports.append(event)
-            elif isinstance(event, Bye):
-                self.said.append(event.why)
-        await self.raw(self.session.take_out())
+        await self.send_raw(self.session.take_out())
 
     def advice(self, report: Report, *pools: PoolAdvice, **more: object) -> Advice:
         """Advice in answer to a report, as a planner without a fault gives it; `more` replaces fields."""
         self._version += 1
         advice = Advice(
-            self.session.epoch, self._version, report.serial, LEASE_MS, LEND_MS, pools=list(pools)
+            self.session.epoch, self._version, report.serial, LEASE_MS, SHARE_LEASE_MS, pools=list(pools)
         )
         for name, value in more.items():
             setattr(advice, name, value)
         return advice
 
-    async def say(self, advice: Advice) -> None:
-        """Sends advice, and keeps its frame."""
+    async def send_advice(self, advice: Advice) -> None:
+        """Sends advice."""
         self.session.send(advice)
-        frame = self.session.take_out()
-        self.frames.append(frame)
-        await self.raw(frame)
+        await self.send_raw(self.session.take_out())
 
-    async def raw(self, data: bytes) -> None:
+    async def send_raw(self, data: bytes) -> None:
         """Writes bytes as they are, sealed or not."""
         self._writer.write(data)
         await self._writer.drain()
 
-    async def left(self) -> None:
+    async def wait_closed(self) -> None:
         """Waits until the forwarder closes."""
         with suppress(ConnectionError, SessionError):
             while True:
@@ -103,7 +93,7 @@
 class ScriptedPlanner(ListeningFake):
     """A planner that runs the script on each connection.
 
-    `seats` are its connections from the first on, `over` counts the scripts that have ended.
+    `ended_scripts` counts the scripts that have ended.
     """
 
     CONNECTION_ERRORS: ClassVar[tuple[type[Exception], ...]] = (ConnectionError, SessionError)
@@ -115,14 +105,12 @@
         self.identity = identity
         self.script = script
         self.epoch = epoch
-        self.seats: list[ForwarderConnection] = []
-        self.over = 0
+        self.ended_scripts = 0
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Runs the script on a connection."""
-        seat = ForwarderConnection(PlannerSession(self.identity, self.name, self.epoch), reader, writer)
-        self.seats.append(seat)
+        connection = ForwarderConnection(PlannerSession(self.identity, self.name, self.epoch), reader, writer)
         try:
-            await self.script(seat)
+            await self.script(connection)
         finally:
-            self.over += 1
+            self.ended_scripts += 1
--- a/testkit/request_log.py
+++ b/testkit/request_log.py
@@ -19,7 +19,7 @@
     """One request. Times are those of the event loop's clock."""
 
     request_class: str
-    asked_s: float
+    sent_s: float
     answers: list[Answer] = field(default_factory=list)
     answered_s: float = 0.0
     ran: list[str] = field(default_factory=list)  # servers that have read it to its end
@@ -49,17 +49,17 @@
         """How many requests had each status as their first response."""
         return Counter(entry.answers[0].status for entry in self.entries.values() if entry.answers)
 
-    def faults(self, unsafe: frozenset[str]) -> list[str]:
+    def faults(self, non_idempotent: frozenset[str]) -> list[str]:
         """What breaks the rules, a line each.
 
-        That is a request with no response or with several, one of a class in `unsafe` that ran twice, and one
-        of these that was rejected though it ran.
+        That is a request with no response or with several, one of a class in `non_idempotent` that ran twice,
+        and one of these that was rejected though it ran.
         """
         faults = []
         for trace, entry in self.entries.items():
             if len(entry.answers) != 1:
                 faults.append(f"{trace}: {len(entry.answers)} answers {entry.lost}")
-            if entry.request_class in unsafe:
+            if entry.request_class in non_idempotent:
                 if len(entry.ran) > 1:
                     faults.append(f"{trace}: unsafe, ran at {entry.ran}")
                 if entry.ran and entry.answers and entry.answers[0].status in REJECTED_STATUSES:
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -42,9 +42,9 @@
 Behaviour = Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]
 
 
-async def serve_ok(request: ReceivedRequest, talk: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
+async def serve_ok(request: ReceivedRequest, connection: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds with status 200."""
-    await talk.send(ok())
+    await connection.send(ok())
 
 
 class FakeServer(ListeningFake):
@@ -63,19 +63,18 @@
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves one request after another."""
-        talk = FakeConnection(reader, writer)
-        self.open_connections.append(talk)
+        connection = FakeConnection(reader, writer)
+        self.open_connections.append(connection)
         try:
             while (head := await read_head(reader)) is not None:
-                start_line, headers = head
-                body = await reader.readexactly(int(headers.get("content-length", "0")))
-                method, target, _ = start_line.split()
-                request = ReceivedRequest(method, target, headers, body)
+                body = await reader.readexactly(int(head.headers.get("content-length", "0")))
+                method, target, _ = head.start_line.split()
+                request = ReceivedRequest(method, target, head.headers, body)
                 self.requests.append(request)
                 self.arrived.put_nowait(request)
-                await self.behave(request, talk)
+                await self.behave(request, connection)
         finally:
-            self.open_connections.remove(talk)
+            self.open_connections.remove(connection)
 
     def entry(self, name: str, **more: Any) -> dict[str, Any]:
         """Its entry in the answers of discovery; `more` replaces keys."""
--- a/testkit/streaming_server.py
+++ b/testkit/streaming_server.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import ClassVar
 
-from testkit.bodies import BLOCK, UNLIMITED_BYTES, Body, Pause, chunked, read_body
+from testkit.bodies import BLOCK_BYTES, UNLIMITED_BYTES, Body, Pause, chunked, read_body
 from testkit.listening import ListeningFake
 from testkit.servers import FakeConnection
 from testkit.wire import read_head
@@ -23,7 +23,7 @@
     method: str
     target: str
     headers: dict[str, str]
-    talk: FakeConnection
+    connection: FakeConnection
 
     @property
     def trace(self) -> str:
@@ -31,10 +31,10 @@
         return self.headers["x-trace-id"]
 
     async def body(
-        self, most: int = BLOCK, pause: Pause | None = None, stop_at: int = UNLIMITED_BYTES
+        self, max_read_bytes: int = BLOCK_BYTES, pause: Pause | None = None, stop_at: int = UNLIMITED_BYTES
     ) -> Body:
         """Reads its body, as `read_body` does."""
-        return await read_body(self.talk.reader, self.headers, most, pause, stop_at)
+        return await read_body(self.connection.reader, self.headers, max_read_bytes, pause, stop_at)
 
 
 Serve = Callable[[StreamedRequest], Awaitable[None]]
@@ -62,20 +62,19 @@
         """Serves one request after another."""
         self.open += 1
         self.most_open = max(self.most_open, self.open)
-        talk = FakeConnection(reader, writer)
+        connection = FakeConnection(reader, writer)
         try:
-            while (request_head := await read_head(reader)) is not None:
-                start_line, headers = request_head
-                method, target, _ = start_line.split()
-                upload = StreamedRequest(method, target, headers, talk)
-                self.seen.append(upload)
-                self.arrived.put_nowait(upload)
-                await self.serve(upload)
+            while (head := await read_head(reader)) is not None:
+                method, target, _ = head.start_line.split()
+                request = StreamedRequest(method, target, head.headers, connection)
+                self.seen.append(request)
+                self.arrived.put_nowait(request)
+                await self.serve(request)
         finally:
             self.open -= 1
 
 
-async def send_all(talk: FakeConnection, pieces: Iterator[memoryview], chunks: bool = False) -> None:
+async def send_all(connection: FakeConnection, pieces: Iterator[memoryview], chunks: bool = False) -> None:
     """Sends all pieces, each as a chunk if `chunks`; the last chunk is the caller's."""
     for piece in pieces:
-        await talk.send(chunked(piece) if chunks else bytes(piece))
+        await connection.send(chunked(piece) if chunks else bytes(piece))
--- a/testkit/wire.py
+++ b/testkit/wire.py
@@ -7,6 +7,7 @@
 
 import asyncio
 from dataclasses import dataclass
+from typing import NamedTuple
 
 RESPONSE_TIMEOUT_S = 20.0  # a bound on what must come; a test that passes never waits that long
 
@@ -30,15 +31,22 @@
     body: bytes
 
 
-async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]] | None:
-    """The start line and the header fields of the next message, None if the connection ends before."""
+class MessageHead(NamedTuple):
+    """The head of a message; names of header fields are in lower case."""
+
+    start_line: str
+    headers: dict[str, str]
+
+
+async def read_head(reader: asyncio.StreamReader) -> MessageHead | None:
+    """The head of the next message, None if the connection ends before."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
     start_line, *lines = head.decode("latin-1").split("\r\n")
     fields = (line.partition(":") for line in lines if line)
-    return start_line, {name.lower(): value.strip() for name, _, value in fields}
+    return MessageHead(start_line, {name.lower(): value.strip() for name, _, value in fields})
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Answer:
@@ -46,14 +54,13 @@
 
     Raises:
         AssertionError: the connection ended without a response.
-        TimeoutError: it didn't come within PATIENCE_S.
+        TimeoutError: it didn't come within RESPONSE_TIMEOUT_S.
     """
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         head = await read_head(reader)
         assert head is not None, "the connection ended without an answer"
-        start_line, headers = head
-        body = await reader.readexactly(int(headers.get("content-length", "0")))
-    return Answer(int(start_line.split()[1]), headers, body)
+        body = await reader.readexactly(int(head.headers.get("content-length", "0")))
+    return Answer(int(head.start_line.split()[1]), head.headers, body)
 
 
 def ok(body: bytes = b"served", extra: str = "") -> bytes:
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -33,10 +33,10 @@
 ) -> Callable[[ForwarderConnection], Awaitable[None]]:
     """A planner that gives each report the same answer."""
 
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
         while True:
-            await seat.say(seat.advice(await seat.report(), *pools, **fields))
+            await connection.send_advice(connection.advice(await connection.next_report(), *pools, **fields))
 
     return script
 
@@ -44,11 +44,11 @@
 def test_a_report_names_the_servers_and_advice_reaches_the_balancer() -> None:
     reports: list[Report] = []
 
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
-        reports.append(await seat.report())
-        await seat.say(seat.advice(reports[0], weights_advice(1.0, 0.5)))
-        await seat.left()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
+        reports.append(await connection.next_report())
+        await connection.send_advice(connection.advice(reports[0], weights_advice(1.0, 0.5)))
+        await connection.wait_closed()
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
@@ -80,10 +80,10 @@
 
 
 def test_garbage_opens_the_circuit_and_does_not_reach_the_balancer() -> None:
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
-        await seat.raw(b"\0\0\0\x20" + b"garbage!" * 4)
-        await seat.left()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
+        await connection.send_raw(b"\0\0\0\x20" + b"garbage!" * 4)
+        await connection.wait_closed()
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
@@ -98,18 +98,18 @@
 def test_a_planner_sending_100_mb_is_disconnected_at_the_first_bytes() -> None:
     sent = 0
 
-    async def script(seat: ForwarderConnection) -> None:
+    async def script(connection: ForwarderConnection) -> None:
         nonlocal sent
-        await seat.established()
-        await seat.raw((100_000_000).to_bytes(4, "big"))
+        await connection.wait_established()
+        await connection.send_raw((100_000_000).to_bytes(4, "big"))
         while True:
-            await seat.raw(b"x" * 65536)
+            await connection.send_raw(b"x" * 65536)
             sent += 65536
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
             await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
-            await until(lambda: planner.over == TERMS.fault_limit)
+            await until(lambda: planner.ended_scripts == TERMS.fault_limit)
             reason = forwarder.planner_status("p0")["last"]
             assert "a frame of 100000000 bytes; 1048576 are the most" in reason
             assert sent < 50_000_000
@@ -118,11 +118,11 @@
 
 
 def test_a_planner_that_floods_is_disconnected() -> None:
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
-        report = await seat.report()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
+        report = await connection.next_report()
         while True:
-            await seat.say(seat.advice(report, answered_serial=report.serial))
+            await connection.send_advice(connection.advice(report, answered_serial=report.serial))
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
@@ -133,12 +133,12 @@
 
 
 def test_repeated_old_advice_is_rejected_and_opens_the_circuit() -> None:
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
-        first = seat.advice(await seat.report(), weights_advice(1.0, 0.5))
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
+        first = connection.advice(await connection.next_report(), weights_advice(1.0, 0.5))
         while True:
-            await seat.say(first)
-            await seat.report()
+            await connection.send_advice(first)
+            await connection.next_report()
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
@@ -186,13 +186,13 @@
 def test_late_advice_changes_nothing_and_its_planner_does_not_get_the_lease() -> None:
     """Advice five seconds late, with the lease and the delay shorter in proportion."""
 
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
         while True:
-            report = await seat.report()
+            report = await connection.next_report()
             await asyncio.sleep(0.1)
-            advice = seat.advice(report, weights_advice(1.0, 0.5), lease_ms=40.0, share_lease_ms=60.0)
-            await seat.say(advice)
+            advice = connection.advice(report, weights_advice(1.0, 0.5), lease_ms=40.0, share_lease_ms=60.0)
+            await connection.send_advice(advice)
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
@@ -271,8 +271,8 @@
 
 
 def test_a_planner_that_does_not_read_is_disconnected() -> None:
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.established()
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.wait_established()
         await asyncio.sleep(60.0)
 
     async def work() -> None:
@@ -331,8 +331,8 @@
 def test_a_connection_that_ends_at_once_is_retried() -> None:
     """It may end before `create_connection` returns, and must not be taken for an open one."""
 
-    async def script(seat: ForwarderConnection) -> None:
-        await seat.raw(b"\0\0\0\5hello")
+    async def script(connection: ForwarderConnection) -> None:
+        await connection.send_raw(b"\0\0\0\5hello")
 
     async def work() -> None:
         async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -16,7 +16,7 @@
 from sandhatch.dispatch.protocols import Decisions
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from testkit.bodies import Body, SeededBody, head, read_body
-from testkit.clients import TRACES, HttpClient
+from testkit.clients import TRACE_NUMBERS, HttpClient
 from testkit.streaming_server import Serve, StreamedRequest, StreamingServer, send_all
 from testkit.wire import RESPONSE_TIMEOUT_S, read_head
 from tests.service.harness import RunningService, serving
@@ -123,7 +123,7 @@
 
 def upload_head(length: int | None, target: str = "/drawings", **headers: str) -> bytes:
     framing = {"Transfer-Encoding": "chunked"} if length is None else {"Content-Length": str(length)}
-    trace = f"d0a1{next(TRACES):012x}"
+    trace = f"d0a1{next(TRACE_NUMBERS):012x}"
     return head(
         f"POST {target} HTTP/1.1",
         **({"Host": "drawings.example", "X-Trace-Id": trace} | framing | headers),
@@ -131,7 +131,7 @@
 
 
 def download_head(target: str = "/drawings", **headers: str) -> bytes:
-    trace = f"d0a2{next(TRACES):012x}"
+    trace = f"d0a2{next(TRACE_NUMBERS):012x}"
     return head(f"GET {target} HTTP/1.1", **({"Host": "d", "X-Trace-Id": trace, "X-Qos": "look"} | headers))
 
 
@@ -150,13 +150,13 @@
 
 async def answer_text(upload: StreamedRequest, text: str, status: int = 200, **headers: str) -> None:
     lines = {"Content-Length": str(len(text))} | headers
-    await upload.talk.send(head(f"HTTP/1.1 {status} X", **lines) + text.encode())
+    await upload.connection.send(head(f"HTTP/1.1 {status} X", **lines) + text.encode())
 
 
 async def store_upload(upload: StreamedRequest) -> None:
     """Read the complete body, and answer with its size and checksum."""
     body = await upload.body()
-    if body.whole:
+    if body.complete:
         await answer_text(upload, f"{body.size} {body.crc}")
 
 
@@ -165,10 +165,10 @@
 
     async def serve(upload: StreamedRequest) -> None:
         framing = {"Transfer-Encoding": "chunked"} if chunks else {"Content-Length": str(size)}
-        await upload.talk.send(head("HTTP/1.1 200 OK", **framing))
-        await send_all(upload.talk, SeededBody(seed).pieces(size), chunks)
+        await upload.connection.send(head("HTTP/1.1 200 OK", **framing))
+        await send_all(upload.connection, SeededBody(seed).pieces(size), chunks)
         if chunks:
-            await upload.talk.send(b"0\r\nX-Sum: 7\r\n\r\n")
+            await upload.connection.send(b"0\r\nX-Sum: 7\r\n\r\n")
 
     return serve
 
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -30,7 +30,7 @@
     do not fit even so are rejected with Retry-After.
     """
     count, size = 1000, 96 * KIB
-    body = BODY.whole(size)
+    body = BODY.prefix(size)
     results: dict[int, int] = {}
 
     async def one(deployment: Deployment, n: int) -> None:
@@ -82,19 +82,19 @@
             size = MIB
             begun = [await HttpClient(deployment.port).__aenter__() for _ in range(4)]
             for client in begun:
-                client.send(upload_head(size) + BODY.whole(65 * KIB))
+                client.send(upload_head(size) + BODY.prefix(65 * KIB))
             await deployment.kept.until(lambda: len(deployment.servers[0].seen) == 4)
             memory_budget = deployment.kept.service.shared.memory_budget
             rest = memory_budget.free - 32 * KIB
             memory_budget.book(0, rest)
             async with HttpClient(deployment.port) as late:
-                late.send(upload_head(size) + BODY.whole(32 * KIB))
+                late.send(upload_head(size) + BODY.prefix(32 * KIB))
                 status, headers = await answer_head(late)
                 assert status == 503
                 assert headers["retry-after"]
                 assert headers["connection"] == "close"
             for client in begun:
-                client.send(BODY.whole(size)[65 * KIB :])
+                client.send(BODY.prefix(size)[65 * KIB :])
                 assert (await answer_of(client))[0] == 200
                 await client.__aexit__()
             memory_budget.book(rest, 0)
@@ -120,7 +120,7 @@
                 assert deployment.flow_statistics.opened == 0
                 assert dispatcher.unanswered == 1
                 memory_budget.book(rest - 40 * KIB, 0)
-                assert (await answer_of(client))[1].whole
+                assert (await answer_of(client))[1].complete
             await deployment.until_idle()
 
     run(work())
@@ -155,7 +155,7 @@
             rest = memory_budget.free - 8 * KIB
             memory_budget.book(0, rest)
             async with HttpClient(deployment.port) as client:
-                client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+                client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
                 await deployment.kept.until(lambda: memory_budget.free == 0)
             await deployment.kept.until(lambda: memory_budget.free > 0)
             memory_budget.book(rest, 0)
@@ -180,7 +180,7 @@
             await deployment.kept.until(lambda: budget.used_bytes >= before + 96 * KIB)  # the answer's flow
             rest = budget.free - 8 * KIB
             budget.book(0, rest)
-            client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
             await deployment.kept.until(lambda: budget.free == 0)
             client.writer.transport.abort()
             await deployment.kept.until(lambda: shared.clients == 0)
@@ -197,18 +197,18 @@
             await store_upload(upload)
         elif turn == 1:
             await upload.body(stop_at=50 * KIB)
-            upload.talk.reset()
+            upload.connection.reset()
         elif turn == 2:
             await upload.body()
             await serve_body(MIB)(upload)
         else:
             await upload.body(stop_at=200 * KIB)
-            upload.talk.writer.close()
+            upload.connection.writer.close()
 
     async def one(deployment: Deployment, n: int) -> None:
         async with HttpClient(deployment.port) as client:
             client.send(upload_head(512 * KIB, f"/{n}", X_Qos="look" if n % 3 else "draw"))
-            client.send(BODY.whole((512 if n % 5 else 300) * KIB))
+            client.send(BODY.prefix((512 if n % 5 else 300) * KIB))
             if n % 5:
                 await answer_of(client)
 
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -38,7 +38,7 @@
 def test_malformed_chunks_end_the_request_and_its_connection(bad: bytes) -> None:
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
-            client.send(upload_head(None) + chunked(BODY.whole(100 * KIB)))
+            client.send(upload_head(None) + chunked(BODY.prefix(100 * KIB)))
             await deployment.servers[0].arrived.get()  # it has begun
             client.send(bad + upload_head(3) + b"abc")
             status, headers = await answer_head(client)
@@ -55,13 +55,13 @@
     async def work() -> None:
         async with deployed(store_upload) as deployment:
             async with HttpClient(deployment.port) as client:  # less than announced
-                client.send(upload_head(MIB) + BODY.whole(MIB - 1))
+                client.send(upload_head(MIB) + BODY.prefix(MIB - 1))
                 client.writer.write_eof()
                 await client.read_to_end()
             await deployment.until_idle()
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
             async with HttpClient(deployment.port) as client:  # more than announced: no request of its own
-                client.send(upload_head(MIB) + BODY.whole(MIB) + b"and some more\r\n\r\n")
+                client.send(upload_head(MIB) + BODY.prefix(MIB) + b"and some more\r\n\r\n")
                 status, _ = await answer_of(client)
                 assert status == 200
                 status, headers = await answer_head(client)
@@ -107,7 +107,7 @@
                 assert status == 413
                 assert not deployment.servers[0].seen
             async with HttpClient(deployment.port) as client:
-                client.send(upload_head(None) + chunked(BODY.whole(MIB)) + chunked(b"x"))
+                client.send(upload_head(None) + chunked(BODY.prefix(MIB)) + chunked(b"x"))
                 status, headers = await answer_head(client)
                 assert (status, headers["connection"]) == (413, "close")
             await deployment.until_idle()
@@ -123,7 +123,7 @@
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB, Expect="100-continue"))
                 assert (await answer_head(client))[0] == 100
-                client.send(BODY.whole(MIB))
+                client.send(BODY.prefix(MIB))
                 assert (await answer_head(client))[0] == 200
                 assert "expect" not in deployment.servers[0].seen[0].headers
             for bad in ({"target": "/no/way"}, {"X_Qos": "nobody"}):
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -69,7 +69,7 @@
             deployed(store_upload, request=limits) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
             trickling = asyncio.create_task(trickle(client))
             status, _ = await answer_head(client)
             trickling.cancel()
@@ -92,7 +92,7 @@
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
             assert (await answer_head(client))[0] == 408
             await deployment.until_idle()
             assert [end.outcome for end in deployment.decisions.ends] == [Outcome.CANCELLED]
@@ -117,7 +117,7 @@
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(32 * KIB) + BODY.whole(KIB))
+            client.send(upload_head(32 * KIB) + BODY.prefix(KIB))
             assert (await answer_head(client))[0] == 408
 
     run(work())
@@ -154,10 +154,10 @@
 
 def test_a_server_that_stalls_halfway_through_an_answer_with_a_fast_client() -> None:
     async def stalls(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         for piece in BODY.pieces(MIB):
-            await upload.talk.send(chunked(piece))
-        await upload.talk.ended()
+            await upload.connection.send(chunked(piece))
+        await upload.connection.ended()
 
     async def work() -> None:
         async with (
@@ -167,7 +167,7 @@
             client.send(download_head())
             status, body = await answer_of(client)
             assert status == 200
-            assert not body.whole
+            assert not body.complete
             assert body.size == MIB
             await deployment.until_idle()
             assert [(end.outcome, end.final) for end in deployment.decisions.ends] == [
@@ -206,7 +206,7 @@
         async def pause(body: object) -> None:
             await asyncio.sleep(0.008)
 
-        body = await upload.body(most=16 * KIB, pause=pause if who == "server" else None)
+        body = await upload.body(max_read_bytes=16 * KIB, pause=pause if who == "server" else None)
         await answer_text(upload, f"{body.size} {body.crc}")
 
     async def work() -> None:
@@ -232,10 +232,10 @@
 
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
-            client.send(upload_head(MIB) + BODY.whole(MIB - 1))
+            client.send(upload_head(MIB) + BODY.prefix(MIB - 1))
             await deployment.servers[0].arrived.get()
             await asyncio.sleep(2.0)
-            client.send(BODY.whole(MIB)[-1:])
+            client.send(BODY.prefix(MIB)[-1:])
             assert (await answer_of(client))[0] == 200
             await deployment.until_idle()
             assert deployment.decisions.ends[0].spent_ms < 1_500.0
@@ -248,7 +248,7 @@
         times = {"aim_ms": 500, "deadline_ms": 600}
         async with deployed(store_upload, bodies={"total_ms": 600}, times=times) as deployment:
             async with HttpClient(deployment.port) as client:
-                client.send(upload_head(64 * MIB) + BODY.whole(100 * KIB))
+                client.send(upload_head(64 * MIB) + BODY.prefix(100 * KIB))
                 trickling = asyncio.create_task(trickle(client))
                 assert (await answer_head(client))[0] == 504
                 trickling.cancel()
@@ -267,7 +267,7 @@
     async def work() -> None:
         async with deployed(silent) as deployment, HttpClient(deployment.port) as client:
             dispatcher = next(iter(deployment.kept.service.pools.alive.values())).dispatcher
-            client.send(upload_head(MIB) + BODY.whole(MIB))
+            client.send(upload_head(MIB) + BODY.prefix(MIB))
             await deployment.servers[0].arrived.get()
             # The module's time-out for the attempt is the class's aim, which has not begun to run before.
             exchange = next(iter(dispatcher._exchanges.values()))
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -67,7 +67,7 @@
                 client.send(download_head())
                 status, body = await answer_of(client)
                 assert (status, body.size, body.crc) == (200, size, SeededBody(2).crc(size))
-                assert body.whole
+                assert body.complete
             await deployment.until_idle()
             assert deployment.servers[0].connections == 1  # both ends of it could be used again
             if size != 64 * KIB + 1:  # that may be complete in one read
@@ -89,7 +89,7 @@
             await upload(client, MIB, chunks=True)
             _, body = await answer_of(client)
             assert seen == [{"x-sum": "7"}]
-            assert body.whole
+            assert body.complete
             assert body.trailers == {"x-sum": "7"}
 
     run(work())
@@ -97,13 +97,13 @@
 
 def test_both_bodies_flow_at_once_and_an_answer_may_begin_before_the_request_has_ended() -> None:
     async def echo(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         left = int(upload.headers["content-length"])
         while left:
-            piece = await upload.talk.reader.read(min(left, 64 * KIB))
+            piece = await upload.connection.reader.read(min(left, 64 * KIB))
             left -= len(piece)
-            await upload.talk.send(chunked(piece))
-        await upload.talk.send(b"0\r\n\r\n")
+            await upload.connection.send(chunked(piece))
+        await upload.connection.send(b"0\r\n\r\n")
 
     async def work() -> None:
         async with deployed(echo) as deployment, HttpClient(deployment.port) as client:
@@ -123,7 +123,7 @@
         async def pause(body: object) -> None:
             await asyncio.sleep(0.001)
 
-        body = await upload.body(most=32 * KIB, pause=pause)
+        body = await upload.body(max_read_bytes=32 * KIB, pause=pause)
         await answer_text(upload, f"{body.size} {body.crc}")
 
     async def work() -> None:
@@ -145,10 +145,10 @@
         length = {"Content-Length": str(MIB)}
         if upload.target == "/chunked":
             length = {"Transfer-Encoding": "chunked"}
-        await upload.talk.send(head("HTTP/1.1 200 OK", **length))
+        await upload.connection.send(head("HTTP/1.1 200 OK", **length))
         for piece in SeededBody(2).pieces(MIB // 2):
-            await upload.talk.send(chunked(piece) if upload.target == "/chunked" else bytes(piece))
-        upload.talk.writer.close()
+            await upload.connection.send(chunked(piece) if upload.target == "/chunked" else bytes(piece))
+        upload.connection.writer.close()
 
     async def work() -> None:
         for target in ("/length", "/chunked"):
@@ -156,7 +156,7 @@
                 client.send(download_head(target))
                 status, body = await answer_of(client)
                 assert status == 200
-                assert not body.whole
+                assert not body.complete
                 assert body.size <= MIB // 2
                 assert await client.read_to_end() == b""
                 await deployment.until_idle()
@@ -173,13 +173,13 @@
     """It takes no chunks, so without a length only the close tells the end: a plain one would be a lie."""
 
     async def cut_short(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         for piece in SeededBody(2).pieces(MIB // 2):
-            await upload.talk.send(chunked(piece))
+            await upload.connection.send(chunked(piece))
         if upload.target == "/cut":
-            upload.talk.writer.close()
+            upload.connection.writer.close()
         else:
-            await upload.talk.send(b"0\r\n\r\n")
+            await upload.connection.send(b"0\r\n\r\n")
 
     async def work() -> None:
         async with deployed(cut_short) as deployment:
@@ -202,13 +202,13 @@
     async def early(upload: StreamedRequest) -> None:
         await upload.body(stop_at=100 * KIB)
         await answer_text(upload, "enough", Connection="close")
-        upload.talk.writer.write_eof()
-        await upload.talk.ended()
+        upload.connection.writer.write_eof()
+        await upload.connection.ended()
 
     async def work() -> None:
         async with deployed(early) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
-            client.send(BODY.whole(300 * KIB))
+            client.send(BODY.prefix(300 * KIB))
             status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (200, "close")  # the rest of the body is not wanted
             assert await client.reader.readexactly(6) == b"enough"
@@ -224,12 +224,12 @@
 
     async def resets(upload: StreamedRequest) -> None:
         await upload.body(stop_at=8 * KIB)
-        upload.talk.reset()
+        upload.connection.reset()
 
     async def work() -> None:
         async with deployed(resets, resets) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
-            client.send(BODY.whole(64 * KIB))
+            client.send(BODY.prefix(64 * KIB))
             status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (502, "close")
             await deployment.until_idle()
@@ -242,7 +242,7 @@
 
 async def reset_after(upload: StreamedRequest, size: int) -> None:
     await upload.body(stop_at=size)
-    upload.talk.reset()
+    upload.connection.reset()
 
 
 def test_an_idempotent_request_is_retried_while_its_replay_buffer_is_complete() -> None:
@@ -259,7 +259,7 @@
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
             client.send(upload_head(size, X_Qos="look"))
-            body = BODY.whole(size)
+            body = BODY.prefix(size)
             client.send(body[: 64 * KIB])  # what is held before the first send; the rest follows the failure
             await deployment.kept.until(lambda: len(deployment.decisions.ends) == 1)
             assert not deployment.decisions.of(Unrepeatable)
@@ -281,7 +281,7 @@
     async def work() -> None:
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(4 * MIB, X_Qos="look"))
-            client.send(BODY.whole(2 * MIB))
+            client.send(BODY.prefix(2 * MIB))
             # Idempotent, so it is rejected with Retry-After: a retry by the client does no harm.
             status, _headers = await answer_head(client)
             assert status == 503
@@ -321,7 +321,7 @@
         async with deployed(store_upload) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(8 * MIB))
-                client.send(BODY.whole(MIB))
+                client.send(BODY.prefix(MIB))
                 await deployment.servers[0].arrived.get()
             await deployment.until_idle()
             await deployment.kept.until(lambda: deployment.servers[0].open == 0)
@@ -372,7 +372,7 @@
     async def work() -> None:
         async with deployed(store_upload, store_upload) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
-            body = BODY.whole(size)
+            body = BODY.prefix(size)
             client.send(upload_head(size) + body[:MIB])
             await deployment.kept.until(lambda: any(server.seen for server in deployment.servers))
             busy = next(server for server in deployment.servers if server.seen)
@@ -398,7 +398,7 @@
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
-            body = BODY.whole(size)
+            body = BODY.prefix(size)
             client.send(upload_head(size) + body[:MIB])
             await deployment.kept.until(lambda: bool(deployment.servers[0].seen))
             data = deployment.kept.service.transactions.active.checked.model.model_dump(mode="json")
@@ -422,7 +422,7 @@
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
-            body = BODY.whole(size)
+            body = BODY.prefix(size)
             client.send(upload_head(size) + body[:MIB])
             await deployment.kept.until(lambda: bool(deployment.servers[0].seen))
             draining = asyncio.create_task(deployment.kept.service.drain())
@@ -438,8 +438,8 @@
 
 def test_an_answer_that_trickles_begins_after_its_hold_time() -> None:
     async def drip(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked") + chunked(b"first"))
-        go = await upload.talk.reader.read(1)
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked") + chunked(b"first"))
+        go = await upload.connection.reader.read(1)
         assert not go
 
     async def work() -> None:
@@ -457,13 +457,13 @@
 def test_pipelined_requests_around_a_long_one_are_answered_in_their_order() -> None:
     async def serve(upload: StreamedRequest) -> None:
         if upload.method == "GET":
-            await upload.talk.send(ok(b"got"))
+            await upload.connection.send(ok(b"got"))
         else:
             await store_upload(upload)
 
     async def work() -> None:
         async with deployed(serve) as deployment, HttpClient(deployment.port) as client:
-            client.send(download_head() + upload_head(MIB) + BODY.whole(MIB) + download_head())
+            client.send(download_head() + upload_head(MIB) + BODY.prefix(MIB) + download_head())
             sizes = []
             for _ in range(3):
                 status, body = await answer_of(client)
@@ -478,7 +478,9 @@
 def test_a_long_answer_of_another_status_fails_as_a_short_one_does() -> None:
     async def broken(upload: StreamedRequest) -> None:
         await upload.body()
-        await upload.talk.send(head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).whole(MIB))
+        await upload.connection.send(
+            head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).prefix(MIB)
+        )
 
     async def work(deployment: Deployment | None = None) -> None:
         async with deployed(broken) as deployment, HttpClient(deployment.port) as client:
