--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -19,7 +19,7 @@
 
 from sandhatch.planning.terms import PlannerTerms
 from testkit.simulation.plan import TierPlan
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
 CORES = 2
@@ -75,10 +75,10 @@
         rate_per_s=case.load * SERVERS * CORES / case.work_ms * 1000.0,
         work_ms=case.work_ms,
         cores=CORES,
-        aim_ms=7.5 * case.work_ms,
+        objective_ms=7.5 * case.work_ms,
         deadline_ms=50.0 * case.work_ms,
         ramp_per_s=0.9 * server_per_s,
-        cold_ms=15_000.0,
+        warm_up_ms=15_000.0,
         tier=0,
         link_ms=case.link_ms,
         link_loss=case.loss,
@@ -109,10 +109,10 @@
     end_ms = FAILURE_END_MS if case.fault else END_MS
     tier.run(end_ms + 50.0 * case.work_ms)
     excess = [
-        over_ramp(tier.plan, server.started_ms, server.sent_ms) / case.forwarders
+        attempts_beyond_ramp(tier.plan, server.started_ms, server.sent_ms) / case.forwarders
         for server in tier.servers[: len(restarted)]
     ]
-    return Result(case, tier.yielded(BEGIN_MS, end_ms), max(excess, default=0.0))
+    return Result(case, tier.goodput_share(BEGIN_MS, end_ms), max(excess, default=0.0))
 
 
 def service_cases(seeds: int) -> list[Case]:
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -29,7 +29,7 @@
 from testkit.simulation.faults import random_faults
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.planning_link import planner_names
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
 WARM_UP_MS = 4_000.0  # before anything is measured
@@ -125,11 +125,11 @@
         sent = 0
         for number in self._model.restarts:
             server = self._model.servers[number]
-            excess = over_ramp(plan, server.started_ms, server.sent_ms)
+            excess = attempts_beyond_ramp(plan, server.started_ms, server.sent_ms)
             self._figures.ramp_excess = max(self._figures.ramp_excess, excess)
-            age = min(1.0, (self._clock.now_ms - server.started_ms) / plan.cold_ms)
-            share = plan.cold_share * age + (1.0 - plan.cold_share) * age * age / 2.0
-            allowed += plan.ramp_per_s * plan.cold_ms / 1000.0 * share
+            age = min(1.0, (self._clock.now_ms - server.started_ms) / plan.warm_up_ms)
+            share = plan.initial_capacity_share * age + (1.0 - plan.initial_capacity_share) * age * age / 2.0
+            allowed += plan.ramp_per_s * plan.warm_up_ms / 1000.0 * share
             sent += len(server.sent_ms)
         self._figures.ramp_used_share = sent / (allowed or 1.0)
 
@@ -258,7 +258,7 @@
     forwarders = rng.choice([3, 8, 20])
     plan = TierPlan(
         forwarders=forwarders,
-        places=forwarders + rng.choice([0, 3]),
+        instances=forwarders + rng.choice([0, 3]),
         servers=rng.choice([2, 6]),
         planners=rng.choice([1, 2, 3]),
         rate_per_s=400.0,
@@ -266,7 +266,7 @@
         cores=8,
         ramp_per_s=rng.choice([60.0, 120.0]),
         ramp_burst=rng.choice([0.0, 2.5, 4.0, 30.0]),
-        cold_ms=10_000.0,
+        warm_up_ms=10_000.0,
         link_loss=rng.choice([0.0, 0.0, 0.02, 0.2]),
         link_ms=rng.choice([1.0, 50.0, 300.0]),
         demand={number: rng.choice([1.0, 5.0]) for number in range(forwarders)},
@@ -277,8 +277,8 @@
     tier.run(16_500.0)
     server = tier.servers[0]
     burst = plan.ramp_burst or tier.settings.instances
-    excess = over_ramp(plan, server.started_ms, server.sent_ms) / burst
-    return FaultRun(seed, excess, sum(len(forwarder.refusals) for forwarder in tier.forwarders))
+    excess = attempts_beyond_ramp(plan, server.started_ms, server.sent_ms) / burst
+    return FaultRun(seed, excess, sum(len(forwarder.guidance_rejections) for forwarder in tier.forwarders))
 
 
 def run_fault_seeds(count: int, jobs: int) -> None:
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -119,8 +119,8 @@
             classes=[CLASS],
             instances=plan.forwarders,
             instance_index=number,
-            initial_capacity_share=plan.cold_share,
-            warm_up_ms=plan.cold_ms,
+            initial_capacity_share=plan.initial_capacity_share,
+            warm_up_ms=plan.warm_up_ms,
             ramp_per_s=plan.ramp_per_s,
             ramp_burst=plan.ramp_burst,
         )
--- a/testkit/simulation/faults.py
+++ b/testkit/simulation/faults.py
@@ -10,7 +10,8 @@
 from functools import partial
 from random import Random
 
-from testkit.simulation.planner import delays_advice, honest
+from testkit.simulation.planner import delays_advice, passes_advice
+from testkit.simulation.planning_link import LinkEnds
 from testkit.simulation.tier import Tier
 
 ADVICE_DELAYS_MS = (300.0, 1_500.0, 5_000.0)
@@ -36,7 +37,7 @@
         fault_ms = rng.uniform(begin_ms, end_ms)
         planner = f"p{rng.randrange(tier.plan.planners)}"
         pairs = [
-            (number, name)
+            LinkEnds(number, name)
             for number in range(tier.plan.forwarders)
             for name in tier.planners
             if rng.random() < PARTITION_PROBABILITY
@@ -62,7 +63,7 @@
     ]
 
 
-def _partition_heals(tier: Tier, pairs: list[tuple[int, str]]) -> list[FaultStep]:
+def _partition_heals(tier: Tier, pairs: list[LinkEnds]) -> list[FaultStep]:
     return [
         FaultStep(0.0, partial(tier.partition, pairs)),
         FaultStep(2_500.0, partial(tier.partition, [])),
@@ -77,5 +78,5 @@
 def _advice_is_late(tier: Tier, planner: str, delay_ms: float) -> list[FaultStep]:
     return [
         FaultStep(0.0, partial(tier.follow, planner, delays_advice(delay_ms))),
-        FaultStep(2_000.0, partial(tier.follow, planner, honest)),
+        FaultStep(2_000.0, partial(tier.follow, planner, passes_advice)),
     ]
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -47,8 +47,8 @@
 class SimForwarder:
     """One forwarder.
 
-    Tests set `lie`, which changes its reports on their way, and read `refusals` (why its balancer rejected
-    advice) and `notes` (what its planning machine logged, each behind the time).
+    Tests set `alter_report`, which changes its reports on their way, and read `guidance_rejections` (why its
+    balancer rejected advice) and `notes` (what its planning machine logged, each behind the time).
     """
 
     def __init__(self, surroundings: Surroundings, number: int, balancer_seed: int, quiet_ms: float) -> None:
@@ -69,11 +69,11 @@
         self.up: bool = True
         self.settings = replace(settings, instance_index=number % settings.instances)
         self.balancer: Balancer = Balancer(self.settings, balancer_seed)
-        self.observer = Observer([cls.name for cls in self.settings.classes], plan.cold_ms)
+        self.observer = Observer([cls.name for cls in self.settings.classes], plan.warm_up_ms)
         self.machine: Forwarder | None = None
         self.sessions: dict[str, int] = {}  # by planner, the session's number
-        self.lie: Callable[[Report], Report] = lambda report: report
-        self.refusals: list[str] = []
+        self.alter_report: Callable[[Report], Report] = lambda report: report
+        self.guidance_rejections: list[str] = []
         self.notes: list[str] = []
         if plan.planners:
             names = planner_names(plan)
@@ -107,7 +107,7 @@
                 pass  # the simulation has no counterpart of the others
 
     def _on_guidance_rejected(self, action: GuidanceRejected) -> None:
-        self.refusals.append(action.why)
+        self.guidance_rejections.append(action.why)
         if self.machine is not None:
             actions = self.machine.rejected(action.planner, action.why, self._clock.now_ms)
             self.perform_planning_actions(actions)
@@ -139,7 +139,7 @@
         for action in actions:
             match action:
                 case SendReport():
-                    self._surroundings.link.report(self, action.planner, self.lie(action.report))
+                    self._surroundings.link.report(self, action.planner, self.alter_report(action.report))
                 case NotifyBalancer():
                     self.feed(action.event)
                 case Drop():
--- a/testkit/simulation/planning_link.py
+++ b/testkit/simulation/planning_link.py
@@ -9,8 +9,10 @@
 from collections.abc import Iterable, Sequence
 from functools import partial
 from random import Random
+from typing import NamedTuple
 
 from sandhatch.planning.messages import Advice, Report, decode, encode
+from sandhatch.planning.planner import Planner
 from testkit.simulation.clock import SimulatedClock
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.planner import Script, SimPlanner
@@ -19,10 +21,17 @@
 TICK_MS = 100.0
 
 
+class LinkEnds(NamedTuple):
+    """The two ends of a link: a forwarder's number and a planner's name."""
+
+    forwarder: int
+    planner: str
+
+
 class PlanningLink:
     """The planners by name, and the sessions of forwarders with them.
 
-    `partitions` are pairs of a forwarder's number and a planner's name that don't reach each other.
+    `partitions` are pairs of a forwarder and a planner that don't reach each other.
     """
 
     def __init__(self, plan: TierPlan, clock: SimulatedClock, rng: Random) -> None:
@@ -31,7 +40,7 @@
         self._clock = clock
         self._rng = rng
         self._last_session = 0
-        self.partitions: set[tuple[int, str]] = set()
+        self.partitions: set[LinkEnds] = set()
         self.planners = {name: SimPlanner(name, 1, clock.now_ms, plan) for name in planner_names(plan)}
 
     # ------------------------------------------------ planners
@@ -64,7 +73,7 @@
 
     def reaches(self, forwarder: ForwarderPort, planner: str) -> bool:
         """Whether a message from the forwarder would arrive."""
-        return self.planners[planner].up and (forwarder.number, planner) not in self.partitions
+        return self.planners[planner].up and LinkEnds(forwarder.number, planner) not in self.partitions
 
     def connect(self, forwarder: ForwarderPort, planner: str) -> None:
         """Opens a session, which is established after a while."""
@@ -74,34 +83,36 @@
         self._last_session += 1
         session = self._last_session
         forwarder.sessions[planner] = session
-        peer = self.planners[planner]
-
-        def establish() -> None:
-            if forwarder.sessions.get(planner) != session or not self.reaches(forwarder, planner):
-                forwarder.sessions.pop(planner, None)
-                return
-            now_ms = self._clock.now_ms
-            peer.machine.joined(forwarder_name(forwarder.number), now_ms)
-            actions = machine.connected(planner, peer.machine.epoch, now_ms)
-            forwarder.perform_planning_actions(actions)
-
+        establish = partial(self._establish, forwarder, planner, session, self.planners[planner].machine)
         self._clock.after(2.0 * self._plan.link_ms + self._rng.random() * self._plan.reconnect_ms, establish)
 
+    def _establish(
+        self, forwarder: ForwarderPort, planner: str, session: int, planner_machine: Planner
+    ) -> None:
+        if forwarder.sessions.get(planner) != session or not self.reaches(forwarder, planner):
+            forwarder.sessions.pop(planner, None)
+            return
+        now_ms = self._clock.now_ms
+        planner_machine.joined(forwarder_name(forwarder.number), now_ms)
+        assert forwarder.machine is not None
+        actions = forwarder.machine.connected(planner, planner_machine.epoch, now_ms)
+        forwarder.perform_planning_actions(actions)
+
     def disconnect(self, forwarder: ForwarderPort, planner: str) -> None:
         """Ends a forwarder's session with a planner, if it has one."""
         if forwarder.sessions.pop(planner, None) is not None and forwarder.machine is not None:
             forwarder.machine.lost(planner)
 
-    def partition(self, pairs: Iterable[tuple[int, str]], forwarders: Sequence[ForwarderPort]) -> None:
+    def partition(self, pairs: Iterable[LinkEnds], forwarders: Sequence[ForwarderPort]) -> None:
         """Replaces the partitions and ends the sessions across them.
 
         Args:
-            pairs: of a forwarder's number and a planner's name.
+            pairs: of a forwarder and a planner.
             forwarders: all of the tier's, by number.
         """
         self.partitions = set(pairs)
-        for number, name in self.partitions:
-            self.disconnect(forwarders[number], name)
+        for pair in self.partitions:
+            self.disconnect(forwarders[pair.forwarder], pair.planner)
 
     # ------------------------------------------------ messages
 
@@ -130,10 +141,10 @@
         except ValueError:
             self.disconnect(forwarder, planner)
             return
-        for delay_ms, arriving in peer.script(advice, now_ms):
+        for arriving in peer.script(advice):
             self._clock.after(
-                self._plan.link_ms + delay_ms,
-                partial(self._advice_arrives, forwarder, planner, session, arriving),
+                self._plan.link_ms + arriving.delay_ms,
+                partial(self._advice_arrives, forwarder, planner, session, arriving.advice),
             )
 
     def _advice_arrives(
@@ -141,7 +152,7 @@
     ) -> None:
         if forwarder.sessions.get(planner) != session or not forwarder.up:
             return
-        is_partitioned = (forwarder.number, planner) in self.partitions
+        is_partitioned = LinkEnds(forwarder.number, planner) in self.partitions
         if is_partitioned or self._loses_message(forwarder, planner):
             self.disconnect(forwarder, planner)
             return
--- a/testkit/simulation/ramp_check.py
+++ b/testkit/simulation/ramp_check.py
@@ -10,7 +10,7 @@
 from testkit.simulation.plan import TierPlan
 
 
-def over_ramp(plan: TierPlan, started_ms: float, sent_ms: list[float]) -> float:
+def attempts_beyond_ramp(plan: TierPlan, started_ms: float, sent_ms: list[float]) -> float:
     """The most attempts, in any window, that were sent beyond the integral of the ramp's rate over it.
 
     Up to the ramp's burst is as it should be.
@@ -22,7 +22,7 @@
     """
     most = 0.0
     least = math.inf
-    during_ramp = sorted(time_ms for time_ms in sent_ms if time_ms < started_ms + plan.cold_ms)
+    during_ramp = sorted(time_ms for time_ms in sent_ms if time_ms < started_ms + plan.warm_up_ms)
     for count, time_ms in enumerate(during_ramp):
         allowed = _allowed_attempts(plan, time_ms - started_ms)
         least = min(least, count - allowed)
@@ -32,7 +32,7 @@
 
 def _allowed_attempts(plan: TierPlan, age_ms: float) -> float:
     """The integral of the ramp's rate from a server's start to this age."""
-    ramp_ms = min(max(0.0, age_ms), plan.cold_ms)
-    share = plan.cold_share
-    area = share * ramp_ms + (1.0 - share) * ramp_ms * ramp_ms / (2.0 * plan.cold_ms)
+    ramp_ms = min(max(0.0, age_ms), plan.warm_up_ms)
+    share = plan.initial_capacity_share
+    area = share * ramp_ms + (1.0 - share) * ramp_ms * ramp_ms / (2.0 * plan.warm_up_ms)
     return plan.ramp_per_s / 1000.0 * area
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -8,6 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 
 from sandhatch.balancing.events import Outcome, ServerEntry, ServerState
 from sandhatch.runtime.address import server_label
@@ -29,12 +30,12 @@
     """Runs attempts first come, first served on so many cores, and keeps when each was sent.
 
     Tests set its faults: `slow` (times slower), `broken` (each attempt is answered with an error at once) and
-    `up` (False: it accepts no connection). `TierPlan.choke` makes it slow by itself while it is overloaded.
+    `up` (False: it accepts no connection). With `TierPlan.overload_attempts` it gets slow by itself.
     """
 
-    OVERLOAD_MS = 1_500.0  # so long at `choke` attempts, and it is overloaded
+    OVERLOAD_MS = 1_500.0  # so long at `overload_attempts` attempts, and it is overloaded
     RECOVERY_MS = 3_000.0  # so long at few attempts, and it recovers
-    RECOVERY_SHARE = 0.3  # of `choke`: what few attempts are
+    RECOVERY_SHARE = 0.3  # of `overload_attempts`: what few attempts are
     OVERLOAD_SLOWDOWN = 3.0
 
     def __init__(self, number: int, plan: TierPlan, clock: SimulatedClock) -> None:
@@ -88,22 +89,21 @@
             self._run(attempt)
 
     def _run(self, attempt: QueuedAttempt) -> None:
-        incarnation = self._incarnation
-
-        def finish() -> None:
-            if self._incarnation != incarnation:
-                attempt.end(Outcome.RESET)
-                return
-            self._running -= 1
-            self._update_overload()
-            attempt.end(Outcome.OK)
-            self._run_queue()
-
+        finish = partial(self._finish, attempt, self._incarnation)
         self._clock.after(attempt.work_ms / self._speed(), finish)
 
+    def _finish(self, attempt: QueuedAttempt, incarnation: int) -> None:
+        if self._incarnation != incarnation:
+            attempt.end(Outcome.RESET)
+            return
+        self._running -= 1
+        self._update_overload()
+        attempt.end(Outcome.OK)
+        self._run_queue()
+
     def _update_overload(self) -> None:
         """Overloaded after holding many attempts for long, recovered after holding few for long."""
-        threshold = self._plan.choke
+        threshold = self._plan.overload_attempts
         if not threshold:
             return
         load = self._running + len(self._queue)
@@ -125,6 +125,6 @@
         """As a share of a warm server's that is neither slow nor overloaded."""
         share = 1.0
         if self.started_ms:
-            share = min(1.0, (self._clock.now_ms - self.started_ms) / self._plan.cold_ms)
-            share = self._plan.cold_share + (1.0 - self._plan.cold_share) * share
+            share = min(1.0, (self._clock.now_ms - self.started_ms) / self._plan.warm_up_ms)
+            share = self._plan.initial_capacity_share + (1.0 - self._plan.initial_capacity_share) * share
         return share / self.slow / (self.OVERLOAD_SLOWDOWN if self._overloaded else 1.0)
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -16,7 +16,7 @@
 from testkit.simulation.network import Network
 from testkit.simulation.plan import TierPlan, settings_of
 from testkit.simulation.planner import Script, SimPlanner
-from testkit.simulation.planning_link import PlanningLink
+from testkit.simulation.planning_link import LinkEnds, PlanningLink
 from testkit.simulation.server import SimServer
 from testkit.simulation.workload import Workload
 
@@ -145,12 +145,12 @@
         """Passes a planner's advice through this script from here on."""
         self.link.follow(name, script)
 
-    def partition(self, pairs: Iterable[tuple[int, str]]) -> None:
-        """Keeps these pairs of a forwarder's number and a planner's name apart, and no others."""
+    def partition(self, pairs: Iterable[LinkEnds]) -> None:
+        """Keeps these pairs of a forwarder and a planner apart, and no others."""
         self.link.partition(pairs, self.forwarders)
 
     # ------------------------------------------------ results
 
-    def yielded(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
+    def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
         """The share served in time of the requests that arrived in a span of the run; 0 if none did."""
         return self.workload.goodput_share(begin_ms, end_ms)
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -84,7 +84,7 @@
         pending = self._pending.pop(request, None)
         if pending is None:
             return
-        in_time = served and self._clock.now_ms - pending.arrived_ms <= self._plan.aim_ms
+        in_time = served and self._clock.now_ms - pending.arrived_ms <= self._plan.objective_ms
         self.completed.append(CompletedRequest(pending.arrived_ms, in_time))
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -17,11 +17,11 @@
     servers=60,
     rate_per_s=800.0,
     work_ms=60.0,
-    aim_ms=1_000.0,
+    objective_ms=1_000.0,
     deadline_ms=2_000.0,
     ramp_per_s=0.0,
-    cold_share=0.85,
-    cold_ms=1_000.0,
+    initial_capacity_share=0.85,
+    warm_up_ms=1_000.0,
     max_attempts=4,
     list_call_ms=150.0,
     tier=0,
@@ -49,7 +49,7 @@
         assert len(listed) == 60
     later = [at for at in tier.discovery.calls_ms if at > 1_009_000.0]
     assert len(later) <= 2 * instances
-    assert tier.yielded(10_000.0, 30_000.0) > 0.97
+    assert tier.goodput_share(10_000.0, 30_000.0) > 0.97
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -91,4 +91,4 @@
     calls = tier.discovery.calls_ms
     assert most_in_a_second(calls) <= 40  # one an instance
     assert len(tier.discovery.notified_ms) == 40
-    assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.ask_within_ms
+    assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.poll_interval_ms
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -18,13 +18,13 @@
     servers=10,
     rate_per_s=95.0,
     work_ms=110.0,
-    aim_ms=1_500.0,
+    objective_ms=1_500.0,
     deadline_ms=4_000.0,
     ramp_per_s=0.0,
-    cold_share=0.15,
-    cold_ms=22_000.0,
+    initial_capacity_share=0.15,
+    warm_up_ms=22_000.0,
     queue=600,
-    choke=10,
+    overload_attempts=10,
     tier=0,
 )
 BEGIN, SPAN, END = 20_000.0, 7_000.0, 42_000.0
@@ -45,7 +45,7 @@
 
 def goodput(instances: int, with_outlier: bool = False) -> float:
     """Return the part of the requests after all are replaced that is served in time, over the seeds."""
-    return mean(run_release(instances, seed, with_outlier).yielded(BEGIN + SPAN, END) for seed in SEEDS)
+    return mean(run_release(instances, seed, with_outlier).goodput_share(BEGIN + SPAN, END) for seed in SEEDS)
 
 
 @pytest.mark.parametrize("instances", [1, 3])
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -24,18 +24,18 @@
     servers=20,
     work_ms=60.0,
     cores=2,
-    aim_ms=1_000.0,
+    objective_ms=1_000.0,
     deadline_ms=2_000.0,
     ramp_per_s=0.0,
-    cold_share=0.15,
-    cold_ms=15_000.0,
+    initial_capacity_share=0.15,
+    warm_up_ms=15_000.0,
     max_attempts=4,
     tier=0,
     queue=600,
-    choke=14,
+    overload_attempts=14,
 )
 # Servers of one core that take long: few requests are a window's budget, so that each one more counts.
-FEW = replace(PLAN, cores=1, work_ms=200.0, aim_ms=2_000.0, deadline_ms=4_000.0)
+FEW = replace(PLAN, cores=1, work_ms=200.0, objective_ms=2_000.0, deadline_ms=4_000.0)
 MULTIPLE, WINDOW_MS = 2.0, 2_000.0  # what `Settings` has by default
 
 
@@ -48,12 +48,12 @@
     """Return the most that came in any window of the warm-up, by what was allowed then."""
     worst, first = 0.0, 0
     per_s = plan.cores * 1_000.0 / plan.work_ms
-    times = [at for at in sorted(sent_ms) if at < started_ms + plan.cold_ms]
+    times = [at for at in sorted(sent_ms) if at < started_ms + plan.warm_up_ms]
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_MS:
             first += 1
         age = max(0.0, at - WINDOW_MS - started_ms)
-        share = plan.cold_share + (1.0 - plan.cold_share) * age / plan.cold_ms
+        share = plan.initial_capacity_share + (1.0 - plan.initial_capacity_share) * age / plan.warm_up_ms
         budget = MULTIPLE * share * per_s * WINDOW_MS / 1_000.0
         worst = max(worst, (last - first + 1) / allowed(budget))
     return worst
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -17,7 +17,6 @@
 from sandhatch.planning.terms import ForwarderTerms, PlannerTerms
 from sandhatch.runtime.clock import Clock
 from testkit.planners import Script, ScriptedPlanner
-from testkit.wire import RESPONSE_TIMEOUT_S
 
 KEY = SharedKey(b"k" * 32)
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
@@ -59,7 +58,7 @@
         return [event for event in self.events if isinstance(event, Guidance)]
 
 
-class LinkedForwarder:
+class ConnectedForwarder:
     """A forwarder with its link, its only pool's dispatcher and its log lines."""
 
     def __init__(self, link: ForwarderLink, dispatcher: FakeDispatcher, lines: list[str]) -> None:
@@ -80,16 +79,10 @@
         return any(text in line for line in self.lines)
 
 
-async def until(holds: Callable[[], object]) -> None:
-    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-        while not holds():
-            await asyncio.sleep(0.005)
-
-
 @asynccontextmanager
-async def linked_forwarder(
+async def connected_forwarder(
     ports: dict[str, int], terms: ForwarderTerms = TERMS, quiet_ms: float = 0.0
-) -> AsyncIterator[LinkedForwarder]:
+) -> AsyncIterator[ConnectedForwarder]:
     """A forwarder of these planners, by their names and ports."""
     clock = Clock(asyncio.get_running_loop())
     lines: list[str] = []
@@ -99,7 +92,7 @@
     link.attach("core", dispatcher, SETTINGS)
     link.start()
     try:
-        yield LinkedForwarder(link, dispatcher, lines)
+        yield ConnectedForwarder(link, dispatcher, lines)
     finally:
         link.stop()
 
@@ -121,7 +114,8 @@
 ) -> AsyncIterator[PlannerServer]:
     """A real planner that started long ago: it is not learning."""
     clock = Clock(asyncio.get_running_loop())
-    server = PlannerServer(name, ("127.0.0.1", 0), KEY, clock, lambda line: None, terms, **more)
+    lines: list[str] = []
+    server = PlannerServer(name, ("127.0.0.1", 0), KEY, clock, lines.append, terms, **more)
     server.planner.started_ms -= 60_000.0
     await server.start()
     try:
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -8,7 +8,8 @@
 from sandhatch.config.version import State
 from sandhatch.planning.server import PlannerServer
 from testkit.clients import HttpClient
-from tests.planning.harness import planner_server, until
+from testkit.polling import wait_until
+from tests.planning.harness import planner_server
 from tests.service.harness import FakeServers, RunningService, run, serving
 
 
@@ -64,8 +65,8 @@
     assert link.pools == ["web"]
     await check_request_is_served(client)
     pools = planner.planner.pools
-    await until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
-    await until(lambda: not pools["orders"].load.members)
+    await wait_until(lambda: pools["web"].load.members["forwarder-0"].demand_per_s > 0.0)
+    await wait_until(lambda: not pools["orders"].load.members)
 
 
 async def replace_the_link(
@@ -74,14 +75,14 @@
     """Check that the new link knows until when the shares are leased."""
     link = kept.service.forwarding.link
     assert link is not None
-    await until(lambda: link.forwarder.leased_to == "p0")
+    await wait_until(lambda: link.forwarder.leased_to == "p0")
     lease_end_ms = link.forwarder.leased_until_ms
     await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
     replacement = kept.service.forwarding.link
     assert replacement is not None
     assert replacement is not link
     assert replacement.forwarder.leased_until_ms >= lease_end_ms - 1.0
-    await until(lambda: "other" in planner.planner.members)
+    await wait_until(lambda: "other" in planner.planner.members)
 
 
 def test_planners_are_added_changed_and_removed_while_requests_are_served(tmp_path: Path) -> None:
@@ -97,11 +98,11 @@
             await kept.confirmed(with_planner(farm, key, planner.port))
             assert forwarding.link is not None
             assert set(forwarding.link.pools) == {"web", "orders"}
-            await until(lambda: "web" in planner.planner.pools)
+            await wait_until(lambda: "web" in planner.planner.pools)
             assert list(planner.planner.members) == ["forwarder-0"]
             await check_request_is_served(client)
             load = planner.planner.pools["web"].load
-            await until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
+            await wait_until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
             await change_a_pool(farm, key, planner, kept, client)
             await replace_the_link(farm, key, planner, kept)
             await kept.confirmed(plain)
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -3,11 +3,20 @@
 from __future__ import annotations
 
 from dataclasses import replace
+from functools import partial
 
 import pytest
 
 from sandhatch.planning.messages import Report
+from testkit.simulation.clock import START_MS
 from testkit.simulation.plan import TierPlan
+from testkit.simulation.planner import (
+    RepeatsFirstAdvice,
+    Script,
+    delays_advice,
+    passes_advice,
+    sends_garbage,
+)
 from testkit.simulation.tier import Tier
 
 # Ten servers of two cores with attempts of 100 ms: their capacity is 200 attempts a second.
@@ -18,7 +27,7 @@
     rate_per_s=0.9 * 200.0,
     work_ms=100.0,
     cores=2,
-    aim_ms=750.0,
+    objective_ms=750.0,
     deadline_ms=5_000.0,
     ramp_per_s=18.0,
     tier=0,
@@ -27,7 +36,7 @@
 
 def shares(tier: Tier, begin: float, end: float) -> list[float]:
     """Each server's share of the attempts sent in a span of the run."""
-    counts = [sum(begin <= at - 1_000_000.0 < end for at in server.sent_ms) for server in tier.servers]
+    counts = [sum(begin <= at - START_MS < end for at in server.sent_ms) for server in tier.servers]
     return [count / sum(counts) for count in counts]
 
 
@@ -35,7 +44,8 @@
     """The largest change of any server's share between two consecutive spans of 3 s."""
     changes = []
     for begin in range(18_000, 30_000, 3_000):
-        before, now = shares(tier, begin - 3_000, begin), shares(tier, begin, begin + 3_000)
+        before = shares(tier, begin - 3_000, begin)
+        now = shares(tier, begin, begin + 3_000)
         changes += [abs(a - b) for a, b in zip(before, now, strict=True)]
     return max(changes)
 
@@ -55,17 +65,18 @@
         tier.run(32_000.0)
         return tier
 
-    steady, restarted = simulate(False), simulate(True)
+    steady = simulate(False)
+    restarted = simulate(True)
     weights = [f.balancer.guidance_state.weight(0, restarted.now) for f in restarted.forwarders]
     assert max(weights) < 0.95  # it has learned the weights again
     # With about 45 attempts each in 3 s, chance alone changes a share by 0.02 and more.
     assert largest_change(restarted) < largest_change(steady) + 0.03
-    assert restarted.yielded(20_000.0, 31_000.0) > steady.yielded(20_000.0, 31_000.0) - 0.03
-    assert not [why for forwarder in restarted.forwarders for why in forwarder.refusals]
+    assert restarted.goodput_share(20_000.0, 31_000.0) > steady.goodput_share(20_000.0, 31_000.0) - 0.03
+    assert not [why for forwarder in restarted.forwarders for why in forwarder.guidance_rejections]
 
 
 def test_a_planner_that_restarts_is_learning_and_the_grants_continue_unchanged() -> None:
-    plan = replace(PLAN, planners=1, cold_ms=20_000.0)
+    plan = replace(PLAN, planners=1, warm_up_ms=20_000.0)
     tier = Tier(plan, 1)
     tier.at(9_000.0, lambda: tier.restart(0))
     tier.at(14_000.0, lambda: tier.kill_planner("p0"))
@@ -78,7 +89,7 @@
             ramp = forwarder.balancer.guidance_state.ramp
             assert ramp is not None
             rates.append(ramp.part(forwarder.balancer.server_list.servers[0], tier.now).rate)
-        granted[tier.now - 1_000_000.0] = rates
+        granted[tier.now - START_MS] = rates
 
     for at in (13_900.0, 15_000.0, 16_500.0):
         tier.at(at, record_shares)
@@ -100,12 +111,14 @@
         tier = Tier(replace(load, planners=planners), 3)
         if kill:
             for name in tier.planners:
-                tier.at(12_000.0, lambda n=name: tier.kill_planner(n))  # type: ignore[misc]
-                tier.at(72_000.0, lambda n=name: tier.start_planner(n))  # type: ignore[misc]
+                tier.at(12_000.0, partial(tier.kill_planner, name))
+                tier.at(72_000.0, partial(tier.start_planner, name))
         tier.run(84_000.0)
-        return tier.yielded(12_000.0, 72_000.0)
+        return tier.goodput_share(12_000.0, 72_000.0)
 
-    without, killed, planned = simulate(0, False), simulate(2, True), simulate(2, False)
+    without = simulate(0, False)
+    killed = simulate(2, True)
+    planned = simulate(2, False)
     assert killed > without - 0.02
     assert planned > without + 0.01  # one forwarder has six times the demand of any other
 
@@ -113,46 +126,49 @@
 def test_a_forwarder_that_reports_ten_times_its_load_does_not_reduce_the_goodput() -> None:
     plan = replace(PLAN, planners=1, rate_per_s=0.95 * 200.0)
 
-    def lie(report: Report) -> Report:
+    def multiply_load(report: Report) -> Report:
         for pool in report.pools:
             pool.demand = {name: 10 * count for name, count in pool.demand.items()}
             for row in pool.rows:
-                row.ok, row.failed, row.spent_ms = 10 * row.ok, 10 * row.failed, 10.0 * row.spent_ms
+                row.ok *= 10
+                row.failed *= 10
+                row.spent_ms *= 10.0
                 row.outstanding *= 10
         return report
 
     def simulate(lies: bool) -> Tier:
         tier = Tier(plan, 2)
         if lies:
-            tier.forwarders[0].lie = lie
+            tier.forwarders[0].alter_report = multiply_load
         tier.run(30_000.0)
         return tier
 
-    honest, lied = simulate(False), simulate(True)
-    assert lied.yielded(10_000.0, 28_000.0) > honest.yielded(10_000.0, 28_000.0) - 0.03
+    honest = simulate(False)
+    lied = simulate(True)
+    assert lied.goodput_share(10_000.0, 28_000.0) > honest.goodput_share(10_000.0, 28_000.0) - 0.03
     own_shares = [f.balancer.guidance_state.own_part(lied.now) for f in lied.forwarders]
     assert min(own_shares) > 0.6 / 8
 
 
-@pytest.mark.parametrize("fault", ["late", "garbage", "old"])
-def test_the_goodput_does_not_fall_with_a_planner_that_sends_advice_that_is(fault: str) -> None:
+@pytest.mark.parametrize(
+    "script",
+    [
+        pytest.param(delays_advice(5_000.0), id="late"),
+        pytest.param(sends_garbage, id="garbage"),
+        pytest.param(RepeatsFirstAdvice(), id="old"),
+    ],
+)
+def test_the_goodput_does_not_fall_with_a_planner_that_sends_advice_that_is(script: Script) -> None:
     plan = replace(PLAN, planners=2)
-    recorded = []
 
-    def simulate(bad: bool) -> Tier:
+    def simulate(script: Script) -> Tier:
         tier = Tier(plan, 1)
-        if bad:
-            tier.planners["p0"].script = {
-                "late": lambda advice, now: [(5_000.0, advice)],
-                "garbage": lambda advice, now: [(0.0, None)],
-                "old": lambda advice, now: [
-                    (0.0, recorded[0] if recorded else recorded.append(advice) or advice)
-                ],
-            }[fault]
+        tier.follow("p0", script)
         tier.run(25_000.0)
         return tier
 
-    good, bad = simulate(False), simulate(True)
-    assert bad.yielded(8_000.0, 24_000.0) > good.yielded(8_000.0, 24_000.0) - 0.03
+    good = simulate(passes_advice)
+    bad = simulate(script)
+    assert bad.goodput_share(8_000.0, 24_000.0) > good.goodput_share(8_000.0, 24_000.0) - 0.03
     # All lease their shares to the other one.
     assert {f.machine.leased_to for f in bad.forwarders if f.machine is not None} == {"p1"}
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -11,15 +11,15 @@
 from sandhatch.planning.errors import SessionError
 from sandhatch.planning.messages import PoolAdvice, PoolReport, RampShareRow, Report, WeightRow
 from testkit.planners import ForwarderConnection
+from testkit.polling import wait_until
 from tests.planning.harness import (
     ADDRESSES,
     SETTINGS,
     TERMS,
     FakeDispatcher,
-    linked_forwarder,
+    connected_forwarder,
     planner_server,
     scripted_planner,
-    until,
 )
 from tests.service.harness import run
 
@@ -51,8 +51,11 @@
         await connection.wait_closed()
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.dispatcher.guidances)
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.dispatcher.guidances)
             (guidance,) = forwarder.dispatcher.guidances
             assert guidance.weights is not None
             assert [(w.server, w.weight) for w in guidance.weights] == [(0, 1.0), (1, 0.5)]
@@ -69,8 +72,8 @@
 
 def test_a_forwarder_leases_its_shares_to_a_planner_and_uses_what_that_grants() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.has_lease_guidance)
             assert forwarder.link.status()["lends_to"] == "p0"
             dispatcher = forwarder.dispatcher
             assert dispatcher.guidances[-1].leased_until_ms > dispatcher.clock.now_ms() + 2_000.0
@@ -86,8 +89,11 @@
         await connection.wait_closed()
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             assert planner.connections == TERMS.fault_limit
             assert "can't be opened" in forwarder.planner_status("p0")["last"]
             assert forwarder.dispatcher.guidances == []
@@ -107,9 +113,12 @@
             sent += 65536
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
-            await until(lambda: planner.ended_scripts == TERMS.fault_limit)
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
+            await wait_until(lambda: planner.ended_scripts == TERMS.fault_limit)
             reason = forwarder.planner_status("p0")["last"]
             assert "a frame of 100000000 bytes; 1048576 are the most" in reason
             assert sent < 50_000_000
@@ -125,8 +134,11 @@
             await connection.send_advice(connection.advice(report, answered_serial=report.serial))
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.planner_status("p0")["refused"] > 0)
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.planner_status("p0")["refused"] > 0)
             assert "more messages than a planner may send" in forwarder.planner_status("p0")["last"]
 
     run(work())
@@ -141,8 +153,11 @@
             await connection.next_report()
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             assert forwarder.planner_status("p0")["last"] == "advice 1 after 1"
             assert len(forwarder.dispatcher.guidances) == 1
 
@@ -153,9 +168,9 @@
     async def work() -> None:
         async with (
             scripted_planner(answers_each_report(epoch=3), epoch=5) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
+            await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             reason = forwarder.planner_status("p0")["last"]
             assert reason == "advice of epoch 3 in a session of epoch 5"
             assert forwarder.dispatcher.guidances == []
@@ -167,17 +182,17 @@
     async def work() -> None:
         async with (
             scripted_planner(answers_each_report(weights_advice(1.0, 0.5)), epoch=5) as planner,
-            linked_forwarder({"p0": planner.port}, replace(TERMS, fault_limit=100)) as forwarder,
+            connected_forwarder({"p0": planner.port}, replace(TERMS, fault_limit=100)) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
-            await until(lambda: dispatcher.guidances)
+            await wait_until(lambda: dispatcher.guidances)
             count = len(dispatcher.guidances)
             planner.epoch = 4
             for task in list(planner._tasks):
                 task.cancel()
-            await until(lambda: "epoch 4 is before 5" in forwarder.planner_status("p0")["last"])
+            await wait_until(lambda: "epoch 4 is before 5" in forwarder.planner_status("p0")["last"])
             dispatcher.events = dispatcher.events[:count]
-            await until(lambda: planner.connections >= 4)
+            await wait_until(lambda: planner.connections >= 4)
             assert len(dispatcher.guidances) <= count
 
     run(work())
@@ -195,8 +210,11 @@
             await connection.send_advice(advice)
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.planner_status("p0")["late"] >= 3)
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: forwarder.planner_status("p0")["late"] >= 3)
             assert forwarder.dispatcher.guidances == []
             assert forwarder.link.status()["lends_to"] is None
             assert forwarder.planner_status("p0")["refused"] == 0  # late is no fault
@@ -208,10 +226,10 @@
     async def work() -> None:
         async with (
             scripted_planner(answers_each_report(weights_advice(0.1, 0.1, 0.1, 0.1))) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
-            await until(lambda: len(dispatcher.guidances) > 3)
+            await wait_until(lambda: len(dispatcher.guidances) > 3)
             now = dispatcher.clock.now_ms() + 60_000.0
             assert [dispatcher.balancer.guidance_state.weight(n, now) for n in range(4)] == [1.0] * 4
             assert dispatcher.rejected == []
@@ -223,9 +241,9 @@
     async def work() -> None:
         async with (
             scripted_planner(answers_each_report(weights_advice(0.0, 0.0, 0.0, 1.0))) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
+            await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             status = forwarder.planner_status("p0")
             assert status["refused"] == TERMS.fault_limit
             assert status["last"] == "only 1 of 4 ready servers keep half of the most weight"
@@ -244,9 +262,9 @@
     async def work() -> None:
         async with (
             scripted_planner(answers_each_report(advice)) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await until(lambda: forwarder.dispatcher.guidances)
+            await wait_until(lambda: forwarder.dispatcher.guidances)
             weights = forwarder.dispatcher.guidances[0].weights
             assert weights is not None
             assert [w.server for w in weights] == [0]
@@ -261,10 +279,10 @@
         async with (
             scripted_planner(answers_each_report(first_weights)) as first,
             scripted_planner(answers_each_report(second_weights), "p1") as second,
-            linked_forwarder({"p0": first.port, "p1": second.port}) as forwarder,
+            connected_forwarder({"p0": first.port, "p1": second.port}) as forwarder,
         ):
             changes = forwarder.dispatcher.balancer.guidance_state.weights.changes
-            await until(lambda: [changes[n].target for n in sorted(changes)] == [0.6] * 4)
+            await wait_until(lambda: [changes[n].target for n in sorted(changes)] == [0.6] * 4)
             assert forwarder.dispatcher.rejected == []
 
     run(work())
@@ -279,16 +297,16 @@
         terms = replace(TERMS, report_ms=1.0, bytes_per_s=1e8)
         async with (
             scripted_planner(script) as planner,
-            linked_forwarder({"p0": planner.port}, terms) as forwarder,
+            connected_forwarder({"p0": planner.port}, terms) as forwarder,
         ):
-            await until(lambda: forwarder.link._connections)
+            await wait_until(lambda: forwarder.link._connections)
             for connection in forwarder.link._connections.values():
-                await until(lambda c=connection: c.established)  # type: ignore[misc]
+                await wait_until(lambda c=connection: c.established)  # type: ignore[misc]
                 transport = connection._transport
                 assert transport is not None
                 while transport.get_write_buffer_size() <= 1 << 20:
                     transport.write(b"\0" * 65536)
-            await until(lambda: forwarder.logged("does not read"))
+            await wait_until(lambda: forwarder.logged("does not read"))
 
     run(work())
 
@@ -297,8 +315,8 @@
     async def work() -> None:
         async with scripted_planner(answers_each_report()) as planner:
             port = planner.port
-        async with linked_forwarder({"p0": port}) as forwarder:
-            await until(lambda: forwarder.lines)
+        async with connected_forwarder({"p0": port}) as forwarder:
+            await wait_until(lambda: forwarder.lines)
             assert "planner p0:" in forwarder.lines[0]
             assert forwarder.link.status()["lends_to"] is None
             assert forwarder.link.status()["own_parts_in_ms"] == 0
@@ -308,22 +326,22 @@
 
 def test_a_pool_in_a_new_version_continues_in_the_same_session() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.has_lease_guidance)
             clock = forwarder.dispatcher.clock
             successor = FakeDispatcher(clock)
             forwarder.link.attach("core", successor, SETTINGS)
             assert successor.events  # it is notified at once of what is leased
-            await until(lambda: len(successor.guidances) > 2)
+            await wait_until(lambda: len(successor.guidances) > 2)
             other_settings = replace(SETTINGS, warm_up_ms=1_000.0)
             last = FakeDispatcher(clock, other_settings)
             forwarder.link.attach("core", last, other_settings)
-            await until(lambda: len(last.guidances) > 2)
+            await wait_until(lambda: len(last.guidances) > 2)
             assert planner.status()["turned_away"] == 0
             load = planner.planner.pools["core"].load
             assert [view.listed_in for view in load.servers.values()] == [1, 1, 1, 1]
             forwarder.link.detach("core")
-            await until(lambda: not load.members)
+            await wait_until(lambda: not load.members)
 
     run(work())
 
@@ -335,8 +353,11 @@
         await connection.send_raw(b"\0\0\0\5hello")
 
     async def work() -> None:
-        async with scripted_planner(script) as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: planner.connections >= 3)
+        async with (
+            scripted_planner(script) as planner,
+            connected_forwarder({"p0": planner.port}) as forwarder,
+        ):
+            await wait_until(lambda: planner.connections >= 3)
             assert forwarder.dispatcher.guidances == []
 
     run(work())
@@ -344,10 +365,10 @@
 
 def test_a_message_that_is_too_long_is_not_sent() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.link._connections)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.link._connections)
             session = forwarder.link._connections["p0"].session
-            await until(lambda: session.established)
+            await wait_until(lambda: session.established)
             report = Report(1, 0.0, pools=[PoolReport("core", names=["x" * 300] * 4000)])
             with pytest.raises(SessionError, match="1048560 are the most"):
                 session.send(report)
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -6,14 +6,15 @@
 
 from sandhatch.balancing.events import RequestArrived
 from sandhatch.planning.messages import Report, Row
-from tests.planning.harness import linked_forwarder, planner_server, until
+from testkit.polling import wait_until
+from tests.planning.harness import connected_forwarder, planner_server
 from tests.service.harness import run
 
 
 def test_what_a_forwarder_observes_reaches_the_planner() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: "core" in planner.planner.pools)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: "core" in planner.planner.pools)
             dispatcher = forwarder.dispatcher
             for number in range(1, 9):
                 event = RequestArrived(number, 0, 1_000.0)
@@ -21,7 +22,7 @@
                 assert dispatcher.observer is not None
                 dispatcher.observer.on_event(event, actions)
             load = planner.planner.pools["core"].load
-            await until(lambda: sum(view.outstanding for view in load.servers.values()) == 8)
+            await wait_until(lambda: sum(view.outstanding for view in load.servers.values()) == 8)
             assert load.members["f0"].demand_per_s > 0.0
 
     run(work())
@@ -29,23 +30,23 @@
 
 def test_a_forwarder_that_violates_the_protocol_is_told_the_reason_and_may_come_back() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.has_lease_guidance)
             connection = forwarder.link._connections["p0"]
             connection.session.send(Report(99, 0.0, planner.planner.epoch, 10**9))
             connection.flush()
-            await until(lambda: forwarder.logged("which was not given"))
+            await wait_until(lambda: forwarder.logged("which was not given"))
             assert planner.status()["turned_away"] == 1
             count = len(forwarder.dispatcher.guidances)
-            await until(lambda: len(forwarder.dispatcher.guidances) > count)
+            await wait_until(lambda: len(forwarder.dispatcher.guidances) > count)
 
     run(work())
 
 
 def test_garbage_on_a_planners_port_does_not_affect_its_forwarders() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.has_lease_guidance)
             for data in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\5hello", b"\xff" * 5000, b""):
                 reader, writer = await asyncio.open_connection("127.0.0.1", planner.port)
                 writer.write(data)
@@ -54,7 +55,7 @@
                     await reader.read()
                 writer.close()
             count = len(forwarder.dispatcher.guidances)
-            await until(lambda: len(forwarder.dispatcher.guidances) > count)
+            await wait_until(lambda: len(forwarder.dispatcher.guidances) > count)
             assert forwarder.link.status()["lends_to"] == "p0"
 
     run(work())
@@ -64,9 +65,9 @@
     async def work() -> None:
         async with (
             planner_server(max_connections=0) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await until(lambda: forwarder.lines)
+            await wait_until(lambda: forwarder.lines)
             assert "0 connections are there already" in forwarder.lines[0]
 
     run(work())
@@ -74,10 +75,10 @@
 
 def test_a_second_connection_of_a_forwarder_replaces_the_first() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as first:
-            await until(lambda: first.has_lease_guidance)
-            async with linked_forwarder({"p0": planner.port}) as second:
-                await until(lambda: second.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as first:
+            await wait_until(lambda: first.has_lease_guidance)
+            async with connected_forwarder({"p0": planner.port}) as second:
+                await wait_until(lambda: second.has_lease_guidance)
                 assert first.logged("another connection")
 
     run(work())
@@ -89,11 +90,11 @@
     async def work() -> None:
         async with (
             planner_server(epoch=1_000) as planner,
-            linked_forwarder({"p0": planner.port}) as forwarder,
+            connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             forwarder.link.forwarder.peers["p0"].epoch = 500_000
-            await until(lambda: planner.planner.epoch == 500_001)
-            await until(lambda: forwarder.planner_status("p0")["epoch"] == 500_001)
+            await wait_until(lambda: planner.planner.epoch == 500_001)
+            await wait_until(lambda: forwarder.planner_status("p0")["epoch"] == 500_001)
             assert planner.planner.learning(planner.clock.now_ms())
 
     run(work())
@@ -101,14 +102,14 @@
 
 def test_rows_of_a_server_that_was_never_named_end_the_session() -> None:
     async def work() -> None:
-        async with planner_server() as planner, linked_forwarder({"p0": planner.port}) as forwarder:
-            await until(lambda: forwarder.has_lease_guidance)
+        async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
+            await wait_until(lambda: forwarder.has_lease_guidance)
             reporter = forwarder.link.forwarder.peers["p0"].reporters["core"]
             report, _ = reporter.report("core", 0.0, 10_000)
             report.instances, report.burst, report.rows = 4, 4.0, [Row(77, 1)]
             connection = forwarder.link._connections["p0"]
             connection.session.send(Report(10**6, 10.0, pools=[report]))
             connection.flush()
-            await until(lambda: forwarder.logged("server 77 has no name"))
+            await wait_until(lambda: forwarder.logged("server 77 has no name"))
 
     run(work())
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -103,10 +103,10 @@
     )
     with pytest.raises(SessionError, match="forwarder f1 has not the key"):
         handshake(forwarder, planner)
+    forwarder._decryptor = None  # the reason is not encrypted, since no keys have been agreed on
+    rejection = planner.take_out()
     with pytest.raises(SessionError, match="rejected by the planner: forwarder f1 has not the key"):
-        # The reason is not encrypted, since no keys have been agreed on.
-        forwarder._decryptor = None
-        events(forwarder, planner.take_out())
+        events(forwarder, rejection)
 
 
 def test_a_proof_replayed_from_another_session_is_rejected() -> None:
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from random import Random
 
 import pytest
@@ -14,7 +15,8 @@
 from sandhatch.balancing.guidance.ramp_allocation import RampAllocation, default_allocation, ramp_burst
 from testkit.simulation.faults import random_faults
 from testkit.simulation.plan import POOL, TierPlan
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.planning_link import LinkEnds
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
 # The load exceeds the ramp, so that it binds; with few servers, many draws hit the one that warms up.
@@ -26,7 +28,7 @@
     work_ms=10.0,
     cores=8,
     ramp_per_s=60.0,
-    cold_ms=6_000.0,
+    warm_up_ms=6_000.0,
 )
 RESTART_MS = 9_500.0  # by when all forwarders lease their shares to the first planner
 SEEDS = (1, 2)
@@ -37,25 +39,25 @@
     """Check that a restarted server's ramp was kept to; returns the fraction of it that was used."""
     node = tier.servers[server]
     burst = tier.plan.ramp_burst or tier.settings.instances
-    assert over_ramp(tier.plan, node.started_ms, node.sent_ms) <= burst + 1e-6
-    assert not [why for forwarder in tier.forwarders for why in forwarder.refusals]
-    return sum(at < node.started_ms + tier.plan.cold_ms for at in node.sent_ms) / RAMP_ATTEMPTS
+    assert attempts_beyond_ramp(tier.plan, node.started_ms, node.sent_ms) <= burst + 1e-6
+    assert not [why for forwarder in tier.forwarders for why in forwarder.guidance_rejections]
+    return sum(at < node.started_ms + tier.plan.warm_up_ms for at in node.sent_ms) / RAMP_ATTEMPTS
 
 
 def simulate(plan: TierPlan, seed: int, *faults: tuple[float, Callable[[Tier], object]]) -> Tier:
     tier = Tier(plan, seed)
     tier.at(RESTART_MS, lambda: tier.restart(0))
     for at, fault in faults:
-        tier.at(at, lambda fault=fault: fault(tier))  # type: ignore[misc]
-    tier.run(RESTART_MS + plan.cold_ms + 500.0)
+        tier.at(at, partial(fault, tier))
+    tier.run(RESTART_MS + plan.warm_up_ms + 500.0)
     return tier
 
 
 def test_the_check_itself_detects_attempts_beyond_the_ramp() -> None:
     started = 1_000.0
-    assert over_ramp(PLAN, started, [started + 1.0] * 20) == pytest.approx(20.0, abs=0.01)
+    assert attempts_beyond_ramp(PLAN, started, [started + 1.0] * 20) == pytest.approx(20.0, abs=0.01)
     even = [started + 100.0 * n for n in range(60)]  # ten a second; the ramp begins with six
-    assert 1.0 < over_ramp(PLAN, started, even) < 20.0
+    assert 1.0 < attempts_beyond_ramp(PLAN, started, even) < 20.0
 
 
 def test_instances_that_do_not_share_the_ramp_exceed_it() -> None:
@@ -65,11 +67,11 @@
     for forwarder in tier.forwarders:
         ramp = forwarder.balancer.guidance_state.ramp
         assert ramp is not None
-        ramp._own_allocation = lambda server: complete
+        ramp._own_allocation = lambda _server: complete
     tier.at(RESTART_MS, lambda: tier.restart(0))
-    tier.run(RESTART_MS + PLAN.cold_ms)
+    tier.run(RESTART_MS + PLAN.warm_up_ms)
     node = tier.servers[0]
-    assert over_ramp(PLAN, node.started_ms, node.sent_ms) > 25.0
+    assert attempts_beyond_ramp(PLAN, node.started_ms, node.sent_ms) > 25.0
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -86,7 +88,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_twenty_forwarders_keep_to_the_ramp_when_all_planners_are_lost(seed: int) -> None:
-    half = RESTART_MS + PLAN.cold_ms / 2.0
+    half = RESTART_MS + PLAN.warm_up_ms / 2.0
     lost = [(half, lambda tier: tier.kill_planner("p0")), (half, lambda tier: tier.kill_planner("p1"))]
     tier = simulate(PLAN, seed, *lost)
     assert used_fraction(tier) > 0.3
@@ -96,8 +98,8 @@
 @pytest.mark.parametrize("planners", [0, 2])
 @pytest.mark.parametrize("seed", SEEDS)
 def test_twenty_forwarders_keep_to_the_ramp_when_ten_of_them_join_during_it(seed: int, planners: int) -> None:
-    plan = replace(PLAN, forwarders=10, places=20, planners=planners)
-    half = RESTART_MS + plan.cold_ms / 2.0
+    plan = replace(PLAN, forwarders=10, instances=20, planners=planners)
+    half = RESTART_MS + plan.warm_up_ms / 2.0
     tier = simulate(plan, seed, *[(half + 20.0 * n, Tier.join) for n in range(10)])
     assert len(tier.forwarders) == 20
     used_fraction(tier)
@@ -113,7 +115,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_the_lease_moves_to_the_next_planner_and_back_when_the_first_is_lost_and_restarts(seed: int) -> None:
     tier = simulate(
-        replace(PLAN, cold_ms=14_000.0),
+        replace(PLAN, warm_up_ms=14_000.0),
         seed,
         (RESTART_MS + 1_000.0, lambda tier: tier.kill_planner("p0")),
         (RESTART_MS + 5_000.0, lambda tier: tier.start_planner("p0")),
@@ -130,8 +132,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_partition_between_the_planners_keeps_to_the_ramp_and_heals(seed: int) -> None:
-    cut = [(n, "p0") for n in range(10)] + [(n, "p1") for n in range(10, 20)]
-    plan = replace(PLAN, cold_ms=17_000.0)
+    partitions = [LinkEnds(n, "p0") for n in range(10)] + [LinkEnds(n, "p1") for n in range(10, 20)]
+    plan = replace(PLAN, warm_up_ms=17_000.0)
     lessees: list[set[str | None]] = []
 
     def record_lessees(tier: Tier) -> None:
@@ -141,7 +143,7 @@
     tier = simulate(
         plan,
         seed,
-        (RESTART_MS + 1_000.0, lambda tier: tier.partition(cut)),
+        (RESTART_MS + 1_000.0, lambda tier: tier.partition(partitions)),
         (RESTART_MS + 6_000.0, record_lessees),
         (RESTART_MS + 6_500.0, lambda tier: tier.partition([])),
     )
@@ -151,7 +153,7 @@
 
 
 def test_the_grants_of_a_dead_forwarder_are_reassigned_only_after_they_have_expired() -> None:
-    plan = replace(PLAN, forwarders=4, places=4, ramp_burst=4.0, planners=1)
+    plan = replace(PLAN, forwarders=4, instances=4, ramp_burst=4.0, planners=1)
     tier = Tier(plan, 1)
     tier.at(RESTART_MS, lambda: tier.restart(0))
     tier.run(RESTART_MS + 3_000.0)
@@ -176,7 +178,7 @@
 
 
 def test_a_restarted_forwarder_does_not_use_shares_that_its_earlier_process_may_have_leased() -> None:
-    plan = replace(PLAN, forwarders=4, places=4, ramp_burst=4.0, planners=1)
+    plan = replace(PLAN, forwarders=4, instances=4, ramp_burst=4.0, planners=1)
     tier = Tier(plan, 1, quiet_ms=3_030.0)
     tier.run(RESTART_MS)
     tier.leave(3)
@@ -199,7 +201,7 @@
     plan = replace(
         PLAN,
         forwarders=number,
-        places=number + rng.choice([0, 3]),
+        instances=number + rng.choice([0, 3]),
         planners=rng.choice([1, 2, 3]),
         ramp_burst=rng.choice([0.0, 2.5, 30.0]),
         rate_per_s=250.0,
@@ -210,5 +212,5 @@
     tier = Tier(plan, seed)
     tier.at(RESTART_MS, lambda: tier.restart(0))
     random_faults(tier, rng, 4, RESTART_MS - 500.0, RESTART_MS + 5_000.0)
-    tier.run(RESTART_MS + plan.cold_ms)
+    tier.run(RESTART_MS + plan.warm_up_ms)
     used_fraction(tier)
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -11,6 +11,7 @@
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
 from pathlib import Path
+from random import Random
 from typing import Any
 
 import pytest
@@ -22,15 +23,21 @@
 from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.clock import Clock
 from testkit.discovery import FakeDiscovery
-from testkit.load_generator import LoadGenerator
+from testkit.load_generator import LoadGenerator, RequestChoice
+from testkit.polling import wait_until
 from testkit.request_log import RequestLog
 from testkit.simulation.plan import TierPlan
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from tests.service.harness import FakeServers, RunningService, run, serving
 
 FORWARDERS = 20
 WARM = ("w1", "w2", "w3")
-PLAN = TierPlan(forwarders=FORWARDERS, ramp_per_s=80.0, cold_share=0.1, cold_ms=2_500.0)
+LEASES_TIMEOUT_S = 60.0  # for all forwarders to lease their shares, or to take them back
+PLAN = TierPlan(forwarders=FORWARDERS, ramp_per_s=80.0, initial_capacity_share=0.1, warm_up_ms=2_500.0)
+
+
+def choose_request(_rng: Random) -> RequestChoice:
+    return RequestChoice("look", "/x")
 
 
 class SentTimes:
@@ -41,7 +48,8 @@
 
     def record(self, kept: RunningService) -> None:
         pool = kept.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
-        dispatcher, book = pool.dispatcher, kept.service.pools.book
+        dispatcher = pool.dispatcher
+        book = kept.service.pools.book
         handle = dispatcher.balancer.handle
 
         def recorded(now_ms: float, event: Event) -> list[Action]:
@@ -58,11 +66,15 @@
     """Servers, discovery, planners, and forwarders that are started one after another."""
 
     def __init__(self, stack: AsyncExitStack, farm: FakeServers, discovery: FakeDiscovery, key: Path) -> None:
-        self.stack, self.farm, self.discovery, self.key = stack, farm, discovery, key
+        self.stack = stack
+        self.farm = farm
+        self.discovery = discovery
+        self.key = key
         self.planners: dict[str, PlannerServer] = {}
         self.forwarders: list[RunningService] = []
         self.loads: list[LoadGenerator] = []
-        self.books = RequestLog()
+        self.request_log = RequestLog()
+        self.log_lines: list[str] = []  # of all planners
         self.sent = SentTimes()
 
     async def planner(self, name: str) -> None:
@@ -71,7 +83,7 @@
         terms = PlannerTerms(
             lease_ms=800.0, share_lease_ms=1_200.0, member_timeout_ms=1_200.0, weights_interval_ms=200.0
         )
-        server = PlannerServer(name, ("127.0.0.1", 0), key, clock, lambda line: None, terms)
+        server = PlannerServer(name, ("127.0.0.1", 0), key, clock, self.log_lines.append, terms)
         await server.start()
         self.planners[name] = server
         self.stack.callback(server.stop)
@@ -82,8 +94,8 @@
             "source": {"discovery": f"127.0.0.1:{self.discovery.port}"},
             "copies": FORWARDERS,
             "tier": 1,
-            "cold_share": PLAN.cold_share,
-            "cold_ms": PLAN.cold_ms,
+            "cold_share": PLAN.initial_capacity_share,
+            "cold_ms": PLAN.warm_up_ms,
             "ramp_per_s": PLAN.ramp_per_s,
         }
         planning: dict[str, Any] = {
@@ -109,7 +121,7 @@
 
     def start_load(self, kept: RunningService) -> None:
         self.loads.append(
-            LoadGenerator(kept.port, self.books, lambda rng: ("look", "/x"), 1, 0.02, len(self.loads))
+            LoadGenerator(kept.port, self.request_log, choose_request, 1, 0.02, len(self.loads))
         )
 
     @property
@@ -119,11 +131,6 @@
             for status in (kept.service.forwarding.status() for kept in self.forwarders)
         )
 
-    async def until(self, holds: Callable[[], bool]) -> None:
-        async with asyncio.timeout(60.0):
-            while not holds():
-                await asyncio.sleep(0.01)
-
 
 @asynccontextmanager
 async def running_site(tmp_path: Path, planners: int, forwarders: int) -> AsyncIterator[Site]:
@@ -141,7 +148,7 @@
         for _ in range(forwarders):
             await site.forwarder()
         if planners:
-            await site.until(lambda: site.lessor_count == forwarders)
+            await wait_until(lambda: site.lessor_count == forwarders, LEASES_TIMEOUT_S)
         yield site
 
 
@@ -152,20 +159,20 @@
     await asyncio.sleep(0.2)
     started_ms = time.time() * 1000.0
     site.discovery.change(site.farm.servers["fresh"].entry("fresh", startedAtMs=int(started_ms)))
-    await asyncio.sleep(PLAN.cold_ms / 2000.0)
+    await asyncio.sleep(PLAN.warm_up_ms / 2000.0)
     result = halfway()
     if result is not None:
         await result
-    await asyncio.sleep(PLAN.cold_ms / 2000.0)
+    await asyncio.sleep(PLAN.warm_up_ms / 2000.0)
     for load in site.loads:
         await load.stop()
     times = site.sent.times_ms.get("fresh", [])
     # Clocks start at the system's time and run on independently, so they differ by a little.
-    excess = over_ramp(PLAN, int(started_ms), times)
+    excess = attempts_beyond_ramp(PLAN, int(started_ms), times)
     assert excess <= FORWARDERS + 0.5, f"{excess:.2f} attempts beyond the ramp"
     assert len(site.farm.servers["fresh"].requests) <= len(times)
-    assert all(len(entry.answers) == 1 for entry in site.books.entries.values())
-    return sum(at < started_ms + PLAN.cold_ms for at in times)
+    assert all(len(entry.answers) == 1 for entry in site.request_log.entries.values())
+    return sum(at < started_ms + PLAN.warm_up_ms for at in times)
 
 
 def test_twenty_forwarders_keep_to_the_ramp_with_planners(tmp_path: Path) -> None:
@@ -193,7 +200,7 @@
                     planner.stop()
 
             assert await start_server(site, stop_planners) > 0
-            await site.until(lambda: site.lessor_count == 0)
+            await wait_until(lambda: site.lessor_count == 0, LEASES_TIMEOUT_S)
 
     run(work())
 
--- a/tests/testkit/test_simulation.py
+++ b/tests/testkit/test_simulation.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from functools import partial
 from random import Random
 
 import pytest
@@ -9,16 +10,21 @@
 from testkit.simulation.clock import START_MS, SimulatedClock
 from testkit.simulation.faults import random_faults
 from testkit.simulation.plan import TierPlan
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.planning_link import LinkEnds
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
 
 def test_calls_are_made_in_the_order_of_their_times_and_then_of_their_addition() -> None:
     clock = SimulatedClock()
     made: list[tuple[str, float]] = []
+
+    def record(name: str) -> None:
+        made.append((name, clock.now_ms - START_MS))
+
     for name, delay_ms in (("late", 20.0), ("first", 10.0), ("second", 10.0), ("past", -5.0)):
-        clock.after(delay_ms, lambda name=name: made.append((name, clock.now_ms - START_MS)))  # type: ignore[misc]
-    clock.at(15.0, lambda: clock.after(1.0, lambda: made.append(("nested", clock.now_ms - START_MS))))
+        clock.after(delay_ms, partial(record, name))
+    clock.at(15.0, lambda: clock.after(1.0, partial(record, "nested")))
     clock.run(19.0)
     assert made == [("past", 0.0), ("first", 10.0), ("second", 10.0), ("nested", 16.0)]
     assert clock.now_ms == START_MS + 19.0
@@ -40,7 +46,7 @@
     assert sends_of_run(1) != sends_of_run(2)
 
 
-def test_a_planner_that_is_started_again_has_the_next_epoch_and_its_script() -> None:
+def test_a_planner_that_restarts_has_the_next_epoch_and_its_script() -> None:
     tier = Tier(TierPlan(planners=1))
     script = tier.planners["p0"].script
     tier.kill_planner("p0")
@@ -55,7 +61,7 @@
     tier = Tier(TierPlan(planners=2, forwarders=3))
     tier.run(2_000.0)
     assert all(sorted(forwarder.sessions) == ["p0", "p1"] for forwarder in tier.forwarders)
-    tier.partition([(1, "p0")])
+    tier.partition([LinkEnds(1, "p0")])
     tier.run(4_000.0)
     assert [sorted(forwarder.sessions) for forwarder in tier.forwarders] == [
         ["p0", "p1"],
@@ -68,7 +74,7 @@
 
 
 def test_attempts_at_once_beyond_the_ramp_are_counted() -> None:
-    plan = TierPlan(ramp_per_s=50.0, cold_share=0.1, cold_ms=20_000.0)
-    assert over_ramp(plan, START_MS, []) == 0.0
-    assert over_ramp(plan, START_MS, [START_MS + 1.0] * 5) == pytest.approx(5.0, abs=0.01)
-    assert over_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0  # it is warm by then
+    plan = TierPlan(ramp_per_s=50.0, initial_capacity_share=0.1, warm_up_ms=20_000.0)
+    assert attempts_beyond_ramp(plan, START_MS, []) == 0.0
+    assert attempts_beyond_ramp(plan, START_MS, [START_MS + 1.0] * 5) == pytest.approx(5.0, abs=0.01)
+    assert attempts_beyond_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0  # it is warm by then
