--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -8,7 +8,7 @@
 
 import asyncio
 import socket
-from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from random import Random
 from time import perf_counter
 
@@ -32,7 +32,7 @@
 
 
 class Throttle:
-    """Keeps one side at its speed, by a pause after each piece."""
+    """Keeps one side at its speed while it sends or reads one body, by a pause after each piece."""
 
     def __init__(self, mb_per_s: float) -> None:
         """Creates a throttle that starts now; 0 for one that never pauses."""
@@ -49,17 +49,9 @@
         if ahead_s > LEAST_PAUSE_S:
             await asyncio.sleep(ahead_s)
 
-    def after_piece_of_body(self) -> Callable[[Body], Awaitable[None]]:
-        """The `pause` of a body that is read at this speed."""
-        read_bytes = 0
-
-        async def pause(body: Body) -> None:
-            nonlocal read_bytes
-            size = body.size - read_bytes
-            read_bytes = body.size
-            await self.after(size)
-
-        return pause
+    async def after_piece(self, body: Body) -> None:
+        """Pauses after a piece of a body that is read at this speed; the `pause` of `read_body`."""
+        await self.after(body.size - self._bytes)
 
 
 # ------------------------------------------------ throttled
@@ -69,7 +61,7 @@
     """Reads a POST's body and responds with its size and checksum, or sends the body that a GET requests."""
     throttle = Throttle(float(upload.headers["x-server-speed"]))
     if upload.method == "POST":
-        body = await upload.body(pause=throttle.after_piece_of_body())
+        body = await upload.body(pause=throttle.after_piece)
         text = f"{body.size} {body.crc}".encode()
         await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(len(text))) + text)
         return
@@ -93,6 +85,19 @@
     await asyncio.Event().wait()
 
 
+@dataclass(frozen=True, slots=True)
+class ExchangeResult:
+    """What came of an exchange.
+
+    Attributes:
+        outcome: `ANSWERED`, the response's status or an error.
+        passed_bytes: the body's, if it has passed to its end.
+    """
+
+    outcome: str
+    passed_bytes: int = 0
+
+
 class Exchange:
     """One request with a long body, up if its number is even and down if it is odd."""
 
@@ -115,25 +120,25 @@
         self._trace = f"{seed:x}-{number:x}"
         self._pattern = SeededBody(number)
 
-    async def run(self) -> tuple[str, int]:
-        """How it went (`ANSWERED`, a status or an error), and the body's bytes that passed."""
+    async def run(self) -> ExchangeResult:
+        """Sends the request and reads its response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self._port, limit=BLOCK_BYTES)
         try:
             await self._send(writer)
             response_head = await read_head(reader)
             if response_head is None:
-                return "no answer", 0
-            start_line, headers = response_head
-            status = start_line.split()[1]
+                return ExchangeResult("no answer")
+            status = response_head.start_line.split()[1]
             if status != "200":
-                return status, 0
-            is_as_sent = await self._read(reader, headers)
+                return ExchangeResult(status)
+            is_as_sent = await self._read(reader, response_head.headers)
             # A second response, or bytes behind it, would come now.
             writer.write_eof()
             surplus = await asyncio.wait_for(reader.read(), AFTER_RESPONSE_S)
-            return (ANSWERED if is_as_sent and not surplus else "wrong bytes"), self._size
+            outcome = ANSWERED if is_as_sent and not surplus else "wrong bytes"
+            return ExchangeResult(outcome, self._size)
         except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as error:
-            return type(error).__name__, 0
+            return ExchangeResult(type(error).__name__)
         finally:
             writer.close()
 
@@ -150,24 +155,27 @@
 
     async def _read(self, reader: asyncio.StreamReader, headers: dict[str, str]) -> bool:
         """Reads the response's body; whether the long body came as it was sent."""
-        expected = (self._size, self._pattern.crc(self._size))
+        expected_crc = self._pattern.crc(self._size)
         if self._is_upload:
             text = await reader.readexactly(int(headers["content-length"]))
-            return text.decode() == f"{expected[0]} {expected[1]}"
-        body = await read_body(reader, headers, pause=self._throttle.after_piece_of_body())
-        return body.complete and (body.size, body.crc) == expected
+            return text.decode() == f"{self._size} {expected_crc}"
+        body = await read_body(reader, headers, pause=self._throttle.after_piece)
+        return body.complete and body.size == self._size and body.crc == expected_crc
 
 
 async def run_clients(port: int, first: int, count: int, at_once: int, size: int, seed: int) -> None:
     """Runs exchanges, `at_once` at a time, and prints the result and the bytes of each."""
     slots = asyncio.Semaphore(at_once)
+    await asyncio.gather(
+        *(_run_exchange(slots, port, number, size, seed) for number in range(first, first + count))
+    )
 
-    async def run_exchange(number: int) -> None:
-        async with slots:
-            result, passed_bytes = await Exchange(port, number, size, seed).run()
-            print(result, passed_bytes, flush=True)
 
-    await asyncio.gather(*(run_exchange(number) for number in range(first, first + count)))
+async def _run_exchange(slots: asyncio.Semaphore, port: int, number: int, size: int, seed: int) -> None:
+    async with slots:
+        # Created here, since its throttle measures from its creation on.
+        result = await Exchange(port, number, size, seed).run()
+        print(result.outcome, result.passed_bytes, flush=True)
 
 
 # ------------------------------------------------ as fast as can be, with blocking sockets
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -30,7 +30,7 @@
 
 EVEN = "even"
 UNEVEN = "uneven"  # a tenth of the forwarders have eight times the demand
-COLD_STARTS = "cold starts"  # two servers restart
+WARM_UPS = "cold starts"  # two servers restart and warm up
 THIRD_SLOW = "a third slow"  # of the servers, by SLOWDOWN
 SLOWDOWN = 1.4
 KILLED = "killed"  # all planners, at BEGIN_MS
@@ -98,7 +98,7 @@
 def run_case(case: Case) -> Result:
     """Runs a case."""
     tier = make_tier(case)
-    restarted = [0, 1] if case.scenario == COLD_STARTS else []
+    restarted = [0, 1] if case.scenario == WARM_UPS else []
     for number in restarted:
         tier.at(BEGIN_MS + 3_000.0 * number, partial(tier.restart, number))
     if case.scenario == THIRD_SLOW:
@@ -119,7 +119,7 @@
     """By load, number of forwarders and fault of the tier."""
     return [
         Case(scenario, load, forwarders, planners, seed, work_ms)
-        for scenario in (EVEN, UNEVEN, COLD_STARTS, THIRD_SLOW)
+        for scenario in (EVEN, UNEVEN, WARM_UPS, THIRD_SLOW)
         for work_ms in (20.0, 200.0)
         for forwarders in (5, 20)
         for load in (0.6, 0.85, 0.95)
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -26,11 +26,11 @@
 from testkit.ports import free_port, wait_until_listening
 
 SERVERS = 8
-SETTLE_S = 1.0
+STABILIZE_S = 1.0  # after a forwarder is let run, before anything is measured
 IDLE_S = 4.0
 LEASED_TIMEOUT_S = 60.0
 ALONE = "alone"  # the forwarder without planners
-LINKED = "linked"  # the one with them
+CONNECTED = "linked"  # the one with them
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +45,8 @@
 class Samples:
     """What was measured, by forwarder, a value a round."""
 
-    rates: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], LINKED: []})
-    costs_us: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], LINKED: []})
+    rates: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
+    costs_us: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
     link_bytes_per_s: list[float] = field(default_factory=list)  # to one planner
 
 
@@ -81,7 +81,7 @@
         self.forwarders: dict[str, MeasuredForwarder] = {}
 
     async def start(self, planners: int) -> None:
-        """Starts all processes, and waits until the linked forwarder has leased its ramp shares."""
+        """Starts all processes, and waits until the connected forwarder has leased its ramp shares."""
         self._key.touch(0o600)
         self._key.write_text("5a" * 32)
         for port in self._servers:
@@ -90,7 +90,7 @@
         addresses = {name: await self._start_planner(name) for name in planner_names(planners)}
         planning = {"place": 0, "shared_key_file": str(self._key), "planners": addresses}
         await self._start_forwarder(ALONE, None)
-        await self._start_forwarder(LINKED, planning)
+        await self._start_forwarder(CONNECTED, planning)
         for port in (*self._servers, *(forwarder.port for forwarder in self.forwarders.values())):
             await wait_until_listening(port)
         await self._wait_until_leased()
@@ -127,7 +127,7 @@
     async def _wait_until_leased(self) -> None:
         async with asyncio.timeout(LEASED_TIMEOUT_S):
             while True:
-                with Client(str(self._control(LINKED))) as client:
+                with Client(str(self._control(CONNECTED))) as client:
                     if client.call("status")["planning"]["lends_to"] is not None:
                         return
                 await asyncio.sleep(0.1)
@@ -150,14 +150,14 @@
     """Measures both forwarders under load in turn, and prints the rates of each round."""
     samples = Samples()
     for turn in range(args.rounds):
-        for name in in_turns([ALONE, LINKED], turn):
+        for name in in_turns([ALONE, CONNECTED], turn):
             processes.let_only_run(name)
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(STABILIZE_S)
             forwarder = processes.forwarders[name]
             cpu_before_s = cpu_s(forwarder.process.pid)
             bytes_before = processes.planner_bytes_in()
             rate = await request_rate(forwarder.port, args.connections, args.seconds)
-            if name == LINKED:
+            if name == CONNECTED:
                 sent_bytes = processes.planner_bytes_in() - bytes_before
                 samples.link_bytes_per_s.append(sent_bytes / args.seconds)
             spent_s = cpu_s(forwarder.process.pid) - cpu_before_s
@@ -172,7 +172,7 @@
     shares = {}
     for name, forwarder in processes.forwarders.items():
         forwarder.process.send_signal(signal.SIGCONT)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(STABILIZE_S)
         before_s = cpu_s(forwarder.process.pid)
         await asyncio.sleep(IDLE_S)
         shares[name] = (cpu_s(forwarder.process.pid) - before_s) / IDLE_S
@@ -188,9 +188,9 @@
         idle = await measure_idle(processes)
     finally:
         await processes.stop()
-    ratio = median_ratio(samples.rates[LINKED], samples.rates[ALONE])
+    ratio = median_ratio(samples.rates[CONNECTED], samples.rates[ALONE])
     print(f"processor time a request, microseconds: {format_costs(samples.costs_us)}")
-    print(f"idle, of a core: alone {idle[ALONE]:.4f}, linked {idle[LINKED]:.4f}")
+    print(f"idle, of a core: alone {idle[ALONE]:.4f}, linked {idle[CONNECTED]:.4f}")
     print(
         f"link: {args.planners} planners, {ratio:.3f} of the requests a second without it;"
         f" {statistics.median(samples.link_bytes_per_s):.0f} bytes a second to each planner under load"
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -3,10 +3,10 @@
     python -m benchmarks.rollback [--good N] [--services K]
 
 Bad changes: a pool whose servers all fail, whose half fails, and whose servers respond past the latency
-objective. Printed: time to the rollback, and the worth lost of what was requested in the ten seconds after
-the commit, with the watch and without it. Good changes: commits of harmless keys under load whose servers
-fail in bursts all along; printed: how many were rolled back. Services run side by side, each with its own
-servers and clients.
+objective. Printed: time to the rollback, and the goodput lost (as "worth", the setting's word) in the ten
+seconds after the commit, with the watch and without it. Good changes: commits of harmless keys under load
+whose servers fail in bursts all along; printed: how many were rolled back. Services run side by side, each
+with its own servers and clients.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 AFTER_S = 10.0
 OBJECTIVE_S = 0.5
 LATE_S = 0.6  # past the objective
-WORTH = {"order": 5.0, "look": 1.0}
+PRIORITY_WEIGHTS = {"order": 5.0, "look": 1.0}
 SERVERS_BEFORE = ("a1", "a2", "a3", "a4")
 SERVERS_AFTER = ("b1", "b2", "b3", "b4")
 ALL_FAIL = "all fail"
@@ -81,7 +81,7 @@
     """What came of a bad change."""
 
     rolled_back_after_s: float | None  # None: never
-    worth_lost: float  # share of the worth requested in AFTER_S
+    goodput_lost: float  # share of the priority weight requested in AFTER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
         entries = list(farm.books.entries.values())[since:]
         await load.stop()
     farm.close()
-    return BadChange(rolled_back_after_s, worth_lost(entries))
+    return BadChange(rolled_back_after_s, goodput_lost(entries))
 
 
 async def wait_for_rollback(version: Version) -> float | None:
@@ -142,11 +142,11 @@
     return rolled_back_after_s
 
 
-def worth_lost(entries: Sequence[Entry]) -> float:
-    """The share of the requested worth that was not served within the latency objective."""
-    requested = sum(WORTH[entry.request_class] for entry in entries)
+def goodput_lost(entries: Sequence[Entry]) -> float:
+    """The share of the requested priority weight that was not served within the latency objective."""
+    requested = sum(PRIORITY_WEIGHTS[entry.request_class] for entry in entries)
     served = sum(
-        WORTH[entry.request_class]
+        PRIORITY_WEIGHTS[entry.request_class]
         for entry in entries
         if entry.answers and entry.answers[0].status == 200 and entry.answered_s - entry.sent_s <= OBJECTIVE_S
     )
@@ -195,7 +195,8 @@
         after_s = watched.rolled_back_after_s
         when = "never" if after_s is None else f"after {after_s:.1f} s"
         lines.append(
-            f"{kind}: back {when}, worth lost {watched.worth_lost:.3f} (without {unwatched.worth_lost:.3f})"
+            f"{kind}: back {when}, worth lost {watched.goodput_lost:.3f}"
+            f" (without {unwatched.goodput_lost:.3f})"
         )
         print(lines[-1], flush=True)
     results = await asyncio.gather(
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -5,6 +5,9 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from functools import partial
+
 from sandhatch.config.version import Version
 from sandhatch.service.service import Service
 
@@ -16,10 +19,16 @@
 
 def note_activation_times(service: Service, activated_ms: dict[int, float]) -> None:
     """Notes by number when each version becomes the active one; the service has no hook for that."""
-    activate = service.changes.activate
-
-    def activate_and_note(version: Version, first: bool = False) -> None:
-        activate(version, first)
-        activated_ms[version.number] = service.now_ms
-
-    service.changes.activate = activate_and_note  # type: ignore[method-assign]
+    noted = partial(_activate_and_note, service.changes.activate, service, activated_ms)
+    service.changes.activate = noted  # type: ignore[method-assign]
+
+
+def _activate_and_note(
+    activate: Callable[[Version, bool], None],
+    service: Service,
+    activated_ms: dict[int, float],
+    version: Version,
+    first: bool = False,
+) -> None:
+    activate(version, first)
+    activated_ms[version.number] = service.now_ms
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -27,7 +27,7 @@
 
 START_TIMEOUT_S = 20.0
 POLL_S = 0.001
-SETTLE_S = 0.2
+MEMORY_DELAY_S = 0.2  # from the first accepted connection until memory is read
 MIB = 1024 * 1024
 
 
@@ -55,7 +55,7 @@
                     break
             time.sleep(POLL_S)
         until_accepting_ms = (time.perf_counter() - started_s) * 1000.0
-        time.sleep(SETTLE_S)
+        time.sleep(MEMORY_DELAY_S)
         return Start(until_accepting_ms, resident_bytes(process.pid) / MIB)
     finally:
         process.terminate()
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -162,8 +162,7 @@
         self._log = log
         self._address = address
         self._terms = terms or PlannerTerms()
-        first_epoch = _epoch_of_now() if epoch is None else epoch
-        self.planner = Planner(name, first_epoch, clock.now_ms(), self._terms)
+        self.planner = self._new_planner(name, _epoch_of_now() if epoch is None else epoch)
         self._connections: dict[_ForwarderConnection, None] = {}
         self._by_name: dict[str, _ForwarderConnection] = {}
         self._server: asyncio.Server | None = None
@@ -202,10 +201,13 @@
     def start_new_incarnation(self, epoch: int) -> None:
         """Replace the state machine by an empty one with an epoch above one that a forwarder knows of."""
         self._log(f"epoch {epoch}: a forwarder knows of one after {self.planner.epoch}; starting empty")
-        self.planner = Planner(self.planner.name, epoch, self.clock.now_ms(), self._terms)
+        self.planner = self._new_planner(self.planner.name, epoch)
         for connection in list(self._connections):
             connection.close("the planner begins anew")
 
+    def _new_planner(self, name: str, epoch: int) -> Planner:
+        return Planner(name, epoch, self.clock.now_ms(), self._terms)
+
     # ------------------------------------------------ connections
 
     def admit(self, connection: _ForwarderConnection) -> bool:
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -8,7 +8,7 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
-from sandhatch.planning.messages import Advice, PoolAdvice, PoolReport, Report, Row
+from sandhatch.planning.messages import Advice, PoolAdvice, PoolReport, Report, Row, WeightRow
 from sandhatch.planning.observer import Observer
 from sandhatch.planning.planner import Planner
 from sandhatch.planning.terms import ForwarderTerms
@@ -89,7 +89,8 @@
         self.instances = instances
         self.name = name or f"f{instance_index}"
         self.serial = 0
-        self.epoch = self.version = 0
+        self.epoch = 0
+        self.version = 0
         self.has_named_servers = False
         planner.joined(self.name, 0.0)
 
@@ -99,13 +100,15 @@
         pool = PoolReport(POOL, self.instances, self.instance_index, float(self.instances))
         if not self.has_named_servers:
             self.has_named_servers = True
-            pool.names, pool.warm = list(ADDRESSES), list(range(10))
+            pool.names = list(ADDRESSES)
+            pool.warm = list(range(len(ADDRESSES)))
         for name, value in fields.items():
             assert hasattr(pool, name)
             setattr(pool, name, value)
         report = Report(self.serial, 250.0, self.epoch, self.version, True, [pool])
         advice = self.planner.report(self.name, report, now)
-        self.epoch, self.version = advice.epoch, advice.version
+        self.epoch = advice.epoch
+        self.version = advice.version
         return advice
 
 
@@ -124,16 +127,17 @@
 
     Each names one attempt in flight and four of 10 ms at each server, unless `rows` say otherwise.
     """
+    special_rows = rows or {}
     now = begin
     for _ in range(count):
         for forwarder in forwarders:
-            reported = [(rows or {}).get(n) or Row(n, 1, 4, 0, 0, 40.0) for n in range(10)]
+            reported = [special_rows.get(n) or Row(n, 1, 4, 0, 0, 40.0) for n in range(len(ADDRESSES))]
             forwarder.report(now, rows=reported, demand={"view": 40})
         planner.tick(now)
         now += 250.0
     return now
 
 
-def advised_weights(advice: Advice) -> dict[int, tuple[float, str]]:
-    """Weight and reason by the number of the server."""
-    return {row.server: (row.weight, row.reason) for row in advice.pools[0].weights or []}
+def advised_weights(advice: Advice) -> dict[int, WeightRow]:
+    """The rows of weights by the number of the server."""
+    return {row.server: row for row in advice.pools[0].weights or []}
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -44,7 +44,7 @@
     assert driver.guidances[-1].own_part is None
 
 
-def test_a_new_incarnation_of_the_lessee_continues_with_the_shares_that_are_held() -> None:
+def test_a_new_incarnation_of_the_lessee_continues_with_the_previous_grants() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(4, "p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
--- a/tests/planning/test_grant_ledger.py
+++ b/tests/planning/test_grant_ledger.py
@@ -54,8 +54,8 @@
 
 
 @dataclass(frozen=True)
-class HeldGrant:
-    """A grant as its forwarder holds it."""
+class ReceivedGrant:
+    """A grant as its forwarder has received it."""
 
     forwarder: str
     version: int
@@ -63,51 +63,96 @@
     until_ms: float
 
 
-@settings(max_examples=200, deadline=None)
+class LeaseModel:
+    """Forwarders that use their largest grant, and lessors that wait for the end of their leases."""
+
+    INSTANCES = 5
+    BURST = 5.0
+    LABEL = 3
+    GRANT_MS = 500.0
+    LEASE_MS = 700.0
+
+    def __init__(self) -> None:
+        self.now_ms = 0.0
+        self._applied: dict[str, int] = {}
+        self._ledger = GrantLedger(self.LABEL, self._applied)
+        self._lessors = Lessors(self.INSTANCES, self.BURST)
+        self._lease_ends_ms: dict[int, float] = {}  # by instance index, as the lessor counts at the least
+        self._received: list[ReceivedGrant] = []
+        self._version = 0
+
+    def lease(self, index: int) -> None:
+        until_ms = self.now_ms + self.LEASE_MS
+        self._lessors.lease(index, until_ms)
+        self._lease_ends_ms[index] = until_ms
+
+    def end(self, index: int) -> None:
+        """End a lease; the lessor still waits until its end."""
+        self._lessors.end(index)
+
+    def apply(self, index: int) -> None:
+        """Let a forwarder apply the last advice that it received, which supersedes the grants before it."""
+        name = str(index)
+        own = [grant for grant in self._received if grant.forwarder == name]
+        applied = max((grant.version for grant in own), default=0)
+        self._applied[name] = applied
+        self._received = [
+            grant for grant in self._received if grant.forwarder != name or grant.version == applied
+        ]
+
+    def grant(self, index: int, amount: float) -> None:
+        self._version += 1
+        until_ms = self.now_ms + self.GRANT_MS
+        wanted = RampAmount(amount, self.BURST * amount)
+        leased = self._lessors.leased(self.LABEL, until_ms)
+        granted = self._ledger.grant(str(index), self._version, wanted, leased, self.now_ms, until_ms)
+        if granted.burst:
+            self._received.append(ReceivedGrant(str(index), self._version, granted, until_ms))
+
+    def used(self) -> RampAmount:
+        """The most that all forwarders may use now."""
+        valid: dict[str, list[RampAmount]] = {}
+        for grant in self._received:
+            if grant.until_ms > self.now_ms:
+                valid.setdefault(grant.forwarder, []).append(grant.amount)
+        rate = sum(max(amount.rate for amount in amounts) for amounts in valid.values())
+        burst = sum(max(amount.burst for amount in amounts) for amounts in valid.values())
+        return RampAmount(rate, burst)
+
+    def leased(self) -> RampAmount:
+        """What lessors do not use themselves now."""
+        lessors = sum(end_ms > self.now_ms for end_ms in self._lease_ends_ms.values())
+        return RampAmount(lessors / self.INSTANCES, lessors * self.BURST / self.INSTANCES)
+
+
+@settings(max_examples=400, deadline=None)
 @given(
     st.lists(
         st.tuples(
             st.sampled_from(["grant", "apply", "lease", "end"]),
-            st.integers(0, 4),
+            st.integers(0, LeaseModel.INSTANCES - 1),
             st.floats(0.0, 1.0),
-            st.floats(0.0, 400.0),
+            st.sampled_from([0.0, 1.0, 20.0]) | st.floats(0.0, 400.0),
         ),
         max_size=80,
     )
 )
-def test_at_every_moment_what_may_be_held_is_at_most_what_is_leased(
+def test_at_every_moment_what_may_be_used_is_at_most_what_is_leased(
     steps: list[tuple[str, int, float, float]],
 ) -> None:
-    """Forwarders hold their largest grant, and a lessor waits for the end of its lease."""
-    grant_ms, lease_ms = 500.0, 700.0
-    applied: dict[str, int] = {}
-    ledger, lessors = GrantLedger(3, applied), Lessors(5, 5.0)
-    lease_ends_ms: dict[int, float] = {}  # by instance index, as the lessor counts at the least
-    held: list[HeldGrant] = []
-    now, version = 0.0, 0
-    for kind, index, amount, pause in steps:
-        now += pause
-        name = str(index)
-        if kind == "lease":
-            lessors.lease(index, now + lease_ms)
-            lease_ends_ms[index] = now + lease_ms
-        elif kind == "end":
-            lessors.end(index)  # the lessor still waits until its end
-        elif kind == "apply":
-            versions = [grant.version for grant in held if grant.forwarder == name]
-            applied[name] = max(versions, default=0)
-            held = [grant for grant in held if grant.forwarder != name or grant.version == applied[name]]
-        else:
-            version += 1
-            until = now + grant_ms
-            wanted = RampAmount(amount, 5.0 * amount)
-            granted = ledger.grant(name, version, wanted, lessors.leased(3, until), now, until)
-            if granted.burst:
-                held.append(HeldGrant(name, version, granted, until))
-        valid = [grant for grant in held if grant.until_ms > now]
-        holders = {grant.forwarder for grant in valid}
-        rate = sum(max(g.amount.rate for g in valid if g.forwarder == holder) for holder in holders)
-        burst = sum(max(g.amount.burst for g in valid if g.forwarder == holder) for holder in holders)
-        leased = sum(end_ms > now for end_ms in lease_ends_ms.values())
-        assert rate <= leased / 5.0 + 1e-9
-        assert burst <= leased + 1e-9
+    model = LeaseModel()
+    for kind, index, amount, pause_ms in steps:
+        model.now_ms += pause_ms
+        match kind:
+            case "lease":
+                model.lease(index)
+            case "end":
+                model.end(index)
+            case "apply":
+                model.apply(index)
+            case "grant":
+                model.grant(index, amount)
+        used = model.used()
+        leased = model.leased()
+        assert used.rate <= leased.rate + 1e-9
+        assert used.burst <= leased.burst + 1e-9
--- a/tests/planning/test_messages.py
+++ b/tests/planning/test_messages.py
@@ -37,37 +37,38 @@
     return msgspec.msgpack.decode(payload)
 
 
+POOL_REPORT = PoolReport(
+    pool="core",
+    instances=4,
+    instance_index=2,
+    burst=8.0,
+    names=["10.0.0.1:80"],
+    rows=[Row(0, 1, 2, 3, 4, 5.0, [6, 7])],
+    warming_up=[0],
+    warm=[1],
+    not_ready=[2],
+    demand={"view": 3},
+    previous_grants=[RampShareRow(0, 0.5, 1.0)],
+    anew=True,
+)
+POOL_REPORT_ON_THE_WIRE = {
+    "pool": "core",
+    "copies": 4,
+    "me": 2,
+    "burst": 8.0,
+    "names": ["10.0.0.1:80"],
+    "rows": [[0, 1, 2, 3, 4, 5.0, [6, 7]]],
+    "cold": [0],
+    "warm": [1],
+    "left": [2],
+    "demand": {"view": 3},
+    "held": [[0, 0.5, 1.0]],
+    "anew": True,
+}
+
+
 def test_a_report_has_the_field_names_and_order_of_the_wire() -> None:
-    row = Row(0, 1, 2, 3, 4, 5.0, [6, 7])
-    pool = PoolReport(
-        "core",
-        4,
-        2,
-        8.0,
-        ["10.0.0.1:80"],
-        [row],
-        [0],
-        [1],
-        [2],
-        {"view": 3},
-        [RampShareRow(0, 0.5, 1.0)],
-        True,
-    )
-    report = Report(9, 250.0, 5, 6, True, [pool])
-    wire_pool = {
-        "pool": "core",
-        "copies": 4,
-        "me": 2,
-        "burst": 8.0,
-        "names": ["10.0.0.1:80"],
-        "rows": [[0, 1, 2, 3, 4, 5.0, [6, 7]]],
-        "cold": [0],
-        "warm": [1],
-        "left": [2],
-        "demand": {"view": 3},
-        "held": [[0, 0.5, 1.0]],
-        "anew": True,
-    }
+    report = Report(9, 250.0, 5, 6, True, [POOL_REPORT])
     wire = {
         "type": "report",
         "serial": 9,
@@ -75,7 +76,7 @@
         "epoch": 5,
         "version": 6,
         "lends": True,
-        "pools": [wire_pool],
+        "pools": [POOL_REPORT_ON_THE_WIRE],
     }
     assert encode(report) == msgspec.msgpack.encode(wire)
     assert decode(msgspec.msgpack.encode(wire)) == report
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -61,7 +61,7 @@
     assert [reporter.server_of(n) for n in range(5)] == [0, 1, 2, 9, None]
 
 
-def test_a_server_is_reported_warm_after_its_warm_up_and_warming_up_again_after_a_restart() -> None:
+def test_a_server_is_reported_warm_after_its_warm_up_and_warming_up_after_a_restart() -> None:
     observer = observer_of(started_ms={1: 1_000.0})
     reporter, other = observer.new_reporter(), observer.new_reporter()
     reporter.report("core", 2_000.0, 10_000)
--- a/tests/planning/test_ramp_assignment.py
+++ b/tests/planning/test_ramp_assignment.py
@@ -17,7 +17,7 @@
     assert assign_ramp(DEMANDS, 7, 0) == {}
 
 
-def test_a_forwarder_that_leaves_changes_only_its_own_place_among_the_holders() -> None:
+def test_a_forwarder_that_leaves_is_replaced_by_one_holder_and_changes_no_other() -> None:
     before = assign_ramp(DEMANDS, 7, 10)
     left = next(iter(before))
     rest = {name: demand for name, demand in DEMANDS.items() if name != left}
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -28,7 +28,7 @@
     run(work())
 
 
-def test_a_forwarder_that_violates_the_protocol_is_told_the_reason_and_may_come_back() -> None:
+def test_a_forwarder_that_violates_the_protocol_is_notified_of_the_reason_and_may_come_back() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -30,11 +32,25 @@
 SHARED = SharedKey(b"k" * 32)
 
 
+class SessionPair(NamedTuple):
+    """The two ends of a session."""
+
+    forwarder: ForwarderSession
+    planner: PlannerSession
+
+
+class HandshakeEvents(NamedTuple):
+    """Both peers' events from the welcome on."""
+
+    of_forwarder: list[Event]
+    of_planner: list[Event]
+
+
 def session_pair(
     forwarder_key: Identity = SHARED, planner_key: Identity = SHARED, known_epoch: int = 0, epoch: int = 5
-) -> tuple[ForwarderSession, PlannerSession]:
+) -> SessionPair:
     forwarder = ForwarderSession(forwarder_key, "f1", "p1", known_epoch)
-    return forwarder, PlannerSession(planner_key, "p1", epoch)
+    return SessionPair(forwarder, PlannerSession(planner_key, "p1", epoch))
 
 
 def framed(payload: bytes) -> bytes:
@@ -45,12 +61,11 @@
     return [received.event for received in session.feed(data)]
 
 
-def handshake(forwarder: ForwarderSession, planner: PlannerSession) -> tuple[list[Event], list[Event]]:
-    """Both peers' events from the welcome on."""
+def handshake(forwarder: ForwarderSession, planner: PlannerSession) -> HandshakeEvents:
     events(planner, forwarder.take_out())
     forwarder_events = events(forwarder, planner.take_out())
     planner_events = events(planner, forwarder.take_out())
-    return forwarder_events, planner_events
+    return HandshakeEvents(forwarder_events, planner_events)
 
 
 @pytest.mark.parametrize("kind", ["shared", "ed25519"])
@@ -58,11 +73,14 @@
     forwarder_key: Identity = SHARED
     planner_key: Identity = SHARED
     if kind == "ed25519":
-        forwarder_private, planner_private = new_private_key(), new_private_key()
+        forwarder_private = new_private_key()
+        planner_private = new_private_key()
         forwarder_key = OwnKey(forwarder_private, {"p1": public_key(planner_private)})
         planner_key = OwnKey(planner_private, {"f1": public_key(forwarder_private)})
     forwarder, planner = session_pair(forwarder_key, planner_key)
-    assert handshake(forwarder, planner) == ([Established("p1", 5)], [Established("f1", 5)])
+    handshake_events = handshake(forwarder, planner)
+    assert handshake_events.of_forwarder == [Established("p1", 5)]
+    assert handshake_events.of_planner == [Established("f1", 5)]
     report = Report(1, 250.0, pools=[PoolReport("core", rows=[Row(3, 2, 1)])])
     forwarder.send(report)
     assert events(planner, forwarder.take_out()) == [report]
@@ -78,7 +96,8 @@
     sent = [Report(n, 250.0) for n in range(5)]
     for report in sent:
         forwarder.send(report)
-    data, received = forwarder.take_out(), []
+    data = forwarder.take_out()
+    received = []
     for size in [*sizes, len(data)]:
         received += events(planner, data[:size])
         data = data[size:]
--- a/tests/planning/test_weights.py
+++ b/tests/planning/test_weights.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from sandhatch.planning.messages import Row
+from sandhatch.planning.messages import Row, WeightRow
 from sandhatch.planning.planner import Planner
 from tests.planning.machines import advised_weights, report_rounds, reporting_forwarders
 
 
-def weights_after(rows: dict[int, Row], forwarder_count: int = 4) -> dict[int, tuple[float, str]]:
-    """The weights, with their reasons, after 40 reports with these rows by all forwarders."""
+def weights_after(rows: dict[int, Row], forwarder_count: int = 4) -> dict[int, WeightRow]:
+    """The rows of weights after 40 reports with these rows by all forwarders."""
     planner = Planner("p0", 1, -10_000.0)
     forwarders = reporting_forwarders(planner, forwarder_count)
     now = report_rounds(planner, forwarders, 0.0, 40, rows)
@@ -20,26 +20,26 @@
 def test_a_slow_server_gets_less_weight_with_the_reason() -> None:
     weights = weights_after({2: Row(2, 1, 4, 0, 0, 160.0)})
     assert list(weights) == [2]
-    assert 0.2 <= weights[2][0] <= 0.45
-    assert weights[2][1] == "slow"
+    assert 0.2 <= weights[2].weight <= 0.45
+    assert weights[2].reason == "slow"
 
 
 def test_a_server_with_excess_outstanding_attempts_gets_less_weight() -> None:
     rows = {n: Row(n, 4, 4, 0, 0, 4_000.0) for n in range(10)}
     weights = weights_after(rows | {2: Row(2, 12, 4, 0, 0, 4_000.0)})
-    assert weights[2][1] == "crowded"
-    assert weights[2][0] < 0.8
+    assert weights[2].reason == "crowded"
+    assert weights[2].weight < 0.8
 
 
 def test_outstanding_attempts_count_little_where_attempts_are_short() -> None:
     """The number is out of date by the time that it is received."""
-    assert weights_after({2: Row(2, 8, 4, 0, 0, 40.0)}).get(2, (1.0, ""))[0] > 0.8
+    assert weights_after({2: Row(2, 8, 4, 0, 0, 40.0)}).get(2, WeightRow(2, 1.0)).weight > 0.8
 
 
 def test_a_failing_server_gets_less_weight_with_the_reason() -> None:
     weights = weights_after({2: Row(2, 1, 1, 3, 0, 10.0)})
-    assert weights[2][1] == "failing"
-    assert weights[2][0] < 0.7
+    assert weights[2].reason == "failing"
+    assert weights[2].weight < 0.7
 
 
 def test_servers_that_are_all_equally_slow_keep_their_weights() -> None:
@@ -48,18 +48,19 @@
 
 def test_at_most_half_of_the_servers_get_much_less_weight() -> None:
     weights = weights_after({n: Row(n, 1, 4, 0, 0, 900.0) for n in range(4)})
-    assert sum(weight < 0.5 for weight, _ in weights.values()) == 4
+    assert sum(row.weight < 0.5 for row in weights.values()) == 4
     weights = weights_after({n: Row(n, 1, 4, 0, 0, 60.0 * (n + 1)) for n in range(10)})
-    assert sum(weight < 0.5 for weight, _ in weights.values()) <= 5
+    assert sum(row.weight < 0.5 for row in weights.values()) <= 5
 
 
 def test_one_forwarder_that_reports_only_failures_changes_the_weights_by_little() -> None:
     planner = Planner("p0", 1, -10_000.0)
     forwarders = reporting_forwarders(planner, 10)
-    liar, honest = forwarders[0], forwarders[1:]
+    wrong = forwarders[0]
+    correct = forwarders[1:]
     now = 0.0
     for _ in range(40):
-        liar.report(now, rows=[Row(2, 1, 0, 40, 0, 0.0)])
-        now = report_rounds(planner, honest, now, 1)
+        wrong.report(now, rows=[Row(2, 1, 0, 40, 0, 0.0)])
+        now = report_rounds(planner, correct, now, 1)
     rows = planner.pools["core"].load.members["f1"].numbering.weights(-2)
     assert all(row.weight >= 0.7 for row in rows)
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -5,6 +5,7 @@
 import subprocess
 import sys
 from pathlib import Path
+from typing import NamedTuple
 
 import pytest
 
@@ -23,8 +24,14 @@
 """
 
 
-def run_pytest(tmp: Path, lines: str | None, tests: str = TESTS) -> tuple[int, str]:
+class PytestRun(NamedTuple):
     """Exit status and output of a run of all tests."""
+
+    code: int
+    out: str
+
+
+def run_pytest(tmp: Path, lines: str | None, tests: str = TESTS) -> PytestRun:
     (tmp / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (tmp / "tests").mkdir()
     (tmp / "tests" / "conftest.py").write_text(CONFTEST.read_text())
@@ -33,7 +40,7 @@
         (tmp / KNOWN_RED_FILE).write_text(lines)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
     process = subprocess.run(command, cwd=tmp, capture_output=True, text=True, timeout=60, check=False)
-    return process.returncode, process.stdout + process.stderr
+    return PytestRun(process.returncode, process.stdout + process.stderr)
 
 
 RED = "tests/test_some.py::test_red | a fault | issue 7\n"
--- a/tests/testkit/test_discovery.py
+++ b/tests/testkit/test_discovery.py
@@ -67,7 +67,7 @@
     with_discovery(work)
 
 
-def test_scripted_garbage_takes_the_place_of_one_answer_each() -> None:
+def test_scripted_garbage_replaces_one_answer_each() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         discovery.garbage.append(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         async with HttpClient(discovery.port) as client:
