--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -200,7 +200,7 @@
     def _disconnect(self, forwarder: ModelForwarder, planner: str) -> None:
         if self._sessions.pop((forwarder.name, planner), None) is not None:
             self._figures.broken_sessions += 1
-            forwarder.machine.lost(planner)
+            forwarder.machine.disconnected(planner)
 
     def _report_arrives(
         self, forwarder: ModelForwarder, planner: str, session: int | None, payload: bytes
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -13,7 +13,7 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, ServerState
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.actions import Action, Drop, NotifyBalancer, SendReport
+from sandhatch.planning.actions import Action, EndSession, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import PoolReport, RampShareRow, Row
 from sandhatch.planning.observer import Observer
@@ -158,7 +158,7 @@
                     reports.append(action)
                 case NotifyBalancer():
                     self._apply(action.event, now_ms)
-                case Drop():
+                case EndSession():
                     raise AssertionError(f"{action.planner} was dropped: {action.why}")
                 case _:
                     pass
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -22,14 +22,17 @@
 
 @dataclass(slots=True, frozen=True)
 class NotifyBalancer:
-    """Hand an event to a pool's balancer; if it rejects the event, `Forwarder.rejected` must be called."""
+    """Hand an event to a pool's balancer.
+
+    If the balancer rejects it, `Forwarder.guidance_rejected` must be called.
+    """
 
     pool: str
     event: Guidance | OwnSharesLeased
 
 
 @dataclass(slots=True, frozen=True)
-class Drop:
+class EndSession:
     """End the session with a planner; `why` is sent to it."""
 
     planner: str
@@ -37,10 +40,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogLine:
     """Write a line to the log."""
 
     text: str
 
 
-Action = SendReport | NotifyBalancer | Drop | Note
+Action = SendReport | NotifyBalancer | EndSession | LogLine
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Guidance, OwnSharesLeased, RampShare, ServerWeight
 from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
+from sandhatch.planning.actions import Action, EndSession, LogLine, NotifyBalancer, SendReport
 from sandhatch.planning.lessors import CLOCK_DRIFT
 from sandhatch.planning.messages import Advice, PoolAdvice, RampShareRow, Report, WeightRow
 from sandhatch.planning.observer import Observer
@@ -125,12 +125,12 @@
         peer = self.peers[planner]
         if epoch < peer.epoch:
             reason = f"epoch {epoch} is before {peer.epoch}"
-            return [*self._fault(peer, reason, now_ms), Drop(planner, reason)]
+            return [*self._fault(peer, reason, now_ms), EndSession(planner, reason)]
         reporters = {name: pool.observer.new_reporter() for name, pool in self.pools.items()}
         peer.begin_session(epoch, reporters, self.terms.bytes_per_s, now_ms)
         return []
 
-    def lost(self, planner: str) -> None:
+    def disconnected(self, planner: str) -> None:
         """The session has ended; what was advised counts until it expires."""
         self.peers[planner].end_session()
 
@@ -191,13 +191,13 @@
             pool_advice.own_share if applied.has_lease else None,
         )
 
-    def rejected(self, planner: str, why: str, now_ms: float) -> list[Action]:
+    def guidance_rejected(self, planner: str, why: str, now_ms: float) -> list[Action]:
         """A balancer rejected what this planner advised last."""
         peer = self.peers[planner]
         peer.revert()
         return self._fault(peer, why, now_ms)
 
-    def broken(self, planner: str, why: str, now_ms: float) -> list[Action]:
+    def protocol_violated(self, planner: str, why: str, now_ms: float) -> list[Action]:
         """A planner has violated the protocol."""
         return self._fault(self.peers[planner], why, now_ms)
 
@@ -207,19 +207,19 @@
         if note == peer.last_reason:
             return []
         peer.last_reason = note
-        return [Note(f"planner {peer.name}: {note}")]
+        return [LogLine(f"planner {peer.name}: {note}")]
 
     def _fault(self, peer: PlannerPeer, reason: str, now_ms: float) -> list[Action]:
         backoff_ms = peer.record_fault(reason, now_ms, self.terms)
         actions: list[Action] = []
         if peer.faults <= MAX_LOGGED_FAULTS:
-            actions.append(Note(f"planner {peer.name}: rejected: {reason}"))
+            actions.append(LogLine(f"planner {peer.name}: rejected: {reason}"))
         if backoff_ms is None:
             return actions
         if self.leased_to == peer.name:
             self._selection.lessee = None
-        actions.append(Note(f"planner {peer.name}: circuit open for {backoff_ms / 1000.0:g} s"))
-        actions.append(Drop(peer.name, reason))
+        actions.append(LogLine(f"planner {peer.name}: circuit open for {backoff_ms / 1000.0:g} s"))
+        actions.append(EndSession(peer.name, reason))
         return actions
 
     # ------------------------------------------------ reports
@@ -227,7 +227,7 @@
     def tick(self, now_ms: float) -> list[Action]:
         """Select a planner and send the reports that are due; to be called several times an interval."""
         change = self._selection.update(now_ms)
-        actions: list[Action] = [] if change is None else [Note(change)]
+        actions: list[Action] = [] if change is None else [LogLine(change)]
         for peer in self.peers.values():
             if not peer.connected:
                 continue
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Event, Guidance, ListUpdate, OwnSharesLeased
 from sandhatch.balancing.settings import Settings
-from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
+from sandhatch.planning.actions import Action, EndSession, LogLine, NotifyBalancer, SendReport
 from sandhatch.planning.backoff import Backoff
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.keys import Identity
@@ -159,7 +159,7 @@
         return list(self._dispatchers)
 
     def _on_guidance_rejected(self, rejected: GuidanceRejected) -> None:
-        self._carry_out(self.forwarder.rejected(rejected.planner, rejected.why, self.clock.now_ms()))
+        self._carry_out(self.forwarder.guidance_rejected(rejected.planner, rejected.why, self.clock.now_ms()))
 
     # ------------------------------------------------ timers and actions
 
@@ -184,9 +184,9 @@
                     dispatcher = self._dispatchers.get(action.pool)
                     if dispatcher is not None:
                         dispatcher.apply_guidance(action.event)
-                case Drop():
-                    self._drop(action)
-                case Note():
+                case EndSession():
+                    self._end_session(action)
+                case LogLine():
                     self._log(action.text)
 
     def _send(self, action: SendReport) -> None:
@@ -194,7 +194,7 @@
         if connection is not None:
             connection.send(action)
 
-    def _drop(self, action: Drop) -> None:
+    def _end_session(self, action: EndSession) -> None:
         connection = self._connections.get(action.planner)
         if connection is not None:
             connection.session.bye(action.why)
@@ -246,7 +246,7 @@
     def broken(self, connection: PlannerConnection, why: str) -> None:
         """A connection's planner violated the protocol; before its key is proven, that is no fault of its."""
         if connection.established:
-            self._carry_out(self.forwarder.broken(connection.planner, why, self.clock.now_ms()))
+            self._carry_out(self.forwarder.protocol_violated(connection.planner, why, self.clock.now_ms()))
 
     def closed(self, connection: PlannerConnection, why: str) -> None:
         """A connection has ended."""
@@ -254,7 +254,7 @@
             del self._connections[connection.planner]
         if connection.established:
             connection.established = False
-            self.forwarder.lost(connection.planner)
+            self.forwarder.disconnected(connection.planner)
         if not self._stopped:
             self._reconnect_later(connection.planner, why)
 
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Event, ListUpdate, TimerFired
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.actions import Action as PlanningAction
-from sandhatch.planning.actions import Drop, Note, NotifyBalancer, SendReport
+from sandhatch.planning.actions import EndSession, LogLine, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Report
 from sandhatch.planning.observer import Observer
@@ -109,7 +109,7 @@
     def _on_guidance_rejected(self, action: GuidanceRejected) -> None:
         self.guidance_rejections.append(action.why)
         if self.machine is not None:
-            actions = self.machine.rejected(action.planner, action.why, self._clock.now_ms)
+            actions = self.machine.guidance_rejected(action.planner, action.why, self._clock.now_ms)
             self.perform_planning_actions(actions)
 
     def on_endpoint_list(self, update: ListUpdate) -> None:
@@ -142,7 +142,7 @@
                     self._surroundings.link.report(self, action.planner, self.alter_report(action.report))
                 case NotifyBalancer():
                     self.feed(action.event)
-                case Drop():
+                case EndSession():
                     self._surroundings.link.disconnect(self, action.planner)
-                case Note():
+                case LogLine():
                     self.notes.append(f"{self._clock.now_ms:.0f} {action.text}")
--- a/testkit/simulation/planning_link.py
+++ b/testkit/simulation/planning_link.py
@@ -101,7 +101,7 @@
     def disconnect(self, forwarder: ForwarderPort, planner: str) -> None:
         """Ends a forwarder's session with a planner, if it has one."""
         if forwarder.sessions.pop(planner, None) is not None and forwarder.machine is not None:
-            forwarder.machine.lost(planner)
+            forwarder.machine.disconnected(planner)
 
     def partition(self, pairs: Iterable[LinkEnds], forwarders: Sequence[ForwarderPort]) -> None:
         """Replaces the partitions and ends the sessions across them.
@@ -159,7 +159,9 @@
         assert forwarder.machine is not None
         now_ms = self._clock.now_ms
         if advice is None:
-            forwarder.perform_planning_actions(forwarder.machine.broken(planner, "garbage", now_ms))
+            forwarder.perform_planning_actions(
+                forwarder.machine.protocol_violated(planner, "garbage", now_ms)
+            )
             self.disconnect(forwarder, planner)
             return
         forwarder.perform_planning_actions(forwarder.machine.advice(planner, advice, now_ms))
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -6,7 +6,7 @@
 
 from sandhatch.balancing.events import Guidance, ListKind, ListUpdate, OwnSharesLeased, ServerEntry
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.actions import Action, Drop, Note, NotifyBalancer, SendReport
+from sandhatch.planning.actions import Action, EndSession, LogLine, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Advice, PoolAdvice, PoolReport, Report, Row, WeightRow
 from sandhatch.planning.observer import Observer
@@ -33,7 +33,7 @@
         self.reports: dict[str, Report] = {}
         self.guidances: list[Guidance] = []
         self.lease_ends_ms: list[float] = []
-        self.drops: list[Drop] = []
+        self.ended_sessions: list[EndSession] = []
         self.notes: list[str] = []
         self.carry_out(self.machine.add_pool(POOL, SETTINGS, observer))
 
@@ -42,9 +42,9 @@
             match action:
                 case SendReport():
                     self.reports[action.planner] = action.report
-                case Drop():
-                    self.drops.append(action)
-                case Note():
+                case EndSession():
+                    self.ended_sessions.append(action)
+                case LogLine():
                     self.notes.append(action.text)
                 case NotifyBalancer(event=Guidance() as guidance):
                     self.guidances.append(guidance)
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -26,7 +26,8 @@
 
 
 def run_command(*arguments: str) -> CommandResult:
-    out, err = StringIO(), StringIO()
+    out = StringIO()
+    err = StringIO()
     code = main(arguments, out, err)
     return CommandResult(code, out.getvalue(), err.getvalue())
 
@@ -113,9 +114,11 @@
     code, _, err = run_command("planner", "key", str(tmp_path / "planner.key"))
     assert code == 1
     assert "File exists" in err
-    planner_port, listen_port = free_port(), free_port()
+    planner_port = free_port()
+    listen_port = free_port()
     planner_file = write_planner_file(tmp_path, planner_port, forwarder_public_key)
-    planner_control, forwarder_control = str(tmp_path / "p.sock"), str(tmp_path / "f.sock")
+    planner_control = str(tmp_path / "p.sock")
+    forwarder_control = str(tmp_path / "f.sock")
 
     async def work() -> None:
         farm = await FakeServers().start("w1", "w2", "o1")
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -48,7 +48,7 @@
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(4, "p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
-    driver.machine.lost("p0")
+    driver.machine.disconnected("p0")
     driver.now += 100.0
     driver.connect("p0", epoch=2)
     report = driver.reports["p0"]
@@ -97,8 +97,8 @@
         for _ in range(2):
             driver.answer("p0", epoch=9)
             driver.tick(1.0)
-        assert len(driver.drops) == len(backoffs_ms) + 1
-        driver.machine.lost("p0")
+        assert len(driver.ended_sessions) == len(backoffs_ms) + 1
+        driver.machine.disconnected("p0")
         assert not driver.machine.may_connect("p0", driver.now)
         peer = driver.machine.peers["p0"]
         backoffs_ms.append(round(peer.backoff_until_ms - driver.now, -2))
@@ -114,7 +114,7 @@
     driver.answer("p0")
     driver.tick(250.0)
     driver.answer("p0")
-    driver.carry_out(driver.machine.rejected("p0", "out of bounds", driver.now))
+    driver.carry_out(driver.machine.guidance_rejected("p0", "out of bounds", driver.now))
     driver.tick(250.0)
     assert driver.reports["p0"].version == 1
 
@@ -122,10 +122,10 @@
 def test_a_session_of_an_earlier_epoch_is_rejected_and_dropped() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0", 5)
-    driver.machine.lost("p0")
+    driver.machine.disconnected("p0")
     driver.connect("p0", 4)
-    assert driver.drops
-    assert driver.drops[0].why == "epoch 4 is before 5"
+    assert driver.ended_sessions
+    assert driver.ended_sessions[0].why == "epoch 4 is before 5"
 
 
 def test_a_planners_note_is_logged_once() -> None:
--- a/tests/planning/test_keys.py
+++ b/tests/planning/test_keys.py
@@ -21,18 +21,37 @@
 )
 
 
-def test_keys_are_read_from_files_of_mode_0600_and_errors_name_file_and_reason(tmp_path: Path) -> None:
+@pytest.fixture
+def key_file(tmp_path: Path) -> Path:
+    """A key file of mode 0600."""
     path = tmp_path / "key"
     path.write_text("ab" * 32 + "\n")
-    path.chmod(0o640)
-    with pytest.raises(BadKeyError, match="others may read it; its mode must be 0600"):
-        read_key(str(path))
     path.chmod(0o600)
-    assert read_key(str(path)) == b"\xab" * 32
-    assert identity(str(path), None, {}).method == "shared"
-    assert identity(None, str(path), {"p": public_key(new_private_key()).hex()}).method == "ed25519"
+    return path
+
+
+def test_a_key_is_read_from_a_file_of_mode_0600(key_file: Path) -> None:
+    assert read_key(str(key_file)) == b"\xab" * 32
+
+
+def test_a_key_file_that_others_may_read_is_rejected(key_file: Path) -> None:
+    key_file.chmod(0o640)
+    with pytest.raises(BadKeyError, match="others may read it; its mode must be 0600"):
+        read_key(str(key_file))
+
+
+def test_a_key_file_that_does_not_exist_is_named_with_the_reason(key_file: Path) -> None:
     with pytest.raises(BadKeyError, match="No such file"):
-        read_key(str(path) + "2")
+        read_key(str(key_file) + "2")
+
+
+def test_the_method_follows_from_the_files_that_are_given(key_file: Path) -> None:
+    peers = {"p": public_key(new_private_key()).hex()}
+    assert identity(str(key_file), None, {}).method == "shared"
+    assert identity(None, str(key_file), peers).method == "ed25519"
+
+
+def test_keys_of_a_wrong_form_are_rejected_with_the_reason() -> None:
     with pytest.raises(BadKeyError, match="not hexadecimal"):
         parse_key("zz", "it")
     with pytest.raises(BadKeyError, match="16 are the least"):
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -10,6 +10,7 @@
 
 from sandhatch.planning.errors import SessionError
 from sandhatch.planning.messages import PoolAdvice, PoolReport, RampShareRow, Report, WeightRow
+from sandhatch.planning.peer_connection import MAX_UNSENT_BYTES
 from testkit.planners import ForwarderConnection
 from testkit.polling import wait_until
 from tests.planning.harness import (
@@ -275,7 +276,8 @@
 
 def test_opposing_advice_of_two_planners_cancels_out() -> None:
     async def work() -> None:
-        first_weights, second_weights = weights_advice(0.2, 0.2, 1.0, 1.0), weights_advice(1.0, 1.0, 0.2, 0.2)
+        first_weights = weights_advice(0.2, 0.2, 1.0, 1.0)
+        second_weights = weights_advice(1.0, 1.0, 0.2, 0.2)
         async with (
             scripted_planner(answers_each_report(first_weights)) as first,
             scripted_planner(answers_each_report(second_weights), "p1") as second,
@@ -300,12 +302,12 @@
             connected_forwarder({"p0": planner.port}, terms) as forwarder,
         ):
             await wait_until(lambda: forwarder.link._connections)
-            for connection in forwarder.link._connections.values():
-                await wait_until(lambda c=connection: c.established)  # type: ignore[misc]
-                transport = connection._transport
-                assert transport is not None
-                while transport.get_write_buffer_size() <= 1 << 20:
-                    transport.write(b"\0" * 65536)
+            connection = forwarder.link._connections["p0"]
+            await wait_until(lambda: connection.established)
+            transport = connection._transport
+            assert transport is not None
+            while transport.get_write_buffer_size() <= MAX_UNSENT_BYTES:
+                transport.write(b"\0" * 65536)
             await wait_until(lambda: forwarder.logged("does not read"))
 
     run(work())
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -42,7 +42,8 @@
 
 def test_forwarders_with_the_same_endpoint_list_share_one_numbering() -> None:
     planner = Planner("p0", 1, 0.0, PlannerTerms())
-    first, second = ReportingForwarder(planner, 0), ReportingForwarder(planner, 1)
+    first = ReportingForwarder(planner, 0)
+    second = ReportingForwarder(planner, 1)
     first.report(0.0)
     second.report(0.0)
     members = planner.pools["core"].load.members
--- a/tests/planning/test_messages.py
+++ b/tests/planning/test_messages.py
@@ -108,7 +108,8 @@
 
 
 def test_handshake_messages_have_the_field_names_and_order_of_the_wire() -> None:
-    key, proof = b"k" * 32, b"p" * 32
+    key = b"k" * 32
+    proof = b"p" * 32
     hello = {
         "type": "hello",
         "versions": [1],
--- a/tests/planning/test_observer.py
+++ b/tests/planning/test_observer.py
@@ -34,6 +34,7 @@
 
 def test_an_attempt_at_a_server_is_marked_for_every_reporter() -> None:
     observer = Observer(["view"], 10_000.0)
-    first, second = observer.new_reporter(), observer.new_reporter()
+    first = observer.new_reporter()
+    second = observer.new_reporter()
     observer.on_event(AttemptEnded(1, 0, 0, Outcome.OK, True, 10.0), [Send(2, 4, 100.0)])
     assert first.changed == second.changed == {4}
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -100,7 +100,8 @@
 
 def test_of_two_forwarders_with_one_instance_index_the_second_is_notified_and_granted_nothing() -> None:
     planner = Planner("p0", 1, -10_000.0)
-    first, second = ReportingForwarder(planner, 0), ReportingForwarder(planner, 0, name="twin")
+    first = ReportingForwarder(planner, 0)
+    second = ReportingForwarder(planner, 0, name="twin")
     for now in (0.0, 250.0):
         first.report(now, warming_up=[3])
         advice = second.report(now, warming_up=[3])
@@ -112,14 +113,16 @@
 
 def test_forwarders_that_disagree_on_the_number_of_instances_are_notified() -> None:
     planner = Planner("p0", 1, -10_000.0)
-    first, second = ReportingForwarder(planner, 0, 4), ReportingForwarder(planner, 1, 5)
+    first = ReportingForwarder(planner, 0, 4)
+    second = ReportingForwarder(planner, 1, 5)
     first.report(0.0)
     assert "5 forwarders and a burst of 5; others say 4 and 4" in second.report(0.0).note
 
 
 def test_a_silent_forwarder_is_removed_with_its_outstanding_attempts() -> None:
     planner = Planner("p0", 1, 0.0)
-    silent, other = ReportingForwarder(planner, 0), ReportingForwarder(planner, 1)
+    silent = ReportingForwarder(planner, 0)
+    other = ReportingForwarder(planner, 1)
     silent.report(0.0, rows=[Row(0, 5)])
     other.report(0.0, rows=[Row(0, 2)])
     assert planner.explain("core", ADDRESSES[0], 0.0)["outstanding"] == 7  # type: ignore[index]
--- a/tests/planning/test_planner_selection.py
+++ b/tests/planning/test_planner_selection.py
@@ -10,7 +10,7 @@
     driver.connect("p0")
     driver.connect("p1")
     driver.rounds(4, "p0", "p1")
-    driver.machine.lost("p0")
+    driver.machine.disconnected("p0")
     lease_end_ms = driver.machine.leased_until_ms
     while driver.machine.leased_to != "p1":
         driver.rounds(1, "p1")
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -63,7 +63,8 @@
 
 def test_a_server_is_reported_warm_after_its_warm_up_and_warming_up_after_a_restart() -> None:
     observer = observer_of(started_ms={1: 1_000.0})
-    reporter, other = observer.new_reporter(), observer.new_reporter()
+    reporter = observer.new_reporter()
+    other = observer.new_reporter()
     reporter.report("core", 2_000.0, 10_000)
     other.report("core", 2_000.0, 10_000)
     assert reporter.report("core", 11_000.0, 10_000).report.warm == [1]
@@ -96,7 +97,8 @@
 
 def test_each_reporter_reports_everything_since_its_own_last_report() -> None:
     observer = observer_of()
-    first, second = observer.new_reporter(), observer.new_reporter()
+    first = observer.new_reporter()
+    second = observer.new_reporter()
     for reporter in (first, second):
         reporter.report("core", 0.0, 10_000)
     attempt(observer, 0)
@@ -111,7 +113,8 @@
 def test_reports_stay_within_their_budget_and_lose_nothing() -> None:
     observer = observer_of(200)
     reporter = observer.new_reporter()
-    rng, sent = Random(1), [0] * 200
+    rng = Random(1)
+    sent = [0] * 200
     reported = [0] * 200
     names = 0
     for turn in range(60):
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -106,7 +106,9 @@
             await wait_until(lambda: forwarder.has_lease_guidance)
             reporter = forwarder.link.forwarder.peers["p0"].reporters["core"]
             report, _ = reporter.report("core", 0.0, 10_000)
-            report.instances, report.burst, report.rows = 4, 4.0, [Row(77, 1)]
+            report.instances = 4
+            report.burst = 4.0
+            report.rows = [Row(77, 1)]
             connection = forwarder.link._connections["p0"]
             connection.session.send(Report(10**6, 10.0, pools=[report]))
             connection.flush()
