--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -38,19 +38,19 @@
     return statistics.quantiles(values, n=100)[98] if len(values) > 100 else max(values)
 
 
-def lateness_ms(kept: RunningService, entered_ms: dict[int, float]) -> float:
+def lateness_ms(running: RunningService, entered_ms: dict[int, float]) -> float:
     """The longest from a version's end to a request that still came to it.
 
     Versions that come back are left out.
 
     Args:
-        kept: the service with its records of requests.
+        running: the service with its records of requests.
         entered_ms: by number, when each version came into force.
     """
     order = sorted((time_ms, number) for number, time_ms in entered_ms.items())
     worst = 0.0
     for (_, number), (end_ms, _) in pairwise(order):
-        came_ms = [record.received_at_ms for record in kept.records if record.version == number]
+        came_ms = [record.received_at_ms for record in running.records if record.version == number]
         if came_ms:
             worst = max(worst, max(came_ms) - end_ms)
     return max(0.0, worst)
@@ -60,23 +60,23 @@
     """Commits at random under load; returns a line of figures."""
     farm = await FakeServers().start(*SERVERS)
     choices = variants(farm)
-    async with serving(choices[0]) as kept:
-        silence_log(kept.service)
+    async with serving(choices[0]) as running:
+        silence_log(running.service)
         entered_ms: dict[int, float] = {}
-        note_activation_times(kept.service, entered_ms)
-        load = LoadGenerator(kept.port, farm.books, choose, clients=CLIENTS, pause_s=CLIENT_PAUSE_S)
+        note_activation_times(running.service, entered_ms)
+        load = LoadGenerator(running.port, farm.books, choose, clients=CLIENTS, pause_s=CLIENT_PAUSE_S)
         await asyncio.sleep(QUIET_S)
-        quiet = len(kept.records)
+        quiet = len(running.records)
         started_s = time.perf_counter()
-        data_of = await churn(kept, farm, choices, commits, seed, pause_s)
+        data_of = await churn(running, farm, choices, commits, seed, pause_s)
         spent_s = time.perf_counter() - started_s
-        busy = len(kept.records)
+        busy = len(running.records)
         await load.stop()
-        await kept.until(lambda: len(kept.records) == len(farm.books.entries))
-        check_records(kept, farm, data_of)
-        versions = len({record.version for record in kept.records})
-        p99_text = format_p99(kept, quiet, busy)
-        late_ms = lateness_ms(kept, entered_ms)
+        await running.until(lambda: len(running.records) == len(farm.books.entries))
+        check_records(running, farm, data_of)
+        versions = len({record.version for record in running.records})
+        p99_text = format_p99(running, quiet, busy)
+        late_ms = lateness_ms(running, entered_ms)
         statuses = dict(farm.books.statuses())
     farm.close()
     return (
@@ -86,16 +86,16 @@
     )
 
 
-def check_records(kept: RunningService, farm: FakeServers, data_of: dict[int, dict[str, Any]]) -> None:
+def check_records(running: RunningService, farm: FakeServers, data_of: dict[int, dict[str, Any]]) -> None:
     """Fails if a request met a mixture of versions or broke a rule of the platform."""
-    check_no_mixture(kept, farm, data_of)
+    check_no_mixture(running, farm, data_of)
     faults = farm.books.faults(NON_IDEMPOTENT)
     assert not faults, faults[:5]
 
 
-def format_p99(kept: RunningService, quiet: int, busy: int) -> str:
+def format_p99(running: RunningService, quiet: int, busy: int) -> str:
     """The p99 of records up to number `quiet`, and of those up to `busy`, with the ratio of both."""
-    waits_ms = [record.answered_at_ms - record.received_at_ms for record in kept.records]
+    waits_ms = [record.answered_at_ms - record.received_at_ms for record in running.records]
     without_ms = p99(waits_ms[:quiet])
     with_ms = p99(waits_ms[quiet:busy])
     return f"p99 {with_ms:.1f} ms with commits, {without_ms:.1f} ms without, ratio {with_ms / without_ms:.2f}"
@@ -105,8 +105,8 @@
     """Resident memory after a tenth, and after all, of many commits without load."""
     farm = await FakeServers().start("a1", "a2", "o1")
     configurations = [farm.config(farm.pool(name), farm.pool("o1")) for name in ("a1", "a2")]
-    async with serving(configurations[0]) as kept:
-        service = kept.service
+    async with serving(configurations[0]) as running:
+        service = running.service
         silence_log(service)
         early_mib = 0.0
         texts = [json.dumps(configurations[1]).encode(), json.dumps(configurations[0]).encode()]
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -109,10 +109,10 @@
         farm.behave[name] = behaviour
     watch = WATCH | {"enabled": watched}
     first = with_classes(farm.config(farm.pool(*SERVERS_BEFORE), farm.pool("o1"), watch=watch))
-    async with serving(first) as kept:
-        silence_log(kept.service)
+    async with serving(first) as running:
+        silence_log(running.service)
         load = LoadGenerator(
-            kept.port,
+            running.port,
             farm.books,
             lambda rng: ("order" if rng.random() < 0.5 else "look", "/cart"),
             clients=8,
@@ -121,8 +121,8 @@
         await asyncio.sleep(BEFORE_S)
         change = deepcopy(first)
         change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
-        version = kept.service.commit(kept.propose(change))
-        await kept.service.wait_until_decided(version)
+        version = running.service.commit(running.propose(change))
+        await running.service.wait_until_decided(version)
         since = len(farm.books.entries)
         rolled_back_after_s = await wait_for_rollback(version)
         entries = list(farm.books.entries.values())[since:]
@@ -160,11 +160,11 @@
     farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
     data = with_classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=SHORT_WATCH))
     rolled_back = 0
-    async with serving(data) as kept:
-        silence_log(kept.service)
+    async with serving(data) as running:
+        silence_log(running.service)
         bursts = asyncio.create_task(failures.run())
         load = LoadGenerator(
-            kept.port,
+            running.port,
             farm.books,
             lambda rng: ("order", "/cart"),  # noqa: ARG005 - a `Choose`
             clients=4,
@@ -175,8 +175,8 @@
         for number in range(changes):
             change = deepcopy(data)
             change["pools"]["web"]["max_connections"] = 100 + number
-            version = kept.service.commit(kept.propose(change))
-            await kept.service.wait_until_decided(version, over=True)
+            version = running.service.commit(running.propose(change))
+            await running.service.wait_until_decided(version, over=True)
             rolled_back += version.state is State.ROLLED_BACK
             if version.why:
                 print(f"taken back: {version.why}", flush=True)
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -34,8 +34,8 @@
     async def work() -> None:
         farm = await FakeServers().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
-        async with serving(plain) as kept, HttpClient(kept.port) as client:
-            version = await kept.commit(with_planner(farm, tmp_path / "none", 1))
+        async with serving(plain) as running, HttpClient(running.port) as client:
+            version = await running.commit(with_planner(farm, tmp_path / "none", 1))
             assert version.state is State.FAILED
             assert "planning: " in version.why
             assert "No such file or directory" in version.why
@@ -52,16 +52,16 @@
 
 
 async def change_a_pool(
-    farm: FakeServers, key: Path, planner: PlannerServer, kept: RunningService, client: HttpClient
+    farm: FakeServers, key: Path, planner: PlannerServer, running: RunningService, client: HttpClient
 ) -> None:
     """Check that the link stays and still observes the pool, and that the other pool leaves it."""
-    link = kept.service.forwarding.link
+    link = running.service.forwarding.link
     data = with_planner(farm, key, planner.port)
     data["pools"]["web"]["max_attempts"] = 3
     data["pools"]["orders"]["planned"] = False
-    await kept.confirmed(data)
+    await running.confirmed(data)
     assert link is not None
-    assert kept.service.forwarding.link is link
+    assert running.service.forwarding.link is link
     assert link.pools == ["web"]
     await check_request_is_served(client)
     pools = planner.planner.pools
@@ -70,15 +70,15 @@
 
 
 async def replace_the_link(
-    farm: FakeServers, key: Path, planner: PlannerServer, kept: RunningService
+    farm: FakeServers, key: Path, planner: PlannerServer, running: RunningService
 ) -> None:
     """Check that the new link knows until when the shares are leased."""
-    link = kept.service.forwarding.link
+    link = running.service.forwarding.link
     assert link is not None
     await wait_until(lambda: link.forwarder.leased_to == "p0")
     lease_end_ms = link.forwarder.leased_until_ms
-    await kept.confirmed(with_planner(farm, key, planner.port, name="other"))
-    replacement = kept.service.forwarding.link
+    await running.confirmed(with_planner(farm, key, planner.port, name="other"))
+    replacement = running.service.forwarding.link
     assert replacement is not None
     assert replacement is not link
     assert replacement.forwarder.leased_until_ms >= lease_end_ms - 1.0
@@ -91,11 +91,11 @@
     async def work() -> None:
         farm = await FakeServers().start("w1", "w2", "o1")
         plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
-        async with planner_server() as planner, serving(plain) as kept, HttpClient(kept.port) as client:
-            forwarding = kept.service.forwarding
+        async with planner_server() as planner, serving(plain) as running, HttpClient(running.port) as client:
+            forwarding = running.service.forwarding
             await check_request_is_served(client)
             assert forwarding.status() is None
-            await kept.confirmed(with_planner(farm, key, planner.port))
+            await running.confirmed(with_planner(farm, key, planner.port))
             assert forwarding.link is not None
             assert set(forwarding.link.pools) == {"web", "orders"}
             await wait_until(lambda: "web" in planner.planner.pools)
@@ -103,9 +103,9 @@
             await check_request_is_served(client)
             load = planner.planner.pools["web"].load
             await wait_until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
-            await change_a_pool(farm, key, planner, kept, client)
-            await replace_the_link(farm, key, planner, kept)
-            await kept.confirmed(plain)
+            await change_a_pool(farm, key, planner, running, client)
+            await replace_the_link(farm, key, planner, running)
+            await running.confirmed(plain)
             assert forwarding.link is None
             await check_request_is_served(client)
         farm.close()
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -46,10 +46,10 @@
     def __init__(self) -> None:
         self.times_ms: dict[str, list[float]] = {}
 
-    def record(self, kept: RunningService) -> None:
-        pool = kept.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
+    def record(self, running: RunningService) -> None:
+        pool = running.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
         dispatcher = pool.dispatcher
-        book = kept.service.pools.book
+        book = running.service.pools.book
         handle = dispatcher.balancer.handle
 
         def recorded(now_ms: float, event: Event) -> list[Action]:
@@ -110,25 +110,25 @@
                 name: {"address": f"127.0.0.1:{server.port}"} for name, server in self.planners.items()
             }
         orders = self.farm.pool("w1")
-        kept = await self.stack.enter_async_context(
+        running = await self.stack.enter_async_context(
             serving(
                 self.farm.config(pool, orders | {"planned": False}, planning=planning, seed=instance_index)
             )
         )
-        self.sent.record(kept)
-        self.forwarders.append(kept)
-        return kept
+        self.sent.record(running)
+        self.forwarders.append(running)
+        return running
 
-    def start_load(self, kept: RunningService) -> None:
+    def start_load(self, running: RunningService) -> None:
         self.loads.append(
-            LoadGenerator(kept.port, self.request_log, choose_request, 1, 0.02, len(self.loads))
+            LoadGenerator(running.port, self.request_log, choose_request, 1, 0.02, len(self.loads))
         )
 
     @property
     def lessor_count(self) -> int:
         return sum(
             status is not None and status["lends_to"] is not None
-            for status in (kept.service.forwarding.status() for kept in self.forwarders)
+            for status in (running.service.forwarding.status() for running in self.forwarders)
         )
 
 
@@ -154,8 +154,8 @@
 
 async def start_server(site: Site, halfway: Callable[[], Any]) -> int:
     """Start a server under load and check its ramp; returns the attempts sent during its warm-up."""
-    for kept in site.forwarders:
-        site.start_load(kept)
+    for running in site.forwarders:
+        site.start_load(running)
     await asyncio.sleep(0.2)
     started_ms = time.time() * 1000.0
     site.discovery.change(site.farm.servers["fresh"].entry("fresh", startedAtMs=int(started_ms)))
