--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -19,7 +19,7 @@
 
 from sandhatch.planning.terms import PlannerTerms
 from testkit.simulation.plan import TierPlan
-from testkit.simulation.ramp_check import over_ramp
+from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
 CORES = 2
@@ -30,7 +30,7 @@
 
 EVEN = "even"
 UNEVEN = "uneven"  # a tenth of the forwarders have eight times the demand
-COLD_STARTS = "cold starts"  # two servers restart
+WARM_UPS = "cold starts"  # two servers restart and warm up
 THIRD_SLOW = "a third slow"  # of the servers, by SLOWDOWN
 SLOWDOWN = 1.4
 KILLED = "killed"  # all planners, at BEGIN_MS
@@ -38,7 +38,7 @@
 
 # Leases that outlast a slow link, there and back.
 SLOW_LINK_MS = 300.0
-SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, lend_ms=9_000.0, lost_ms=9_000.0)
+SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, share_lease_ms=9_000.0, member_timeout_ms=9_000.0)
 
 
 @dataclass(frozen=True)
@@ -75,10 +75,10 @@
         rate_per_s=case.load * SERVERS * CORES / case.work_ms * 1000.0,
         work_ms=case.work_ms,
         cores=CORES,
-        aim_ms=7.5 * case.work_ms,
+        objective_ms=7.5 * case.work_ms,
         deadline_ms=50.0 * case.work_ms,
         ramp_per_s=0.9 * server_per_s,
-        cold_ms=15_000.0,
+        warm_up_ms=15_000.0,
         tier=0,
         link_ms=case.link_ms,
         link_loss=case.loss,
@@ -98,7 +98,7 @@
 def run_case(case: Case) -> Result:
     """Runs a case."""
     tier = make_tier(case)
-    restarted = [0, 1] if case.scenario == COLD_STARTS else []
+    restarted = [0, 1] if case.scenario == WARM_UPS else []
     for number in restarted:
         tier.at(BEGIN_MS + 3_000.0 * number, partial(tier.restart, number))
     if case.scenario == THIRD_SLOW:
@@ -109,17 +109,17 @@
     end_ms = FAILURE_END_MS if case.fault else END_MS
     tier.run(end_ms + 50.0 * case.work_ms)
     excess = [
-        over_ramp(tier.plan, server.started_ms, server.sent_ms) / case.forwarders
+        attempts_beyond_ramp(tier.plan, server.started_ms, server.sent_ms) / case.forwarders
         for server in tier.servers[: len(restarted)]
     ]
-    return Result(case, tier.yielded(BEGIN_MS, end_ms), max(excess, default=0.0))
+    return Result(case, tier.goodput_share(BEGIN_MS, end_ms), max(excess, default=0.0))
 
 
 def service_cases(seeds: int) -> list[Case]:
     """By load, number of forwarders and fault of the tier."""
     return [
         Case(scenario, load, forwarders, planners, seed, work_ms)
-        for scenario in (EVEN, UNEVEN, COLD_STARTS, THIRD_SLOW)
+        for scenario in (EVEN, UNEVEN, WARM_UPS, THIRD_SLOW)
         for work_ms in (20.0, 200.0)
         for forwarders in (5, 20)
         for load in (0.6, 0.85, 0.95)
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -3,10 +3,10 @@
     python -m benchmarks.rollback [--good N] [--services K]
 
 Bad changes: a pool whose servers all fail, whose half fails, and whose servers respond past the latency
-objective. Printed: time to the rollback, and the worth lost of what was requested in the ten seconds after
-the commit, with the watch and without it. Good changes: commits of harmless keys under load whose servers
-fail in bursts all along; printed: how many were rolled back. Services run side by side, each with its own
-servers and clients.
+objective. Printed: time to the rollback, and the goodput lost (as "worth", the setting's word) in the ten
+seconds after the commit, with the watch and without it. Good changes: commits of harmless keys under load
+whose servers fail in bursts all along; printed: how many were rolled back. Services run side by side, each
+with its own servers and clients.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 AFTER_S = 10.0
 OBJECTIVE_S = 0.5
 LATE_S = 0.6  # past the objective
-WORTH = {"order": 5.0, "look": 1.0}
+PRIORITY_WEIGHTS = {"order": 5.0, "look": 1.0}
 SERVERS_BEFORE = ("a1", "a2", "a3", "a4")
 SERVERS_AFTER = ("b1", "b2", "b3", "b4")
 ALL_FAIL = "all fail"
@@ -46,10 +46,10 @@
 fails = fails_with(500)
 
 
-async def responds_late(request: ReceivedRequest, talk: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
+async def responds_late(request: ReceivedRequest, connection: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds past the latency objective."""
     await asyncio.sleep(LATE_S)
-    await talk.send(ok())
+    await connection.send(ok())
 
 
 class BurstingFailures:
@@ -68,12 +68,12 @@
             await asyncio.sleep(self._rng.uniform(0.05, 0.4))
             self._bursting = False
 
-    async def behave(self, request: ReceivedRequest, talk: FakeConnection) -> None:
+    async def behave(self, request: ReceivedRequest, connection: FakeConnection) -> None:
         """Fails during a burst more often than not."""
         if self._bursting and self._rng.random() < 0.6:
-            await fails(request, talk)
+            await fails(request, connection)
         else:
-            await talk.send(ok())
+            await connection.send(ok())
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,7 +81,7 @@
     """What came of a bad change."""
 
     rolled_back_after_s: float | None  # None: never
-    worth_lost: float  # share of the worth requested in AFTER_S
+    goodput_lost: float  # share of the priority weight requested in AFTER_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,10 +109,10 @@
         farm.behave[name] = behaviour
     watch = WATCH | {"enabled": watched}
     first = with_classes(farm.config(farm.pool(*SERVERS_BEFORE), farm.pool("o1"), watch=watch))
-    async with serving(first) as kept:
-        silence_log(kept.service)
+    async with serving(first) as running:
+        silence_log(running.service)
         load = LoadGenerator(
-            kept.port,
+            running.port,
             farm.books,
             lambda rng: ("order" if rng.random() < 0.5 else "look", "/cart"),
             clients=8,
@@ -121,14 +121,14 @@
         await asyncio.sleep(BEFORE_S)
         change = deepcopy(first)
         change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
-        version = kept.service.commit(kept.propose(change))
-        await kept.service.wait_until_decided(version)
+        version = running.service.commit(running.propose(change))
+        await running.service.wait_until_decided(version)
         since = len(farm.books.entries)
         rolled_back_after_s = await wait_for_rollback(version)
         entries = list(farm.books.entries.values())[since:]
         await load.stop()
     farm.close()
-    return BadChange(rolled_back_after_s, worth_lost(entries))
+    return BadChange(rolled_back_after_s, goodput_lost(entries))
 
 
 async def wait_for_rollback(version: Version) -> float | None:
@@ -142,15 +142,13 @@
     return rolled_back_after_s
 
 
-def worth_lost(entries: Sequence[Entry]) -> float:
-    """The share of the requested worth that was not served within the latency objective."""
-    requested = sum(WORTH[entry.request_class] for entry in entries)
+def goodput_lost(entries: Sequence[Entry]) -> float:
+    """The share of the requested priority weight that was not served within the latency objective."""
+    requested = sum(PRIORITY_WEIGHTS[entry.request_class] for entry in entries)
     served = sum(
-        WORTH[entry.request_class]
+        PRIORITY_WEIGHTS[entry.request_class]
         for entry in entries
-        if entry.answers
-        and entry.answers[0].status == 200
-        and entry.answered_s - entry.asked_s <= OBJECTIVE_S
+        if entry.answers and entry.answers[0].status == 200 and entry.answered_s - entry.sent_s <= OBJECTIVE_S
     )
     return 1.0 - served / requested
 
@@ -162,11 +160,11 @@
     farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
     data = with_classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=SHORT_WATCH))
     rolled_back = 0
-    async with serving(data) as kept:
-        silence_log(kept.service)
+    async with serving(data) as running:
+        silence_log(running.service)
         bursts = asyncio.create_task(failures.run())
         load = LoadGenerator(
-            kept.port,
+            running.port,
             farm.books,
             lambda rng: ("order", "/cart"),  # noqa: ARG005 - a `Choose`
             clients=4,
@@ -177,8 +175,8 @@
         for number in range(changes):
             change = deepcopy(data)
             change["pools"]["web"]["max_connections"] = 100 + number
-            version = kept.service.commit(kept.propose(change))
-            await kept.service.wait_until_decided(version, over=True)
+            version = running.service.commit(running.propose(change))
+            await running.service.wait_until_decided(version, over=True)
             rolled_back += version.state is State.ROLLED_BACK
             if version.why:
                 print(f"taken back: {version.why}", flush=True)
@@ -197,7 +195,8 @@
         after_s = watched.rolled_back_after_s
         when = "never" if after_s is None else f"after {after_s:.1f} s"
         lines.append(
-            f"{kind}: back {when}, worth lost {watched.worth_lost:.3f} (without {unwatched.worth_lost:.3f})"
+            f"{kind}: back {when}, worth lost {watched.goodput_lost:.3f}"
+            f" (without {unwatched.goodput_lost:.3f})"
         )
         print(lines[-1], flush=True)
     results = await asyncio.gather(
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -66,16 +66,15 @@
         Returns:
             Why it cannot have the index; empty if it has it.
         """
-        terms = (report.instances, report.burst)
         if self.lessors is None:
-            self.lessors = Lessors(*terms)
-        if (self.lessors.instances, self.lessors.burst) != terms:
+            self.lessors = Lessors(report.instances, report.burst)
+        elif not self.lessors.agree_on(report.instances, report.burst):
             if any(name != forwarder and name in members for name in self.instances.values()):
                 return (
                     f"pool {report.pool}: {report.instances} forwarders and a burst of {report.burst:g};"
                     f" others say {self.lessors.instances} and {self.lessors.burst:g}"
                 )
-            self.lessors = Lessors(*terms)
+            self.lessors = Lessors(report.instances, report.burst)
             self.instances = {}
         holder = self.instances.get(report.instance_index)
         if holder is not None and holder != forwarder and holder in members:
@@ -86,9 +85,7 @@
     def set_lease(self, forwarder: str, has_lease: bool, until_ms: float) -> None:
         """Record whether a forwarder leases its own shares, and until when."""
         load = self.load.members.get(forwarder)
-        if load is None or self.lessors is None:
-            return
-        if self.instances.get(load.instance_index) != forwarder:
+        if load is None or self.lessors is None or not self._is_registered(forwarder, load.instance_index):
             return
         if has_lease:
             self.lessors.lease(load.instance_index, until_ms)
@@ -98,12 +95,15 @@
     def remove(self, forwarder: str) -> None:
         """Forget a forwarder: its grants run to their ends, its own shares are its own again."""
         load = self.load.members.get(forwarder)
-        is_registered = load is not None and self.instances.get(load.instance_index) == forwarder
-        if load is not None and self.lessors is not None and is_registered:
-            self.lessors.end(load.instance_index)
+        if load is not None and self._is_registered(forwarder, load.instance_index):
+            if self.lessors is not None:
+                self.lessors.end(load.instance_index)
             del self.instances[load.instance_index]
         self.load.remove(forwarder)
 
+    def _is_registered(self, forwarder: str, instance_index: int) -> bool:
+        return self.instances.get(instance_index) == forwarder
+
     # ------------------------------------------------ grants
 
     def ledger(self, view: ServerView) -> GrantLedger:
@@ -120,10 +120,10 @@
         They are valid for one lease time at most.
         """
         views = self.load.members[forwarder].numbering.views
-        for row in report.held:
+        until_ms = now_ms + self._terms.share_lease_ms
+        for row in report.previous_grants:
             if row.server < len(views):
                 amount = RampAmount(row.rate, min(row.burst, report.burst))
-                until_ms = now_ms + self._terms.lend_ms
                 self.ledger(views[row.server]).claim(forwarder, amount, now_ms, until_ms)
 
     def covers_grants(self, forwarder: str, now_ms: float, until_ms: float) -> bool:
@@ -135,12 +135,12 @@
             ledger = self.ledgers.get(load.numbering.views[number].address)
             if ledger is None:
                 continue
-            held = ledger.held(forwarder, now_ms)
-            others = ledger.held_by_others(forwarder, now_ms)
+            own = ledger.granted(forwarder, now_ms)
+            others = ledger.granted_to_others(forwarder, now_ms)
             leased = self.lessors.leased(ledger.label, until_ms)
-            if held.rate + others.rate > leased.rate + TOLERANCE:
+            if own.rate + others.rate > leased.rate + TOLERANCE:
                 return False
-            if held.burst + others.burst > leased.burst + TOLERANCE:
+            if own.burst + others.burst > leased.burst + TOLERANCE:
                 return False
         return True
 
@@ -170,7 +170,7 @@
             ledger = self.ledger(view)
             leased = self.lessors.leased(ledger.label, until_ms)
             if learning or shares is None:
-                wanted = ledger.held(forwarder, now_ms)
+                wanted = ledger.granted(forwarder, now_ms)
             else:
                 # A whole burst stays an integer: it is encoded as one on the wire.
                 burst = max(1.0, math.floor(leased.burst / len(shares)))
@@ -202,7 +202,7 @@
             if address in self.ramp_shares:
                 continue
             label = self.ledger(view).label
-            max_holders = min(self._terms.most_holders, int(self.lessors.leased(label, until_ms).burst))
+            max_holders = min(self._terms.max_ramp_holders, int(self.lessors.leased(label, until_ms).burst))
             shares = assign_ramp(self._demands, label, max_holders)
             before = previous.get(address, {})
             self.ramp_shares[address] = before if is_similar(before, shares) else shares
@@ -216,7 +216,7 @@
         warmed_up = [address for address in self.ledgers if address not in self.load.warming_up]
         for address in warmed_up:
             ledger = self.ledgers[address]
-            if not any(ledger.held(name, now_ms).burst for name in ledger.holders):
+            if not any(ledger.granted(name, now_ms).burst for name in ledger.holders):
                 del self.ledgers[address]
 
     def own_share(self, forwarder: str, until_ms: float) -> float | None:
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -104,7 +104,7 @@
         self._reported_totals.pop(server, None)
 
     def report(
-        self, pool: str, now_ms: float, budget_bytes: int, held: Iterable[RampShareRow] = ()
+        self, pool: str, now_ms: float, budget_bytes: int, previous_grants: Iterable[RampShareRow] = ()
     ) -> BudgetedReport:
         """Report what changed, as much of it as fits.
 
@@ -114,17 +114,18 @@
             pool: Name of the pool.
             now_ms: The time.
             budget_bytes: Maximum encoded size of the names, numbers, shares and rows.
-            held: Ramp shares that are still held, by the balancer's numbers of the servers.
+            previous_grants: Ramp shares that the planner's previous incarnation granted, by the balancer's
+                numbers of the servers.
         """
         report = PoolReport(pool, anew=self._is_first)
         self._is_first = False
         remaining_bytes = self._add_names(report, budget_bytes)
         remaining_bytes = self._add_readiness(report, now_ms, remaining_bytes)
         self._add_demand(report)
-        for share in held:
+        for share in previous_grants:
             number = self._numbers.get(share.server)
             if number is not None and remaining_bytes >= RAMP_SHARE_BYTES:
-                report.held.append(RampShareRow(number, share.rate, share.burst))
+                report.previous_grants.append(RampShareRow(number, share.rate, share.burst))
                 remaining_bytes -= RAMP_SHARE_BYTES
         return BudgetedReport(report, self._add_rows(report, remaining_bytes))
 
@@ -166,7 +167,7 @@
     def _add_number(report: PoolReport, number: int, readiness: Readiness) -> None:
         match readiness:
             case Readiness.WARMING_UP:
-                report.cold.append(number)
+                report.warming_up.append(number)
             case Readiness.WARM:
                 report.warm.append(number)
             case Readiness.NOT_READY:
@@ -204,11 +205,7 @@
     def _row(self, server: int, remaining_bytes: int) -> _BudgetedRow:
         now = self._observer.totals[server]
         before = self._reported_totals.get(server, _NO_TOTALS)
-        sketch_pairs: list[int] = []
-        for bucket, count in now.sketch.items():
-            added = count - before.sketch.get(bucket, 0)
-            if added:
-                sketch_pairs += (bucket, added)
+        sketch_pairs = _added_pairs(before.sketch, now.sketch)
         cost_bytes = ROW_BYTES + SKETCH_PAIR_BYTES * len(sketch_pairs) // 2
         if cost_bytes > remaining_bytes:
             return _BudgetedRow(None, remaining_bytes)
@@ -223,3 +220,13 @@
         )
         self._reported_totals[server] = now.copy()
         return _BudgetedRow(row, remaining_bytes - cost_bytes)
+
+
+def _added_pairs(before: Mapping[int, int], now: Mapping[int, int]) -> list[int]:
+    """What was added to a sketch's counts, as pairs of a bucket and its count."""
+    pairs: list[int] = []
+    for bucket, count in now.items():
+        added = count - before.get(bucket, 0)
+        if added:
+            pairs += (bucket, added)
+    return pairs
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.events import Event, ListUpdate, TimerFired
 from sandhatch.balancing.settings import Settings
 from sandhatch.planning.actions import Action as PlanningAction
-from sandhatch.planning.actions import Drop, GuideBalancer, Note, SendReport
+from sandhatch.planning.actions import EndSession, LogLine, NotifyBalancer, SendReport
 from sandhatch.planning.forwarder import Forwarder
 from sandhatch.planning.messages import Report
 from sandhatch.planning.observer import Observer
@@ -47,8 +47,8 @@
 class SimForwarder:
     """One forwarder.
 
-    Tests set `lie`, which changes its reports on their way, and read `refusals` (why its balancer rejected
-    advice) and `notes` (what its planning machine logged, each behind the time).
+    Tests set `alter_report`, which changes its reports on their way, and read `guidance_rejections` (why its
+    balancer rejected advice) and `notes` (what its planning machine logged, each behind the time).
     """
 
     def __init__(self, surroundings: Surroundings, number: int, balancer_seed: int, quiet_ms: float) -> None:
@@ -69,11 +69,11 @@
         self.up: bool = True
         self.settings = replace(settings, instance_index=number % settings.instances)
         self.balancer: Balancer = Balancer(self.settings, balancer_seed)
-        self.observer = Observer([cls.name for cls in self.settings.classes], plan.cold_ms)
+        self.observer = Observer([cls.name for cls in self.settings.classes], plan.warm_up_ms)
         self.machine: Forwarder | None = None
         self.sessions: dict[str, int] = {}  # by planner, the session's number
-        self.lie: Callable[[Report], Report] = lambda report: report
-        self.refusals: list[str] = []
+        self.alter_report: Callable[[Report], Report] = lambda report: report
+        self.guidance_rejections: list[str] = []
         self.notes: list[str] = []
         if plan.planners:
             names = planner_names(plan)
@@ -107,9 +107,9 @@
                 pass  # the simulation has no counterpart of the others
 
     def _on_guidance_rejected(self, action: GuidanceRejected) -> None:
-        self.refusals.append(action.why)
+        self.guidance_rejections.append(action.why)
         if self.machine is not None:
-            actions = self.machine.rejected(action.planner, action.why, self._clock.now_ms)
+            actions = self.machine.guidance_rejected(action.planner, action.why, self._clock.now_ms)
             self.perform_planning_actions(actions)
 
     def on_endpoint_list(self, update: ListUpdate) -> None:
@@ -139,10 +139,10 @@
         for action in actions:
             match action:
                 case SendReport():
-                    self._surroundings.link.report(self, action.planner, self.lie(action.report))
-                case GuideBalancer():
+                    self._surroundings.link.report(self, action.planner, self.alter_report(action.report))
+                case NotifyBalancer():
                     self.feed(action.event)
-                case Drop():
+                case EndSession():
                     self._surroundings.link.disconnect(self, action.planner)
-                case Note():
+                case LogLine():
                     self.notes.append(f"{self._clock.now_ms:.0f} {action.text}")
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -12,7 +12,7 @@
 def test_a_new_session_replaces_what_the_forwarder_reported_before() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
-    forwarder.report(0.0, rows=[Row(0, 5)], cold=[1])
+    forwarder.report(0.0, rows=[Row(0, 5)], warming_up=[1])
     planner.joined("f0", 10.0)
     view = planner.pools["core"].load.servers[ADDRESSES[0]]
     assert (view.outstanding, view.listed_in, view.warming_up_in) == (0, 0, 0)
@@ -42,7 +42,8 @@
 
 def test_forwarders_with_the_same_endpoint_list_share_one_numbering() -> None:
     planner = Planner("p0", 1, 0.0, PlannerTerms())
-    first, second = ReportingForwarder(planner, 0), ReportingForwarder(planner, 1)
+    first = ReportingForwarder(planner, 0)
+    second = ReportingForwarder(planner, 1)
     first.report(0.0)
     second.report(0.0)
     members = planner.pools["core"].load.members
--- a/tests/streaming/test_changes_in_mid_body.py
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -22,8 +22,8 @@
 )
 
 SIZE = 4 * MIB
-FIRST_PART = BODY.whole(SIZE)[:MIB]
-REST = BODY.whole(SIZE)[MIB:]
+FIRST_PART = BODY.prefix(SIZE)[:MIB]
+REST = BODY.prefix(SIZE)[MIB:]
 
 
 async def begin_upload(deployment: Deployment, client: HttpClient) -> StreamingServer:
--- a/tests/streaming/test_client_failures.py
+++ b/tests/streaming/test_client_failures.py
@@ -24,7 +24,7 @@
         async with deployed(store_upload) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(8 * MIB))
-                client.send(BODY.whole(MIB))
+                client.send(BODY.prefix(MIB))
                 await deployment.server.arrived.get()
             await deployment.until_idle()
             await deployment.until_server_idle()
--- a/tests/streaming/test_many_uploads.py
+++ b/tests/streaming/test_many_uploads.py
@@ -47,7 +47,7 @@
 async def upload_once(port: int) -> int:
     """The status of the final answer to an upload on a connection of its own."""
     async with HttpClient(port) as client:
-        client.send(upload_head(SIZE_BYTES, Expect="100-continue") + BODY.whole(SIZE_BYTES))
+        client.send(upload_head(SIZE_BYTES, Expect="100-continue") + BODY.prefix(SIZE_BYTES))
         status, headers = await answer_head(client, DISTANT_S)
         if status == 100:
             status, headers = await answer_head(client, DISTANT_S)
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -39,17 +39,17 @@
             size = MIB
             uploads = [await HttpClient(deployment.port).__aenter__() for _ in range(4)]
             for client in uploads:
-                client.send(upload_head(size) + BODY.whole(65 * KIB))
+                client.send(upload_head(size) + BODY.prefix(65 * KIB))
             await deployment.until(lambda: len(deployment.server.seen) == 4)
             rest = book_all_but(deployment.memory_budget, 32 * KIB)
             async with HttpClient(deployment.port) as late:
-                late.send(upload_head(size) + BODY.whole(32 * KIB))
+                late.send(upload_head(size) + BODY.prefix(32 * KIB))
                 status, headers = await answer_head(late)
                 assert status == 503
                 assert headers["retry-after"]
                 assert headers["connection"] == "close"
             for client in uploads:
-                client.send(BODY.whole(size)[65 * KIB :])
+                client.send(BODY.prefix(size)[65 * KIB :])
                 assert (await answer_of(client))[0] == 200
                 await client.__aexit__()
             deployment.memory_budget.book(rest, 0)
@@ -71,7 +71,7 @@
                 assert deployment.flow_statistics.opened == 0
                 assert deployment.dispatcher.unanswered == 1
                 deployment.memory_budget.book(rest, 0)
-                assert (await answer_of(client))[1].whole
+                assert (await answer_of(client))[1].complete
             await deployment.until_idle()
 
     run(work())
@@ -104,7 +104,7 @@
             memory_budget = deployment.memory_budget
             rest = book_all_but(memory_budget, 8 * KIB)
             async with HttpClient(deployment.port) as client:
-                client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+                client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
                 await deployment.until(lambda: memory_budget.free == 0)
             await deployment.until(lambda: memory_budget.free > 0)
             memory_budget.book(rest, 0)
@@ -117,11 +117,11 @@
 def test_a_client_that_leaves_its_answer_while_its_next_request_waits_leaves_nothing_behind() -> None:
     """What the answer releases must not be granted to the upload behind it, on the same lost connection."""
     upload_hold = 16 * KIB
-    answer_begin = BODY.whole(64 * KIB)  # as much as is buffered before an answer is streamed
+    answer_begin = BODY.prefix(64 * KIB)  # as much as is buffered before an answer is streamed
 
     async def serve_begin(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Content_Length=str(64 * MIB)) + answer_begin)
-        await upload.talk.reader.read()  # until the connection ends
+        await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(64 * MIB)) + answer_begin)
+        await upload.connection.reader.read()  # until the connection ends
 
     async def work() -> None:
         request = {"hold_bytes": upload_hold}
@@ -136,7 +136,7 @@
             assert in_answer > upload_hold + 2 * Flow.MIN_CREDIT_BYTES  # what the upload will wait for
             rest = budget.free - 8 * KIB
             budget.book(0, rest)
-            client.send(upload_head(MIB) + BODY.whole(2 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
             await deployment.running.until(lambda: budget.free == 0)
             client.writer.transport.abort()
             await deployment.running.until(lambda: shared.clients == 0)
@@ -153,20 +153,20 @@
         await store_upload(upload)
     elif turn == 1:
         await upload.body(stop_at=50 * KIB)
-        upload.talk.reset()
+        upload.connection.reset()
     elif turn == 2:
         await upload.body()
         await serve_body(MIB)(upload)
     else:
         await upload.body(stop_at=200 * KIB)
-        upload.talk.writer.close()
+        upload.connection.writer.close()
 
 
 async def upload_by_number(port: int, number: int) -> None:
     """Every fifth client disconnects in mid-upload."""
     async with HttpClient(port) as client:
         client.send(upload_head(512 * KIB, f"/{number}", X_Qos="look" if number % 3 else "draw"))
-        client.send(BODY.whole((512 if number % 5 else 300) * KIB))
+        client.send(BODY.prefix((512 if number % 5 else 300) * KIB))
         if number % 5:
             await answer_of(client)
 
--- a/tests/streaming/test_server_failures.py
+++ b/tests/streaming/test_server_failures.py
@@ -34,9 +34,9 @@
 
     async def serve(upload: StreamedRequest) -> None:
         framing = {"Transfer-Encoding": "chunked"} if chunks else {"Content-Length": str(MIB)}
-        await upload.talk.send(head("HTTP/1.1 200 OK", **framing))
-        await send_all(upload.talk, SeededBody(2).pieces(MIB // 2), chunks)
-        upload.talk.writer.close()
+        await upload.connection.send(head("HTTP/1.1 200 OK", **framing))
+        await send_all(upload.connection, SeededBody(2).pieces(MIB // 2), chunks)
+        upload.connection.writer.close()
 
     return serve
 
@@ -48,7 +48,7 @@
             client.send(download_head())
             status, body = await answer_of(client)
             assert status == 200
-            assert not body.whole
+            assert not body.complete
             assert body.size <= MIB // 2
             assert await client.read_to_end() == b""
             await deployment.until_idle()
@@ -88,13 +88,13 @@
     async def early(upload: StreamedRequest) -> None:
         await upload.body(stop_at=100 * KIB)
         await answer_text(upload, "enough", Connection="close")
-        upload.talk.writer.write_eof()
-        await upload.talk.ended()
+        upload.connection.writer.write_eof()
+        await upload.connection.ended()
 
     async def work() -> None:
         async with deployed(early) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
-            client.send(BODY.whole(300 * KIB))
+            client.send(BODY.prefix(300 * KIB))
             status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (200, "close")  # the rest of the body is not wanted
             assert await client.reader.readexactly(6) == b"enough"
@@ -110,12 +110,12 @@
 
     async def resets(upload: StreamedRequest) -> None:
         await upload.body(stop_at=8 * KIB)
-        upload.talk.reset()
+        upload.connection.reset()
 
     async def work() -> None:
         async with deployed(resets, resets) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
-            client.send(BODY.whole(64 * KIB))
+            client.send(BODY.prefix(64 * KIB))
             status, headers = await answer_head(client)
             assert (status, headers["connection"]) == (502, "close")
             await deployment.until_idle()
@@ -128,7 +128,7 @@
 
 async def reset_after(upload: StreamedRequest, size: int) -> None:
     await upload.body(stop_at=size)
-    upload.talk.reset()
+    upload.connection.reset()
 
 
 def test_an_idempotent_request_is_retried_while_its_replay_buffer_is_complete() -> None:
@@ -145,7 +145,7 @@
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
             client.send(upload_head(size, X_Qos="look"))
-            body = BODY.whole(size)
+            body = BODY.prefix(size)
             client.send(body[: 64 * KIB])  # buffered before the first attempt; the rest follows the failure
             await deployment.until(lambda: len(deployment.decisions.ends) == 1)
             assert not deployment.decisions.of(Unrepeatable)
@@ -165,7 +165,7 @@
     async def work() -> None:
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(4 * MIB, X_Qos="look"))
-            client.send(BODY.whole(2 * MIB))
+            client.send(BODY.prefix(2 * MIB))
             # Idempotent, so it is rejected with Retry-After: a retry by the client does no harm.
             status, _headers = await answer_head(client)
             assert status == 503
@@ -203,7 +203,9 @@
 def test_a_long_answer_of_another_status_fails_as_a_short_one_does() -> None:
     async def broken(upload: StreamedRequest) -> None:
         await upload.body()
-        await upload.talk.send(head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).whole(MIB))
+        await upload.connection.send(
+            head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).prefix(MIB)
+        )
 
     async def work() -> None:
         async with deployed(broken) as deployment, HttpClient(deployment.port) as client:
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -78,7 +78,7 @@
             deployed(store_upload, request=TRICKLE_LIMITS) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
             assert (await answer_to_trickle(client)).status == 408
             await deployment.until_idle()
             await deployment.until_server_idle()
@@ -96,7 +96,7 @@
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(MIB) + BODY.whole(100 * KIB))
+            client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
             assert (await answer_head(client))[0] == 408
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
@@ -119,7 +119,7 @@
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
         ):
-            client.send(upload_head(32 * KIB) + BODY.whole(KIB))
+            client.send(upload_head(32 * KIB) + BODY.prefix(KIB))
             assert (await answer_head(client))[0] == 408
 
     run(work())
@@ -150,10 +150,10 @@
 
 def test_a_server_that_stalls_halfway_through_an_answer_with_a_fast_client() -> None:
     async def stalls(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         for piece in BODY.pieces(MIB):
-            await upload.talk.send(chunked(piece))
-        await upload.talk.ended()
+            await upload.connection.send(chunked(piece))
+        await upload.connection.ended()
 
     async def work() -> None:
         async with (
@@ -163,7 +163,7 @@
             client.send(download_head())
             status, body = await answer_of(client)
             assert status == 200
-            assert not body.whole
+            assert not body.complete
             assert body.size == MIB
             await deployment.until_idle()
             assert [(end.outcome, end.final) for end in deployment.decisions.ends] == [
@@ -205,7 +205,7 @@
 
 
 async def store_slowly(upload: StreamedRequest) -> None:
-    body = await upload.body(most=SLOW_PIECE, pause=pause_after_piece)
+    body = await upload.body(max_read_bytes=SLOW_PIECE, pause=pause_after_piece)
     await answer_text(upload, f"{body.size} {body.crc}")
 
 
@@ -237,10 +237,10 @@
 
     async def work() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
-            client.send(upload_head(MIB) + BODY.whole(MIB - 1))
+            client.send(upload_head(MIB) + BODY.prefix(MIB - 1))
             await deployment.server.arrived.get()
             await asyncio.sleep(2.0)
-            client.send(BODY.whole(MIB)[-1:])
+            client.send(BODY.prefix(MIB)[-1:])
             assert (await answer_of(client))[0] == 200
             await deployment.until_idle()
             assert deployment.decisions.ends[0].spent_ms < 1_500.0
@@ -253,7 +253,7 @@
         times = {"aim_ms": 1_000, "deadline_ms": 1_500}
         async with deployed(store_upload, bodies={"total_ms": 1_500}, times=times) as deployment:
             async with HttpClient(deployment.port) as client:
-                client.send(upload_head(64 * MIB) + BODY.whole(100 * KIB))
+                client.send(upload_head(64 * MIB) + BODY.prefix(100 * KIB))
                 assert (await answer_to_trickle(client)).status == 504
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
@@ -269,7 +269,7 @@
 
     async def work() -> None:
         async with deployed(silent) as deployment, HttpClient(deployment.port) as client:
-            client.send(upload_head(MIB) + BODY.whole(MIB))
+            client.send(upload_head(MIB) + BODY.prefix(MIB))
             await deployment.server.arrived.get()
             # The attempt's timeout is the class's latency objective, which has not begun to run before.
             (exchange,) = deployment.dispatcher._exchanges.values()
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -55,7 +55,7 @@
                 client.send(download_head())
                 status, body = await answer_of(client)
                 assert (status, body.size, body.crc) == (200, size, SeededBody(2).crc(size))
-                assert body.whole
+                assert body.complete
             await deployment.until_idle()
             assert deployment.server.connections == 1  # both ends of it could be used again
             if size != 64 * KIB + 1:  # that may be complete in one read
@@ -77,7 +77,7 @@
             await send_upload(client, MIB, chunks=True)
             _, body = await answer_of(client)
             assert seen == [{"x-sum": "7"}]
-            assert body.whole
+            assert body.complete
             assert body.trailers == {"x-sum": "7"}
 
     run(work())
@@ -85,13 +85,13 @@
 
 def test_both_bodies_flow_at_once_and_an_answer_may_begin_before_the_request_has_ended() -> None:
     async def echo(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked"))
         left = int(upload.headers["content-length"])
         while left:
-            piece = await upload.talk.reader.read(min(left, 64 * KIB))
+            piece = await upload.connection.reader.read(min(left, 64 * KIB))
             left -= len(piece)
-            await upload.talk.send(chunked(piece))
-        await upload.talk.send(b"0\r\n\r\n")
+            await upload.connection.send(chunked(piece))
+        await upload.connection.send(b"0\r\n\r\n")
 
     async def work() -> None:
         async with deployed(echo) as deployment, HttpClient(deployment.port) as client:
@@ -111,7 +111,7 @@
         await asyncio.sleep(0.001)
 
     async def slow(upload: StreamedRequest) -> None:
-        body = await upload.body(most=32 * KIB, pause=pause)
+        body = await upload.body(max_read_bytes=32 * KIB, pause=pause)
         await answer_text(upload, f"{body.size} {body.crc}")
 
     async def work() -> None:
@@ -127,8 +127,8 @@
 
 def test_an_answer_that_trickles_begins_after_its_hold_time() -> None:
     async def drip(upload: StreamedRequest) -> None:
-        await upload.talk.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked") + chunked(b"first"))
-        go = await upload.talk.reader.read(1)
+        await upload.connection.send(head("HTTP/1.1 200 OK", Transfer_Encoding="chunked") + chunked(b"first"))
+        go = await upload.connection.reader.read(1)
         assert not go
 
     async def work() -> None:
@@ -146,13 +146,13 @@
 def test_pipelined_requests_around_a_long_one_are_answered_in_their_order() -> None:
     async def serve(upload: StreamedRequest) -> None:
         if upload.method == "GET":
-            await upload.talk.send(ok(b"got"))
+            await upload.connection.send(ok(b"got"))
         else:
             await store_upload(upload)
 
     async def work() -> None:
         async with deployed(serve) as deployment, HttpClient(deployment.port) as client:
-            client.send(download_head() + upload_head(MIB) + BODY.whole(MIB) + download_head())
+            client.send(download_head() + upload_head(MIB) + BODY.prefix(MIB) + download_head())
             sizes = []
             for _ in range(3):
                 status, body = await answer_of(client)
