--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -10,6 +10,7 @@
 from sandhatch.balancing.events import ListKind, ListUpdate
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, entry
+from testkit.polling import wait_until
 from testkit.servers import serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ok, status
 from tests.event_loop import run
@@ -20,7 +21,6 @@
     fake_servers,
     loopback,
     served,
-    wait_until,
 )
 
 POLLED = SETTINGS | {"Discovery": "on_request"}
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -20,11 +20,12 @@
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data, entry
+from testkit.polling import wait_until
 from testkit.ports import free_port
 from testkit.servers import FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
-from tests.fakes import fake_servers, running, served, wait_until
+from tests.fakes import fake_servers, running, served
 from tests.platform.harness import ready, spawn
 
 SERVERS = 1_500
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -17,9 +17,10 @@
 )
 from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.upstream.connection_pool import ConnectionPool
+from testkit.polling import wait_until
 from testkit.servers import serve_ok
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, loopback, served, wait_until
+from tests.fakes import ScriptedBalancer, loopback, served
 
 
 def connect_only_after(notified: asyncio.Event, pool: ConnectionPool) -> None:
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -7,10 +7,11 @@
 from sandhatch.balancing.actions import Action, Cancel, Fail, Send
 from sandhatch.balancing.events import AttemptEnded, ClientDisconnected, Event, Outcome, RequestArrived
 from testkit.behaviours import disconnects, never_responds, serves, waits_for
+from testkit.polling import wait_until
 from testkit.servers import FakeConnection, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, loopback, served, wait_until
+from tests.fakes import ScriptedBalancer, loopback, served
 
 
 def test_request_is_forwarded_unchanged_but_for_hop_headers_and_time_left() -> None:
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -19,10 +19,11 @@
 from sandhatch.upstream.connection import ServerConnection
 from testkit.behaviours import never_responds, serves
 from testkit.clients import HttpClient, request_bytes
+from testkit.polling import wait_until
 from testkit.servers import Behaviour, FakeConnection, serve_ok
 from testkit.wire import ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Loopback, ScriptedBalancer, loopback, served, wait_until
+from tests.fakes import Loopback, ScriptedBalancer, loopback, served
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 FEW_DESCRIPTORS = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -7,7 +7,6 @@
 
 import asyncio
 import json
-import time
 from collections.abc import AsyncIterator, Callable
 from contextlib import AsyncExitStack, asynccontextmanager
 from dataclasses import dataclass
@@ -35,20 +34,6 @@
 
 SomeEvent = TypeVar("SomeEvent", bound=Event)
 SERVER_NAMES = ascii_lowercase
-POLL_S = 0.001  # between two looks at a condition that the program has no event for
-
-
-async def wait_until(condition: Callable[[], object]) -> None:
-    """Let the loop run until the condition holds.
-
-    Raises:
-        TimeoutError: it did not hold within `RESPONSE_TIMEOUT_S`.
-    """
-    deadline_s = time.monotonic() + RESPONSE_TIMEOUT_S
-    while not condition():
-        if time.monotonic() > deadline_s:
-            raise TimeoutError(f"the condition did not hold within {RESPONSE_TIMEOUT_S:g} s")
-        await asyncio.sleep(POLL_S)
 
 
 class ScriptedBalancer:
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -21,6 +21,7 @@
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.upstream.connection_pool import ConnectionPool
 from testkit.behaviours import waits_for
+from testkit.polling import wait_until
 from testkit.servers import Behaviour, FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.fakes import RunningBalancer, running
@@ -113,20 +114,6 @@
     client.close()
 
 
-async def wait_until(condition: Callable[[], object], state: str) -> None:
-    """Let the loop run until the condition holds.
-
-    Raises:
-        AssertionError: It doesn't within `RESPONSE_TIMEOUT_S`; names the state.
-    """
-    try:
-        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-            while not condition():  # noqa: ASYNC110, RUF100 - inner states have no event
-                await asyncio.sleep(0.001)
-    except TimeoutError:
-        raise AssertionError(f"not within {RESPONSE_TIMEOUT_S:.0f} s: {state}") from None
-
-
 async def wait_until_requested(upstream: FakeServer) -> None:
     """Wait until the server has received a request."""
     await wait_until(lambda: upstream.requests, "a request is at the server")
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -21,6 +21,7 @@
 from sandhatch.upstream.connection import ServerConnection
 from testkit.behaviours import fails_with
 from testkit.clients import request_bytes
+from testkit.polling import wait_until
 from testkit.servers import FakeServer
 from tests.event_loop import run
 from tests.fakes import RunningBalancer, ScriptedBalancer, running
@@ -32,7 +33,6 @@
     connect_client,
     only_connection,
     reset,
-    wait_until,
     wait_until_disconnect_noticed,
     wait_until_nothing_in_flight,
     wait_until_requested,
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -22,9 +22,10 @@
 from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.discovery.errors import DiscoveryError
 from testkit.platform import entry
+from testkit.polling import wait_until
 from testkit.wire import RESPONSE_TIMEOUT_S, ok, read_head
 from tests.event_loop import run
-from tests.race_conditions.harness import block_until_readable, reset, wait_until
+from tests.race_conditions.harness import block_until_readable, reset
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -15,10 +15,10 @@
 
 from testkit.clients import HttpClient
 from testkit.platform import SETTINGS
+from testkit.polling import wait_until
 from testkit.servers import FakeServer
 from testkit.wire import ok, read_head
 from tests.fakes import running
-from tests.race_conditions.harness import wait_until
 from tests.race_conditions.skipping_clock import run
 
 MAX_LIST_AGE_S = 6.0  # the protocol's bound
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -12,6 +12,7 @@
 from testkit.behaviours import echoes_target
 from testkit.clients import HttpClient
 from testkit.platform import entry
+from testkit.polling import wait_until
 from testkit.servers import FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
@@ -24,7 +25,6 @@
     block_until_readable,
     block_until_reset,
     reset,
-    wait_until,
     wait_until_requested,
 )
 
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -16,6 +16,7 @@
 from sandhatch.platform.request_handler import PlatformRequestHandler
 from testkit.behaviours import never_responds, serves
 from testkit.clients import HttpClient, request_bytes
+from testkit.polling import wait_until
 from testkit.servers import FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
@@ -26,7 +27,6 @@
     block_until_readable,
     connect_client,
     only_connection,
-    wait_until,
 )
 
 
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -14,11 +14,11 @@
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.service import Service
 from sandhatch.upstream.connection_pool import ConnectionPool
+from testkit.polling import wait_until
 from testkit.request_log import RequestLog
 from testkit.servers import FakeConnection, FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 
-POLL_S = 0.005
 TEST_LIMIT_S = 300.0  # no test takes a tenth of it on an idle machine
 CONNECT_TIMEOUT_MS = 20_000  # no connection takes that long, however late the test's process is scheduled
 
@@ -117,11 +117,7 @@
 
     async def until(self, holds: Callable[[], bool]) -> None:
         """Wait until the condition holds; it may be of any state, most of which have no event."""
-        async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-            while True:
-                if holds():
-                    return
-                await asyncio.sleep(POLL_S)
+        await wait_until(holds)
 
     def server_name(self, farm: FakeServers, number: int) -> str:
         """The name of the fake server that has this number in the service."""
--- a/tests/testkit/test_polling.py
+++ b/tests/testkit/test_polling.py
@@ -22,5 +22,5 @@
 
 
 def test_a_condition_that_never_holds_ends_the_wait_with_a_timeout() -> None:
-    with pytest.raises(TimeoutError):
-        asyncio.run(wait_until(lambda: False, timeout_s=0.05))
+    with pytest.raises(TimeoutError, match=r"not within 0\.05 s: the server is ready"):
+        asyncio.run(wait_until(lambda: False, "the server is ready", timeout_s=0.05))
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -12,10 +12,11 @@
 from sandhatch.upstream.connection import ServerConnection
 from testkit.behaviours import disconnects, echoes_target, responds
 from testkit.platform import entry
+from testkit.polling import wait_until
 from testkit.servers import FakeConnection, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Loopback, ScriptedBalancer, loopback, served, wait_until
+from tests.fakes import Loopback, ScriptedBalancer, loopback, served
 from tests.race_conditions.harness import block_until_readable
 from tests.upstream.behaviours import DeadAfterOneRequest
 
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -14,10 +14,11 @@
 from sandhatch.upstream.connection_pool import ConnectionPool
 from testkit.behaviours import disconnects, responds
 from testkit.platform import entry
+from testkit.polling import wait_until
 from testkit.servers import Behaviour, FakeConnection
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok, status
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, loopback, wait_until
+from tests.fakes import ScriptedBalancer, loopback
 from tests.upstream.behaviours import (
     closes,
     ends_the_answer_by_closing,
