--- a/sandhatch/http1/message_parser.py
+++ b/sandhatch/http1/message_parser.py
@@ -253,6 +253,10 @@
         """Start the next message."""
         if self._messages_in_read >= self._max_messages:
             raise FramingError(429, "too many requests sent ahead")
+        if not self._message_bytes:
+            # Behind a complete one in the same read. How much of the read is this message's is not known
+            # here; what matters is that there is one.
+            self._message_bytes = 1
         self._message = Message()
         self._body_parts = []
         self._body_bytes = 0
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -125,6 +125,29 @@
     ]
 
 
+COMPLETE_MESSAGES = {
+    True: b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n\r\nab",
+    False: b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab",
+}
+
+
+@pytest.mark.parametrize("hold", [-1, 0], ids=["in memory", "in pieces"])
+@pytest.mark.parametrize("length", [1, 20, 38])
+@pytest.mark.parametrize("request_side", [True, False], ids=["requests", "responses"])
+def test_the_beginning_of_a_message_counts_also_behind_a_complete_one_in_the_same_read(
+    request_side: bool, length: int, hold: int
+) -> None:
+    message = COMPLETE_MESSAGES[request_side]
+    collected = Collected(make_parser(request_side), hold if hold >= 0 else 1 << 40)
+    collected.feed(message)
+    assert not collected.reader.has_partial_message
+    collected.feed(message + message[:length])
+    assert collected.reader.has_partial_message
+    collected.feed(message[length:])
+    assert not collected.reader.has_partial_message
+    assert collected.reader.fault is None
+
+
 # Where h11 is the stricter one, and no end of a message depends on it: a request without its Host, an empty
 # line or a stray CR before a first line (RFC 9112 section 2.2), blanks or a NUL in it.
 FIRST_LINE = (
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -152,6 +152,35 @@
     run(work())
 
 
+class BeginsSecondAnswer:
+    """A behaviour: behind each connection's first answer comes the head of another, with that of the next
+    request its body.
+    """
+
+    def __init__(self) -> None:
+        self._begun_on: set[FakeConnection] = set()
+
+    async def __call__(self, request: ReceivedRequest, talk: FakeConnection) -> None:
+        body = request.target.encode()
+        if talk in self._begun_on:
+            await talk.send(b"stale!")
+        else:
+            self._begun_on.add(talk)
+            await talk.send(ok(body) + ok(b"stale!").removesuffix(b"stale!"))
+
+
+def test_connection_with_the_beginning_of_a_second_answer_carries_no_other_request() -> None:
+    """Guards a client against another's answer, whose end comes once the next request is written."""
+
+    async def work() -> None:
+        async with loopback(BeginsSecondAnswer(), script=ScriptedBalancer([1])) as network:
+            await assert_target_echoed(network, "/api?1")
+            await assert_target_echoed(network, "/api?2")
+            assert network.server.connections == 2
+
+    run(work())
+
+
 def test_repeated_answer_to_a_probe_answers_no_request() -> None:
     """Guards a client against a load report that is repeated once an attempt has taken the connection."""
 
