--- a/tests/project/test_documentation.py
+++ b/tests/project/test_documentation.py
@@ -9,7 +9,11 @@
 from tests.project.documentation import missing_paths, paths_in
 
 ROOT = Path(__file__).parents[2]
-PAGES = ("README.md", "docs/architecture.md", "docs/glossary.md", "docs/known-issues.md")
+PAGES = (
+    "README.md",
+    "CHANGELOG.md",
+    *sorted(str(page.relative_to(ROOT)) for page in (ROOT / "docs").rglob("*.md")),
+)
 
 
 @pytest.mark.parametrize("page", [page for page in PAGES if (ROOT / page).exists()])
