--- /dev/null
+++ b/benchmarks/admission.py
@@ -0,0 +1,152 @@
+"""Goodput of admission control against the best fixed limit, in simulated time.
+
+    python -m benchmarks.admission [--cores 1 2 4 8] [--instances 1 7 40] [--loads 0.6 0.85 1.2]
+                                   [--heavy-tail] [--seeds N]
+
+Each run is one tier whose servers turn three times slower after they have held several attempts for each core
+for long. Five seconds of half as much traffic again come in its middle. The fixed limits are attempts in
+flight a server, of all instances; the best of them is chosen with hindsight, which no balancer has. The same
+seeds give the same figures on any machine. Source: the project's own simulation (`testkit.simulation`).
+"""
+
+from __future__ import annotations
+
+import argparse
+from collections.abc import Iterator, Sequence
+from contextlib import contextmanager
+from dataclasses import dataclass
+from itertools import product
+from statistics import mean
+
+from sandhatch.balancing.policy import admission_control
+from testkit.simulation.plan import TierPlan
+from testkit.simulation.tier import Tier
+
+FIXED_LIMITS = (1.5, 2.0, 3.0, 5.0, 7.0, 10.0, 14.0, 20.0, 28.0)  # attempts in flight a server
+SERVERS = 12
+WORK_MS = 110.0
+OBJECTIVE_MS = 1_200.0
+DEADLINE_MS = 3_000.0
+QUEUE = 600  # attempts that wait at a server, more than ever come
+OVERLOAD_PER_CORE = 4  # attempts held for each core, from which a server turns slow after a while
+WARM_UP_MS = 2_000.0  # of each run, not counted
+BURST_BEGIN_MS, BURST_END_MS = 8_000.0, 13_000.0
+BURST_FACTOR = 1.5
+END_MS = 30_000.0
+
+
+@dataclass(frozen=True, slots=True)
+class Scenario:
+    """One row of the table.
+
+    Attributes:
+        cores: of each server.
+        instances: balancers that share the tier.
+        load: of what the servers can do, outside the burst.
+        heavy_tail: whether a few requests have most of the work.
+    """
+
+    cores: int
+    instances: int
+    load: float
+    heavy_tail: bool
+
+    def plan(self) -> TierPlan:
+        """The tier; its requests tell nothing of their work."""
+        return TierPlan(
+            forwarders=self.instances,
+            servers=SERVERS,
+            cores=self.cores,
+            rate_per_s=self.load * SERVERS * self.cores * 1_000.0 / WORK_MS,
+            work_ms=WORK_MS,
+            objective_ms=OBJECTIVE_MS,
+            deadline_ms=DEADLINE_MS,
+            ramp_per_s=0.0,
+            queue=QUEUE,
+            overload_attempts=OVERLOAD_PER_CORE * self.cores,
+            tier=0,
+            hints=False,
+            heavy_tail=self.heavy_tail,
+        )
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class FixedLimit:
+    """A fixed limit and what it reached; ordered by goodput.
+
+    Attributes:
+        goodput: the share of the requests that is served in time.
+        attempts: in flight a server, of all instances.
+    """
+
+    goodput: float
+    attempts: float
+
+
+@contextmanager
+def fixed_limit(limit: float) -> Iterator[None]:
+    """Meanwhile admission control takes this for what a server can take, in attempts of all instances."""
+    before = admission_control.SERVER_CAPACITY
+    admission_control.SERVER_CAPACITY = limit
+    try:
+        yield
+    finally:
+        admission_control.SERVER_CAPACITY = before
+
+
+def goodput(scenario: Scenario, seeds: Sequence[int]) -> float:
+    """The share of the requests that is served in time, a mean over the seeds."""
+    return mean(_goodput_of_run(scenario, seed) for seed in seeds)
+
+
+def _goodput_of_run(scenario: Scenario, seed: int) -> float:
+    plan = scenario.plan()
+    rate_per_s = plan.rate_per_s
+    tier = Tier(plan, seed)
+
+    def set_rate(factor: float) -> None:
+        plan.rate_per_s = factor * rate_per_s
+
+    tier.at(BURST_BEGIN_MS, lambda: set_rate(BURST_FACTOR))
+    tier.at(BURST_END_MS, lambda: set_rate(1.0))
+    tier.run(END_MS)
+    return tier.goodput_share(WARM_UP_MS, END_MS)
+
+
+def best_fixed_limit(scenario: Scenario, seeds: Sequence[int]) -> FixedLimit:
+    """The fixed limit with the most goodput."""
+    results = []
+    for attempts in FIXED_LIMITS:
+        with fixed_limit(attempts):
+            results.append(FixedLimit(goodput(scenario, seeds), attempts))
+    return max(results)
+
+
+def main() -> None:
+    """Prints a line a scenario, and the least and the mean ratio."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--cores", type=int, nargs="+", default=[1, 2, 4, 8])
+    parser.add_argument("--instances", type=int, nargs="+", default=[1, 7, 40])
+    parser.add_argument("--loads", type=float, nargs="+", default=[0.6, 0.85, 1.2])
+    parser.add_argument("--heavy-tail", action="store_true")
+    parser.add_argument("--seeds", type=int, default=1)
+    args = parser.parse_args()
+    seeds = range(1, args.seeds + 1)
+    ratios = []
+    for cores, instances, load in product(args.cores, args.instances, args.loads):
+        scenario = Scenario(cores, instances, load, args.heavy_tail)
+        present = goodput(scenario, seeds)
+        best = best_fixed_limit(scenario, seeds)
+        ratios.append(present / best.goodput)
+        print(
+            f"{cores} cores, {instances:3} instances, load {load:.2f}: {present:.2f},"
+            f" best fixed {best.goodput:.2f} at {best.attempts:g} a server, ratio {ratios[-1]:.2f}",
+            flush=True,
+        )
+    print(f"admission: ratio to the best fixed limit: mean {mean(ratios):.2f}, least {min(ratios):.2f}")
+
+
+if __name__ == "__main__":
+    main()
--- a/testkit/simulation/plan.py
+++ b/testkit/simulation/plan.py
@@ -44,6 +44,8 @@
         overload_attempts: attempts at a server at once that, after a while, make it three times slower; 0 for
             a server that never is overloaded.
         tier: the tier's number.
+        hints: whether requests tell their expected work.
+        heavy_tail: whether a few requests in a hundred have most of the work.
         planner_terms: terms of the planners' machines.
         forwarder_terms: terms of the forwarders' planning machines.
     """
@@ -72,6 +74,8 @@
     poll_interval_ms: float = 10_000.0
     overload_attempts: int = 0
     tier: int = 1
+    hints: bool = True
+    heavy_tail: bool = False
     planner_terms: PlannerTerms = field(default_factory=PlannerTerms)
     forwarder_terms: ForwarderTerms = field(default_factory=ForwarderTerms)
 
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -17,6 +17,7 @@
 
 # A request's work is this share of the plan's, and a random part that makes up the rest on average.
 FIXED_WORK_SHARE = 0.25
+TAIL_INDEX = 2.1  # of the random part's Pareto distribution with a heavy tail; at 2 its variance is infinite
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +64,7 @@
 
     def _arrive(self) -> None:
         self.schedule_arrival()
-        random_share = (1.0 - FIXED_WORK_SHARE) * self._rng.expovariate(1.0)
-        work_ms = (FIXED_WORK_SHARE + random_share) * self._plan.work_ms
+        work_ms = self._draw_work_ms()
         demand = [
             self._plan.demand.get(forwarder.number, 1.0) if forwarder.up else 0.0
             for forwarder in self._forwarders
@@ -72,7 +72,15 @@
         forwarder = self._rng.choices(self._forwarders, demand)[0]
         self._last_request += 1
         self._pending[self._last_request] = PendingRequest(self._clock.now_ms, work_ms)
-        forwarder.feed(RequestArrived(self._last_request, 0, self._plan.deadline_ms, expected_ms=work_ms))
+        expected_ms = work_ms if self._plan.hints else 0.0
+        forwarder.feed(RequestArrived(self._last_request, 0, self._plan.deadline_ms, expected_ms=expected_ms))
+
+    def _draw_work_ms(self) -> float:
+        if self._plan.heavy_tail:
+            random_part = self._rng.paretovariate(TAIL_INDEX) * (TAIL_INDEX - 1.0) / TAIL_INDEX
+        else:
+            random_part = self._rng.expovariate(1.0)
+        return (FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * random_part) * self._plan.work_ms
 
     def work_ms_of(self, request: int) -> float:
         """The work of a request; the average of all for one that has been completed."""
--- /dev/null
+++ b/tests/benchmarks/test_admission.py
@@ -0,0 +1,44 @@
+"""The table of admission control against fixed limits."""
+
+from __future__ import annotations
+
+from unittest.mock import patch
+
+import pytest
+
+from benchmarks import admission
+from benchmarks.admission import FixedLimit, Scenario, best_fixed_limit, fixed_limit, goodput
+from sandhatch.balancing.policy import admission_control
+
+OVERLOAD = Scenario(cores=1, instances=1, load=1.2, heavy_tail=False)
+
+
+@pytest.fixture(autouse=True)
+def short_runs(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(admission, "END_MS", 6_000.0)
+
+
+def test_a_fixed_limit_counts_within_its_block_alone() -> None:
+    before = admission_control.SERVER_CAPACITY
+    with fixed_limit(before + 1.0):
+        within = admission_control.SERVER_CAPACITY
+    assert (within, admission_control.SERVER_CAPACITY) == (before + 1.0, before)
+
+
+def test_the_same_seeds_give_the_same_goodput() -> None:
+    assert goodput(OVERLOAD, [1, 2]) == goodput(OVERLOAD, [1, 2])
+
+
+def test_a_lower_limit_serves_more_under_overload() -> None:
+    with fixed_limit(2.0):
+        low = goodput(OVERLOAD, [1])
+    with fixed_limit(28.0):
+        high = goodput(OVERLOAD, [1])
+    assert low > high + 0.2
+
+
+def test_the_best_of_the_fixed_limits_is_chosen() -> None:
+    with patch.object(admission, "FIXED_LIMITS", (2.0, 28.0)):
+        best = best_fixed_limit(OVERLOAD, [1])
+    with fixed_limit(2.0):
+        assert best == FixedLimit(goodput(OVERLOAD, [1]), 2.0)
--- a/tests/testkit/test_simulation.py
+++ b/tests/testkit/test_simulation.py
@@ -78,3 +78,32 @@
     assert attempts_beyond_ramp(plan, START_MS, []) == 0.0
     assert attempts_beyond_ramp(plan, START_MS, [START_MS + 1.0] * 5) == pytest.approx(5.0, abs=0.01)
     assert attempts_beyond_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0  # it is warm by then
+
+
+def works_of_run(plan: TierPlan) -> list[float]:
+    tier = Tier(plan, seed=3)
+    tier.run(20_000.0)
+    workload = tier.workload
+    return [workload._draw_work_ms() for _ in range(40_000)]
+
+
+@pytest.mark.parametrize("heavy_tail", [False, True])
+def test_the_mean_work_is_the_plans_with_either_tail(heavy_tail: bool) -> None:
+    works = works_of_run(TierPlan(work_ms=20.0, heavy_tail=heavy_tail))
+    assert sum(works) / len(works) == pytest.approx(20.0, rel=0.05)
+
+
+def test_with_a_heavy_tail_few_requests_have_more_of_the_work() -> None:
+    def share_of_largest(works: list[float]) -> float:
+        return sum(sorted(works)[-len(works) // 100 :]) / sum(works)
+
+    exponential = share_of_largest(works_of_run(TierPlan()))
+    heavy = share_of_largest(works_of_run(TierPlan(heavy_tail=True)))
+    assert heavy > 1.5 * exponential
+
+
+@pytest.mark.parametrize("hints", [False, True])
+def test_requests_tell_their_work_only_with_hints(hints: bool) -> None:
+    tier = Tier(TierPlan(forwarders=1, hints=hints))
+    tier.run(1_000.0)
+    assert bool(tier.forwarders[0].balancer.latency.hint_ms[0]) is hints
