--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -15,6 +15,7 @@
 from collections.abc import Iterator, Sequence
 from contextlib import contextmanager
 from dataclasses import dataclass
+from functools import partial
 from itertools import product
 from statistics import mean
 
@@ -103,12 +104,8 @@
     plan = scenario.plan()
     rate_per_s = plan.rate_per_s
     tier = Tier(plan, seed)
-
-    def set_rate(factor: float) -> None:
-        plan.rate_per_s = factor * rate_per_s
-
-    tier.at(BURST_BEGIN_MS, lambda: set_rate(BURST_FACTOR))
-    tier.at(BURST_END_MS, lambda: set_rate(1.0))
+    tier.at(BURST_BEGIN_MS, partial(setattr, plan, "rate_per_s", BURST_FACTOR * rate_per_s))
+    tier.at(BURST_END_MS, partial(setattr, plan, "rate_per_s", rate_per_s))
     tier.run(END_MS)
     return tier.goodput_share(WARM_UP_MS, END_MS)
 
