--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -20,7 +20,7 @@
 
 from sandhatch.config.transactions import State
 from sandhatch.service.service import Service
-from testkit.load import Load
+from testkit.load_generator import Load
 from tests.service.harness import Farm, Kept, serving
 from tests.service.test_versions import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
 
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -32,8 +32,9 @@
 
 from benchmarks.through import RelaySide, spawn, up
 from sandhatch.control.client import Client
-from testkit.bodies import BLOCK, Body, BodyServer, Pattern, Upload, head, read_body
+from testkit.bodies import BLOCK, Body, Pattern, head, read_body
 from testkit.ports import free_port
+from testkit.streaming_server import BodyServer, Upload
 from testkit.wire import read_head
 
 MIB = 1024 * 1024
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from sandhatch.config.transactions import State
-from testkit.load import Load
+from testkit.load_generator import Load
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
 from tests.service.harness import Farm, serving
--- /dev/null
+++ b/testkit/load_generator.py
@@ -0,0 +1,102 @@
+"""A load generator: clients that send requests one after another over persistent connections.
+
+It logs every request and never retries one. Source: the project's own; a closed loop with random pauses.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from itertools import count
+from random import Random
+
+from testkit.request_log import Books
+from testkit.wire import read_answer
+
+REQUEST_NUMBERS = count(1)  # of trace ids, over all generators of the process
+Choose = Callable[[Random], tuple[str, str]]  # draws a request's class and target
+
+
+class Load:
+    """Sends requests from its creation on, until `stop` or after `most` requests in all."""
+
+    def __init__(
+        self,
+        port: int,
+        books: Books,
+        choose: Choose,
+        clients: int = 8,
+        pause_s: float = 0.0,
+        seed: int = 1,
+        most: int = 1_000_000,
+        unsafe: frozenset[str] = frozenset(("order",)),
+    ) -> None:
+        """Creates a generator and starts its clients as tasks of the running event loop.
+
+        Args:
+            port: of the loopback, where the balancer listens.
+            books: the log of requests.
+            choose: draws the class and the target of a request.
+            clients: how many there are, each with a connection.
+            pause_s: the average pause of a client between two requests.
+            seed: of the draws.
+            most: requests in all.
+            unsafe: classes that are not idempotent; their requests are POSTs.
+        """
+        self._port = port
+        self._books = books
+        self._choose = choose
+        self._pause_s = pause_s
+        self._unsafe = unsafe
+        self._stopping = asyncio.Event()
+        self._requests_left = most
+        self._tasks = [
+            asyncio.create_task(self._run_client(Random(seed * 1000 + number))) for number in range(clients)
+        ]
+
+    async def _run_client(self, rng: Random) -> None:
+        reader: asyncio.StreamReader | None = None
+        writer: asyncio.StreamWriter | None = None
+        while not self._stopping.is_set() and self._requests_left > 0:
+            self._requests_left -= 1
+            if writer is None:
+                reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
+            assert reader is not None
+            if not await self._exchange(rng, reader, writer):
+                writer.close()
+                reader = None
+                writer = None
+            if self._pause_s:
+                await asyncio.sleep(self._pause_s * rng.uniform(0.5, 1.5))
+        if writer is not None:
+            writer.close()
+
+    async def _exchange(
+        self, rng: Random, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
+        """Sends one request and logs its response; whether the connection may be used again."""
+        request_class, target = self._choose(rng)
+        trace = f"load-{next(REQUEST_NUMBERS):x}"
+        entry = self._books.ask(trace, request_class, asyncio.get_running_loop().time())
+        try:
+            writer.write(self._request(request_class, target, trace))
+            answer = await read_answer(reader)
+        except (OSError, AssertionError, asyncio.IncompleteReadError) as error:
+            entry.lost = repr(error)
+            return False
+        entry.answers.append(answer)
+        entry.answered_s = asyncio.get_running_loop().time()
+        return answer.headers.get("connection") != "close"
+
+    def _request(self, request_class: str, target: str, trace: str) -> bytes:
+        method = "POST" if request_class in self._unsafe else "GET"
+        length = "Content-Length: 0\r\n" if method == "POST" else ""
+        return (
+            f"{method} {target} HTTP/1.1\r\nHost: a.example\r\nX-Trace-Id: {trace}\r\n"
+            f"X-Qos: {request_class}\r\n{length}\r\n"
+        ).encode()
+
+    async def stop(self) -> None:
+        """Sends no more requests, and waits until those in flight have their responses."""
+        self._stopping.set()
+        await asyncio.gather(*self._tasks)
--- a/testkit/platform.py
+++ b/testkit/platform.py
@@ -1,11 +1,12 @@
-"""What the platform tells a balancer at its start: settings and the configuration file."""
+"""What the platform gives a balancer at its start: settings, a configuration file, entries of discovery.
+
+It starts nothing. Source: `given/docs/DEPLOY.md` and `PROTOCOL.md`, whose JSON keys these are.
+"""
 
 from __future__ import annotations
 
 from typing import Any
 
-from testkit.servers import entry as entry
-
 SETTINGS: dict[str, Any] = {
     "Categories": [
         {"Name": "look", "Effect": "read_like", "AimMs": 5000, "HardLimitMs": 8000, "Group": "all"},
@@ -47,6 +48,13 @@
 
 
 def config_data(entries: list[dict[str, Any]], discovery_port: int, **more: Any) -> dict[str, Any]:
+    """The configuration of an instance that knows these entries.
+
+    Args:
+        entries: as `entry` makes them.
+        discovery_port: of the loopback.
+        more: keys of the configuration that replace those here.
+    """
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -56,3 +64,17 @@
         "known": {"generation": 1, "reset": True, "instances": entries},
         "settings": SETTINGS,
     } | more
+
+
+def entry(name: str, port: int, **more: Any) -> dict[str, Any]:
+    """A server's entry in the answers of discovery; `more` replaces keys."""
+    return {
+        "instanceId": name,
+        "hostPort": f"127.0.0.1:{port}",
+        "zone": "north",
+        "machineType": "box",
+        "cell": 0,
+        "lifecycle": "active",
+        "weight": 1.0,
+        "startedAtMs": 0,
+    } | more
--- a/tests/bodies/harness.py
+++ b/tests/bodies/harness.py
@@ -14,8 +14,9 @@
 from sandhatch.balancing.events import AttemptEnded, Event
 from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
 from sandhatch.runtime.flow_statistics import FlowStatistics
-from testkit.bodies import Body, BodyServer, Pattern, Serve, Upload, head, read_body, send_all
+from testkit.bodies import Body, Pattern, head, read_body
 from testkit.clients import TRACES, HttpClient
+from testkit.streaming_server import BodyServer, Serve, Upload, send_all
 from testkit.wire import PATIENCE_S, read_head
 from tests.service.harness import Kept, serving
 
--- a/tests/bodies/test_memory.py
+++ b/tests/bodies/test_memory.py
@@ -5,8 +5,9 @@
 import asyncio
 
 from sandhatch.balancing.events import Outcome
-from testkit.bodies import Pattern, Upload
+from testkit.bodies import Pattern
 from testkit.clients import HttpClient
+from testkit.streaming_server import Upload
 from tests.bodies.harness import (
     KIB,
     MIB,
--- a/tests/bodies/test_passing.py
+++ b/tests/bodies/test_passing.py
@@ -8,8 +8,9 @@
 
 from sandhatch.balancing.actions import Fail, Reject, Send
 from sandhatch.balancing.events import AnswerStarted, Outcome, Unrepeatable
-from testkit.bodies import Pattern, Upload, chunked, head
+from testkit.bodies import Pattern, chunked, head
 from testkit.clients import HttpClient
+from testkit.streaming_server import Upload
 from testkit.wire import ok
 from tests.bodies.harness import (
     KIB,
--- a/tests/bodies/test_slow.py
+++ b/tests/bodies/test_slow.py
@@ -11,8 +11,9 @@
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.downstream.listener import ClientConnection
-from testkit.bodies import Pattern, Upload, chunked, head
+from testkit.bodies import Pattern, chunked, head
 from testkit.clients import HttpClient
+from testkit.streaming_server import Upload
 from tests.bodies.harness import (
     KIB,
     MIB,
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -17,7 +17,7 @@
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import NO_VERSION, ListKind, ServerState
 from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
-from testkit.servers import entry
+from testkit.platform import entry
 from testkit.wire import PATIENCE_S, ok, read_head
 from tests.test_attempts import run
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -25,8 +25,8 @@
 from sandhatch.runtime.shared import SharedResources
 from testkit.clients import HttpClient, request_bytes
 from testkit.discovery import FakeDiscovery
-from testkit.platform import SETTINGS, config_data
-from testkit.servers import Behaviour, FakeUpstream, Talk, entry, serve_ok
+from testkit.platform import SETTINGS, config_data, entry
+from testkit.servers import Behaviour, FakeUpstream, Talk, serve_ok
 from testkit.wire import PATIENCE_S, Answer, Incoming, ok, read_answer, read_head, status
 
 
--- a/tests/planning/test_loopback.py
+++ b/tests/planning/test_loopback.py
@@ -22,9 +22,9 @@
 from sandhatch.planning.planner import PlannerTerms
 from sandhatch.planning.server import PlannerServer
 from sandhatch.runtime.clock import Clock
-from testkit.books import Books
 from testkit.discovery import FakeDiscovery
-from testkit.load import Load
+from testkit.load_generator import Load
+from testkit.request_log import Books
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.ramp_check import over_ramp
 from tests.service.harness import Farm, Kept, run, serving
--- a/tests/service/test_program.py
+++ b/tests/service/test_program.py
@@ -19,7 +19,7 @@
 from sandhatch.config.history import History
 from sandhatch.control.framing import encode
 from testkit.clients import HttpClient
-from testkit.load import Load
+from testkit.load_generator import Load
 from testkit.ports import free_port
 from testkit.wire import PATIENCE_S
 from tests.service.harness import Farm, run
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -17,7 +17,7 @@
 from sandhatch.config.check import CheckError
 from sandhatch.config.transactions import Refusal, RejectedError, State
 from testkit.clients import HttpClient
-from testkit.load import Load
+from testkit.load_generator import Load
 from testkit.ports import free_port
 from testkit.servers import Talk
 from testkit.wire import Incoming, ok
--- /dev/null
+++ b/tests/testkit/test_behaviours.py
@@ -0,0 +1,108 @@
+"""The named behaviours of a fake server, as a client sees them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+import pytest
+
+from testkit.behaviours import (
+    disconnects,
+    disconnects_after,
+    echoes_target,
+    fails_with,
+    never_responds,
+    responds,
+    serves,
+    stalls_after,
+    waits_for,
+)
+from testkit.clients import HttpClient
+from testkit.servers import Behaviour, FakeUpstream
+from testkit.wire import PATIENCE_S
+
+
+def with_client(behaviour: Behaviour, work: Callable[[HttpClient], Awaitable[None]]) -> None:
+    """Runs `work` with a client that has sent a request to a server of this behaviour."""
+
+    async def run() -> None:
+        server = await FakeUpstream(behaviour).start()
+        try:
+            async with asyncio.timeout(PATIENCE_S), HttpClient(server.port) as client:
+                client.ask(target="/api?7")
+                await work(client)
+        finally:
+            server.close()
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize(
+    ("behaviour", "expected"),
+    [
+        (serves(b"abc"), (200, b"abc")),
+        (fails_with(500), (500, b"")),
+        (echoes_target, (200, b"/api?7")),
+        (responds(b"HTTP/1.1 204 X\r\n\r\n"), (204, b"")),
+    ],
+)
+def test_a_response_is_sent_for_each_request(behaviour: Behaviour, expected: tuple[int, bytes]) -> None:
+    async def work(client: HttpClient) -> None:
+        first = await client.answer()
+        client.ask(target="/api?7")
+        second = await client.answer()
+        assert (first.status, first.body) == expected
+        assert (second.status, second.body) == expected
+
+    with_client(behaviour, work)
+
+
+def test_a_behaviour_waits_for_its_event() -> None:
+    event = asyncio.Event()
+
+    async def work(client: HttpClient) -> None:
+        response = asyncio.create_task(client.answer())
+        await asyncio.sleep(0.05)
+        assert not response.done()
+        event.set()
+        assert (await response).body == b"late"
+
+    with_client(waits_for(event, serves(b"late")), work)
+
+
+def test_a_server_that_disconnects_sends_nothing() -> None:
+    async def work(client: HttpClient) -> None:
+        assert await client.ended() == b""
+
+    with_client(disconnects, work)
+
+
+@pytest.mark.parametrize("body_bytes", [0, 1, 1000])
+def test_a_response_is_truncated_after_so_many_bytes_of_its_body(body_bytes: int) -> None:
+    async def work(client: HttpClient) -> None:
+        head = await client.reader.readuntil(b"\r\n\r\n")
+        assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
+        assert await client.ended() == b"x" * body_bytes
+
+    with_client(disconnects_after(body_bytes), work)
+
+
+@pytest.mark.parametrize("body_bytes", [0, 1, 1000])
+def test_a_response_stalls_after_so_many_bytes_of_its_body(body_bytes: int) -> None:
+    async def work(client: HttpClient) -> None:
+        head = await client.reader.readuntil(b"\r\n\r\n")
+        assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
+        assert await client.reader.readexactly(body_bytes) == b"x" * body_bytes
+        with pytest.raises(TimeoutError):
+            await asyncio.wait_for(client.reader.read(1), 0.05)
+
+    with_client(stalls_after(body_bytes), work)
+
+
+def test_a_server_that_never_responds_keeps_the_connection_open() -> None:
+    async def work(client: HttpClient) -> None:
+        with pytest.raises(TimeoutError):
+            await asyncio.wait_for(client.reader.read(1), 0.05)
+
+    with_client(never_responds, work)
--- /dev/null
+++ b/tests/testkit/test_discovery.py
@@ -0,0 +1,106 @@
+"""The fake of the platform's discovery."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Awaitable, Callable
+from typing import Any
+
+import pytest
+
+from testkit.clients import HttpClient
+from testkit.discovery import FakeDiscovery
+from testkit.platform import entry
+from testkit.wire import PATIENCE_S
+
+
+def with_discovery(work: Callable[[FakeDiscovery], Awaitable[None]]) -> None:
+    async def run() -> None:
+        discovery = await FakeDiscovery([entry("a", 1), entry("b", 2)]).start()
+        try:
+            async with asyncio.timeout(PATIENCE_S):
+                await work(discovery)
+        finally:
+            discovery.stop()
+
+    asyncio.run(run())
+
+
+async def listing(client: HttpClient, target: str) -> dict[str, Any]:
+    client.ask(target=target)
+    data: dict[str, Any] = json.loads((await client.answer()).body)
+    return data
+
+
+def test_a_full_list_leaves_out_servers_that_left() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        discovery.change(entry("b", 2, lifecycle="left"))
+        async with HttpClient(discovery.port) as client:
+            full = await listing(client, "/v1/endpoints")
+        assert (full["generation"], full["reset"]) == (2, True)
+        assert [row["instanceId"] for row in full["instances"]] == ["a"]
+
+    with_discovery(work)
+
+
+def test_a_watch_is_answered_by_the_change_it_waits_for() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        async with HttpClient(discovery.port) as client:
+            watch = asyncio.create_task(listing(client, "/v1/endpoints?after=1&wait_ms=20000"))
+            assert "after=1" in await discovery.calls.get()
+            assert not watch.done()
+            discovery.change(entry("c", 3))
+            delta = await watch
+        assert (delta["generation"], delta["reset"]) == (2, False)
+        assert [row["instanceId"] for row in delta["instances"]] == ["c"]
+
+    with_discovery(work)
+
+
+def test_a_watch_whose_wait_is_over_gets_an_empty_delta() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        async with HttpClient(discovery.port) as client:
+            delta = await listing(client, "/v1/endpoints?after=1&wait_ms=20")
+        assert delta == {"generation": 1, "reset": False, "instances": []}
+
+    with_discovery(work)
+
+
+def test_scripted_garbage_takes_the_place_of_one_answer_each() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        discovery.garbage.append(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
+        async with HttpClient(discovery.port) as client:
+            client.ask(target="/v1/endpoints")
+            assert (await client.answer()).status == 503
+            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+
+    with_discovery(work)
+
+
+def test_a_watch_is_never_answered_while_discovery_is_silent() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        discovery.silent = True
+        async with HttpClient(discovery.port) as client:
+            client.ask(target="/v1/endpoints?after=1&wait_ms=1")
+            await discovery.calls.get()
+            discovery.change(entry("c", 3))
+            with pytest.raises(TimeoutError):
+                await asyncio.wait_for(client.reader.read(1), 0.1)
+
+    with_discovery(work)
+
+
+def test_discovery_comes_back_on_its_port() -> None:
+    async def work(discovery: FakeDiscovery) -> None:
+        port = discovery.port
+        async with HttpClient(port) as client:
+            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+            discovery.stop()
+            assert await client.ended() == b""
+        await discovery.start()
+        assert discovery.port == port
+        async with HttpClient(port) as client:
+            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+
+    with_discovery(work)
