--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -29,9 +29,9 @@
 
 from benchmarks.long_bodies_memory import MIB, MemoryWatch, read_status
 from benchmarks.long_bodies_peers import SPEED_WEIGHTS, listen, run_clients, serve_uploads, upload_once
-from benchmarks.processes import Cores, spawn, split_cores, stop_all, wait_until_listening
+from benchmarks.processes import Cores, spawn, split_cores, stop_all
 from benchmarks.request_rate import in_turns, median_ratio
-from testkit.ports import free_port
+from testkit.ports import free_port, wait_until_listening
 
 GIB = 1024 * MIB
 WORKERS = 3  # processes of clients, and of servers
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -20,10 +20,10 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all, wait_until_listening
+from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all
 from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
 from sandhatch.control.client import Client
-from testkit.ports import free_port
+from testkit.ports import free_port, wait_until_listening
 
 SERVERS = 8
 SETTLE_S = 1.0
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -20,11 +20,11 @@
 import uvloop
 
 from benchmarks.checkouts import PACKAGE, package_of
-from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all, wait_until_listening
+from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all
 from benchmarks.relay import serve_until_terminated
 from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
 from testkit.platform import config_data, entry
-from testkit.ports import free_port
+from testkit.ports import free_port, wait_until_listening
 
 SERVERS = 8
 SOCKETS = 1024
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -1,7 +1,7 @@
 """A fake of the platform's discovery: full lists and watches, and its failures.
 
-It decides nothing about servers: tests enter the changes. Source: `given/docs/PROTOCOL.md`, whose JSON keys
-and targets these are.
+It decides nothing about servers: tests enter the changes. Source: the platform's page PROTOCOL, whose JSON
+keys and targets these are.
 """
 
 from __future__ import annotations
--- a/testkit/platform.py
+++ b/testkit/platform.py
@@ -1,6 +1,6 @@
 """What the platform gives a balancer at its start: settings, a configuration file, entries of discovery.
 
-It starts nothing. Source: `given/docs/DEPLOY.md` and `PROTOCOL.md`, whose JSON keys these are.
+It starts nothing. Source: the platform's pages DEPLOY and PROTOCOL, whose JSON keys these are.
 """
 
 from __future__ import annotations
