--- /dev/null
+++ b/sandhatch/downstream/client_connection.py
@@ -0,0 +1,484 @@
+"""One client's connection: requests in, exactly one answer to each out, in their order.
+
+It parses, bounds and times what the client sends, and decides nothing about where a request goes: that is
+the request handler's. Its states and their limits are the table in `connection_state`. Source:
+PROTOCOL-sandhatch.md.
+
+Requests that a client sends ahead (pipelining) are queued, a few at most. A body that may be streamed first
+reserves its part of the memory budget, in the order of arrival; then its first part is buffered until there
+is enough of it to be worth a server's slot; from there on the connection is the source of the request's
+flow. It is also the sink of an answer's flow.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections import deque
+from typing import cast
+
+from sandhatch.downstream.connection_state import ConnectionState
+from sandhatch.downstream.interfaces import ConnectionOwner, DisconnectCallback
+from sandhatch.downstream.request_receiver import RequestReceiver
+from sandhatch.downstream.socket_poll import waits
+from sandhatch.http1.framing import encode_response, encode_response_head
+from sandhatch.http1.message import Fault, FramingError, Message
+from sandhatch.streaming.flow import Flow, StreamTerms
+from sandhatch.streaming.headers import Headers
+from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+
+OUT_OF_MEMORY = Fault(503, "out of memory for requests")
+# Statuses that say when the client may come back.
+RETRY_AFTER_STATUSES = (429, 503)
+RETRY_AFTER_1_S: Headers = [(b"Retry-After", b"1")]
+
+
+def _ignore_disconnect(status: int = 0) -> None:
+    """The client has disconnected before the handler has said whom to notify."""
+
+
+def _error_body(text: str) -> bytes:
+    return text.encode("ascii", "replace") + b"\n"
+
+
+class ClientConnection(RequestReceiver, asyncio.BufferedProtocol):
+    """One client connection; see the head of the module."""
+
+    AHEAD = 4  # requests that may be queued
+    FIRST_MS = 2_000.0  # from the accept, for the first request to be complete
+    PART_MS = 2_000.0  # from its first byte, for a later request; and for an answer to be read
+    IDLE_MS = 60_000.0
+    LINGER_MS = 1_000.0  # for the client to read the last answer, before a reset could discard it
+    LINGER_BYTES = 256 * 1024  # read and discarded meanwhile; past that reading stops
+
+    def __init__(self, listener: ConnectionOwner) -> None:
+        """Make the protocol of a connection that `listener` has just accepted."""
+        super().__init__(listener, max_queued=self.AHEAD)
+        self.fresh = True  # no request was complete yet
+        self._dropped = 0  # bytes received and discarded since it is ending
+
+        self._waiting: deque[Message] = deque()  # received, and not begun
+        self._current: Message | None = None  # in flight
+        self._notify_disconnect: DisconnectCallback | None = None  # of the current request
+        self._processing = False  # `_process_requests` is running
+
+        self._request_bytes = 0  # of the queued requests and the current one
+
+        self._answer_flow: Flow | None = None  # of an answer that is being streamed
+        self._write_paused = False  # the client does not read its answers
+        self._close_after_answer = False  # once the streamed answer has ended
+        self._ends_at_close = False  # only the close marks the end of the streamed answer
+
+    # ------------------------------------------------ called by the event loop
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Take the transport, unless the connection was evicted while it was being set up."""
+        # uvloop's transports are no subclass of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
+        if self.ending:
+            self._transport.abort()
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Parse what was read, queue the requests in it, and stream the part of a body that is in it."""
+        if self.ending:
+            self._discard_received(nbytes)
+            return
+        had_partial_request = self._reader.begun
+        events = self._reader.feed(SCRATCH[:nbytes])
+        if self._request_flow is not None:
+            events = self._stream_to(self._request_flow, events)
+            if self.ending:
+                return
+        if events:
+            self._queue(cast(list[Message], events))  # pieces of a streamed body were taken out above
+        if not self.fresh and (events or not had_partial_request) and self.has_partial_request:
+            self.since_ms = self._shared.clock.now_ms()  # of its first byte: later ones don't renew it
+        if self._body_terms is not None or self._progress is not None:
+            self._track_body(nbytes)
+        if not self._update_booking():
+            self._reject_for_memory()
+        if self.crowded and self._transport is not None:
+            self._transport.pause_reading()  # bounds a client that sends and never reads
+            self._listener.watch_disconnect(self)
+        if self._reader.expects_continue:
+            self._send_continue()
+        self._process_requests()
+
+    def eof_received(self) -> bool:
+        """Returns whether the connection stays open after the client has shut down its sending side."""
+        if self._listener.half_close and self._current is not None and self._request_flow is None:
+            self._current.keep_alive = False  # the client sends no more, and still reads
+            self._discard_queued()
+            return True
+        self._on_disconnect()
+        self._close_request_flow()
+        return False
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of the protocol
+        """Notify the handler, and release everything that the connection holds."""
+        self._transport = None
+        self.ending = True
+        self._on_disconnect()
+        self._close_request_flow()
+        self._stop_buffering()
+        self._answer_flow = None
+        self._socket_writer = None
+        self._reader.close()
+        self._current = None
+        self._request_bytes = 0
+        self._update_booking()
+        self._listener.left(self)
+
+    def pause_writing(self) -> None:
+        """Note that the client does not read: no further request is begun until it does."""
+        if self._answer_flow is None:
+            self._write_paused = True
+
+    def resume_writing(self) -> None:
+        """Go on, since the system has taken all that was written."""
+        if self._answer_flow is not None:
+            self._answer_flow.drained()
+            return
+        self._write_paused = False
+        self._update_booking()
+        self._process_requests()
+
+    # ------------------------------------------------ state and time limits
+
+    @property
+    def listener_name(self) -> str:
+        """Name of the listener that accepted it."""
+        return self._listener.name
+
+    @property
+    def idle(self) -> bool:
+        """Whether no request is in flight or queued and all answers were read."""
+        return self._current is None and not self._waiting and not self._write_paused
+
+    @property
+    def crowded(self) -> bool:
+        """Whether the queue is full, so that nothing is read, the client's end included."""
+        return len(self._waiting) >= self.AHEAD
+
+    @property
+    def has_partial_request(self) -> bool:
+        """Whether it is idle but for a request that was received in part."""
+        return self.idle and self._reader.begun
+
+    @property
+    def state(self) -> ConnectionState:
+        """What the connection is waiting for."""
+        if self.ending:
+            return ConnectionState.CLOSING
+        if self._write_paused:
+            return ConnectionState.ANSWER_UNREAD
+        if self._current is not None or self._waiting:
+            return ConnectionState.SERVING
+        if self._place is not None:
+            return ConnectionState.WAITING_FOR_MEMORY
+        if self._progress is not None:
+            return ConnectionState.RECEIVING_BODY
+        if self._reader.begun:
+            return ConnectionState.READING
+        return ConnectionState.FRESH if self.fresh else ConnectionState.IDLE
+
+    def check(self, now_ms: float) -> None:
+        """Enforce the limits of the present state; called every `Listener.SWEEP_MS`."""
+        state = self.state
+        if state is ConnectionState.SERVING:
+            if self.has_disconnected():  # not noticed by the event loop while reading is paused
+                self.abort()
+        elif state is ConnectionState.RECEIVING_BODY:
+            self._check_progress(now_ms)
+        elif now_ms - self.since_ms > self._time_limit_ms(state):
+            self._expire(state)
+
+    def _time_limit_ms(self, state: ConnectionState) -> float:
+        match state:
+            case ConnectionState.CLOSING:
+                return self.LINGER_MS
+            case ConnectionState.ANSWER_UNREAD:
+                return self.PART_MS
+            case ConnectionState.WAITING_FOR_MEMORY:
+                assert self._body_terms is not None  # what the memory is for
+                return self._body_terms.room_wait_ms
+            case ConnectionState.READING:
+                return self.FIRST_MS if self.fresh else self.PART_MS
+            case ConnectionState.FRESH:
+                return self.FIRST_MS
+            case ConnectionState.IDLE:
+                return self.IDLE_MS
+        return math.inf  # the others are not limited by a time
+
+    def _expire(self, state: ConnectionState) -> None:
+        """End a state that has lasted longer than its limit."""
+        match state:
+            case ConnectionState.CLOSING | ConnectionState.ANSWER_UNREAD:
+                self.abort()
+            case ConnectionState.WAITING_FOR_MEMORY:
+                self._answer_fault(OUT_OF_MEMORY)
+            case ConnectionState.READING:
+                self._answer_fault(Fault(408, "the request did not come whole in time"))
+            case ConnectionState.FRESH | ConnectionState.IDLE:
+                self.close_if_quiet()  # one with a request unread stays: the event loop will read it
+
+    def _check_progress(self, now_ms: float) -> None:
+        reason = self._progress.too_slow(now_ms) if self._progress is not None else ""
+        if reason:
+            self._answer_fault(Fault(408, f"the request did not come fast enough: {reason}"))
+
+    def is_quiet(self) -> bool:
+        """Whether it is idle and nothing waits unread in the system."""
+        return self.idle and self._transport is not None and not waits(self._descriptor)
+
+    # ------------------------------------------------ requests
+
+    def _process_requests(self) -> None:
+        """Begin the queued requests, each after the answer to the one before, then go on reading."""
+        if self._processing:
+            return
+        self._processing = True
+        try:
+            while self._current is None and not self.ending and not self._write_paused:
+                if not self._process_next():
+                    break
+        finally:
+            self._processing = False
+        self._listener.state_changed(self)
+        reading_paused = self._request_flow is not None or self._place is not None or self.crowded
+        if self._body_terms is not None and self._reader.openable:
+            reading_paused = True  # its turn has not come; no more of it is buffered until then
+            if self._transport is not None:
+                self._transport.pause_reading()
+        if self._transport is not None and not self.ending and not reading_paused:
+            self._transport.resume_reading()
+
+    def _process_next(self) -> bool:
+        """Begin what is next; whether there was anything."""
+        if self._waiting and self.has_disconnected():
+            self.abort()  # nothing is begun for a client that has disconnected, whatever it sent before
+        elif self._waiting:
+            self._begin(self._waiting.popleft())
+        elif self._reader.fault is not None:
+            self._answer_fault(self._reader.fault)
+        elif self._reserved and self._reader.openable:
+            self._begin_streamed_request()
+        else:
+            return False
+        return True
+
+    def _begin(self, message: Message) -> None:
+        """Hand a request to the handler, or answer `/ready`."""
+        self._current = message
+        self._continue_sent = False
+        try:
+            path = message.target.partition(b"?")[0]
+            if path == b"/ready":
+                self.answer(200 if self._listener.ready else 503, [], b"")
+                return
+            self._notify_disconnect = _ignore_disconnect
+            notify_disconnect = self._listener.request_handler.begin(self, message)
+            if self._notify_disconnect is not None:  # not answered yet
+                self._notify_disconnect = notify_disconnect
+        except FramingError as error:
+            message.keep_alive = False  # no further request is wanted from a client that sends such ones
+            self.answer(error.status, [], _error_body(str(error)))
+
+    def _terms_of(self, message: Message) -> StreamTerms | None:
+        return self._listener.request_handler.terms(self, message)
+
+    def _is_next_to_begin(self) -> bool:
+        """Whether the request that is being received is the next to begin."""
+        return self._current is None and not self._waiting and self._reader.fault is None
+
+    def _begin_streamed_request(self) -> None:
+        """Begin a request whose body has been buffered far enough; the rest of the body follows."""
+        message = self._reader.open()
+        buffered = message.body
+        message.body = b""
+        flow = self._open_flow()
+        self.fresh = False
+        message.flow = flow
+        self._request_bytes += message.size
+        self._update_booking()
+        flow.push(buffered)
+        self._begin(message)
+
+    def _answer_fault(self, fault: Fault) -> None:
+        """Answer to a request that can't be completed; the connection's last answer."""
+        self._current = Message()
+        self._current.keep_alive = False
+        self.fresh = False
+        headers = RETRY_AFTER_1_S if fault.status in RETRY_AFTER_STATUSES else []
+        self.answer(fault.status, headers, _error_body(fault.text))
+
+    def _fail_streamed_request(self, fault: Fault) -> None:
+        """End the request and the connection: the rest of the body can't be parsed."""
+        notify_disconnect = self._notify_disconnect
+        self._notify_disconnect = None
+        if notify_disconnect is not None:
+            notify_disconnect(fault.status)
+        self._close_request_flow()
+        if self._answer_flow is not None:
+            self.cut()
+        elif self._current is not None:
+            self._current.keep_alive = False
+            self.answer(fault.status, [], _error_body(fault.text))
+
+    def _reject_for_memory(self) -> None:
+        """Reject what was not begun: the memory limit is reached. The client may retry it elsewhere."""
+        self._discard_queued()
+        self._reader.fail(OUT_OF_MEMORY)
+        self._stop_buffering()
+        self._update_booking()
+
+    def _queue(self, requests: list[Message]) -> None:
+        self.fresh = False
+        self._waiting.extend(requests)
+        self._request_bytes += sum(request.size for request in requests)
+
+    def _discard_queued(self) -> None:
+        self._request_bytes -= sum(message.size for message in self._waiting)
+        self._waiting.clear()
+
+    def _discard_received(self, size: int) -> None:
+        """Count bytes that were received on an ending connection."""
+        self._dropped += size
+        if self._dropped > self.LINGER_BYTES and self._transport is not None:
+            self._transport.pause_reading()
+
+    def _on_disconnect(self) -> None:
+        self._discard_queued()
+        if self._notify_disconnect is not None:
+            notify_disconnect = self._notify_disconnect
+            self._notify_disconnect = None
+            notify_disconnect()
+
+    def _update_booking(self) -> bool:
+        """Book what it holds of the memory budget now; whether the budget allows that much."""
+        held_bytes = max(self._reader.held, self._reserved) + self._request_bytes
+        if self._transport is not None and self._answer_flow is None:  # else the flow books it
+            held_bytes += self._transport.get_write_buffer_size()
+        booked_before = self._booked_bytes
+        self._booked_bytes = held_bytes
+        return self._shared.memory_budget.book(booked_before, held_bytes)
+
+    # ------------------------------------------------ answers
+
+    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+        """Write the one answer to the current request."""
+        message = self._take_current()
+        close = self._is_last(message)
+        self._write(encode_response(status, headers, body, close))
+        self._after_answer(close)
+
+    def begin_answer(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None:
+        """Write the head of an answer whose body `flow` will bring; this becomes the flow's sink.
+
+        Args:
+            status: HTTP status code.
+            headers: Fields of the head, without those of the framing.
+            length: Bytes of the whole body; None if only its end will tell.
+            flow: Brings the body. `finished` or `cut` follows.
+        """
+        message = self._current
+        if message is None or self._answer_flow is not None:
+            raise AssertionError("an answer to no request")
+        transport = self._transport
+        if transport is None:
+            return
+        transport.set_write_buffer_limits(high=0)
+        self._answer_flow = flow
+        self._socket_writer = SocketWriter(transport)
+        self._chunked = length is None and not message.version_10
+        self._ends_at_close = length is None and not self._chunked
+        self._close_after_answer = self._is_last(message) or self._ends_at_close
+        head = encode_response_head(status, headers, length, self._chunked, self._close_after_answer)
+        self._socket_writer.write((head,))
+        self._update_booking()
+
+    def finished(self) -> None:
+        """End a streamed answer that was sent completely."""
+        close = self._close_after_answer or self._request_flow is not None
+        self._end_streamed_answer()
+        self._after_answer(close)
+
+    def cut(self) -> None:
+        """Abort a streamed answer: the client must see that it is truncated.
+
+        What was sent stays sent, and the close comes before the end that the head has announced. Where only
+        the close would have marked the end, a reset takes its place.
+        """
+        if self._answer_flow is None:
+            return
+        self._end_streamed_answer()
+        self._close_request_flow()
+        if self._ends_at_close:
+            self._reset()
+        else:
+            self.close_gracefully()
+
+    def _take_current(self) -> Message:
+        """Ends the current request, and returns it."""
+        message = self._current
+        if message is None:
+            raise AssertionError("an answer to no request")
+        self._current = None
+        self._notify_disconnect = None
+        # The handler may have added to its head: keeps the sum from drifting.
+        self._request_bytes = max(0, self._request_bytes - message.size) if self._waiting else 0
+        self.since_ms = self._shared.clock.now_ms()
+        return message
+
+    def _is_last(self, message: Message) -> bool:
+        """Whether its answer is the connection's last: also where the rest of its body is unread."""
+        return not message.keep_alive or self._listener.closing or self._request_flow is not None
+
+    def _after_answer(self, close: bool) -> None:
+        self._close_request_flow()
+        self._update_booking()
+        if close:
+            self.close_gracefully()
+        else:
+            self._process_requests()
+
+    def _end_streamed_answer(self) -> None:
+        self._answer_flow = None
+        self._socket_writer = None
+        self._write_paused = False
+        if self._current is not None:
+            self._take_current()
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.set_write_buffer_limits()
+
+    # ------------------------------------------------ closing
+
+    def close_if_quiet(self) -> bool:
+        """Close it if no request is in flight on it, queued, in part received, or unread.
+
+        It is closed at once: what the client sends after that is never read, so that it may retry elsewhere.
+
+        Returns:
+            Whether it was closed.
+        """
+        if self.ending or self.undelivered or self.has_partial_request or not self.is_quiet():
+            return False
+        self.ending = True
+        assert self._transport is not None
+        self._transport.close()
+        return True
+
+    def close_gracefully(self) -> None:
+        """Shut down the sending side, and discard what is still received (RFC 9112 section 9.6).
+
+        A close with bytes unread would reset the connection, and could discard the answer on its way.
+        """
+        self.ending = True
+        self._discard_queued()
+        self._close_request_flow()
+        self._stop_buffering()
+        self._reader.close()
+        self._update_booking()
+        self.since_ms = self._shared.clock.now_ms()
+        self._listener.state_changed(self)
+        self._shut_down_sending()
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -10,7 +10,9 @@
 from sandhatch.config.platform import Config
 from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
 from sandhatch.dispatch.dispatcher import Decisions, Dispatcher, PoolPlan
-from sandhatch.downstream.listener import ClientConnection, DisconnectCallback, Listener
+from sandhatch.downstream.client_connection import ClientConnection
+from sandhatch.downstream.interfaces import DisconnectCallback
+from sandhatch.downstream.listener import Listener
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
 from sandhatch.http1.message import Message
 from sandhatch.platform.graceful_shutdown import LastCall
@@ -47,9 +49,11 @@
         if message.method not in METHODS:
             client.answer(405, ALLOW, b"")
             return None
-        event, left, trace = self._requests.read(message)
+        parsed = self._requests.read(message)
+        event = parsed.event
+        trace = parsed.trace_id
         reject_known(self._shared.in_flight_ids, trace)
-        left = event.time_left_ms = self._last_call.left(left)
+        left = event.time_left_ms = self._last_call.left(event.time_left_ms)
         return partial(
             self._dispatcher.client_disconnected, self._dispatcher.arrive(client, message, left, trace, event)
         )
--- a/sandhatch/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -13,12 +13,12 @@
 from random import Random
 from uuid import uuid4
 
-from sandhatch.balancing.events import RequestArrived
 from sandhatch.config.check import Checked, pool_settings
 from sandhatch.config.transactions import Version
 from sandhatch.dispatch.dispatcher import Exchange
-from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
+from sandhatch.downstream.client_connection import ClientConnection
+from sandhatch.downstream.interfaces import DisconnectCallback
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, ParsedRequest, Requests, reject_known
 from sandhatch.http1.message import FramingError, Message
 from sandhatch.routing.table import Answer, Query, Split, Target
 from sandhatch.runtime.shared import SharedResources
@@ -109,12 +109,12 @@
         target: Target = version.checked.table.default if route is None else route.target
         if isinstance(target, Answer):
             raise FramingError(target.status, target.body.decode("utf-8", "replace"))
-        event, _, trace = self._read(version, message)
-        reject_known(self._shared.in_flight_ids, trace)
-        return version.terms[event.class_index]
+        parsed = self._read(version, message)
+        reject_known(self._shared.in_flight_ids, parsed.trace_id)
+        return version.terms[parsed.event.class_index]
 
     @staticmethod
-    def _read(version: RunningVersion, message: Message) -> tuple[RequestArrived, float, bytes]:
+    def _read(version: RunningVersion, message: Message) -> ParsedRequest:
         requests = version.requests
         assert requests is not None  # there is a pool, so there are settings
         if not message.values(b"x-trace-id"):
@@ -174,7 +174,10 @@
         route: str,
         pool: RunningPool,
     ) -> DisconnectCallback:
-        event, left, trace = self._read(version, message)
+        parsed = self._read(version, message)
+        event = parsed.event
+        left = event.time_left_ms
+        trace = parsed.trace_id
         reject_known(self._shared.in_flight_ids, trace)
         terms = message.terms = version.terms[event.class_index]
         if message.flow is not None:
--- a/tests/bodies/test_slow.py
+++ b/tests/bodies/test_slow.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sandhatch.balancing.events import Outcome
-from sandhatch.downstream.listener import ClientConnection
+from sandhatch.downstream.client_connection import ClientConnection
 from testkit.bodies import Pattern, Upload, chunked, head
 from testkit.clients import HttpClient
 from tests.bodies.harness import (
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -6,7 +6,7 @@
 import socket
 from collections.abc import Callable
 
-from sandhatch.downstream.listener import waits
+from sandhatch.downstream.socket_poll import waits
 from tests.fakes import PATIENCE_S, Behaviour, Incoming, Talk, ok
 
 
--- a/tests/crossings/test_callers_leave.py
+++ b/tests/crossings/test_callers_leave.py
@@ -12,7 +12,7 @@
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.actions import Action, Send
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived, TimerFired
-from sandhatch.downstream.listener import ClientConnection
+from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.upstream.pool import ServerConnection
 from tests.crossings.harness import answers, dial, holds, until
 from tests.fakes import (
