--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -4,10 +4,9 @@
 the request handler's. Its states and their limits are the table in `connection_state`. Source:
 PROTOCOL-sandhatch.md.
 
-Requests that a client sends ahead (pipelining) are queued, a few at most. A body that may be streamed first
-reserves its part of the memory budget, in the order of arrival; then its first part is buffered until there
-is enough of it to be worth a server's slot; from there on the connection is the source of the request's
-flow. It is also the sink of an answer's flow.
+It stands on three layers, each with one job: `ClientTransport` (the socket), `RequestReceiver` (bodies,
+buffered or streamed) and `AnswerSender`. This one queues requests that the client sends ahead (pipelining),
+a few at most, begins each after the answer to the one before, and enforces the limits of its states.
 """
 
 from __future__ import annotations
@@ -17,16 +16,14 @@
 from collections import deque
 from typing import cast
 
+from sandhatch.downstream.answer_sender import AnswerSender, error_body
 from sandhatch.downstream.connection_state import ConnectionState
-from sandhatch.downstream.interfaces import ConnectionOwner, DisconnectCallback
-from sandhatch.downstream.request_receiver import RequestReceiver
+from sandhatch.downstream.interfaces import ConnectionOwner
 from sandhatch.downstream.socket_poll import waits
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.message import Message
-from sandhatch.http1.serializer import encode_response, encode_response_head
-from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+from sandhatch.streaming.socket_writer import SCRATCH
 from sandhatch.streaming.terms import StreamTerms
 
 OUT_OF_MEMORY = Fault(503, "out of memory for requests")
@@ -39,11 +36,7 @@
     """The client has disconnected before the handler has said whom to notify."""
 
 
-def _error_body(text: str) -> bytes:
-    return text.encode("ascii", "replace") + b"\n"
-
-
-class ClientConnection(RequestReceiver, asyncio.BufferedProtocol):
+class ClientConnection(AnswerSender, asyncio.BufferedProtocol):
     """One client connection; see the head of the module."""
 
     AHEAD = 4  # requests that may be queued
@@ -58,19 +51,10 @@
         super().__init__(listener, max_queued=self.AHEAD)
         self.fresh = True  # no request was complete yet
         self._dropped = 0  # bytes received and discarded since it is ending
-
         self._waiting: deque[Message] = deque()  # received, and not begun
-        self._current: Message | None = None  # in flight
-        self._notify_disconnect: DisconnectCallback | None = None  # of the current request
         self._processing = False  # `_process_requests` is running
-
         self._request_bytes = 0  # of the queued requests and the current one
 
-        self._answer_flow: Flow | None = None  # of an answer that is being streamed
-        self._write_paused = False  # the client does not read its answers
-        self._close_after_answer = False  # once the streamed answer has ended
-        self._ends_at_close = False  # only the close marks the end of the streamed answer
-
     # ------------------------------------------------ called by the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -131,20 +115,6 @@
         self._update_booking()
         self._listener.left(self)
 
-    def pause_writing(self) -> None:
-        """Note that the client does not read: no further request is begun until it does."""
-        if self._answer_flow is None:
-            self._write_paused = True
-
-    def resume_writing(self) -> None:
-        """Go on, since the system has taken all that was written."""
-        if self._answer_flow is not None:
-            self._answer_flow.drained()
-            return
-        self._write_paused = False
-        self._update_booking()
-        self._process_requests()
-
     # ------------------------------------------------ state and time limits
 
     @property
@@ -284,7 +254,7 @@
                 self._notify_disconnect = notify_disconnect
         except FramingError as error:
             message.keep_alive = False  # no further request is wanted from a client that sends such ones
-            self.answer(error.status, [], _error_body(str(error)))
+            self.answer(error.status, [], error_body(str(error)))
 
     def _terms_of(self, message: Message) -> StreamTerms | None:
         return self._listener.request_handler.terms(self, message)
@@ -306,26 +276,25 @@
         flow.push(buffered)
         self._begin(message)
 
+    def _take_current(self) -> Message:
+        """Ends the current request, and returns it."""
+        message = self._current
+        if message is None:
+            raise AssertionError("an answer to no request")
+        self._current = None
+        self._notify_disconnect = None
+        # The handler may have added to its head: keeps the sum from drifting.
+        self._request_bytes = max(0, self._request_bytes - message.size) if self._waiting else 0
+        self.since_ms = self._shared.clock.now_ms()
+        return message
+
     def _answer_fault(self, fault: Fault) -> None:
         """Answer to a request that can't be completed; the connection's last answer."""
         self._current = Message()
         self._current.keep_alive = False
         self.fresh = False
         headers = RETRY_AFTER_1_S if fault.status in RETRY_AFTER_STATUSES else []
-        self.answer(fault.status, headers, _error_body(fault.text))
-
-    def _fail_streamed_request(self, fault: Fault) -> None:
-        """End the request and the connection: the rest of the body can't be parsed."""
-        notify_disconnect = self._notify_disconnect
-        self._notify_disconnect = None
-        if notify_disconnect is not None:
-            notify_disconnect(fault.status)
-        self._close_request_flow()
-        if self._answer_flow is not None:
-            self.cut()
-        elif self._current is not None:
-            self._current.keep_alive = False
-            self.answer(fault.status, [], _error_body(fault.text))
+        self.answer(fault.status, headers, error_body(fault.text))
 
     def _reject_for_memory(self) -> None:
         """Reject what was not begun: the memory limit is reached. The client may retry it elsewhere."""
@@ -365,94 +334,6 @@
         self._booked_bytes = held_bytes
         return self._shared.memory_budget.book(booked_before, held_bytes)
 
-    # ------------------------------------------------ answers
-
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the one answer to the current request."""
-        message = self._take_current()
-        close = self._is_last(message)
-        self._write(encode_response(status, headers, body, close))
-        self._after_answer(close)
-
-    def begin_answer(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None:
-        """Write the head of an answer whose body `flow` will bring; this becomes the flow's sink.
-
-        Args:
-            status: HTTP status code.
-            headers: Fields of the head, without those of the framing.
-            length: Bytes of the whole body; None if only its end will tell.
-            flow: Brings the body. `finished` or `cut` follows.
-        """
-        message = self._current
-        if message is None or self._answer_flow is not None:
-            raise AssertionError("an answer to no request")
-        transport = self._transport
-        if transport is None:
-            return
-        transport.set_write_buffer_limits(high=0)
-        self._answer_flow = flow
-        self._socket_writer = SocketWriter(transport)
-        self._chunked = length is None and not message.is_http_1_0
-        self._ends_at_close = length is None and not self._chunked
-        self._close_after_answer = self._is_last(message) or self._ends_at_close
-        head = encode_response_head(status, headers, length, self._chunked, self._close_after_answer)
-        self._socket_writer.write((head,))
-        self._update_booking()
-
-    def finished(self) -> None:
-        """End a streamed answer that was sent completely."""
-        close = self._close_after_answer or self._request_flow is not None
-        self._end_streamed_answer()
-        self._after_answer(close)
-
-    def cut(self) -> None:
-        """Abort a streamed answer: the client must see that it is truncated.
-
-        What was sent stays sent, and the close comes before the end that the head has announced. Where only
-        the close would have marked the end, a reset takes its place.
-        """
-        if self._answer_flow is None:
-            return
-        self._end_streamed_answer()
-        self._close_request_flow()
-        if self._ends_at_close:
-            self._reset()
-        else:
-            self.close_gracefully()
-
-    def _take_current(self) -> Message:
-        """Ends the current request, and returns it."""
-        message = self._current
-        if message is None:
-            raise AssertionError("an answer to no request")
-        self._current = None
-        self._notify_disconnect = None
-        # The handler may have added to its head: keeps the sum from drifting.
-        self._request_bytes = max(0, self._request_bytes - message.size) if self._waiting else 0
-        self.since_ms = self._shared.clock.now_ms()
-        return message
-
-    def _is_last(self, message: Message) -> bool:
-        """Whether its answer is the connection's last: also where the rest of its body is unread."""
-        return not message.keep_alive or self._listener.closing or self._request_flow is not None
-
-    def _after_answer(self, close: bool) -> None:
-        self._close_request_flow()
-        self._update_booking()
-        if close:
-            self.close_gracefully()
-        else:
-            self._process_requests()
-
-    def _end_streamed_answer(self) -> None:
-        self._answer_flow = None
-        self._socket_writer = None
-        self._write_paused = False
-        if self._current is not None:
-            self._take_current()
-        if self._transport is not None and not self._transport.is_closing():
-            self._transport.set_write_buffer_limits()
-
     # ------------------------------------------------ closing
 
     def close_if_quiet(self) -> bool:
