--- /dev/null
+++ b/sandhatch/discovery/connection.py
@@ -0,0 +1,88 @@
+"""A connection to discovery, which carries one call at a time.
+
+It never opens itself again: who calls opens a new one. Source: PROTOCOL-sandhatch.md, "Discovery".
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import cast
+
+from sandhatch.discovery.errors import DiscoveryError
+from sandhatch.http1.framing import ResponseReader, encode_request
+from sandhatch.http1.message import Message
+
+MAX_LIST_BYTES = 4 * 1024 * 1024
+
+
+class DiscoveryConnection(asyncio.Protocol):
+    """One connection.
+
+    Attributes:
+        open: whether it is up and may carry another call.
+    """
+
+    def __init__(self) -> None:
+        """Create the protocol of a connection that is not up yet."""
+        self._reader = ResponseReader(MAX_LIST_BYTES)
+        self._transport: asyncio.Transport | None = None
+        self._pending_answer: asyncio.Future[Message] | None = None
+        self.open = False
+        self._closed = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Note that the connection is up."""
+        # uvloop's transports are no subclass of it.
+        self._transport = cast(asyncio.Transport, transport)
+        self.open = not self._closed
+        if self._closed:  # given up while it was coming up
+            self._transport.abort()
+
+    def data_received(self, data: bytes) -> None:
+        """Complete the pending call, and close the connection if it can carry no other."""
+        answers = [event for event in self._reader.feed(data) if isinstance(event, Message)]
+        has_rest = self._reader.fault is not None or self._reader.begun
+        pending_answer = self._pending_answer
+        if answers and pending_answer is not None and not pending_answer.done():
+            pending_answer.set_result(answers[0])
+            if has_rest or len(answers) > 1 or not answers[0].keep_alive:
+                self.close()
+        elif answers or self._reader.fault is not None:
+            self.close()
+
+    def eof_received(self) -> None:
+        """Close the connection: half-closed, it brings no further answer."""
+        self.close()
+
+    def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of the protocol
+        """Fail the pending call."""
+        self.close()
+
+    def close(self) -> None:
+        """Close the connection, also one that is still coming up; its pending call fails."""
+        self.open = False
+        self._closed = True
+        if self._transport is not None and not self._transport.is_closing():
+            self._transport.abort()
+        if self._pending_answer is not None and not self._pending_answer.done():
+            self._pending_answer.set_exception(DiscoveryError("the connection ended"))
+
+    async def get(self, target: bytes, host: bytes) -> Message:
+        """Make a call and wait for its answer.
+
+        Args:
+            target: the path and query.
+            host: the value of the Host header.
+
+        Returns:
+            The complete answer.
+
+        Raises:
+            DiscoveryError: the connection ended before that.
+        """
+        assert self._transport is not None
+        if not self.open:  # guards against waiting on a connection that was reset as soon as it was up
+            raise DiscoveryError("the connection ended")
+        self._pending_answer = asyncio.get_running_loop().create_future()
+        self._transport.write(encode_request(b"GET", target, ((b"Host", host),), b""))
+        return await self._pending_answer
--- a/sandhatch/discovery/static.py
+++ b/sandhatch/discovery/static.py
@@ -1,4 +1,7 @@
-"""A list of servers that stands in the configuration. It changes only with a version."""
+"""An endpoint list that stands in the configuration.
+
+It makes no calls, and changes only with the configuration's version. Source: docs/operators/configuration.md.
+"""
 
 from __future__ import annotations
 
@@ -7,44 +10,71 @@
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
-from sandhatch.discovery.client import Listing
+from sandhatch.discovery.endpoint_list import Listing
 from sandhatch.runtime.address import Address, label_of, spell
 
 
 @dataclass(slots=True, frozen=True)
 class StaticServer:
+    """One server of the configuration.
+
+    Attributes:
+        number: the server's number.
+        address: where it listens.
+        state: its state.
+        weight: its weight.
+        started_ms: when it counts as started, in Unix milliseconds; 0 means long ago.
+    """
+
     number: int
     address: Address
     state: ServerState
     weight: float
-    started_ms: float  # Unix time; 0 stands for long ago
+    started_ms: float
 
 
 class StaticSource:
-    """Tells its list once it is started, and whenever it is asked."""
+    """Publishes its list when it is started, and whenever that is requested.
+
+    Attributes:
+        servers: the list.
+    """
+
+    def __init__(self, servers: Sequence[StaticServer], publish: Callable[[Listing], None]) -> None:
+        """Create a source that has not started.
 
-    def __init__(self, servers: Sequence[StaticServer], tell: Callable[[Listing], None]) -> None:
+        Args:
+            servers: the list.
+            publish: takes the listings.
+        """
         self.servers = tuple(servers)
-        self._tell = tell
+        self._publish = publish
 
     def start(self) -> None:
+        """Publish the list."""
         self.republish()
 
     def republish(self) -> None:
+        """Publish the list anew."""
         entries = tuple(
             ServerEntry(
-                item.number, item.state, item.started_ms, item.weight, label=label_of(spell(item.address))
+                server=server.number,
+                state=server.state,
+                started_ms=server.started_ms,
+                weight=server.weight,
+                label=label_of(spell(server.address)),
             )
-            for item in self.servers
+            for server in self.servers
         )
-        addresses = tuple(item.address for item in self.servers)
-        self._tell(Listing(ListKind.FULL, 1, entries, addresses))
+        addresses = tuple(server.address for server in self.servers)
+        self._publish(Listing(ListKind.FULL, 1, entries, addresses))
 
     def stop(self) -> None:
-        """Nothing is on its way."""
+        """Do nothing: no call is pending."""
 
     def fetch(self) -> None:
+        """Publish the list anew."""
         self.republish()
 
     def watch(self, order: WatchList) -> None:
-        """It never changes."""
+        """Do nothing: the list never changes."""
--- a/sandhatch/dispatch/__init__.py
+++ b/sandhatch/dispatch/__init__.py
@@ -1,1 +1,4 @@
-"""Carries out what a balancer decides for one pool's requests."""
+"""Carries out what a balancer decides for one pool's requests.
+
+Events go to the balancer, its actions come back and are carried out. Nothing is decided here.
+"""
--- /dev/null
+++ b/sandhatch/dispatch/attempts.py
@@ -0,0 +1,284 @@
+"""Starts the attempts and probes that a balancer orders, and notifies it of their ends.
+
+Each `Send` leads to exactly one `AttemptEnded`, each `Probe` to exactly one `ProbeEnded`. It never chooses a
+server and never retries. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sandhatch.balancing.actions import Send
+from sandhatch.balancing.events import AttemptEnded, Event, Outcome, ProbeEnded
+from sandhatch.balancing.settings import ReportMode
+from sandhatch.dispatch.exchange import Exchange, ExchangeTable, TruncatedBy
+from sandhatch.dispatch.plan import PoolPlan
+from sandhatch.dispatch.streamed_bodies import StreamedBodies
+from sandhatch.http1.message import Message
+from sandhatch.runtime.shared import SharedResources
+from sandhatch.streaming.flow import Flow
+from sandhatch.upstream.attempt import Attempt
+from sandhatch.upstream.connection_pool import ConnectionPool
+from sandhatch.upstream.load_report import LOAD_HEADER, report_of
+from sandhatch.upstream.server import UpstreamServer
+
+TIME_LEFT_HEADER = b"x-expires-in-ms"  # in lower case, as it is looked up
+
+
+class AttemptContext:
+    """The owner of one attempt of an exchange: what the attempt calls back on."""
+
+    __slots__ = ("_attempt_number", "_exchange", "_runner", "_server", "_started_ms", "_timeout_ms")
+
+    def __init__(
+        self,
+        runner: AttemptRunner,
+        exchange: Exchange,
+        attempt_number: int,
+        server: UpstreamServer,
+        started_ms: float,
+        timeout_ms: float,
+    ) -> None:
+        """Create the owner of an attempt that is about to start.
+
+        Args:
+            runner: the runner that starts it.
+            exchange: the exchange.
+            attempt_number: the attempt's number within the exchange.
+            server: the server that it goes to.
+            started_ms: the present time, in Unix milliseconds.
+            timeout_ms: how long its answer is awaited.
+        """
+        self._runner = runner
+        self._exchange = exchange
+        self._attempt_number = attempt_number
+        self._server = server
+        self._started_ms = started_ms
+        self._timeout_ms = timeout_ms
+
+    def make_request(self) -> Message:
+        """Build the request for the server, with the time that is left for it now."""
+        now_ms = self._runner.clock.now_ms()
+        message = self._exchange.message
+        if message.flow is None:
+            time_left_ms = self._started_ms + self._timeout_ms - now_ms
+        else:  # the timeout runs from the last byte, and the server's time with it
+            time_left_ms = self._exchange.deadline_ms - now_ms
+        request = Message()
+        request.method = message.method
+        request.target = message.target
+        headers = request.headers = message.passed_on(TIME_LEFT_HEADER)
+        # Only written from here on, so `Message.names`, which serves look-ups, is not kept.
+        headers.append((b"X-Expires-In-Ms", b"%d" % max(1, int(time_left_ms))))
+        request.body = message.body
+        request.length = message.length
+        return request
+
+    def blocked_by(self) -> Outcome | None:
+        """Return DISCARDED if the request is over, or its server has drained for too long."""
+        self._runner.check_client(self._exchange)
+        if self._exchange.closed or self._runner.connection_pool.grace_expired(self._server):
+            return Outcome.DISCARDED
+        return None
+
+    def on_answer_started(self, attempt: Attempt, answer: Message, reserved_bytes: int) -> Flow | None:
+        """Start to stream the answer to the client."""
+        return self._runner.bodies.start_answer(
+            self._exchange, self._attempt_number, attempt, answer, reserved_bytes
+        )
+
+    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+        """Answer the client if this is the answer, and notify the balancer."""
+        attempt = self._exchange.attempts[self._attempt_number]
+        # Not the start: the time a client took to send a long body says nothing of the server.
+        sent_ms = self._started_ms if attempt is None else attempt.sent_ms
+        self._runner.end_attempt(
+            self._exchange, self._attempt_number, self._server.number, outcome, sent_ms, answer
+        )
+
+
+class ProbeContext:
+    """The owner of one probe: what the probe calls back on."""
+
+    __slots__ = ("_runner", "_server", "_started_ms")
+
+    def __init__(self, runner: AttemptRunner, server: UpstreamServer, started_ms: float) -> None:
+        """Create the owner of a probe that is about to start, at this time in Unix milliseconds."""
+        self._runner = runner
+        self._server = server
+        self._started_ms = started_ms
+
+    def make_request(self) -> Message:
+        """Build the probe's request."""
+        host, port = self._server.address
+        request = Message()
+        request.method = b"GET"
+        request.target = self._runner.probe_target
+        request.add(b"Host", f"{host}:{port}".encode())
+        return request
+
+    def blocked_by(self) -> Outcome | None:
+        """Return DISCARDED if the server has drained for too long."""
+        return Outcome.DISCARDED if self._runner.connection_pool.grace_expired(self._server) else None
+
+    def on_answer_started(
+        self,
+        attempt: Attempt,  # noqa: ARG002 - part of the protocol
+        answer: Message,  # noqa: ARG002 - part of the protocol
+        reserved_bytes: int,  # noqa: ARG002 - part of the protocol
+    ) -> Flow | None:
+        """Return None: a probe's answer is never streamed."""
+        return None
+
+    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+        """Notify the balancer, with the load report that came."""
+        self._runner.end_probe(self._server.number, outcome, self._started_ms, answer)
+
+
+class AttemptRunner:
+    """Starts and ends the attempts and probes of one pool.
+
+    Attributes:
+        clock: the process's clock.
+        connection_pool: the pool's connections.
+        bodies: the pool's streamed bodies.
+        probe_target: the target of a probe's request.
+    """
+
+    PROBE_TIMEOUT_MS = 50.0  # for its answer; a new connection may take its own time before that
+
+    def __init__(
+        self,
+        plan: PoolPlan,
+        shared: SharedResources,
+        exchanges: ExchangeTable,
+        connection_pool: ConnectionPool,
+        bodies: StreamedBodies,
+        *,
+        deliver: Callable[[Event], None],
+        disconnect: Callable[[int, int], None],
+    ) -> None:
+        """Create the runner of one pool.
+
+        Args:
+            plan: what the pool is run by.
+            shared: the clock and log of the process.
+            exchanges: the pool's open exchanges.
+            connection_pool: the pool's connections.
+            bodies: the pool's streamed bodies.
+            deliver: takes events for the balancer.
+            disconnect: closes the exchange of this number as its client has left, with this status.
+        """
+        settings = plan.settings
+        self.clock = shared.clock
+        self.connection_pool = connection_pool
+        self.bodies = bodies
+        self._logger = shared.logger
+        self._exchanges = exchanges
+        self._deliver = deliver
+        self._disconnect = disconnect
+        self._max_attempts = settings.max_attempts
+        self._probe_timeout_ms = self.PROBE_TIMEOUT_MS + settings.connect_timeout_ms
+        has_reports = settings.report_mode is not ReportMode.OFF
+        self._report_names = plan.report_names if has_reports else ()
+        self._inline_reports = settings.report_mode is ReportMode.INLINE
+        self.probe_target = b"/status/load" if has_reports else b"/health"
+
+    def check_client(self, exchange: Exchange) -> None:
+        """Close an exchange whose client has left, before anything is started for it.
+
+        Guards against attempts for a client whose end waits unread or unseen, whatever the request has waited
+        for.
+        """
+        if not exchange.closed and exchange.client.has_disconnected():
+            self._disconnect(exchange.number, 0)
+
+    def send(self, action: Send) -> None:
+        """Start an attempt; one that may not start any more ends at once as DISCARDED."""
+        exchange = self._exchanges.get(action.request)
+        if exchange is None:
+            self._logger.line(f"an attempt for request {action.request}, which is over")
+            return
+        now_ms = self.clock.now_ms()
+        attempt_number = len(exchange.attempts)
+        time_left_ms = exchange.deadline_ms - now_ms
+        timeout_ms = min(time_left_ms, action.timeout_ms) if action.timeout_ms else time_left_ms
+        server = self.connection_pool.table.get(action.server)
+        self.check_client(exchange)
+        exchange.attempts.append(None)
+        exchange.servers.append(action.server)
+        exchange.pending_attempts += 1
+        if (
+            server is None
+            or timeout_ms <= 0.0
+            or attempt_number >= self._max_attempts
+            or not self._may_start(exchange)
+        ):
+            self.end_attempt(exchange, attempt_number, action.server, Outcome.DISCARDED, now_ms, None)
+            return
+        context = AttemptContext(self, exchange, attempt_number, server, now_ms, timeout_ms)
+        attempt = Attempt(server, context, now_ms)
+        attempt.flow = exchange.message.flow
+        attempt.terms = exchange.message.terms
+        exchange.attempts[attempt_number] = attempt
+        self.connection_pool.start(attempt, timeout_ms)
+
+    @staticmethod
+    def _may_start(exchange: Exchange) -> bool:
+        """Return whether the state of an exchange allows an attempt, the new one counted as pending."""
+        if exchange.closed or exchange.answer_flow is not None:
+            return False
+        flow = exchange.message.flow
+        # A streamed body goes to one server at a time, and to another only while all of it is kept.
+        return flow is None or (flow.repeatable and exchange.pending_attempts == 1)
+
+    def end_attempt(
+        self,
+        exchange: Exchange,
+        attempt_number: int,
+        server_number: int,
+        outcome: Outcome,
+        sent_ms: float,
+        answer: Message | None,
+    ) -> None:
+        """Act on the end of an attempt.
+
+        Args:
+            exchange: the exchange.
+            attempt_number: the attempt's number within the exchange.
+            server_number: the number of its server.
+            outcome: its outcome.
+            sent_ms: since when its answer was awaited, in Unix milliseconds.
+            answer: its answer, if one arrived.
+        """
+        if exchange.answer_flow is not None:
+            if attempt_number == exchange.answering_attempt and not exchange.answer_flow.ended:
+                self.bodies.abort_answer(exchange, TruncatedBy.SERVER)
+        elif outcome is Outcome.OK and answer is not None and not exchange.closed:
+            self._exchanges.close(exchange, 200)
+            exchange.client.answer(200, answer.passed_on(LOAD_HEADER), answer.body)
+        exchange.pending_attempts -= 1
+        report = report_of(answer, self._report_names, from_body=False) if self._inline_reports else ()
+        final = exchange.closed or exchange.answer_flow is not None
+        spent_ms = self.clock.now_ms() - sent_ms
+        self._deliver(
+            AttemptEnded(exchange.number, attempt_number, server_number, outcome, final, spent_ms, report)
+        )
+        self._exchanges.remove_if_done(exchange)
+
+    def probe(self, server_number: int) -> None:
+        """Start a probe of a server; one that is not listed ends at once as CONNECT_FAILED."""
+        now_ms = self.clock.now_ms()
+        server = self.connection_pool.table.get(server_number)
+        if server is None:
+            self._deliver(ProbeEnded(server_number, Outcome.CONNECT_FAILED))
+            return
+        attempt = Attempt(server, ProbeContext(self, server, now_ms), now_ms, probe=True)
+        self.connection_pool.start(attempt, self._probe_timeout_ms)
+
+    def end_probe(
+        self, server_number: int, outcome: Outcome, started_ms: float, answer: Message | None
+    ) -> None:
+        """Notify the balancer of the end of a probe, with the load report in its answer."""
+        report = report_of(answer, self._report_names, from_body=True)
+        self._deliver(ProbeEnded(server_number, outcome, self.clock.now_ms() - started_ms, report))
--- /dev/null
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -0,0 +1,210 @@
+"""Bodies of requests and answers that are streamed as they arrive.
+
+Starts the flow of an answer, notifies the balancer of what can no longer be retried, and gives up a side that
+makes too little progress. How bytes move is `sandhatch.streaming.flow`. Source: docs/operators/bodies.md.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from sandhatch.balancing.events import AnswerStarted, Event, Outcome, Unrepeatable
+from sandhatch.dispatch.exchange import Exchange, ExchangeTable, TruncatedBy
+from sandhatch.http1.message import Message
+from sandhatch.runtime.shared import SharedResources
+from sandhatch.streaming.flow import Flow, Side
+from sandhatch.upstream.attempt import Attempt
+from sandhatch.upstream.connection_pool import ConnectionPool
+from sandhatch.upstream.load_report import LOAD_HEADER
+
+
+class _RequestWatcher:
+    """Watches the flow of a request's body."""
+
+    def __init__(self, bodies: StreamedBodies, exchange: Exchange) -> None:
+        self._bodies = bodies
+        self._exchange = exchange
+
+    def unrepeatable(self) -> None:
+        self._bodies.on_unrepeatable(self._exchange)
+
+    def passed_on(self) -> None:
+        self._bodies.on_request_sent(self._exchange)
+
+
+class _AnswerWatcher:
+    """Watches the flow of an answer's body."""
+
+    def __init__(self, bodies: StreamedBodies, exchange: Exchange) -> None:
+        self._bodies = bodies
+        self._exchange = exchange
+
+    def unrepeatable(self) -> None:
+        """Do nothing: an answer that has begun is the client's from its first byte."""
+
+    def passed_on(self) -> None:
+        self._bodies.on_answer_sent(self._exchange)
+
+
+class StreamedBodies:
+    """The streamed bodies of one pool's exchanges."""
+
+    CHECK_INTERVAL_MS = 250.0  # between two checks of the progress of the flows
+
+    def __init__(
+        self,
+        shared: SharedResources,
+        exchanges: ExchangeTable,
+        connection_pool: ConnectionPool,
+        *,
+        deliver: Callable[[Event], None],
+        on_deadline: Callable[[Exchange], None],
+        disconnect: Callable[[int, int], None],
+    ) -> None:
+        """Create the state with no body.
+
+        Args:
+            shared: the clock, log, memory and statistics of the process.
+            exchanges: the pool's open exchanges.
+            connection_pool: the pool's connections.
+            deliver: takes events for the balancer.
+            on_deadline: called for an exchange whose deadline has come.
+            disconnect: closes the exchange of this number as if its client had left, with this status.
+        """
+        self._clock = shared.clock
+        self._logger = shared.logger
+        self._memory_budget = shared.memory_budget
+        self._statistics = shared.flows
+        self._exchanges = exchanges
+        self._connection_pool = connection_pool
+        self._deliver = deliver
+        self._on_deadline = on_deadline
+        self._disconnect = disconnect
+        self._streaming: dict[Exchange, None] = {}  # exchanges with a flow, in the order of their start
+        self._checking = False
+
+    # ------------------------------------------------ requests
+
+    def start_request(self, exchange: Exchange, flow: Flow) -> None:
+        """Watch the body of a request that is streamed."""
+        flow.watch(_RequestWatcher(self, exchange))
+        self._check_progress_of(exchange)
+
+    def on_unrepeatable(self, exchange: Exchange) -> None:
+        """Notify the balancer that no further attempt could carry the request's body."""
+        self._deliver(Unrepeatable(exchange.number))
+
+    def on_request_sent(self, exchange: Exchange) -> None:
+        """Await the answer, now that all of the request has been sent."""
+        for attempt in exchange.attempts:
+            if attempt is not None:
+                self._connection_pool.start_answer_timeout(attempt)
+
+    # ------------------------------------------------ answers
+
+    def start_answer(
+        self, exchange: Exchange, attempt_number: int, attempt: Attempt, answer: Message, reserved_bytes: int
+    ) -> Flow | None:
+        """Start to stream an answer: from here on it is the client's, and nothing is retried.
+
+        Args:
+            exchange: the exchange.
+            attempt_number: the number of the attempt that it comes from.
+            attempt: that attempt.
+            answer: the head of the answer.
+            reserved_bytes: bytes reserved for its body in the memory budget.
+
+        Returns:
+            The flow that takes the body, and with it the reservation; None if nobody wants the body.
+        """
+        terms = exchange.message.terms
+        if exchange.closed or answer.status != 200 or terms is None or exchange.answer_flow is not None:
+            return None
+        for timer in (attempt.timer, exchange.deadline_timer):
+            if timer is not None:
+                timer.cancel()
+        now_ms = self._clock.now_ms()
+        # Where the request was complete, the time allowed for a long body starts only now.
+        request_streamed = exchange.message.flow is not None
+        time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
+        exchange.deadline_timer = self._clock.after(time_left_ms, lambda: self._on_deadline(exchange))
+        assert attempt.connection is not None
+        flow = Flow(
+            terms.answer,
+            self._clock,
+            self._memory_budget,
+            self._statistics,
+            attempt.connection,
+            reserved_bytes,
+            lends=False,
+        )
+        flow.watch(_AnswerWatcher(self, exchange))
+        exchange.answer_flow = flow
+        exchange.answering_attempt = attempt_number
+        exchange.status = answer.status
+        self._check_progress_of(exchange)
+        spent_ms = now_ms - attempt.sent_ms
+        self._deliver(AnswerStarted(exchange.number, attempt_number, attempt.server.number, spent_ms))
+        headers = answer.passed_on(LOAD_HEADER)
+        exchange.client.begin_answer(answer.status, headers, answer.length, flow)
+        if not flow.closed:
+            flow.attach(exchange.client)
+        return flow
+
+    def on_answer_sent(self, exchange: Exchange) -> None:
+        """Close an exchange whose streamed answer has been sent completely."""
+        if exchange.closed:
+            return
+        self._exchanges.close(exchange, exchange.status)
+        exchange.client.finished()
+        self._exchanges.remove_if_done(exchange)
+
+    def abort_answer(self, exchange: Exchange, reason: TruncatedBy) -> None:
+        """Abort the streamed answer of an exchange before its end."""
+        if exchange.closed:
+            return
+        exchange.cut = reason
+        self._exchanges.close(exchange, exchange.status)
+        exchange.client.cut()
+
+    # ------------------------------------------------ progress
+
+    def _check_progress_of(self, exchange: Exchange) -> None:
+        self._streaming[exchange] = None
+        if not self._checking:
+            self._checking = True
+            self._clock.after(self.CHECK_INTERVAL_MS, self._check_progress)
+
+    def _check_progress(self) -> None:
+        """Give up exchanges in which one side makes too little progress."""
+        now_ms = self._clock.now_ms()
+        for exchange in list(self._streaming):
+            flows = exchange.open_flows
+            if not flows:
+                self._streaming.pop(exchange, None)
+            for flow in flows:
+                violation = flow.too_slow(now_ms)
+                if violation is not None:
+                    side, why = violation
+                    self._on_too_slow(exchange, flow, side, why)
+        self._checking = bool(self._streaming)
+        if self._checking:
+            self._clock.after(self.CHECK_INTERVAL_MS, self._check_progress)
+
+    def _on_too_slow(self, exchange: Exchange, flow: Flow, side: Side, why: str) -> None:
+        """End an exchange on behalf of the side that is too slow."""
+        is_answer = flow is exchange.answer_flow
+        server_is_slow = is_answer is (side is Side.SOURCE)
+        slow_party = "server" if server_is_slow else "client"
+        body = "answer" if is_answer else "request"
+        # This line is documented in docs/operators/bodies.md.
+        self._logger.line(f"request {exchange.trace_text}: {slow_party} slow at its {body}: {why}")
+        if server_is_slow:
+            exchange.end_attempts(Outcome.TIMEOUT)  # and the balancer learns which server it was
+            return
+        answer_started = exchange.answer_flow is not None
+        self._disconnect(exchange.number, exchange.status if answer_started else 408)
+        if answer_started:
+            exchange.client.cut()
+        else:
+            exchange.client.answer(408, [], b"the request did not come fast enough\n")
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -8,8 +8,11 @@
 from functools import partial
 
 from sandhatch.config.platform import Config
-from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing
-from sandhatch.dispatch.dispatcher import Decisions, Dispatcher, PoolPlan
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
+from sandhatch.discovery.endpoint_list import Listing
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.plan import PoolPlan
+from sandhatch.dispatch.protocols import Decisions
 from sandhatch.downstream.listener import ClientConnection, DisconnectCallback, Listener
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
 from sandhatch.http1.message import Message
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -22,9 +22,13 @@
 from sandhatch.balancing.state_transfer import inherit
 from sandhatch.config.check import Checked, pool_settings
 from sandhatch.config.model import Pool
-from sandhatch.discovery.client import Discovery, DiscoveryPlan, Listing, Names
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
+from sandhatch.discovery.endpoint_list import Listing
+from sandhatch.discovery.names import Names
 from sandhatch.discovery.static import StaticServer, StaticSource
-from sandhatch.dispatch.dispatcher import Dispatcher, PoolPlan, Source
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.plan import PoolPlan
+from sandhatch.dispatch.protocols import Source
 from sandhatch.runtime.address import Address, parse_address
 from sandhatch.runtime.shared import SharedResources
 
--- a/sandhatch/service/versions.py
+++ b/sandhatch/service/versions.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing.events import RequestArrived
 from sandhatch.config.check import Checked, pool_settings
 from sandhatch.config.transactions import Version
-from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.dispatch.exchange import Exchange
 from sandhatch.downstream.listener import ClientConnection, DisconnectCallback
 from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_known
 from sandhatch.http1.message import FramingError, Message
--- a/tests/bodies/harness.py
+++ b/tests/bodies/harness.py
@@ -12,7 +12,8 @@
 
 from sandhatch.balancing.actions import Action
 from sandhatch.balancing.events import AttemptEnded, Event
-from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.protocols import Decisions
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from testkit.bodies import Body, BodyServer, Pattern, Serve, Upload, head, read_body, send_all
 from testkit.clients import TRACES, HttpClient
--- a/tests/crossings/test_kept_connections.py
+++ b/tests/crossings/test_kept_connections.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from sandhatch.balancing.events import Outcome
-from sandhatch.upstream.pool import ServerConnection
+from sandhatch.upstream.connection import ServerConnection
 from tests.crossings.harness import accepted, holds, until, until_unread
 from tests.fakes import PATIENCE_S, FakeUpstream, HttpClient, Incoming, Script, Talk, entry, ok, running
 from tests.test_attempts import run
--- a/tests/crossings/test_watches.py
+++ b/tests/crossings/test_watches.py
@@ -16,7 +16,10 @@
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import NO_VERSION, ListKind, ServerState
-from sandhatch.discovery.client import Discovery, DiscoveryError, DiscoveryPlan, Listing, _Connection
+from sandhatch.discovery.client import Discovery, DiscoveryPlan
+from sandhatch.discovery.connection import DiscoveryConnection as _Connection
+from sandhatch.discovery.endpoint_list import Listing
+from sandhatch.discovery.errors import DiscoveryError
 from testkit.servers import entry
 from testkit.wire import PATIENCE_S, ok, read_head
 from tests.test_attempts import run
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -19,7 +19,8 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.config.platform import decode
 from sandhatch.discovery.client import Discovery
-from sandhatch.dispatch.dispatcher import Decisions, Dispatcher
+from sandhatch.dispatch.dispatcher import Dispatcher
+from sandhatch.dispatch.protocols import Decisions
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.program import PlatformProgram
 from sandhatch.runtime.shared import SharedResources
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -13,7 +13,7 @@
 from sandhatch.config.transactions import State, Version
 from sandhatch.service.service import Service
 from sandhatch.service.versions import RequestRecord
-from sandhatch.upstream.pool import ConnectionPool
+from sandhatch.upstream.connection_pool import ConnectionPool
 from testkit.books import Books
 from testkit.servers import FakeUpstream, Talk
 from testkit.wire import PATIENCE_S, Incoming, ok
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,9 @@
 
 from sandhatch.balancing.actions import WatchList
 from sandhatch.balancing.events import ListKind, ListUpdate
-from sandhatch.discovery.client import DiscoveryError, Names, parse_listing
+from sandhatch.discovery.endpoint_list import parse_listing
+from sandhatch.discovery.errors import DiscoveryError
+from sandhatch.discovery.names import Names
 from tests.fakes import (
     PATIENCE_S,
     SETTINGS,
--- a/tests/test_listener.py
+++ b/tests/test_listener.py
@@ -11,10 +11,11 @@
 
 from sandhatch.balancing.actions import Action, Fail, Reject, Send
 from sandhatch.balancing.events import ClientDisconnected, Event, Outcome, RequestArrived
-from sandhatch.dispatch.dispatcher import Exchange
+from sandhatch.dispatch.exchange import Exchange
 from sandhatch.downstream.listener import ClientConnection, Listener
 from sandhatch.http1.framing import RequestReader, ResponseReader
-from sandhatch.upstream.pool import Attempt, ServerConnection
+from sandhatch.upstream.attempt import Attempt
+from sandhatch.upstream.connection import ServerConnection
 from tests.fakes import (
     PATIENCE_S,
     FakeUpstream,
