--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -42,6 +42,7 @@
     """The table of servers, the connections to them, and the attempts on these.
 
     Attributes:
+        clock: the process's clock.
         memory_budget: the memory that all connections of the process share.
         table: the servers of the endpoint list, by number.
     """
@@ -75,7 +76,7 @@
             descriptors: the descriptors that all pools of the process share.
             limits: the limits of this pool.
         """
-        self._clock = clock
+        self.clock = clock
         self._descriptors = descriptors
         descriptors.holders[self] = None
         self.memory_budget = memory_budget
@@ -124,7 +125,7 @@
 
     def grace_expired(self, server: UpstreamServer) -> bool:
         """Return whether nothing new may go to a server any more."""
-        return bool(server.notified_ms) and self._clock.now_ms() >= server.notified_ms + self._grace_ms
+        return bool(server.notified_ms) and self.clock.now_ms() >= server.notified_ms + self._grace_ms
 
     # ------------------------------------------------ attempts
 
@@ -140,7 +141,7 @@
         if attempt.flow is not None:
             self.start_on_new_connection(attempt)
             return
-        attempt.timer = self._clock.call_after(timeout_ms, attempt.time_out)
+        attempt.timer = self.clock.call_after(timeout_ms, attempt.time_out)
         connection = self._take_idle(attempt.server)
         if connection is not None:
             if not attempt.write(connection):
@@ -151,16 +152,12 @@
     def start_answer_timeout(self, attempt: Attempt) -> None:
         """Await the answer to a streamed request, now that all of it has been sent."""
         if not attempt.ended:
-            attempt.sent_ms = self._clock.now_ms()
-            attempt.timer = self._clock.call_after(attempt.timeout_ms, attempt.time_out)
+            attempt.sent_ms = self.clock.now_ms()
+            attempt.timer = self.clock.call_after(attempt.timeout_ms, attempt.time_out)
 
     def later(self, callback: Callable[[], None]) -> None:
         """Call back when a withheld last byte is due."""
-        self.after(self.LAST_BYTE_DELAY_MS, callback)
-
-    def after(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Call back after a delay."""
-        self._clock.call_after(delay_ms, callback)
+        self.clock.call_after(self.LAST_BYTE_DELAY_MS, callback)
 
     def start_on_new_connection(self, attempt: Attempt) -> None:
         """Open a connection and write an attempt's request there; the attempt fails if none may be opened."""
@@ -194,11 +191,11 @@
     def _take_idle(self, server: UpstreamServer) -> ServerConnection | None:
         """Take the idle connection to a server that was used last, and close those found unusable."""
         idle = self._idle.get(server.number, [])
-        now_ms = self._clock.now_ms()
+        now_ms = self.clock.now_ms()
         for index in range(len(idle) - 1, -1, -1):
             connection = idle[index]
             unused_ms = now_ms - connection.idle_since_ms
-            if connection.rests and unused_ms < self.COOLDOWN_MS:
+            if connection.needs_cooldown and unused_ms < self.COOLDOWN_MS:
                 continue
             del idle[index]
             if unused_ms < self._reuse_within_ms and connection.usable():
@@ -217,15 +214,15 @@
         if not leads_to_server or connection not in self._open or server.state is not ServerState.READY:
             connection.abort()
             return
-        connection.idle_since_ms = self._clock.now_ms()
+        connection.idle_since_ms = self.clock.now_ms()
         self._idle.setdefault(server.number, []).append(connection)
         if not self._sweeping:
             self._sweeping = True
-            self._clock.call_after(self.SWEEP_MS, self._sweep)
+            self.clock.call_after(self.SWEEP_MS, self._sweep)
 
     def _sweep(self) -> None:
         """Close connections that have been idle for nearly as long as the server keeps them."""
-        oldest_ms = self._clock.now_ms() - self._reuse_within_ms + self.SWEEP_MS
+        oldest_ms = self.clock.now_ms() - self._reuse_within_ms + self.SWEEP_MS
         for number in list(self._idle):
             remaining = []
             for connection in self._idle[number]:
@@ -239,7 +236,7 @@
                 del self._idle[number]
         self._sweeping = bool(self._idle)
         if self._sweeping:
-            self._clock.call_after(self.SWEEP_MS, self._sweep)
+            self.clock.call_after(self.SWEEP_MS, self._sweep)
 
     def close_oldest(self) -> bool:
         """Close the connection that has been idle for longest; return False if none is idle."""
