--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -3,16 +3,16 @@
 When to call, and how long to wait, is decided by `sandhatch.balancing.endpoint_freshness`, never here. There
 is at most one call of each sort pending. Source: PROTOCOL-sandhatch.md, "Discovery".
 
-    call   started by  ends with                       published
-    -----  ----------  ------------------------------  -------------------------------------------------
-    watch  `watch`     the complete list, or changes   FULL or DELTA, under the call's number
-                       a failure                       FAILED, under the call's number
-                       another watch, `move`, `stop`   nothing: it is cancelled with its connection
-    fetch  `fetch`     the complete list               FULL, under number 0
-                       a failure                       FAILED, under number 0
-                       `move`, `stop`                  nothing: it is cancelled with its connection
-
-Besides these, `start` publishes CACHED and `move` publishes RELOCATED.
+    call   started by  ends with                          published
+    -----  ----------  ---------------------------------  ----------------------------------------------
+    watch  `watch`     the complete list, or changes      FULL or DELTA, under the call's number
+                       a failure                          FAILED, under the call's number
+                       another watch, `relocate`, `stop`  nothing: it is cancelled with its connection
+    fetch  `fetch`     the complete list                  FULL, under number 0
+                       a failure                          FAILED, under number 0
+                       `relocate`, `stop`                 nothing: it is cancelled with its connection
+
+Besides these, `start` publishes CACHED and `relocate` publishes RELOCATED.
 """
 
 from __future__ import annotations
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -76,7 +76,8 @@
             if self.ending:
                 return
         if events:
-            requests = cast(list[Message], events)  # pieces of a streamed body were taken out above
+            # The pieces and the end of a streamed body were taken out above: what is left are messages.
+            requests = cast(list[Message], events)
             self.fresh = False
             self._waiting.extend(requests)
             self._request_bytes += sum(request.size for request in requests)
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -180,7 +180,7 @@
                 self._request_flow = None
                 flow.end(event.trailers)
                 return events[index + 1 :]
-            if not isinstance(event, Message):
+            if not isinstance(event, Message):  # nor is it: before the end come only pieces
                 flow.push(event)
         fault = self._reader.fault
         if fault is not None and self._request_flow is flow:
--- a/sandhatch/http1/message_parser.py
+++ b/sandhatch/http1/message_parser.py
@@ -329,16 +329,16 @@
         message.body = b"".join(self._body_parts)
         self._body_parts = []
         self._events.append(message)
-        self._reset()
+        self._expect_next_message()
 
     def _finish_opened(self) -> None:
         self._remaining_bytes = UNKNOWN
         self._events.append(End(self._trailers))
         self._trailers = []
-        self._reset()
+        self._expect_next_message()
 
-    def _reset(self) -> None:
-        """Get ready for the next message."""
+    def _expect_next_message(self) -> None:
+        """Forget the message that is complete."""
         self._messages_in_read += 1
         self._message_bytes = 0
         self._body_bytes = 0
--- a/sandhatch/http1/serializer.py
+++ b/sandhatch/http1/serializer.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Sequence
 
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import Piece
@@ -104,8 +104,8 @@
     return b"".join(parts)
 
 
-def chunk(piece: Piece) -> tuple[Piece, ...]:
-    """Frames a piece as one chunk, without joining the parts (RFC 9112 section 7.1).
+def chunk(piece: Piece) -> Sequence[Piece]:
+    """Frames a piece as one chunk: parts to be written in this order, not joined (RFC 9112 section 7.1).
 
     An empty piece gives no chunk: it would mark the end of the body.
     """
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -132,6 +132,7 @@
         Bounded by the body's ceiling and by the free memory; a flow keeps the credit of its reserved bytes
         however short memory is.
         """
+        # As `memory_bytes`, but without another call: this is asked for with every read.
         unsent_bytes = self._sink.unsent if self._sink is not None else 0
         most_bytes = min(self.terms.ceiling_bytes, self._memory.available_bytes)
         return max(0, most_bytes - self._replay_bytes - unsent_bytes)
--- a/sandhatch/upstream/answer_receiver.py
+++ b/sandhatch/upstream/answer_receiver.py
@@ -199,7 +199,7 @@
             if isinstance(event, End):
                 self._on_streamed_end(attempt, flow, event, nothing_follows=index == last_index)
                 return
-            if not isinstance(event, Message):
+            if not isinstance(event, Message):  # nor is it: before the end come only pieces
                 flow.push(event)
         if self._reader.fault is not None and self._attempt is attempt:
             self.abort()
