--- a/tests/config/test_version_lifecycle.py
+++ b/tests/config/test_version_lifecycle.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import RejectedError
-from sandhatch.config.version import OVER, RUNNING, TRANSITIONS, State
-from sandhatch.config.version_lifecycle import MOST_RECORDS
+from sandhatch.config.version import RUNNING, TERMINAL_STATES, TRANSITIONS, State
+from sandhatch.config.version_lifecycle import MAX_RECORDS
 from tests.config.fake_owner import ORDERS3, WEB3, WEB4, FakeOwner
 from tests.config.samples import checked, sample
 
@@ -62,11 +62,11 @@
 def test_a_fall_of_goodput_rolls_back_with_its_reason() -> None:
     owner = FakeOwner()
     version = owner.activate(WEB3)
-    owner.lifecycle.goodput_fell(version, "the goodput fell")
+    owner.lifecycle.goodput_dropped(version, "the goodput fell")
     owner.carry_out()
     assert version.state is State.ROLLED_BACK
     assert version.why == "the goodput fell"
-    owner.lifecycle.goodput_fell(version, "again")
+    owner.lifecycle.goodput_dropped(version, "again")
     assert owner.lifecycle.take_actions() == []
 
 
@@ -97,7 +97,7 @@
         owner.finish_staging()
         owner.finish_save()
         owner.finish_save()
-    assert len(owner.lifecycle.versions) <= MOST_RECORDS
+    assert len(owner.lifecycle.versions) <= MAX_RECORDS
     assert not owner.transactions.proposals
     assert owner.in_force.number == 10_001
 
@@ -110,7 +110,7 @@
             current = waiting.pop()
             seen.add(current)
             waiting += [target for target in TRANSITIONS[current] if target not in seen]
-        assert seen & OVER
+        assert seen & TERMINAL_STATES
 
 
 @pytest.mark.parametrize("block", range(10))
@@ -141,11 +141,11 @@
         assert pending is not None, where
         assert pending.state in RUNNING, where
         assert owner.disk in ((lifecycle.confirmed.number, pending.number), (pending.number, 0)), where
-    moving = [version for version in lifecycle.versions.values() if version.state not in OVER]
+    moving = [version for version in lifecycle.versions.values() if version.state not in TERMINAL_STATES]
     assert moving == ([pending] if pending else []), where
 
 
-def random_call(owner: FakeOwner, rng: Random, configurations: list[Checked]) -> None:
+def random_call(owner: FakeOwner, rng: Random, configurations: list[CheckedConfiguration]) -> None:
     """Make one call that people, the watch or the clock might make, or report how an action ended."""
     lifecycle = owner.lifecycle
     transactions = owner.transactions
@@ -164,7 +164,7 @@
         transactions.rollback(owner.now, to=rng.choice([None, *lifecycle.versions]))
     elif call == 8 and lifecycle.pending is not None:
         if rng.random() < 0.5:
-            lifecycle.goodput_fell(lifecycle.pending, "fell")
+            lifecycle.goodput_dropped(lifecycle.pending, "fell")
         else:
             lifecycle.confirm()
     else:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -42,14 +42,14 @@
 
     async def call(self, op: str, **arguments: Any) -> dict[str, Any]:
         self.writer.write(encode({"op": op} | arguments))
-        return await self.answer()
+        return await self.read_response()
 
-    async def answer(self) -> dict[str, Any]:
+    async def read_response(self) -> dict[str, Any]:
         line = await self.reader.readline()
         assert line, "closed without an answer"
-        answer = json.loads(line)
-        assert isinstance(answer, dict)
-        return answer
+        response = json.loads(line)
+        assert isinstance(response, dict)
+        return response
 
 
 @asynccontextmanager
@@ -140,10 +140,10 @@
     async def work() -> None:
         async with controlled(tmp_path) as (running, _, path), Peer(path) as peer:
             peer.writer.write(encode(call))
-            answer = await peer.answer()
-            assert answer["ok"] is False
-            assert answer["text"]
-            assert answer["why"] != "internal"
+            response = await peer.read_response()
+            assert response["ok"] is False
+            assert response["text"]
+            assert response["why"] != "internal"
             assert (await peer.call("status"))["ok"]  # the connection goes on
             assert running.service.transactions.active.number == 1
 
@@ -157,9 +157,9 @@
     async def work() -> None:
         async with controlled(tmp_path) as (_, _, path), Peer(path) as peer:
             peer.writer.write(malformed)
-            answer = await peer.answer()
-            assert answer["ok"] is False
-            assert answer["why"] == "invalid"
+            response = await peer.read_response()
+            assert response["ok"] is False
+            assert response["why"] == "invalid"
             assert await peer.reader.read() == b""
 
     run(work())
@@ -203,14 +203,14 @@
                         return proposed
                     return await peer.call("commit", proposal=proposed["proposal"], wait=True)
 
-            answers = await asyncio.gather(*(propose_and_commit(number) for number in range(200)))
-            succeeded = [number for number, answer in enumerate(answers) if answer["ok"]]
+            responses = await asyncio.gather(*(propose_and_commit(number) for number in range(200)))
+            succeeded = [number for number, response in enumerate(responses) if response["ok"]]
             assert len(succeeded) == 1
-            assert answers[succeeded[0]]["state"] == "confirmed"
-            for answer in answers:
-                if not answer["ok"]:
-                    assert answer["why"] == "conflict"
-                    assert "pools.web.max_connections" in answer["keys"]
+            assert responses[succeeded[0]]["state"] == "confirmed"
+            for response in responses:
+                if not response["ok"]:
+                    assert response["why"] == "conflict"
+                    assert "pools.web.max_connections" in response["keys"]
             data = running.service.transactions.active.data
             assert data["pools"]["web"]["max_connections"] == 50 + succeeded[0]
             assert running.service.transactions.active.number == 2
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -162,7 +162,7 @@
 
 
 PARTLY_VALID = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
-MALFORMED_ANSWERS = [
+MALFORMED_RESPONSES = [
     b"\x00nonsense\r\n\r\n",
     ok(b"not json"),
     ok(b"[" * 50_000),
@@ -180,7 +180,7 @@
         async with loopback(serve_ok, script=script) as network:
             discovery = network.balancer.discovery
             await next_call(network.balancer, "after=")
-            discovery.garbage += MALFORMED_ANSWERS
+            discovery.garbage += MALFORMED_RESPONSES
             discovery.stop()
             await discovery.start()
             await wait_until(lambda: not discovery.garbage)
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -42,10 +42,10 @@
     payload = ok(json.dumps(data, indent=indent).encode())
     assert len(payload) < MAX_LIST_BYTES
     reader = ResponseParser(MAX_LIST_BYTES)
-    answers = [event for byte in payload for event in reader.feed(bytes([byte]))]
-    assert len(answers) == 1
+    responses = [event for byte in payload for event in reader.feed(bytes([byte]))]
+    assert len(responses) == 1
     assert reader.fault is None
-    listing = parse_listing(json.loads(answers[0].body), EndpointNumbering((), ()))
+    listing = parse_listing(json.loads(responses[0].body), EndpointNumbering((), ()))
     assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVERS
 
 
--- a/tests/dispatch/test_exchange.py
+++ b/tests/dispatch/test_exchange.py
@@ -19,16 +19,16 @@
     unsent = 0
 
     def __init__(self) -> None:
-        self.answers: list[tuple[int, Headers, bytes]] = []
+        self.responses: list[tuple[int, Headers, bytes]] = []
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        self.answers.append((status, headers, body))
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
+        self.responses.append((status, headers, body))
 
-    def begin_answer(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None: ...
+    def begin_response(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None: ...
 
-    def end_answer(self) -> None: ...
+    def end_response(self) -> None: ...
 
-    def abort_answer(self) -> None: ...
+    def abort_response(self) -> None: ...
 
     def write(self, piece: Piece) -> None: ...
 
@@ -55,9 +55,9 @@
 def test_second_answer_is_dropped() -> None:
     async def work() -> None:
         opened = OpenExchange()
-        opened.table.answer(opened.exchange, 200, [(b"A", b"1")], b"first")
-        opened.table.answer(opened.exchange, 502)
-        assert opened.client.answers == [(200, [(b"A", b"1")], b"first")]
+        opened.table.respond(opened.exchange, 200, [(b"A", b"1")], b"first")
+        opened.table.respond(opened.exchange, 502)
+        assert opened.client.responses == [(200, [(b"A", b"1")], b"first")]
         assert opened.exchange.status == 200
 
     run(work())
@@ -67,8 +67,8 @@
     async def work() -> None:
         opened = OpenExchange()
         opened.exchange.pending_attempts = 1
-        opened.table.answer(opened.exchange, 200)
-        assert (len(opened.table), opened.table.unanswered, opened.done) == (1, 0, [])
+        opened.table.respond(opened.exchange, 200)
+        assert (len(opened.table), opened.table.pending_requests, opened.done) == (1, 0, [])
         opened.exchange.pending_attempts = 0
         opened.table.remove_if_done(opened.exchange)
         opened.table.remove_if_done(opened.exchange)
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -22,8 +22,8 @@
         headers = {"Connection": "X-Hop", "X_Hop": "1", "X_Trace_Id": "77aa03aa5c7e2d41"}
         async with loopback(serve_ok, script=ScriptedBalancer([1])) as network:
             target = "/api?obj=%2f&x=1"
-            answer = await served(network.client, "post", body, target, X_Expires_In_Ms="7000", **headers)
-            assert answer.body == b"served"
+            response = await served(network.client, "post", body, target, X_Expires_In_Ms="7000", **headers)
+            assert response.body == b"served"
         (seen,) = network.server.requests
         assert (seen.method, seen.target, seen.body) == ("POST", "/api?obj=%2f&x=1", body)
         assert seen.headers["x-trace-id"] == "77aa03aa5c7e2d41"
@@ -64,17 +64,17 @@
     """Guards 'exactly one answer': both attempts are served, the first is forwarded, the second only ends."""
 
     async def work() -> None:
-        may_answer = [asyncio.Event(), asyncio.Event()]
-        behaviours = [waits_for(event, serves(b"answer %d" % n)) for n, event in enumerate(may_answer)]
+        may_respond = [asyncio.Event(), asyncio.Event()]
+        behaviours = [waits_for(event, serves(b"answer %d" % n)) for n, event in enumerate(may_respond)]
         script = ScriptedBalancer([1, 2])
         script.more = send_to_both
         async with loopback(*behaviours, script=script) as network:
             network.client.send_request()
             for server in network.servers:
                 await server.arrived.get()
-            may_answer[1].set()
+            may_respond[1].set()
             assert (await network.client.read_response()).body == b"answer 1"
-            may_answer[0].set()
+            may_respond[0].set()
             ends = [await script.ended(), await script.ended()]
             assert [(end.attempt, end.outcome, end.final) for end in ends] == [
                 (1, Outcome.OK, True),
@@ -114,14 +114,14 @@
     """Guards ClientDisconnected: the request is over, and its attempt still ends once, marked final."""
 
     async def work() -> None:
-        may_answer = asyncio.Event()
+        may_respond = asyncio.Event()
         script = ScriptedBalancer([1])
-        async with loopback(waits_for(may_answer, serve_ok), script=script) as network:
+        async with loopback(waits_for(may_respond, serve_ok), script=script) as network:
             network.client.send_request("move", b"x")
             await network.server.arrived.get()
             network.client.writer.close()
             await script.next_event(ClientDisconnected)
-            may_answer.set()
+            may_respond.set()
             event = await script.ended()
             assert (event.outcome, event.final) == (Outcome.OK, True)
             assert not network.balancer.dispatcher._exchanges
@@ -146,7 +146,7 @@
     run(work())
 
 
-def send_after_the_answer(event: Event) -> list[Action] | None:
+def send_after_the_response(event: Event) -> list[Action] | None:
     """Answer once an attempt was discarded, and send another."""
     if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
         return [Fail(event.request), Send(event.request, 1, 0.0)]
@@ -158,7 +158,7 @@
 
     async def work() -> None:
         script = ScriptedBalancer([1] * 6)
-        script.more = send_after_the_answer
+        script.more = send_after_the_response
         async with loopback(disconnects, script=script) as network:
             network.client.send_request()
             assert (await network.client.read_response()).status == 502
--- a/tests/dispatch/test_keyed_retries.py
+++ b/tests/dispatch/test_keyed_retries.py
@@ -9,7 +9,7 @@
 from testkit.clients import HttpClient
 from testkit.platform import SETTINGS
 from testkit.servers import FakeServer, serve_ok
-from testkit.wire import Answer
+from testkit.wire import Response
 from tests.event_loop import run
 from tests.fakes import fake_servers, loopback, running
 
@@ -19,7 +19,7 @@
     return sum(len(server.requests) for server in servers)
 
 
-async def send_keyed_request(port: int) -> Answer:
+async def send_keyed_request(port: int) -> Response:
     """The answer to a request with a key, on a connection of its own."""
     async with HttpClient(port) as client:
         client.send_request("post", b"x")
@@ -36,12 +36,12 @@
             async with running(*entries, south.entry("s", zone="south")) as balancer:
                 for _ in range(12):
                     north_before, south_before = requests_of(north), len(south.requests)
-                    answer = await send_keyed_request(balancer.port)
+                    response = await send_keyed_request(balancer.port)
                     if requests_of(north) > north_before:  # may have run: neither rejected nor sent south
-                        assert answer.status == 502
+                        assert response.status == 502
                         assert len(south.requests) == south_before
                     else:
-                        assert answer.status == 200
+                        assert response.status == 200
                         assert len(south.requests) == south_before + 1
             assert requests_of(north) > 0
 
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -71,10 +71,10 @@
             (connection,) = network.balancer.listener._connections
             for number in range(sent):  # never more ahead than is allowed
                 writer.write(request_bytes())
-                answered = number + 1
+                responded = number + 1
                 await wait_until(
-                    lambda answered=answered: (
-                        len(network.server.requests) >= answered or connection._write_paused
+                    lambda responded=responded: (
+                        len(network.server.requests) >= responded or connection._write_paused
                     )
                 )
                 if connection._write_paused:
@@ -238,8 +238,8 @@
             one.send_request("move", b"x" * 60_000, DELAYED)
             await network.server.arrived.get()
             two.send_request("move", b"x" * 60_000)
-            answer = await two.read_response()
-            assert (answer.status, answer.headers["retry-after"]) == (503, "1")
+            response = await two.read_response()
+            assert (response.status, response.headers["retry-after"]) == (503, "1")
             assert await two.read_to_end() == b""
             await served(three)
             released.set()
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -143,8 +143,8 @@
 
     async def work() -> None:
         async with loopback(serve_ok) as network:
-            answer = await served(network.client, Connection="close")
-            assert answer.headers["connection"] == "close"
+            response = await served(network.client, Connection="close")
+            assert response.headers["connection"] == "close"
             assert await network.client.read_to_end() == b""
 
     run(work())
@@ -195,7 +195,7 @@
     assert "9b1f03aa5c7e2d41" in capfd.readouterr().err
 
 
-def answer_class_2_twice(event: Event) -> list[Action] | None:
+def respond_to_class_2_twice(event: Event) -> list[Action] | None:
     """Two answers to a request that has an attempt in flight."""
     if isinstance(event, RequestArrived) and event.class_index == 2:
         return [Send(event.request, 1, 300.0), Fail(event.request), Reject(event.request)]
@@ -209,7 +209,7 @@
 
     async def work() -> None:
         script = ScriptedBalancer([2])
-        script.more = answer_class_2_twice
+        script.more = respond_to_class_2_twice
         async with loopback(never_responds, serve_ok, script=script) as network:
             network.client.send(request_bytes("move", b"x") + request_bytes())
             assert [(await network.client.read_response()).status for _ in range(2)] == [502, 200]
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -30,7 +30,7 @@
 from testkit.discovery import FakeDiscovery
 from testkit.platform import SETTINGS, config_data
 from testkit.servers import Behaviour, FakeServer
-from testkit.wire import RESPONSE_TIMEOUT_S, Answer
+from testkit.wire import RESPONSE_TIMEOUT_S, Response
 
 SomeEvent = TypeVar("SomeEvent", bound=Event)
 SERVER_NAMES = ascii_lowercase
@@ -253,9 +253,9 @@
             yield network
 
 
-async def served(client: HttpClient, *request: Any, **headers: str) -> Answer:
+async def served(client: HttpClient, *request: Any, **headers: str) -> Response:
     """Send a request, as `HttpClient.send_request` does; its answer, which must have status 200."""
     client.send_request(*request, **headers)
-    answer = await client.read_response()
-    assert answer.status == 200
-    return answer
+    response = await client.read_response()
+    assert response.status == 200
+    return response
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -61,7 +61,7 @@
         self.now += span_ms
         self.carry_out(self.machine.tick(self.now))
 
-    def answer(self, planner: str, after_ms: float = 1.0, **fields: Any) -> None:
+    def respond(self, planner: str, after_ms: float = 1.0, **fields: Any) -> None:
         """Advice on the planner's last report; `fields` replace what it says."""
         self.now += after_ms
         self.versions[planner] += 1
@@ -77,7 +77,7 @@
         for _ in range(count):
             self.tick(250.0)
             for planner in planners:
-                self.answer(planner, 0.0, **fields)
+                self.respond(planner, 0.0, **fields)
 
 
 class ReportingForwarder:
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -42,8 +42,8 @@
     """The answer as JSON; on a thread, since the command blocks."""
     _, out, err = await asyncio.to_thread(run_command, *arguments, "--json")
     assert not err, err
-    answer: dict[str, Any] = json.loads(out)
-    return answer
+    response: dict[str, Any] = json.loads(out)
+    return response
 
 
 def new_key(path: Path) -> str:
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -12,7 +12,7 @@
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     sent = driver.now
-    driver.answer("p0", 900.0, pools=[PoolAdvice(POOL, [WeightRow(0, 0.5)])])
+    driver.respond("p0", 900.0, pools=[PoolAdvice(POOL, [WeightRow(0, 0.5)])])
     assert driver.guidances[0].report_sent_ms == sent
     assert driver.guidances[0].until_ms == sent + 1_980.0
 
@@ -21,14 +21,14 @@
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     assert not driver.reports["p0"].leases_shares
-    driver.answer("p0", has_lease=False)
+    driver.respond("p0", has_lease=False)
     received = driver.now
     driver.tick(0.0)
     assert driver.reports["p0"].leases_shares
     assert driver.reports["p0"].version == 1
     assert driver.lease_ends_ms[-1] == received + 3_030.0
     assert not driver.guidances[0].leased
-    driver.answer("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
+    driver.respond("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
     assert driver.guidances[-1].leased
     assert driver.guidances[-1].parts[0].rate == 0.5
 
@@ -39,7 +39,7 @@
     driver.connect("p1")
     driver.rounds(4, "p0", "p1")
     assert driver.machine.leased_to == "p0"
-    driver.answer("p1", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 1.0, 4.0)], 0.5)])
+    driver.respond("p1", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 1.0, 4.0)], 0.5)])
     assert not driver.guidances[-1].leased
     assert driver.guidances[-1].own_part is None
 
@@ -54,7 +54,7 @@
     report = driver.reports["p0"]
     assert (report.epoch, report.version) == (0, 0)
     assert [(share.rate, share.burst) for share in report.pools[0].previous_grants] == [(0.5, 2.0)]
-    driver.answer("p0", learning=True, has_lease=False)
+    driver.respond("p0", learning=True, has_lease=False)
     driver.tick(0.0)
     assert driver.reports["p0"].leases_shares
     assert driver.reports["p0"].epoch == 2
@@ -64,10 +64,10 @@
     def reason(**fields: Any) -> str:
         driver = ForwarderDriver("p0")
         driver.connect("p0")
-        driver.answer("p0", has_lease=False)
+        driver.respond("p0", has_lease=False)
         count = len(driver.guidances)
         driver.tick(250.0)
-        driver.answer("p0", **fields)
+        driver.respond("p0", **fields)
         assert len(driver.guidances) == count
         assert driver.machine.peers["p0"].faults == 1
         return driver.machine.peers["p0"].last_reason
@@ -82,7 +82,7 @@
 def test_expired_advice_is_ignored_and_is_no_fault() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
-    driver.answer("p0", 5_000.0)
+    driver.respond("p0", 5_000.0)
     peer = driver.machine.peers["p0"]
     assert (peer.late, peer.faults, driver.guidances) == (1, 0, [])
     driver.tick(250.0)
@@ -95,7 +95,7 @@
     for _ in range(3):
         driver.connect("p0")
         for _ in range(2):
-            driver.answer("p0", epoch=9)
+            driver.respond("p0", epoch=9)
             driver.tick(1.0)
         assert len(driver.ended_sessions) == len(backoffs_ms) + 1
         driver.machine.disconnected("p0")
@@ -111,9 +111,9 @@
     """The planner would count the grants before it as superseded, which they are not."""
     driver = ForwarderDriver("p0")
     driver.connect("p0")
-    driver.answer("p0")
+    driver.respond("p0")
     driver.tick(250.0)
-    driver.answer("p0")
+    driver.respond("p0")
     driver.carry_out(driver.machine.guidance_rejected("p0", "out of bounds", driver.now))
     driver.tick(250.0)
     assert driver.reports["p0"].version == 1
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -29,7 +29,7 @@
     return PoolAdvice("core", [WeightRow(n, weight) for n, weight in enumerate(weights)])
 
 
-def answers_each_report(
+def responds_to_each_report(
     *pools: PoolAdvice, **fields: object
 ) -> Callable[[ForwarderConnection], Awaitable[None]]:
     """A planner that gives each report the same answer."""
@@ -168,7 +168,7 @@
 def test_advice_of_an_old_epoch_is_rejected_and_opens_the_circuit() -> None:
     async def work() -> None:
         async with (
-            scripted_planner(answers_each_report(epoch=3), epoch=5) as planner,
+            scripted_planner(responds_to_each_report(epoch=3), epoch=5) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
@@ -182,7 +182,7 @@
 def test_a_planner_back_with_an_earlier_epoch_is_rejected() -> None:
     async def work() -> None:
         async with (
-            scripted_planner(answers_each_report(weights_advice(1.0, 0.5)), epoch=5) as planner,
+            scripted_planner(responds_to_each_report(weights_advice(1.0, 0.5)), epoch=5) as planner,
             connected_forwarder({"p0": planner.port}, replace(TERMS, fault_limit=100)) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
@@ -226,7 +226,7 @@
 def test_advice_that_every_server_is_slow_changes_no_weight() -> None:
     async def work() -> None:
         async with (
-            scripted_planner(answers_each_report(weights_advice(0.1, 0.1, 0.1, 0.1))) as planner,
+            scripted_planner(responds_to_each_report(weights_advice(0.1, 0.1, 0.1, 0.1))) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
@@ -241,7 +241,7 @@
 def test_advice_that_would_empty_a_pool_is_rejected_counted_and_opens_the_circuit() -> None:
     async def work() -> None:
         async with (
-            scripted_planner(answers_each_report(weights_advice(0.0, 0.0, 0.0, 1.0))) as planner,
+            scripted_planner(responds_to_each_report(weights_advice(0.0, 0.0, 0.0, 1.0))) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
@@ -262,7 +262,7 @@
 
     async def work() -> None:
         async with (
-            scripted_planner(answers_each_report(advice)) as planner,
+            scripted_planner(responds_to_each_report(advice)) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: forwarder.dispatcher.guidances)
@@ -279,8 +279,8 @@
         first_weights = weights_advice(0.2, 0.2, 1.0, 1.0)
         second_weights = weights_advice(1.0, 1.0, 0.2, 0.2)
         async with (
-            scripted_planner(answers_each_report(first_weights)) as first,
-            scripted_planner(answers_each_report(second_weights), "p1") as second,
+            scripted_planner(responds_to_each_report(first_weights)) as first,
+            scripted_planner(responds_to_each_report(second_weights), "p1") as second,
             connected_forwarder({"p0": first.port, "p1": second.port}) as forwarder,
         ):
             changes = forwarder.dispatcher.balancer.guidance_state.weights.changes
@@ -319,7 +319,7 @@
 
 def test_without_any_planner_the_forwarder_has_its_own_shares() -> None:
     async def work() -> None:
-        async with scripted_planner(answers_each_report()) as planner:
+        async with scripted_planner(responds_to_each_report()) as planner:
             port = planner.port
         async with connected_forwarder({"p0": port}) as forwarder:
             await wait_until(lambda: forwarder.lines)
--- a/tests/planning/test_planner_peer.py
+++ b/tests/planning/test_planner_peer.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from sandhatch.planning.planner_peer import CREDIT_S, MAX_UNANSWERED_REPORTS, PlannerPeer
+from sandhatch.planning.planner_peer import CREDIT_S, MAX_UNACKNOWLEDGED_REPORTS, PlannerPeer
 from sandhatch.planning.terms import ForwarderTerms
 
 BYTES_PER_S = 1_000.0
@@ -18,7 +18,7 @@
 
 def test_only_recent_reports_can_be_answered_and_each_answer_ends_the_earlier_ones() -> None:
     peer = connected_peer()
-    for number in range(1, MAX_UNANSWERED_REPORTS + 2):
+    for number in range(1, MAX_UNACKNOWLEDGED_REPORTS + 2):
         assert peer.next_serial(BYTES_PER_S, 10.0 * number) == number
     assert peer.report_sent_ms(1) is None
     assert peer.report_sent_ms(5) == 50.0
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -49,14 +49,14 @@
     def record(self, running: RunningService) -> None:
         pool = running.service.request_handler.current.pools["web"]  # type: ignore[union-attr]
         dispatcher = pool.dispatcher
-        book = running.service.pools.book
+        server_registry = running.service.pools.server_registry
         handle = dispatcher.balancer.handle
 
         def recorded(now_ms: float, event: Event) -> list[Action]:
             actions = handle(now_ms, event)
             for action in actions:
                 if isinstance(action, Send):
-                    self.times_ms.setdefault(book.name(action.server), []).append(now_ms)
+                    self.times_ms.setdefault(server_registry.name(action.server), []).append(now_ms)
             return actions
 
         dispatcher.balancer.handle = recorded  # type: ignore[method-assign]
@@ -171,7 +171,7 @@
     excess = attempts_beyond_ramp(PLAN, int(started_ms), times)
     assert excess <= FORWARDERS + 0.5, f"{excess:.2f} attempts beyond the ramp"
     assert len(site.farm.servers["fresh"].requests) <= len(times)
-    assert all(len(entry.answers) == 1 for entry in site.request_log.entries.values())
+    assert all(len(entry.responses) == 1 for entry in site.request_log.entries.values())
     return sum(at < started_ms + PLAN.warm_up_ms for at in times)
 
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -55,8 +55,8 @@
 async def check_served_with_close(client: HttpClient) -> None:
     """A request is answered 200, and the answer is the last of its connection."""
     client.send_request()
-    answer = await client.read_response()
-    assert (answer.status, answer.headers.get("connection")) == (200, "close")
+    response = await client.read_response()
+    assert (response.status, response.headers.get("connection")) == (200, "close")
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -75,7 +75,7 @@
     connection = only_connection(balancer)
     disconnect(client)
     await wait_until(connection.has_disconnected, "the disconnect is in the system")
-    assert balancer.dispatcher.unanswered
+    assert balancer.dispatcher.pending_requests
 
 
 def test_a_disconnect_behind_pipelined_requests_is_noticed_with_reading_paused() -> None:
@@ -265,7 +265,7 @@
         client.sendall(request_bytes())
         await wait_until_requested(upstream)
         disconnect(client)
-        await wait_until(lambda: not balancer.dispatcher.unanswered, "the disconnect is noticed")
+        await wait_until(lambda: not balancer.dispatcher.pending_requests, "the disconnect is noticed")
         upstream.release()
         await wait_until_nothing_in_flight(balancer)
         assert len(upstream.requests) == 1
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -35,15 +35,15 @@
     target: str
     writer: asyncio.StreamWriter
 
-    def answer_full_list(self, version: int, **states: str) -> None:
+    def respond_with_full_list(self, version: int, **states: str) -> None:
         """Answer with the servers of this version and their states on the wire."""
-        self._answer(version, states, complete=True)
+        self._respond(version, states, complete=True)
 
-    def answer_changes(self, version: int, **states: str) -> None:
+    def respond_with_changes(self, version: int, **states: str) -> None:
         """Answer with the servers that changed up to this version and their states on the wire."""
-        self._answer(version, states, complete=False)
+        self._respond(version, states, complete=False)
 
-    def _answer(self, version: int, states: dict[str, str], complete: bool) -> None:
+    def _respond(self, version: int, states: dict[str, str], complete: bool) -> None:
         rows = [entry(name, 9, lifecycle=state) for name, state in states.items()]
         data = {"generation": version, "reset": complete, "instances": rows}
         self.writer.write(ok(json.dumps(data).encode()))
@@ -78,10 +78,10 @@
 
 
 def watch_call(
-    number: int = 1, after: int = 41, wait_ms: float = 60_000.0, patience_ms: float = 60_000.0
+    number: int = 1, after: int = 41, wait_ms: float = 60_000.0, response_timeout_ms: float = 60_000.0
 ) -> WatchList:
     """A watch call; by default it does not time out within the test."""
-    return WatchList(True, number, after, wait_ms, patience_ms)
+    return WatchList(True, number, after, wait_ms, response_timeout_ms)
 
 
 class ReceivedListings:
@@ -131,11 +131,11 @@
             source.fetch()
             fetch = await discovery.call()
             assert "after" not in fetch.target
-            watch.answer_changes(43, a="leaving")
+            watch.respond_with_changes(43, a="leaving")
             await received.next()
-            fetch.answer_full_list(42, a="active", b="active")
-            answer = await received.next()  # each call is answered once
-            assert (answer.kind, answer.version, answer.entries) == (ListKind.DELTA, 43, ())
+            fetch.respond_with_full_list(42, a="active", b="active")
+            response = await received.next()  # each call is answered once
+            assert (response.kind, response.version, response.entries) == (ListKind.DELTA, 43, ())
             assert received.states[1] is ServerState.DRAINING
 
     run(work())
@@ -150,9 +150,9 @@
             watch = await discovery.call()
             source.fetch()
             fetch = await discovery.call()
-            fetch.answer_full_list(45, b="active")  # a is no longer listed
+            fetch.respond_with_full_list(45, b="active")  # a is no longer listed
             await received.next()
-            watch.answer_changes(43, a="leaving")
+            watch.respond_with_changes(43, a="leaving")
             await received.next()
             assert list(received.states) == [2]
             assert received.version == 45
@@ -167,7 +167,7 @@
         async with following_discovery() as (source, discovery, received):
             source.fetch()
             fetch = await discovery.call()
-            fetch.answer_full_list(2, b="leaving")
+            fetch.respond_with_full_list(2, b="leaving")
             listing = await received.next()
             assert (listing.kind, listing.version) == (ListKind.FULL, 2)
             assert received.states == {2: ServerState.DRAINING}
@@ -228,16 +228,16 @@
 
     async def work() -> None:
         async with following_discovery() as (source, discovery, received):
-            answered: ReceivedCall | None = None
+            responded: ReceivedCall | None = None
             if silence == "after an empty answer":
                 source.watch(watch_call(1))
-                answered = await discovery.call()
-                answered.answer_changes(41)
+                responded = await discovery.call()
+                responded.respond_with_changes(41)
                 assert (await received.next()).kind is ListKind.DELTA
-            source.watch(watch_call(2, patience_ms=200.0))
+            source.watch(watch_call(2, response_timeout_ms=200.0))
             silent = await discovery.call()
-            if answered is not None:
-                assert silent.writer is answered.writer  # the next watch is on the same connection
+            if responded is not None:
+                assert silent.writer is responded.writer  # the next watch is on the same connection
             if silence == "in the body":
                 silent.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
             failed = await received.next()
@@ -259,9 +259,9 @@
             watch = await discovery.call()
             source.fetch()
             fetch = await discovery.call()
-            fetch.answer_full_list(42, a="active", b="active")
+            fetch.respond_with_full_list(42, a="active", b="active")
             assert (await received.next()).call == 0
-            watch.answer_changes(43, a="leaving")
+            watch.respond_with_changes(43, a="leaving")
             assert (await received.next()).call == 7
 
     run(work())
@@ -275,7 +275,7 @@
         async with following_discovery() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
-            watch.answer_changes(version, a="leaving")
+            watch.respond_with_changes(version, a="leaving")
             failed = await received.next()
             assert (failed.kind, failed.version) == (ListKind.FAILED, NO_VERSION)
             assert received.states[1] is ServerState.READY
@@ -301,8 +301,8 @@
             first = await new_discovery.call()
             assert "after" not in first.target  # its versions are its own
             if watching:
-                late.answer_changes(99, a="left")
-            first.answer_full_list(3, a="active")
+                late.respond_with_changes(99, a="left")
+            first.respond_with_full_list(3, a="active")
             listing = await received.next()
             assert (listing.kind, listing.version) == (ListKind.FULL, 3)
             new_discovery.close()
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -50,7 +50,7 @@
     await graceful_shutdown.drain(
         balancer.shared.clock,
         [balancer.listener],
-        lambda: balancer.dispatcher.unanswered,
+        lambda: balancer.dispatcher.pending_requests,
         RESPONSE_TIMEOUT_S * 1000.0,
     )
 
@@ -108,9 +108,9 @@
             monkeypatch.setattr(balancer.listener, "close_idle", close_idle_as_a_request_arrives)
             await drain(balancer)
             assert len(upstream.requests) == 1  # before the process may end
-            answer = await read_until_close(client)
-            assert answer.startswith(b"HTTP/1.1 200")
-            assert b"Connection: close" in answer
+            response = await read_until_close(client)
+            assert response.startswith(b"HTTP/1.1 200")
+            assert b"Connection: close" in response
 
     run(work())
 
@@ -131,8 +131,8 @@
             ending = asyncio.create_task(drain(balancer))
             await wait_until(lambda: balancer.listener._stopping, "accepting stops")
             upstream.release()
-            answers = [await read_until_close(client) for client in clients]
-            assert all(answer.startswith(b"HTTP/1.1 200") for answer in answers)
+            responses = [await read_until_close(client) for client in clients]
+            assert all(response.startswith(b"HTTP/1.1 200") for response in responses)
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ending
             assert balancer.listener._socket is None
@@ -151,8 +151,8 @@
             balancer.listener.stop_accepting()
             balancer.listener.close_idle()
             client.sendall(request_bytes("move", b"x"))
-            answer = await read_until_close(client)
-            assert answer.count(b"HTTP/1.1 200") == 1
+            response = await read_until_close(client)
+            assert response.count(b"HTTP/1.1 200") == 1
             assert connection._discarded_bytes == 0
             assert len(upstream.requests) == 1
             assert not balancer.listener.open_count
@@ -202,7 +202,7 @@
 
     async def work() -> None:
         monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
-        latest_answer_ms = graceful_shutdown.MAX_COUNTED_DEADLINE_MS - graceful_shutdown.ANSWER_READ_MS
+        latest_response_ms = graceful_shutdown.MAX_COUNTED_DEADLINE_MS - graceful_shutdown.RESPONSE_READ_MS
         upstream = FakeServer(never_responds)
         async with balancer_before(upstream) as balancer, HttpClient(balancer.port) as client:
             request_handler = balancer.listener.request_handler
@@ -212,7 +212,7 @@
             client.send_request("move", b"x")
             assert (await client.read_response()).status in (502, 504)
             assert balancer.shared.clock.now_ms() - started_ms < 8_000.0
-            assert int(upstream.requests[0].headers["x-expires-in-ms"]) <= latest_answer_ms
+            assert int(upstream.requests[0].headers["x-expires-in-ms"]) <= latest_response_ms
 
     run(work())
 
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -89,8 +89,8 @@
             await wait_until_shutting_down(port)
             process.send_signal(signal.SIGTERM)
             upstream.release()
-            answer = await in_flight.read_response()
-            assert (answer.status, answer.headers.get("connection")) == (200, "close")
+            response = await in_flight.read_response()
+            assert (response.status, response.headers.get("connection")) == (200, "close")
             assert await exit_code(process) == 0
         assert len(upstream.requests) == 1
         upstream.close()
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -10,7 +10,7 @@
 from sandhatch.routing.coverage import unreachable
 from sandhatch.routing.route import HeaderTest, Query, Route, prefixes
 from sandhatch.routing.table import RouteTable
-from sandhatch.routing.targets import Answer
+from sandhatch.routing.targets import FixedResponse
 
 
 def query(path: bytes, host: bytes = b"shop.example.org", **more: Any) -> Query:
@@ -157,5 +157,5 @@
 
 
 def test_a_fixed_answer_is_a_target() -> None:
-    answer = Answer(404, b"", b"text/plain")
-    assert RouteTable([], answer).default is answer
+    response = FixedResponse(404, b"", b"text/plain")
+    assert RouteTable([], response).default is response
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -121,7 +121,7 @@
 
     def server_name(self, farm: FakeServers, number: int) -> str:
         """The name of the fake server that has this number in the service."""
-        address = self.service.pools.book.name(number)
+        address = self.service.pools.server_registry.name(number)
         return next(name for name in farm.servers if farm.address(name) == address)
 
 
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -81,8 +81,8 @@
             assert running.service.shared.descriptors.limit < 20
             released.set()
             for client in clients:
-                answer = await client.read_response()
-                assert (answer.status, answer.body) == (200, b"done")
+                response = await client.read_response()
+                assert (response.status, response.body) == (200, b"done")
                 await client.__aexit__()
             async with HttpClient(running.port) as late:
                 late.send_request()
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -64,7 +64,7 @@
             assert isinstance(successor, Balancer)
             assert successor is not previous
             assert successor.latency.mean_ms == previous.latency.mean_ms
-            assert successor.latency.answers == previous.latency.answers
+            assert successor.latency.responses == previous.latency.responses
             client.send_request()
             assert (await client.read_response()).body == b"a1"
             # The check whether it can be reached opened one; the request reused the pooled connection.
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -63,9 +63,9 @@
         reader, writer = await asyncio.open_unix_connection(self.control)
         try:
             writer.write(encode({"op": op} | arguments))
-            answer = json.loads(await reader.readline())
-            assert isinstance(answer, dict)
-            return answer
+            response = json.loads(await reader.readline())
+            assert isinstance(response, dict)
+            return response
         finally:
             writer.close()
 
@@ -184,7 +184,7 @@
             assert set(farm.books.statuses()) == {200}
             ran = [entry for entry in farm.books.entries.values() if entry.ran]
             assert ran
-            assert all(len(entry.answers) == 1 for entry in ran)
+            assert all(len(entry.responses) == 1 for entry in ran)
 
     run(work())
 
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -46,7 +46,7 @@
         assert record.pool == to["pool"], record
         allowed = {server["address"] for server in data["pools"][record.pool]["servers"].values()}
         for number in record.servers:
-            assert running.service.pools.book.name(number) in allowed, record
+            assert running.service.pools.server_registry.name(number) in allowed, record
 
 
 async def churn(
--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -128,8 +128,8 @@
         assert self.flow_statistics.over == 0
 
 
-def config(servers: list[StreamingServer], request: Any, answer: Any, **more: Any) -> dict[str, Any]:
-    bodies = {"request": DIRECTION | request, "answer": DIRECTION | answer} | more.pop("bodies", {})
+def config(servers: list[StreamingServer], request: Any, response: Any, **more: Any) -> dict[str, Any]:
+    bodies = {"request": DIRECTION | request, "answer": DIRECTION | response} | more.pop("bodies", {})
     times = {"aim_ms": 8_000, "deadline_ms": 15_000, "bodies": bodies} | more.pop("times", {})
     return {
         "format": 1,
@@ -152,16 +152,16 @@
 
 @asynccontextmanager
 async def deployed(
-    *handlers: Serve, request: Any = None, answer: Any = None, **more: Any
+    *handlers: Serve, request: Any = None, response: Any = None, **more: Any
 ) -> AsyncIterator[Deployment]:
     servers = [await StreamingServer(serve).start() for serve in handlers]
     try:
-        async with serving(config(servers, request or {}, answer or {}, **more)) as kept:
-            pools = kept.service.pools.alive.values()
-            await kept.until(lambda: all(pool.dispatcher.ready for pool in pools))
+        async with serving(config(servers, request or {}, response or {}, **more)) as running:
+            pools = running.service.pools.alive.values()
+            await running.until(lambda: all(pool.dispatcher.ready for pool in pools))
             for server in servers:
                 server.connections = 0  # without the health check's
-            yield Deployment(kept, servers, DecisionRecorder(next(iter(pools)).dispatcher))
+            yield Deployment(running, servers, DecisionRecorder(next(iter(pools)).dispatcher))
     finally:
         for server in servers:
             server.close()
@@ -181,14 +181,14 @@
     return head(f"GET {target} HTTP/1.1", **({"Host": "d", "X-Trace-Id": trace, "X-Qos": "look"} | headers))
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """The status and the header fields of an answer, names in lower case."""
 
     status: int
     headers: dict[str, str]
 
 
-class StreamedAnswer(NamedTuple):
+class StreamedResponse(NamedTuple):
     """The status and the body of an answer."""
 
     status: int
@@ -214,27 +214,27 @@
             await asyncio.sleep(pause_s)
 
 
-async def answer_head(client: HttpClient, timeout_s: float = RESPONSE_TIMEOUT_S) -> AnswerHead:
+async def response_head(client: HttpClient, timeout_s: float = RESPONSE_TIMEOUT_S) -> ResponseHead:
     async with asyncio.timeout(timeout_s):
         received = await read_head(client.reader)
     assert received is not None, "the connection ended without an answer"
-    return AnswerHead(int(received[0].split()[1]), received[1])
+    return ResponseHead(int(received[0].split()[1]), received[1])
 
 
-async def answer_of(client: HttpClient) -> StreamedAnswer:
-    status, headers = await answer_head(client)
+async def response_of(client: HttpClient) -> StreamedResponse:
+    status, headers = await response_head(client)
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-        return StreamedAnswer(status, await read_body(client.reader, headers))
+        return StreamedResponse(status, await read_body(client.reader, headers))
 
 
 async def assert_stored(client: HttpClient, size: int) -> None:
     """Expect the answer of `store_upload` to a body of that size, complete and unchanged."""
-    status, headers = await answer_head(client)
+    status, headers = await response_head(client)
     text = await client.reader.readexactly(int(headers["content-length"]))
     assert (status, text.decode()) == (200, f"{size} {BODY.crc(size)}")
 
 
-async def answer_text(upload: StreamedRequest, text: str, status: int = 200, **headers: str) -> None:
+async def response_text(upload: StreamedRequest, text: str, status: int = 200, **headers: str) -> None:
     lines = {"Content-Length": str(len(text))} | headers
     await upload.connection.send(head(f"HTTP/1.1 {status} X", **lines) + text.encode())
 
@@ -243,7 +243,7 @@
     """Read the complete body, and answer with its size and checksum."""
     body = await upload.body()
     if body.complete:
-        await answer_text(upload, f"{body.size} {body.crc}")
+        await response_text(upload, f"{body.size} {body.crc}")
 
 
 def serve_body(size: int, seed: int = 2, chunks: bool = False) -> Serve:
--- a/tests/streaming/test_changes_in_mid_body.py
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -11,10 +11,10 @@
     KIB,
     MIB,
     Deployment,
-    answer_head,
-    answer_of,
     assert_stored,
     deployed,
+    response_head,
+    response_of,
     run,
     send_upload,
     store_upload,
@@ -44,11 +44,11 @@
             await deployment.running.confirmed(data)
             await asyncio.sleep(2.1)  # longer than the grace period
             client.send(REST)
-            assert (await answer_of(client))[0] == 200
+            assert (await response_of(client))[0] == 200
             for _ in range(8):
                 async with HttpClient(deployment.port) as other:
                     await send_upload(other, 100 * KIB)
-                    assert (await answer_of(other))[0] == 200
+                    assert (await response_of(other))[0] == 200
             assert len(busy.seen) == 1
             await deployment.until_idle()
 
@@ -67,7 +67,7 @@
             await assert_stored(client, SIZE)
             async with HttpClient(deployment.port) as other:
                 other.send(upload_head(MIB))
-                assert (await answer_head(other))[0] == 404
+                assert (await response_head(other))[0] == 404
             await deployment.until(lambda: bool(deployment.records))
             assert deployment.records[0].version == 1
 
@@ -82,7 +82,7 @@
             await asyncio.sleep(0.7)  # longer than the time in which new requests are still accepted
             assert not draining.done()
             client.send(REST)
-            status, headers = await answer_head(client)
+            status, headers = await response_head(client)
             assert (status, headers["connection"]) == (200, "close")
             await draining
 
--- a/tests/streaming/test_client_failures.py
+++ b/tests/streaming/test_client_failures.py
@@ -7,10 +7,10 @@
 from tests.streaming.harness import (
     BODY,
     MIB,
-    answer_head,
-    answer_of,
     deployed,
     download_head,
+    response_head,
+    response_of,
     run,
     send_upload,
     serve_body,
@@ -39,7 +39,7 @@
         async with deployed(serve_body(64 * MIB)) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(download_head())
-                await answer_head(client)
+                await response_head(client)
             await deployment.until_idle()
             await deployment.until_server_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
@@ -58,7 +58,7 @@
                 await send_upload(client, MIB)
                 client.writer.write_eof()
                 if half_close:
-                    assert (await answer_of(client))[0] == 200
+                    assert (await response_of(client))[0] == 200
                 else:
                     assert await client.read_to_end() == b""
                 await deployment.until_idle()
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -92,7 +92,7 @@
         self.watcher = RecordingWatcher()
         terms = BodyTerms(1 << 40, 64 * KIB, replay, 256 * KIB, writer, reader)
         reserve = 96 * KIB
-        self.memory_budget.book(0, reserve)
+        self.memory_budget.update_usage(0, reserve)
         self.flow = Flow(terms, self, self.source, reserve)
         self.flow.observe(self.watcher)
 
@@ -183,7 +183,7 @@
     sink = FakeSink(capacity_bytes=0)
     fixture.flow.push(b"x" * 50 * KIB)
     fixture.flow.attach(sink)
-    assert fixture.flow.lease_to_answer() == Flow.MIN_CREDIT_BYTES
+    assert fixture.flow.lease_to_response() == Flow.MIN_CREDIT_BYTES
     fixture.flow.close()
     fixture.flow.close()
     fixture.flow.push(b"more")
@@ -327,11 +327,11 @@
     assert memory_budget.free == 0
     leaver = waiters["leaver"]
     assert leaver is not None
-    leaver.leave()
-    memory_budget.book(200 * KIB, 0)
+    leaver.cancel()
+    memory_budget.update_usage(200 * KIB, 0)
     assert served == ["large", "small", "last"]
     assert memory_budget.used_bytes == 211 * KIB
-    leaver.leave()
+    leaver.cancel()
     assert memory_budget.used_bytes == 211 * KIB
 
 
--- a/tests/streaming/test_many_uploads.py
+++ b/tests/streaming/test_many_uploads.py
@@ -14,8 +14,8 @@
     BODY,
     KIB,
     Deployment,
-    answer_head,
     deployed,
+    response_head,
     run,
     store_upload,
     upload_head,
@@ -35,11 +35,11 @@
     def __init__(self, memory_budget: MemoryBudget) -> None:
         self.peak_bytes = 0
         self._memory_budget = memory_budget
-        self._book = memory_budget.book
-        memory_budget.book = self._record  # type: ignore[method-assign]
+        self._update_usage = memory_budget.update_usage
+        memory_budget.update_usage = self._record  # type: ignore[method-assign]
 
     def _record(self, before: int, now: int) -> bool:
-        fits = self._book(before, now)
+        fits = self._update_usage(before, now)
         self.peak_bytes = max(self.peak_bytes, self._memory_budget.used_bytes)
         return fits
 
@@ -48,15 +48,15 @@
     """The status of the final answer to an upload on a connection of its own."""
     async with HttpClient(port) as client:
         client.send(upload_head(SIZE_BYTES, Expect="100-continue") + BODY.prefix(SIZE_BYTES))
-        status, headers = await answer_head(client, DISTANT_S)
+        status, headers = await response_head(client, DISTANT_S)
         if status == 100:
-            status, headers = await answer_head(client, DISTANT_S)
+            status, headers = await response_head(client, DISTANT_S)
         if status == 503:
             assert float(headers["retry-after"]) > 0
         return status
 
 
-async def assert_each_answered_once(deployment: Deployment) -> None:
+async def assert_one_response_each(deployment: Deployment) -> None:
     peak = PeakRecorder(deployment.memory_budget)
     results = await asyncio.gather(*(upload_once(deployment.port) for _ in range(COUNT)))
     assert set(results) <= {200, 503}
@@ -88,6 +88,6 @@
             times={"aim_ms": DISTANT_MS, "deadline_ms": DISTANT_MS},
             pool={"tier": 1, "max_connections": 2_000, "connect_timeout_ms": DISTANT_MS},
         ) as deployment:
-            await assert_each_answered_once(deployment)
+            await assert_one_response_each(deployment)
 
     run(work(), limit_s=2.0 * DISTANT_S)
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -11,9 +11,9 @@
     BODY,
     KIB,
     MIB,
-    answer_head,
-    answer_of,
     deployed,
+    response_head,
+    response_of,
     run,
     store_upload,
     upload_head,
@@ -40,7 +40,7 @@
             client.send(upload_head(None) + chunked(BODY.prefix(100 * KIB)))
             await deployment.server.arrived.get()  # it has begun
             client.send(bad + upload_head(3) + b"abc")
-            status, headers = await answer_head(client)
+            status, headers = await response_head(client)
             assert status in (400, 413, 431)
             assert headers["connection"] == "close"
             await deployment.until_idle()
@@ -61,9 +61,9 @@
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
             async with HttpClient(deployment.port) as client:  # more than announced: no request of its own
                 client.send(upload_head(MIB) + BODY.prefix(MIB) + b"and some more\r\n\r\n")
-                status, _ = await answer_of(client)
+                status, _ = await response_of(client)
                 assert status == 200
-                status, headers = await answer_head(client)
+                status, headers = await response_head(client)
                 assert (status, headers["connection"]) == (400, "close")
             await deployment.until_idle()
             assert len(deployment.server.seen) == 2
@@ -89,7 +89,7 @@
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             client.send(b"POST /d HTTP/1.1\r\nHost: d\r\n" + lines + b"\r\n")
             client.send(b"3\r\nabc\r\n0\r\n\r\n" + upload_head(3) + b"abc")
-            status, headers = await answer_head(client)
+            status, headers = await response_head(client)
             assert (status, headers["connection"]) == (400, "close")
             await deployment.until_idle()
             assert not deployment.server.seen
@@ -102,12 +102,12 @@
         async with deployed(store_upload, request={"most_bytes": MIB}) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB + 1, Expect="100-continue"))
-                status, _ = await answer_head(client)
+                status, _ = await response_head(client)
                 assert status == 413
                 assert not deployment.server.seen
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(None) + chunked(BODY.prefix(MIB)) + chunked(b"x"))
-                status, headers = await answer_head(client)
+                status, headers = await response_head(client)
                 assert (status, headers["connection"]) == (413, "close")
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
@@ -117,18 +117,18 @@
 
 def test_100_continue_is_sent_once_and_not_before_a_rejection() -> None:
     async def work() -> None:
-        answer = {"match": {"path": {"prefix": "/no"}}, "to": {"answer": {"status": 403, "body": "no"}}}
-        async with deployed(store_upload, routes=[{"name": "no"} | answer]) as deployment:
+        response = {"match": {"path": {"prefix": "/no"}}, "to": {"answer": {"status": 403, "body": "no"}}}
+        async with deployed(store_upload, routes=[{"name": "no"} | response]) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB, Expect="100-continue"))
-                assert (await answer_head(client))[0] == 100
+                assert (await response_head(client))[0] == 100
                 client.send(BODY.prefix(MIB))
-                assert (await answer_head(client))[0] == 200
+                assert (await response_head(client))[0] == 200
                 assert "expect" not in deployment.server.seen[0].headers
             for bad in ({"target": "/no/way"}, {"X_Qos": "nobody"}):
                 async with HttpClient(deployment.port) as client:
                     client.send(upload_head(MIB, **{"Expect": "100-continue"} | bad))
-                    status, headers = await answer_head(client)
+                    status, headers = await response_head(client)
                     assert status == (403 if "target" in bad else 400)
                     assert headers["connection"] == "close"
             await deployment.until_idle()
--- a/tests/streaming/test_server_failures.py
+++ b/tests/streaming/test_server_failures.py
@@ -15,12 +15,12 @@
     BODY,
     KIB,
     MIB,
-    answer_head,
-    answer_of,
-    answer_text,
     assert_stored,
     deployed,
     download_head,
+    response_head,
+    response_of,
+    response_text,
     run,
     send_upload,
     serve_body,
@@ -29,7 +29,7 @@
 )
 
 
-def truncates_answer(chunks: bool) -> Serve:
+def truncates_response(chunks: bool) -> Serve:
     """Announces a long answer, and closes after half of it."""
 
     async def serve(upload: StreamedRequest) -> None:
@@ -44,9 +44,9 @@
 @pytest.mark.parametrize("chunks", [False, True], ids=["length", "chunked"])
 def test_a_truncated_answer_is_never_forwarded_as_complete(chunks: bool) -> None:
     async def work() -> None:
-        async with deployed(truncates_answer(chunks)) as deployment, HttpClient(deployment.port) as client:
+        async with deployed(truncates_response(chunks)) as deployment, HttpClient(deployment.port) as client:
             client.send(download_head())
-            status, body = await answer_of(client)
+            status, body = await response_of(client)
             assert status == 200
             assert not body.complete
             assert body.size <= MIB // 2
@@ -70,14 +70,14 @@
         async with deployed(serve_body(MIB // 2, chunks=True)) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(http_1_0_download_head())
-                _, headers = await answer_head(client)
+                _, headers = await response_head(client)
                 assert "transfer-encoding" not in headers
                 assert "content-length" not in headers
                 assert len(await client.read_to_end()) == MIB // 2
-            deployment.server.serve = truncates_answer(chunks=True)
+            deployment.server.serve = truncates_response(chunks=True)
             async with HttpClient(deployment.port) as client:
                 client.send(http_1_0_download_head())
-                assert (await answer_head(client)).status == 200
+                assert (await response_head(client)).status == 200
                 with pytest.raises(ConnectionResetError):
                     await client.read_to_end()
 
@@ -87,7 +87,7 @@
 def test_a_server_that_answers_and_closes_before_the_end_of_the_request() -> None:
     async def early(upload: StreamedRequest) -> None:
         await upload.body(stop_at=100 * KIB)
-        await answer_text(upload, "enough", Connection="close")
+        await response_text(upload, "enough", Connection="close")
         upload.connection.writer.write_eof()
         await upload.connection.ended()
 
@@ -95,7 +95,7 @@
         async with deployed(early) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
             client.send(BODY.prefix(300 * KIB))
-            status, headers = await answer_head(client)
+            status, headers = await response_head(client)
             assert (status, headers["connection"]) == (200, "close")  # the rest of the body is not wanted
             assert await client.reader.readexactly(6) == b"enough"
             await deployment.until_idle()
@@ -116,7 +116,7 @@
         async with deployed(resets, resets) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
             client.send(BODY.prefix(64 * KIB))
-            status, headers = await answer_head(client)
+            status, headers = await response_head(client)
             assert (status, headers["connection"]) == (502, "close")
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.RESET]
@@ -167,7 +167,7 @@
             client.send(upload_head(4 * MIB, X_Qos="look"))
             client.send(BODY.prefix(2 * MIB))
             # Idempotent, so it is rejected with Retry-After: a retry by the client does no harm.
-            status, _headers = await answer_head(client)
+            status, _headers = await response_head(client)
             assert status == 503
             await deployment.until_idle()
             kinds = [type(event).__name__ for event in deployment.decisions.events]
@@ -191,7 +191,7 @@
             for number in range(MAX_UPLOADS):
                 async with HttpClient(deployment.port) as client:
                     await send_upload(client, MIB)
-                    assert (await answer_head(client)).status == 200
+                    assert (await response_head(client)).status == 200
                 if number >= 5 and Outcome.CONNECT_FAILED in deployment.decisions.outcomes:
                     break
             await deployment.until_idle()
@@ -210,7 +210,7 @@
     async def work() -> None:
         async with deployed(broken) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, MIB)
-            assert (await answer_head(client))[0] == 502
+            assert (await response_head(client))[0] == 502
             await deployment.until_idle()
             assert [action for action in deployment.decisions.actions if isinstance(action, Fail)]
 
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -18,12 +18,12 @@
     BODY,
     KIB,
     MIB,
-    AnswerHead,
-    answer_head,
-    answer_of,
-    answer_text,
+    ResponseHead,
     deployed,
     download_head,
+    response_head,
+    response_of,
+    response_text,
     run,
     send_body,
     serve_body,
@@ -45,11 +45,11 @@
         await asyncio.sleep(0.02)
 
 
-async def answer_to_trickle(client: HttpClient) -> AnswerHead:
+async def response_to_trickle(client: HttpClient) -> ResponseHead:
     """What the balancer answers to a client that trickles meanwhile."""
     trickling = asyncio.create_task(trickle(client))
     try:
-        return await answer_head(client)
+        return await response_head(client)
     finally:
         trickling.cancel()
 
@@ -63,7 +63,7 @@
             HttpClient(deployment.port) as client,
         ):
             client.send(upload_head(MIB))
-            status, headers = await answer_to_trickle(client)
+            status, headers = await response_to_trickle(client)
             assert (status, headers["connection"]) == (408, "close")
             await deployment.until_idle()
             assert deployment.server.connections == 0
@@ -79,7 +79,7 @@
             HttpClient(deployment.port) as client,
         ):
             client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
-            assert (await answer_to_trickle(client)).status == 408
+            assert (await response_to_trickle(client)).status == 408
             await deployment.until_idle()
             await deployment.until_server_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]  # not the server's fault
@@ -97,7 +97,7 @@
             HttpClient(deployment.port) as client,
         ):
             client.send(upload_head(MIB) + BODY.prefix(100 * KIB))
-            assert (await answer_head(client))[0] == 408
+            assert (await response_head(client))[0] == 408
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
@@ -114,13 +114,13 @@
             for _ in range(2):
                 client.send(upload_head(32 * KIB))
                 await send_body(client, 32 * KIB, most=4 * KIB, pause_s=0.2)  # longer than those limits
-                assert (await answer_of(client))[0] == 200
+                assert (await response_of(client))[0] == 200
         async with (
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
         ):
             client.send(upload_head(32 * KIB) + BODY.prefix(KIB))
-            assert (await answer_head(client))[0] == 408
+            assert (await response_head(client))[0] == 408
 
     run(work())
 
@@ -139,7 +139,7 @@
         ):
             client.send(upload_head(64 * MIB))
             sending = asyncio.create_task(send_body(client, 64 * MIB))
-            assert (await answer_head(client))[0] == 502
+            assert (await response_head(client))[0] == 502
             sending.cancel()
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.TIMEOUT]
@@ -157,11 +157,11 @@
 
     async def work() -> None:
         async with (
-            deployed(stalls, answer={"writer_stall_ms": STALL_MS}) as deployment,
+            deployed(stalls, response={"writer_stall_ms": STALL_MS}) as deployment,
             HttpClient(deployment.port) as client,
         ):
             client.send(download_head())
-            status, body = await answer_of(client)
+            status, body = await response_of(client)
             assert status == 200
             assert not body.complete
             assert body.size == MIB
@@ -179,11 +179,11 @@
     async def work() -> None:
         limits = {"reader_stall_ms": STALL_MS}
         async with (
-            deployed(serve_body(64 * MIB), answer=limits) as deployment,
+            deployed(serve_body(64 * MIB), response=limits) as deployment,
             HttpClient(deployment.port) as client,
         ):
             client.send(download_head())
-            await answer_head(client)
+            await response_head(client)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
@@ -206,7 +206,7 @@
 
 async def store_slowly(upload: StreamedRequest) -> None:
     body = await upload.body(max_read_bytes=SLOW_PIECE, pause=pause_after_piece)
-    await answer_text(upload, f"{body.size} {body.crc}")
+    await response_text(upload, f"{body.size} {body.crc}")
 
 
 def tight_limits(side: str) -> dict[str, int]:
@@ -225,7 +225,7 @@
         async with deployed(serve, request=limits) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(2 * MIB))
             await send_body(client, 2 * MIB, most=SLOW_PIECE, pause_s=pause_s)
-            assert (await answer_of(client)).status == 200
+            assert (await response_of(client)).status == 200
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.OK]
 
@@ -241,7 +241,7 @@
             await deployment.server.arrived.get()
             await asyncio.sleep(2.0)
             client.send(BODY.prefix(MIB)[-1:])
-            assert (await answer_of(client))[0] == 200
+            assert (await response_of(client))[0] == 200
             await deployment.until_idle()
             assert deployment.decisions.ends[0].spent_ms < 1_500.0
 
@@ -254,7 +254,7 @@
         async with deployed(store_upload, bodies={"total_ms": 1_500}, times=times) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(64 * MIB) + BODY.prefix(100 * KIB))
-                assert (await answer_to_trickle(client)).status == 504
+                assert (await response_to_trickle(client)).status == 504
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
             assert [record.truncated_by for record in deployment.records] == ["time"]
@@ -280,7 +280,7 @@
             assert timer is not None
             assert timer.due_ms == pytest.approx(attempt.sent_ms + attempt.timeout_ms, abs=50.0)
             attempt.time_out()
-            assert (await answer_head(client))[0] == 502
+            assert (await response_head(client))[0] == 502
             await deployment.until_idle()
             assert deployment.decisions.outcomes == [Outcome.TIMEOUT]
 
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -15,12 +15,12 @@
     BODY,
     KIB,
     MIB,
-    answer_head,
-    answer_of,
-    answer_text,
     assert_stored,
     deployed,
     download_head,
+    response_head,
+    response_of,
+    response_text,
     run,
     send_upload,
     serve_body,
@@ -53,7 +53,7 @@
         async with deployed(serve_body(size, 2, chunks)) as deployment, HttpClient(deployment.port) as client:
             for _ in range(2):
                 client.send(download_head())
-                status, body = await answer_of(client)
+                status, body = await response_of(client)
                 assert (status, body.size, body.crc) == (200, size, SeededBody(2).crc(size))
                 assert body.complete
             await deployment.until_idle()
@@ -75,7 +75,7 @@
     async def work() -> None:
         async with deployed(serve) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, MIB, chunks=True)
-            _, body = await answer_of(client)
+            _, body = await response_of(client)
             assert seen == [{"x-sum": "7"}]
             assert body.complete
             assert body.trailers == {"x-sum": "7"}
@@ -96,7 +96,7 @@
     async def work() -> None:
         async with deployed(echo) as deployment, HttpClient(deployment.port) as client:
             sending = asyncio.create_task(send_upload(client, 8 * MIB))
-            status, body = await answer_of(client)
+            status, body = await response_of(client)
             await sending
             assert (status, body.size, body.crc) == (200, 8 * MIB, BODY.crc(8 * MIB))
             await deployment.until_idle()
@@ -112,12 +112,12 @@
 
     async def slow(upload: StreamedRequest) -> None:
         body = await upload.body(max_read_bytes=32 * KIB, pause=pause)
-        await answer_text(upload, f"{body.size} {body.crc}")
+        await response_text(upload, f"{body.size} {body.crc}")
 
     async def work() -> None:
         async with deployed(slow) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, 12 * MIB)
-            assert (await answer_of(client))[0] == 200
+            assert (await response_of(client))[0] == 200
             await deployment.until_idle()
             assert 0 < deployment.flow_statistics.peak_bytes <= 192 * KIB
             assert deployment.flow_statistics.over == 0
@@ -137,7 +137,7 @@
             HttpClient(deployment.port) as client,
         ):
             client.send(download_head())
-            assert (await answer_head(client))[0] == 200
+            assert (await response_head(client))[0] == 200
             assert await client.reader.readexactly(10) == b"5\r\nfirst\r\n"
 
     run(work())
@@ -155,7 +155,7 @@
             client.send(download_head() + upload_head(MIB) + BODY.prefix(MIB) + download_head())
             sizes = []
             for _ in range(3):
-                status, body = await answer_of(client)
+                status, body = await response_of(client)
                 assert status == 200
                 sizes.append(body.size)
             assert sizes == [3, len(f"{MIB} {BODY.crc(MIB)}"), 3]
--- a/tests/upstream/behaviours.py
+++ b/tests/upstream/behaviours.py
@@ -16,13 +16,13 @@
     talk.writer.close()
 
 
-async def resets_inside_the_answer(_request: ReceivedRequest, talk: FakeConnection) -> None:
+async def resets_inside_the_response(_request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send a part of an answer, then reset the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
     talk.reset()
 
 
-async def ends_the_answer_by_closing(_request: ReceivedRequest, talk: FakeConnection) -> None:
+async def ends_the_response_by_closing(_request: ReceivedRequest, talk: FakeConnection) -> None:
     """Send an answer without a length, then close the connection."""
     await talk.send(b"HTTP/1.1 200 OK\r\n\r\nhow long is it")
     talk.writer.close()
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -111,13 +111,13 @@
     async def work() -> None:
         ended = asyncio.Event()
 
-        async def answers_once(_request: ReceivedRequest, talk: FakeConnection) -> None:
+        async def responds_once(_request: ReceivedRequest, talk: FakeConnection) -> None:
             await talk.send(ok())
             await talk.ended()
             ended.set()
 
         script = ScriptedBalancer([1])
-        async with loopback(answers_once, script=script, limits={"ConnIdleMs": 1500}) as network:
+        async with loopback(responds_once, script=script, limits={"ConnIdleMs": 1500}) as network:
             await served(network.client)
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ended.wait()  # closed by the balancer: nothing else ends it
@@ -152,7 +152,7 @@
     run(work())
 
 
-class BeginsSecondAnswer:
+class BeginsSecondResponse:
     """A behaviour: behind each connection's first answer comes the head of another, with that of the next
     request its body.
     """
@@ -173,7 +173,7 @@
     """Guards a client against another's answer, whose end comes once the next request is written."""
 
     async def work() -> None:
-        async with loopback(BeginsSecondAnswer(), script=ScriptedBalancer([1])) as network:
+        async with loopback(BeginsSecondResponse(), script=ScriptedBalancer([1])) as network:
             await assert_target_echoed(network, "/api?1")
             await assert_target_echoed(network, "/api?2")
             assert network.server.connections == 2
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -21,11 +21,11 @@
 from tests.fakes import ScriptedBalancer, loopback
 from tests.upstream.behaviours import (
     closes,
-    ends_the_answer_by_closing,
+    ends_the_response_by_closing,
     full_backlog,
     listener_with_small_buffer,
     port_of,
-    resets_inside_the_answer,
+    resets_inside_the_response,
 )
 
 TABLE = [
@@ -65,8 +65,8 @@
     ),
     ("reset", disconnects, Outcome.RESET),
     ("end without an answer", closes, Outcome.RESET),
-    ("reset inside the answer", resets_inside_the_answer, Outcome.RESET),
-    ("answer whose end only the close shows", ends_the_answer_by_closing, Outcome.RESET),
+    ("reset inside the answer", resets_inside_the_response, Outcome.RESET),
+    ("answer whose end only the close shows", ends_the_response_by_closing, Outcome.RESET),
     ("no HTTP", responds(b"\x00\x01nonsense\r\n\r\n"), Outcome.RESET),
     (
         "two lengths",
@@ -90,11 +90,11 @@
         script = ScriptedBalancer([1])
         async with loopback(behave, script=script) as network:
             network.client.send_request("move", b"x")
-            answer = await network.client.read_response()
+            response = await network.client.read_response()
             event = await script.ended()
         assert event.outcome is outcome
         assert event.final is (outcome is Outcome.OK)
-        assert (answer.status, answer.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
+        assert (response.status, response.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
         assert len(network.server.requests) == 1
         assert len(script.ends()) == 1
 
@@ -217,7 +217,7 @@
             attempt = await attempt_in_flight(network.pool)
             attempt.request_sent = False  # as with a body larger than what the system takes
             await loop.sock_sendall(connection, b"HTTP/1.1 200 OK\r\n")
-            await wait_until(lambda: attempt.answer_seen)
+            await wait_until(lambda: attempt.response_seen)
             if silent:
                 attempt.time_out()  # as its timer does
             else:
