--- a/sandhatch/balancing/guidance/ramp_allocation.py
+++ b/sandhatch/balancing/guidance/ramp_allocation.py
@@ -1,7 +1,7 @@
-"""How the instances of a tier divide the ramp of a warming server among them without any message.
+"""The division of a warming server's ramp among the instances of a tier, without communication.
 
-The shares of all instances sum to one for each server. Nothing here changes over time: a share follows from
-the settings and the server's label alone. Leases of these shares are the concern of `shared_ramp`.
+The shares of all instances sum to one for each server. They are constant over time: a share depends on the
+settings and the server's label alone. `shared_ramp` handles the leases of these shares.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RampAllocation:
-    """What one instance may send to one warming server.
+    """The rate and burst at which one instance may send to one warming server.
 
     Attributes:
         rate: Share of the ramp's rate, from 0 to 1.
-        burst: Requests that may be sent at once beyond that rate.
+        burst: Number of requests that may be sent at once beyond that rate.
     """
 
     rate: float
@@ -28,20 +28,20 @@
 
 
 def ramp_burst(settings: Settings) -> float:
-    """Requests that all instances together may send a warming server at once, beyond the ramp's rate."""
+    """Return how many requests all instances may together send a warming server at once beyond the ramp."""
     return settings.ramp_burst or float(settings.instances)
 
 
 def default_allocation(instances: int, instance_index: int, burst: float, label: int) -> RampAllocation:
-    """The allocation that an instance owns without any guidance.
+    """Return the allocation that an instance owns without any guidance.
 
-    A request can't be divided: where `burst` is less than the number of instances, only that many instances
-    own a share of the ramp. Which ones these are depends on the server's label.
+    A request can't be divided: if `burst` is less than the number of instances, only that many instances own
+    a share of the ramp. The server's label determines which ones.
 
     Args:
         instances: Number of instances in the tier.
         instance_index: Index of this instance, from 0.
-        burst: Requests that all instances together may send at once.
+        burst: Number of requests that all instances together may send at once.
         label: The server's label, the same in all instances.
     """
     owners = min(instances, int(burst))
@@ -51,5 +51,5 @@
 
 
 def owns_share(instances: int, instance_index: int, owners: int, label: int) -> bool:
-    """Whether an instance is one of the `owners` of the ramp of the server with this label."""
+    """Return whether an instance is among the `owners` instances that own the ramp of a server."""
     return (instance_index + label) % instances < owners
--- a/sandhatch/balancing/guidance/server_weights.py
+++ b/sandhatch/balancing/guidance/server_weights.py
@@ -1,8 +1,8 @@
-"""Weights of servers: how many of the draws that a server would have it keeps, as planners advise.
+"""Weights of servers, as planners advise them: the fraction of its draws that a server receives.
 
-A weight is the median over the planners whose weights have not expired, which guards against one planner that
-is wrong. It moves gradually to what is newly advised, and back to 1 once the weights have expired. Nothing
-here draws a server or reads a clock.
+A weight is the median over the planners whose weights have not expired, which guards against one faulty
+planner. It moves gradually to a newly advised weight, and back to 1 once the advised weights have expired.
+This module draws no server and reads no clock.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 from sandhatch.balancing.guidance.gradual_value import GradualValue
 
-FOLLOW_MS = 400.0  # over which a weight moves to what is newly advised
-RETURN_MS = 3_000.0  # over which it moves back where weights have expired
+WEIGHT_CHANGE_MS = 400.0  # duration of a weight's change to a newly advised one
+WEIGHT_RESET_MS = 3_000.0  # duration of a weight's change back to 1 after the advised ones have expired
 
 
 class _PlannerLease:
-    """The weights that one planner advised last, and when they expire."""
+    """The weights that one planner advised last, and their expiry."""
 
     __slots__ = ("until_ms", "weights")
 
     def __init__(self, weights: dict[int, float], until_ms: float) -> None:
-        self.weights = weights  # by server; a server that is not named has the weight 1
+        self.weights = weights  # keyed by server id; an absent server has the weight 1
         self.until_ms = until_ms
 
 
@@ -29,59 +29,60 @@
     """The weights of one balancer's servers.
 
     Attributes:
-        changes: The weights by server. A server that is not in it has the weight 1, and none is changing.
+        changes: The weights that are not 1 or are changing, keyed by server id. An absent server has the
+            weight 1.
     """
 
     __slots__ = ("_leases", "_next_expiry_ms", "changes")
 
     def __init__(self) -> None:
         """Start with the weight 1 for all servers."""
-        self._leases: dict[str, _PlannerLease] = {}  # by planner
+        self._leases: dict[str, _PlannerLease] = {}  # keyed by planner name
         self._next_expiry_ms = math.inf
         self.changes: dict[int, GradualValue] = {}
 
-    def advise(self, planner: str, weights: dict[int, float], until_ms: float) -> None:
-        """Replace what a planner advises; `combine` makes it count."""
+    def set_advised(self, planner: str, weights: dict[int, float], until_ms: float) -> None:
+        """Store the weights that a planner advises; they take effect at the next `update_targets`."""
         self._leases[planner] = _PlannerLease(weights, until_ms)
 
-    def extend(self, planner: str, until_ms: float) -> None:
-        """Let what a planner advised before expire at another time."""
+    def extend_lease(self, planner: str, until_ms: float) -> None:
+        """Change the expiry of the weights that a planner advised before."""
         lease = self._leases.get(planner)
         if lease is not None:
             lease.until_ms = until_ms
 
-    def combine(self, now_ms: float, duration_ms: float) -> None:
-        """Drop what has expired, and start to move each weight to the median of what is left."""
-        self._leases = {name: lease for name, lease in self._leases.items() if lease.until_ms > now_ms}
-        advised = [lease.weights for lease in self._leases.values()]
+    def update_targets(self, now_ms: float, duration_ms: float) -> None:
+        """Drop expired leases, and start to move each weight to the median of the remaining ones."""
+        self._leases = {planner: lease for planner, lease in self._leases.items() if lease.until_ms > now_ms}
+        advised_weights = [lease.weights for lease in self._leases.values()]
         self._next_expiry_ms = min((lease.until_ms for lease in self._leases.values()), default=math.inf)
-        for server in set(self.changes).union(*advised):
-            target = _median([weights.get(server, 1.0) for weights in advised])
-            change = self.changes.get(server)
-            if change is None:
+        for server in set(self.changes).union(*advised_weights):
+            target = _median([weights.get(server, 1.0) for weights in advised_weights])
+            gradual_weight = self.changes.get(server)
+            if gradual_weight is None:
                 if target == 1.0:
                     continue
-                change = self.changes[server] = GradualValue(1.0)
-            change.change_to(target, now_ms, duration_ms)
-            if target == 1.0 and change.value_at(now_ms) == 1.0:
+                gradual_weight = self.changes[server] = GradualValue(1.0)
+            gradual_weight.change_to(target, now_ms, duration_ms)
+            if target == 1.0 and gradual_weight.value_at(now_ms) == 1.0:
                 del self.changes[server]
 
     def weight(self, server: int, now_ms: float) -> float:
-        """The present weight of a server, from 0 to 1."""
+        """Return the present weight of a server, from 0 to 1."""
         while now_ms >= self._next_expiry_ms:
-            self.combine(self._next_expiry_ms, RETURN_MS)
-        change = self.changes.get(server)
-        return 1.0 if change is None else change.value_at(now_ms)
+            self.update_targets(self._next_expiry_ms, WEIGHT_RESET_MS)
+        gradual_weight = self.changes.get(server)
+        return 1.0 if gradual_weight is None else gradual_weight.value_at(now_ms)
 
     def inherit(self, previous: ServerWeights) -> None:
-        """Take over another balancer's leases, and share its weights from now on."""
+        """Copy the leases of a predecessor, and share its weights from now on."""
         self._leases = dict(previous._leases)
         self._next_expiry_ms = previous._next_expiry_ms
         self.changes = previous.changes
 
 
 def _median(values: list[float]) -> float:
-    """The median of what planners advise for one server; 1 where there is no planner. Sorts the list."""
+    """Return the median of the weights that planners advise for one server; 1 if empty. Sorts the list."""
     if not values:
         return 1.0
     values.sort()
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -1,20 +1,22 @@
-"""The slow start of a tier whose warming servers have a stated ramp, kept by all instances together.
+"""Slow start of warming servers with a configured ramp, which all instances of a tier share.
 
-The ramp of a server is a rate that grows linearly from `initial_capacity_share` of `ramp_per_s` to all of it
-within `warm_up_ms`. In any window all instances together send a warming server at most the rate's integral
-over it plus `ramp_burst` requests: each instance keeps a token bucket that fills with its share of the rate
-and is capped by its share of the burst, and the shares never sum to more than one.
+The ramp of a server is a rate that grows linearly from `initial_capacity_share` of `ramp_per_s` to all of
+`ramp_per_s` within `warm_up_ms`. In any window all instances together send a warming server at most the
+rate's integral over the window plus `ramp_burst` requests: each instance has a token bucket that fills with
+its share of the rate and is capped by its share of the burst, and the shares never sum to more than one.
 
-Without guidance an instance uses the share that it owns (`ramp_allocation`). When it leases its own shares to
-a planner it stops using them, and uses what the planner grants instead until that lease expires; it uses its
-own shares again from the time at which everything granted out of them has expired everywhere. So the shares
-in use go through three phases:
+Without guidance an instance uses the share that it owns (`ramp_allocation`). An instance that leases its own
+shares to a planner stops using them, and uses the shares that the planner grants until that grant expires. It
+uses its own shares again once every grant out of them has expired in all instances. The shares in use
+therefore go through three phases:
 
-    LEASED   what the planner granted counts, decaying linearly over the second half of the lease
+    LEASED   the planner's grant applies; it decays linearly over the second half of the lease
     WAITING  the grant has expired, but others may still use grants out of this instance's own shares
-    OWN      this instance's own shares count
+    OWN      this instance's own shares apply
 
-Nothing here does I/O or reads a clock. Sources: arrival curves (Cruz 1991), leases (Gray and Cheriton 1989).
+This module does no I/O and reads no clock.
+
+Sources: arrival curves (Cruz 1991), leases (Gray and Cheriton 1989).
 """
 
 from __future__ import annotations
@@ -32,20 +34,20 @@
     owns_share,
     ramp_burst,
 )
-from sandhatch.balancing.guidance.warm_up import Listed, WarmUp
+from sandhatch.balancing.guidance.warm_up import ListedServer, WarmUp
 from sandhatch.balancing.settings import Settings
 
 
 class _Phase(Enum):
-    """Which shares count at a time."""
+    """The phase of the shares in use; the module's docstring describes the phases."""
 
     LEASED = "leased"
     WAITING = "waiting"
     OWN = "own"
 
 
-class _Bucket:
-    """The token bucket for one process of a server: requests that this instance may send it now."""
+class _TokenBucket:
+    """The token bucket for one process of a server: the requests that this instance may send to it now."""
 
     __slots__ = ("credit", "started_ms", "updated_ms")
 
@@ -58,50 +60,53 @@
 class SharedRamp(WarmUp):
     """This instance's share of the ramps of a tier's warming servers."""
 
-    RISE_MS = 1_000.0  # over which a share of the rate rises
+    RATE_SHARE_RISE_MS = 1_000.0  # duration of a rise of a share of the rate
 
     def __init__(self, settings: Settings) -> None:
-        """Start without a warming server and without a grant."""
+        """Start without warming servers and without a grant."""
         super().__init__(settings)
         burst = ramp_burst(settings)
         self._ramp_per_s = settings.ramp_per_s
         self._instances = settings.instances
         self._instance_index = settings.instance_index
         self._owners = min(settings.instances, int(burst))
-        # Instance 0 owns a share of the ramp of label 0 if any instance does: all owners have the same one.
+        # All owners have equal shares. Instance 0 owns a share of the ramp of label 0 if any instance does.
         self._owner_allocation = default_allocation(settings.instances, 0, burst, 0)
-        self._warming: dict[int, Listed] = {}  # by server, as are the next three
-        self._buckets: dict[int, _Bucket] = {}
-        self._leased: dict[int, RampShare] = {}
+        # The next four are keyed by server id.
+        self._warming: dict[int, ListedServer] = {}
+        self._buckets: dict[int, _TokenBucket] = {}
+        self._leased_shares: dict[int, RampShare] = {}
         self._rate_shares: dict[int, GradualValue] = {}
         self._leased_shares_end_ms = 0.0
-        self._decay_ms = 1.0  # before their end, over which leased shares of the rate decay
+        self._decay_ms = 1.0  # duration of the decay of leased shares of the rate, before their end
         self._own_shares_leased_until_ms = 0.0
 
     # ------------------------------------------------ warming servers
 
-    def watch(self, servers: Sequence[Listed], now_ms: float) -> None:
-        """Start a ramp for each of these servers that is warming up."""
+    def watch(self, servers: Sequence[ListedServer], now_ms: float) -> None:
+        """Start the ramp of each of these servers that is warming up."""
         for server in servers:
             if self.is_warming_up(server, now_ms):
                 self._warming[server.id] = server
-                self._buckets[server.id] = _Bucket(server.started_ms, now_ms)
+                self._buckets[server.id] = _TokenBucket(server.started_ms, now_ms)
                 self._rate_shares.pop(server.id, None)
 
     def earn(self, ready: int, now_ms: float) -> None:
-        """Do nothing: credit accrues with time, not with requests as in the slow start of one instance."""
+        """Do nothing: credit accrues with time, not with requests as in `SlowStart`."""
 
     def warming_servers(self, now_ms: float) -> list[int]:
-        """The listed servers that are warming up now."""
-        finished = [number for number, server in self._warming.items() if self._has_finished(server, now_ms)]
-        for number in finished:
-            del self._warming[number]
-            self._buckets.pop(number, None)
-            self._rate_shares.pop(number, None)
+        """Return the ids of the listed servers that are warming up, and discard the state of the others."""
+        finished_ids = [
+            server_id for server_id, server in self._warming.items() if self._has_finished(server, now_ms)
+        ]
+        for server_id in finished_ids:
+            del self._warming[server_id]
+            self._buckets.pop(server_id, None)
+            self._rate_shares.pop(server_id, None)
         return list(self._warming)
 
     def warm_up_deficit(self, now_ms: float) -> float:
-        """The capacity that the ready servers don't have yet because they warm up, in warm servers."""
+        """Return the capacity that ready servers lack because they are warming up, in warm servers."""
         warming = [
             server
             for server in self._warming.values()
@@ -109,7 +114,7 @@
         ]
         return sum(1.0 - self.share(server, now_ms) for server in warming)
 
-    def _has_finished(self, server: Listed, now_ms: float) -> bool:
+    def _has_finished(self, server: ListedServer, now_ms: float) -> bool:
         return server.state is ServerState.GONE or not self.is_warming_up(server, now_ms)
 
     # ------------------------------------------------ leases
@@ -122,35 +127,35 @@
         leased_until_ms: float,
         now_ms: float,
     ) -> None:
-        """Use the shares that a planner has granted, in place of those that it granted before.
+        """Use newly granted shares in place of those that were granted before.
 
         Args:
-            shares: The granted shares. A server that is not named is granted nothing.
-            report_sent_ms: When the report was sent that the grant answers.
-            until_ms: When the grant expires.
-            leased_until_ms: Until when this instance's own shares are leased to others.
+            shares: The granted shares; servers without one are granted nothing.
+            report_sent_ms: Time at which the report was sent to which the grant responds.
+            until_ms: Expiry of the grant.
+            leased_until_ms: Time until which this instance's own shares are leased to others.
             now_ms: The present time.
         """
         self._accrue_all(now_ms)
-        self._leased = {share.server: share for share in shares}
+        self._leased_shares = {share.server: share for share in shares}
         self._leased_shares_end_ms = until_ms
         self._decay_ms = max(1.0, (until_ms - report_sent_ms) / 2.0)
         self._own_shares_leased_until_ms = max(self._own_shares_leased_until_ms, leased_until_ms)
 
     def lease_own_shares(self, until_ms: float, now_ms: float) -> None:
-        """Lease this instance's own shares to others until then; what is granted to it stays."""
+        """Lease this instance's own shares to others until `until_ms`, and go on using the present grant."""
         if until_ms > self._own_shares_leased_until_ms:
             self._accrue_all(now_ms)
             self._own_shares_leased_until_ms = until_ms
 
     def inherit(self, previous: SharedRamp) -> None:
-        """Take over the buckets and grants of another ramp of the same servers.
+        """Take over the buckets and grants of a predecessor for the same servers.
 
-        The other ramp keeps only its grants from now on: its own shares are never its own again.
+        The predecessor retains only its grants: from now on it never uses its own shares again.
         """
         self._buckets = previous._buckets
         self._rate_shares = previous._rate_shares
-        self._leased = previous._leased
+        self._leased_shares = previous._leased_shares
         self._leased_shares_end_ms = previous._leased_shares_end_ms
         self._decay_ms = previous._decay_ms
         self._own_shares_leased_until_ms = previous._own_shares_leased_until_ms
@@ -158,28 +163,28 @@
 
     # ------------------------------------------------ sends
 
-    def admits(self, server: Listed, now_ms: float) -> bool:
-        """Whether a request may be sent to this server now."""
+    def admits(self, server: ListedServer, now_ms: float) -> bool:
+        """Return whether a request may be sent to this server now."""
         return not self.is_warming_up(server, now_ms) or self._accrue(server, now_ms).credit >= 1.0
 
-    def spend(self, server: Listed, now_ms: float) -> None:
-        """Count a request that is sent to this server."""
+    def spend(self, server: ListedServer, now_ms: float) -> None:
+        """Charge a request that is sent to this server."""
         if self.is_warming_up(server, now_ms):
             self._accrue(server, now_ms).credit -= 1.0
 
     # ------------------------------------------------ shares and credit
 
-    def part(self, server: Listed, at_ms: float) -> RampAllocation:
-        """This instance's allocation on a server at a time that is not in the past."""
-        phase = self._phase(at_ms)
+    def part(self, server: ListedServer, at_ms: float) -> RampAllocation:
+        """Return this instance's allocation on a server at a time that is not in the past."""
+        phase = self._phase_at(at_ms)
         return RampAllocation(self._rate_share(phase, server, at_ms), self._burst_share(phase, server))
 
-    def _phase(self, at_ms: float) -> _Phase:
+    def _phase_at(self, at_ms: float) -> _Phase:
         if at_ms < self._leased_shares_end_ms:
             return _Phase.LEASED
         return _Phase.WAITING if at_ms < self._own_shares_leased_until_ms else _Phase.OWN
 
-    def _rate_share(self, phase: _Phase, server: Listed, at_ms: float) -> float:
+    def _rate_share(self, phase: _Phase, server: ListedServer, at_ms: float) -> float:
         if phase is _Phase.LEASED:
             share = self._leased_share(server)
             if share is None:
@@ -187,33 +192,33 @@
             return share.rate * min(1.0, (self._leased_shares_end_ms - at_ms) / self._decay_ms)
         return self._own_allocation(server).rate if phase is _Phase.OWN else 0.0
 
-    def _burst_share(self, phase: _Phase, server: Listed) -> float:
+    def _burst_share(self, phase: _Phase, server: ListedServer) -> float:
         if phase is _Phase.LEASED:
             share = self._leased_share(server)
             return 0.0 if share is None else share.burst
         return self._own_allocation(server).burst if phase is _Phase.OWN else 0.0
 
-    def _leased_share(self, server: Listed) -> RampShare | None:
-        """The share granted on this server; None if it is too small to send a request."""
-        share = self._leased.get(server.id)
+    def _leased_share(self, server: ListedServer) -> RampShare | None:
+        """Return the share granted on this server; None if it is too small for one request."""
+        share = self._leased_shares.get(server.id)
         return None if share is None or share.burst < 1.0 else share
 
-    def _own_allocation(self, server: Listed) -> RampAllocation:
+    def _own_allocation(self, server: ListedServer) -> RampAllocation:
         if owns_share(self._instances, self._instance_index, self._owners, server.label):
             return self._owner_allocation
         return NO_ALLOCATION
 
     def _accrue_all(self, now_ms: float) -> None:
-        """Fill the buckets by the shares in use so far, before these change."""
-        for number in self.warming_servers(now_ms):
-            self._accrue(self._warming[number], now_ms)
+        """Fill the buckets up to now; called before the shares in use change."""
+        for server_id in self.warming_servers(now_ms):
+            self._accrue(self._warming[server_id], now_ms)
 
-    def _accrue(self, server: Listed, now_ms: float) -> _Bucket:
+    def _accrue(self, server: ListedServer, now_ms: float) -> _TokenBucket:
         """Fill the server's bucket up to now and return it.
 
-        The time since the last update is split where a share expires or has finished rising. Within a piece
-        the share of the rate counts at its mean, or at its end if it decays: the sum over all instances must
-        not exceed the integral of the rate.
+        The time since the last update is split at each expiry of a share and each end of a rise. Within a
+        segment, credit accrues by the mean of the share of the rate, or by its value at the end if it decays,
+        so that the sum over all instances does not exceed the integral of the rate.
         """
         bucket = self._bucket(server, now_ms)
         rate_share = self._rate_shares.get(server.id)
@@ -221,30 +226,34 @@
             rate_share = self._rate_shares[server.id] = GradualValue(0.0)
         start_ms = bucket.updated_ms
         while True:
-            phase = self._phase(start_ms)
-            rate_share.fall_or_rise_to(self._rate_share(phase, server, start_ms), start_ms, self.RISE_MS)
-            end_ms = self._piece_end(start_ms, rate_share.end_ms, now_ms)
+            phase = self._phase_at(start_ms)
+            rate_share.fall_or_rise_to(
+                self._rate_share(phase, server, start_ms), start_ms, self.RATE_SHARE_RISE_MS
+            )
+            end_ms = self._segment_end_ms(start_ms, rate_share.end_ms, now_ms)
             mean_share = (rate_share.value_at(start_ms) + rate_share.value_at(end_ms)) / 2.0
             counted_share = min(mean_share, self._rate_share(phase, server, end_ms))
             capacity_share = (self.share(server, start_ms) + self.share(server, end_ms)) / 2.0
             rate_per_ms = self._ramp_per_s / 1000.0 * capacity_share
-            accrued = bucket.credit + counted_share * rate_per_ms * (end_ms - start_ms)
-            bucket.credit = min(self._burst_share(phase, server), accrued)
+            credit = bucket.credit + counted_share * rate_per_ms * (end_ms - start_ms)
+            bucket.credit = min(self._burst_share(phase, server), credit)
             start_ms = end_ms
             if start_ms >= now_ms:
                 break
-        bucket.credit = min(bucket.credit, self._burst_share(self._phase(now_ms), server))
+        bucket.credit = min(bucket.credit, self._burst_share(self._phase_at(now_ms), server))
         bucket.updated_ms = now_ms
         return bucket
 
-    def _bucket(self, server: Listed, now_ms: float) -> _Bucket:
-        """The bucket of the server's present process; a new one is empty."""
+    def _bucket(self, server: ListedServer, now_ms: float) -> _TokenBucket:
+        """Return the bucket of the server's present process; a new bucket is empty."""
         bucket = self._buckets.get(server.id)
         if bucket is None or bucket.started_ms != server.started_ms:
-            bucket = self._buckets[server.id] = _Bucket(server.started_ms, now_ms)
+            bucket = self._buckets[server.id] = _TokenBucket(server.started_ms, now_ms)
         return bucket
 
-    def _piece_end(self, start_ms: float, rise_end_ms: float, now_ms: float) -> float:
-        """When the phase or the rise that counts at `start_ms` ends, and at most now."""
-        changes_ms = (self._leased_shares_end_ms, self._own_shares_leased_until_ms, rise_end_ms)
-        return min((change_ms for change_ms in changes_ms if start_ms < change_ms < now_ms), default=now_ms)
+    def _segment_end_ms(self, start_ms: float, rise_end_ms: float, now_ms: float) -> float:
+        """Return the end of the phase or rise in effect at `start_ms`, at most now."""
+        boundaries_ms = (self._leased_shares_end_ms, self._own_shares_leased_until_ms, rise_end_ms)
+        return min(
+            (boundary_ms for boundary_ms in boundaries_ms if start_ms < boundary_ms < now_ms), default=now_ms
+        )
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -1,7 +1,7 @@
-"""The guidance from planners that counts now, for one balancer.
+"""The guidance from planners that is in effect for one balancer.
 
-It takes guidance in, complete or not at all, and answers what it changes in a draw or in admission. It never
-draws a server itself, does no I/O and reads no clock. See the package's docstring for what guidance may do.
+`GuidanceState` applies guidance completely or not at all, and computes its effect on draws and on admission.
+It draws no server, does no I/O and reads no clock. The package's docstring states what guidance may change.
 """
 
 from __future__ import annotations
@@ -12,33 +12,33 @@
 
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Guidance, ServerWeight
-from sandhatch.balancing.guidance.bounds import violation
+from sandhatch.balancing.guidance.bounds import find_violation
 from sandhatch.balancing.guidance.gradual_value import GradualValue
 from sandhatch.balancing.guidance.ramp_allocation import ramp_burst
-from sandhatch.balancing.guidance.server_weights import FOLLOW_MS, ServerWeights
+from sandhatch.balancing.guidance.server_weights import WEIGHT_CHANGE_MS, ServerWeights
 from sandhatch.balancing.guidance.shared_ramp import SharedRamp
-from sandhatch.balancing.guidance.warm_up import Listed
+from sandhatch.balancing.guidance.warm_up import ListedServer
 from sandhatch.balancing.settings import Settings
 
 
 class GuidanceState:
-    """The guidance that counts now, for one balancer.
+    """The guidance that is in effect for one balancer.
 
-    A server of weight w that was drawn is passed over with probability 1 - w. Where every draw ends so, the
-    caller leaves the weights aside, and chooses as it would without guidance.
+    A drawn server of weight w is passed over with probability 1 - w. If every drawn server is passed over,
+    the caller ignores the weights and chooses as it would without guidance.
 
     Attributes:
-        weights: The servers' weights.
-        ramp: This instance's share of the warming servers' ramps; None where the settings state no ramp.
+        weights: Weights of the servers.
+        ramp: This instance's share of the warming servers' ramps; None if the settings define no ramp.
     """
 
-    # Bounds of an instance's share of the tier's capacity, in even shares.
-    LEAST_PART = 0.5
+    # Bounds of an instance's share of the tier's capacity, as multiples of an even share.
+    MIN_PART = 0.5
     MAX_PART = 8.0
-    OWN_SHARE_CHANGE_MS = 3_000.0  # over which that share moves to a new value
+    OWN_SHARE_CHANGE_MS = 3_000.0  # duration of a change of that share
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        """Start without any guidance. The balancer's own random numbers decide who is passed over."""
+        """Start without guidance; the balancer's own `rng` decides which servers are passed over."""
         self._settings = settings
         self._rng = rng
         self._even_share = 1.0 / settings.instances
@@ -47,44 +47,46 @@
         self.weights = ServerWeights()
         self.ramp = SharedRamp(settings) if settings.ramp_per_s > 0.0 else None
 
-    # ------------------------------------------------ guidance in
+    # ------------------------------------------------ applying guidance
 
     def take(
-        self, event: Guidance, servers: Mapping[int, Listed], warm: Sequence[int], now_ms: float
+        self, event: Guidance, servers: Mapping[int, ListedServer], warm: Sequence[int], now_ms: float
     ) -> GuidanceRejected | None:
-        """Take guidance, complete or not at all.
+        """Apply guidance from a planner, completely or not at all.
 
         Args:
-            event: What a planner sent.
-            servers: The balancer's servers; what is advised of others is ignored.
-            warm: The ready servers that are not warming up.
+            event: Guidance that a planner sent; ignored if it has expired.
+            servers: The balancer's servers; guidance on other servers is ignored.
+            warm: Ids of the ready servers that are not warming up.
             now_ms: The present time.
 
         Returns:
-            Why none of it counts, where it is out of bounds.
+            The rejection with its reason if the guidance is out of bounds, and None otherwise.
         """
         if now_ms >= event.until_ms:
-            return None  # it has expired: ignored
-        reason = violation(
+            return None
+        reason = find_violation(
             event,
             warm,
             ramp_burst(self._settings),
-            self.LEAST_PART * self._even_share,
+            self.MIN_PART * self._even_share,
             min(1.0, self.MAX_PART * self._even_share),
         )
         if reason is not None:
             return GuidanceRejected(event.planner, reason)
         if event.weights is None:
-            self.weights.extend(event.planner, event.until_ms)
+            self.weights.extend_lease(event.planner, event.until_ms)
         else:
             weights = _normalized(event.weights, servers, len(warm))
-            self.weights.advise(event.planner, weights, event.until_ms)
-        self.weights.combine(now_ms, FOLLOW_MS)
+            self.weights.set_advised(event.planner, weights, event.until_ms)
+        self.weights.update_targets(now_ms, WEIGHT_CHANGE_MS)
         if event.leased:
             self._take_leased_shares(event, servers, now_ms)
         return None
 
-    def _take_leased_shares(self, event: Guidance, servers: Mapping[int, Listed], now_ms: float) -> None:
+    def _take_leased_shares(
+        self, event: Guidance, servers: Mapping[int, ListedServer], now_ms: float
+    ) -> None:
         if self.ramp is not None:
             shares = [share for share in event.parts if share.server in servers]
             self.ramp.grant(shares, event.report_sent_ms, event.until_ms, event.leased_until_ms, now_ms)
@@ -92,40 +94,40 @@
             self._own_share_until_ms = event.until_ms
             self._own_share.change_to(event.own_part, now_ms, self.OWN_SHARE_CHANGE_MS)
         elif self._own_share_until_ms < math.inf:
-            self._own_share_until_ms = event.until_ms  # the share granted before counts on
+            self._own_share_until_ms = event.until_ms  # extends the share that was granted before
 
     def lease_own_shares(self, until_ms: float, now_ms: float) -> None:
-        """Lease this instance's own shares of ramps to others until then."""
+        """Lease this instance's own shares of ramps to others until `until_ms`."""
         if self.ramp is not None:
             self.ramp.lease_own_shares(until_ms, now_ms)
 
     # ------------------------------------------------ taking over from another balancer
 
     def fits(self, other: GuidanceState) -> bool:
-        """Whether the settings that guidance depends on are the same."""
-        return _relevant_settings(self._settings) == _relevant_settings(other._settings)
+        """Return whether both states have the same settings, as far as guidance depends on them."""
+        return _guidance_settings(self._settings) == _guidance_settings(other._settings)
 
     def inherit(self, previous: GuidanceState) -> None:
-        """Take over the guidance that counts for another balancer, whose settings differ."""
+        """Take over the guidance in effect for another balancer, whose settings differ."""
         self.weights.inherit(previous.weights)
         if self.ramp is not None and previous.ramp is not None:
             self.ramp.inherit(previous.ramp)
 
-    # ------------------------------------------------ what counts now
+    # ------------------------------------------------ guidance in effect
 
     def weight(self, server: int, now_ms: float) -> float:
-        """The present weight of a server, from 0 to 1."""
+        """Return the present weight of a server, from 0 to 1."""
         return self.weights.weight(server, now_ms)
 
     def declines(self, server: int, now_ms: float) -> bool:
-        """Whether a server that was drawn is passed over because of its weight."""
+        """Return whether to pass over a drawn server because of its weight; random."""
         if server not in self.weights.changes:
             return False
         weight = self.weights.weight(server, now_ms)
         return weight < 1.0 and self._rng.random() >= weight
 
     def own_part(self, now_ms: float) -> float:
-        """This instance's share of the tier's capacity; an even one without guidance."""
+        """Return this instance's share of the tier's capacity; an even share without guidance."""
         if now_ms >= self._own_share_until_ms:
             self._own_share.change_to(self._even_share, self._own_share_until_ms, self.OWN_SHARE_CHANGE_MS)
             self._own_share_until_ms = math.inf
@@ -133,21 +135,21 @@
 
 
 def _normalized(
-    weights: Sequence[ServerWeight], servers: Mapping[int, Listed], warm_count: int
+    weights: Sequence[ServerWeight], servers: Mapping[int, ListedServer], warm_count: int
 ) -> dict[int, float]:
-    """The weights by server, scaled so that the highest weight of any server is 1.
+    """Return the weights by server, scaled so that the highest weight of any server is 1.
 
-    A planner that finds all servers slow thereby changes nothing. Servers that are not named have the weight
-    1, so that nothing is scaled where fewer servers are named than are warm.
+    The scaling makes guidance that finds all servers slow a no-op. Servers without a weight have the weight
+    1, so weights for fewer servers than are warm are not scaled.
     """
     unnamed_weight = 1.0 if len(weights) < warm_count else 0.0
-    highest = max([unnamed_weight, *(weight.weight for weight in weights)])
-    scale = 1.0 / highest if highest else 1.0
+    highest_weight = max([unnamed_weight, *(weight.weight for weight in weights)])
+    scale = 1.0 / highest_weight if highest_weight else 1.0
     return {weight.server: min(1.0, weight.weight * scale) for weight in weights if weight.server in servers}
 
 
-def _relevant_settings(settings: Settings) -> tuple[float, ...]:
-    """The settings that guidance depends on."""
+def _guidance_settings(settings: Settings) -> tuple[float, ...]:
+    """Return the settings that guidance depends on."""
     return (
         settings.instances,
         settings.instance_index,
--- a/sandhatch/balancing/guidance/warm_up.py
+++ b/sandhatch/balancing/guidance/warm_up.py
@@ -1,6 +1,6 @@
-"""How the capacity of a server that has just started grows while it is warming up.
+"""The capacity of a recently started server while it is warming up.
 
-It never counts requests: the capacity follows from the server's start time and the settings alone.
+The capacity depends on the server's start time and the settings alone, not on the requests that it served.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from sandhatch.balancing.settings import Settings
 
 
-class Listed(Protocol):
-    """A server on the balancer's endpoint list, as far as guidance looks at it.
+class ListedServer(Protocol):
+    """The attributes of a server on the balancer's endpoint list that guidance depends on.
 
     Attributes:
-        id: The number by which events and actions name the server.
-        label: A number that is the same for this server in all instances.
-        started_ms: When its process started; 0 if long ago.
-        state: What discovery says of it.
+        id: Number that identifies the server in events and actions.
+        label: Number that is the same for this server in all instances.
+        started_ms: Start time of the server's process; 0 if long ago.
+        state: State of the server according to discovery.
     """
 
     id: int
@@ -28,19 +28,19 @@
 
 
 class WarmUp:
-    """The linear growth of a started server from its initial capacity share to its full capacity."""
+    """The linear growth of a server's capacity from its initial share to full capacity after a start."""
 
     def __init__(self, settings: Settings) -> None:
-        """Take the initial share and the length of the warm-up from the settings."""
+        """Read the initial share and the warm-up duration from the settings."""
         self._initial_share = settings.initial_capacity_share
         self._ms = settings.warm_up_ms
 
-    def is_warming_up(self, server: Listed, now_ms: float) -> bool:
-        """Whether the server is still warming up."""
+    def is_warming_up(self, server: ListedServer, now_ms: float) -> bool:
+        """Return whether the server is warming up."""
         return server.started_ms > 0.0 and now_ms - server.started_ms < self._ms
 
-    def share(self, server: Listed, now_ms: float) -> float:
-        """The server's present capacity, as a share of its capacity once it is warm."""
+    def share(self, server: ListedServer, now_ms: float) -> float:
+        """Return the server's present capacity as a share of its capacity once warm, from 0 to 1."""
         age_ms = max(0.0, now_ms - server.started_ms)
         if not self._ms:
             return 1.0
--- a/tests/balancing/guidance/harness.py
+++ b/tests/balancing/guidance/harness.py
@@ -1,4 +1,4 @@
-"""What the tests of guidance share: settings with a ramp, a server, and guidance events."""
+"""Shared parts of the guidance tests: settings with a ramp, a fake server, and guidance events."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class FakeServer:
-    """A server with the fields that the ramp looks at."""
+    """A server with the attributes that guidance depends on."""
 
     id: int
     started_ms: float = 1_000.0
@@ -33,29 +33,29 @@
     state: ServerState = ServerState.READY
 
 
-def guidance(weights: dict[int, float] | None = None, **other: object) -> Guidance:
-    """Guidance of planner "one" that expires at 3,000 ms; `other` are fields to set."""
+def make_guidance(weights: dict[int, float] | None = None, **fields: object) -> Guidance:
+    """Return guidance of planner "one" that expires at 3,000 ms; `fields` sets further fields."""
     server_weights = (
         None if weights is None else [ServerWeight(server, weight) for server, weight in weights.items()]
     )
     event = Guidance("one", 1_000.0, 3_000.0, server_weights)
-    for name, value in other.items():
+    for name, value in fields.items():
         setattr(event, name, value)
     return event
 
 
 class GuidedServers:
-    """Servers, numbered from 0, which are all warm, and a state without guidance so far."""
+    """Warm servers with ids from 0, and a state that starts without guidance."""
 
     def __init__(self, count: int) -> None:
-        """Makes so many servers."""
+        """Create `count` servers."""
         self.state = GuidanceState(SETTINGS, Random(1))
         self.servers = {number: FakeServer(number, 0.0) for number in range(count)}
 
     def take(self, event: Guidance, now_ms: float) -> GuidanceRejected | None:
-        """Take in the guidance, for all servers; the reason if it is rejected."""
+        """Apply guidance with all servers warm; return the rejection if there is one."""
         return self.state.take(event, self.servers, list(self.servers), now_ms)
 
     def weights(self, now_ms: float) -> list[float]:
-        """The weight of each server."""
+        """Return the weight of each server."""
         return [self.state.weight(number, now_ms) for number in self.servers]
--- a/tests/balancing/guidance/test_ramp_allocation.py
+++ b/tests/balancing/guidance/test_ramp_allocation.py
@@ -1,4 +1,4 @@
-"""The share of a ramp that each instance has where no planner grants one."""
+"""Division of a ramp among instances without guidance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("instances", [1, 2, 7, 20])
 @pytest.mark.parametrize("burst", [0.0, 1.0, 2.5, 19.0, 40.0])
-def test_own_allocations_of_all_instances_sum_to_the_complete_ramp(instances: int, burst: float) -> None:
+def test_default_allocations_of_all_instances_sum_to_the_complete_ramp(instances: int, burst: float) -> None:
     for label in (0, 3, 12_345_678):
         allocations = [
             default_allocation(instances, index, burst or instances, label) for index in range(instances)
