--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""Discovery over loopback: the list, the watch, malformed answers, and discovery down and back."""
+"""Tests of the discovery client over loopback: lists, watches, malformed responses, and outages."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     served,
 )
 
-POLLED = SETTINGS | {"Discovery": "on_request"}
+POLLED_SETTINGS = SETTINGS | {"Discovery": "on_request"}
 
 
 def is_update(event: ListUpdate, kind: ListKind) -> bool:
-    """Whether it is a list event of that kind; of changes, one that has some."""
+    """Whether the event is of that kind and, for changes, contains at least one."""
     return event.kind is kind and bool(event.entries or kind is not ListKind.DELTA)
 
 
@@ -35,13 +35,13 @@
     return await script.next_event(ListUpdate, lambda event: is_update(event, kind))
 
 
-def updates(script: ScriptedBalancer, kind: ListKind) -> list[ListUpdate]:
-    """All list events of that kind so far."""
+def received_updates(script: ScriptedBalancer, kind: ListKind) -> list[ListUpdate]:
+    """All list events of that kind that have been received so far."""
     return [event for event in script.received(ListUpdate) if is_update(event, kind)]
 
 
 async def next_call(balancer: RunningBalancer, part: str) -> str:
-    """The target of the next request to discovery that has this part; those before it are skipped."""
+    """Target of the next request to discovery that contains `part`; earlier requests are skipped."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             call = await balancer.discovery.calls.get()
@@ -55,22 +55,22 @@
 
 
 def order_watch(balancer: RunningBalancer, number: int) -> None:
-    """Orders a watch from generation 1 on, as the balancer does where discovery is polled."""
+    """Order a watch from generation 1 on, as the balancer does where discovery is polled."""
     balancer.dispatcher._act(WatchList(True, number, 1, 20_000.0, 20_000.0))
 
 
-def servers_of(update: ListUpdate) -> list[int]:
+def server_numbers(update: ListUpdate) -> list[int]:
     return [row.server for row in update.entries]
 
 
 def test_known_list_is_published_first_and_changes_follow() -> None:
-    """Guards the start: a request is served from `known`, and the watch goes on from its generation."""
+    """After the start the `known` list is used, and the watch continues from its generation."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, clients=0, script=script) as network:
             balancer = network.balancer
-            assert servers_of(await next_update(script, ListKind.CACHED)) == [1]
+            assert server_numbers(await next_update(script, ListKind.CACHED)) == [1]
             assert "after=1&" in await next_call(balancer, "after=")
             balancer.discovery.change(entry("b", 9, zone="south", startedAtMs=123))
             change = await next_update(script, ListKind.DELTA)
@@ -80,8 +80,8 @@
     run(work())
 
 
-def test_server_keeps_its_number_when_its_address_changes() -> None:
-    """Guards a server whose address changes: requests go to the new address only."""
+def test_server_number_is_retained_when_the_address_changes() -> None:
+    """After a server's address has changed, requests go to the new address only."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -96,7 +96,7 @@
 
 
 def test_restarted_server_gets_new_connections() -> None:
-    """Guards against connections that lead to a process that has ended."""
+    """A later start time means that pooled connections lead to a process that has ended."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -110,8 +110,8 @@
     run(work())
 
 
-def test_ready_only_once_there_is_a_list() -> None:
-    """Guards /ready: 503 without a list, 200 once discovery has answered with one."""
+def test_ready_is_503_until_a_list_with_a_server_is_received() -> None:
+    """`/ready` returns 503 while the list is empty, and 200 once discovery has listed a server."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -127,7 +127,7 @@
 
 
 def test_server_absent_from_a_complete_list_is_removed() -> None:
-    """Guards the removal of a server that a complete list no longer names."""
+    """A server that a complete list no longer contains is removed from the pool."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -138,15 +138,15 @@
             discovery.garbage.append(ok(json.dumps(only_b).encode()))
             discovery.generation = 9
             discovery.wake()
-            # The pending watch answers with no changes; the next one with the complete list.
-            assert servers_of(await next_update(script, ListKind.FULL)) == [2]
+            # The pending watch receives no changes, the next one the complete list.
+            assert server_numbers(await next_update(script, ListKind.FULL)) == [2]
             assert set(network.pool.table) == {2}
 
     run(work())
 
 
-def test_generation_that_goes_back_fetches_the_complete_list() -> None:
-    """Guards against applying changes to another list than the one they belong to."""
+def test_generation_that_goes_back_causes_a_fetch_of_the_complete_list() -> None:
+    """Changes must not be applied to a list other than the one that they belong to."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -156,24 +156,24 @@
             network.balancer.discovery.wake()
             full = await next_update(script, ListKind.FULL)
             assert full.version == 3
-            assert not updates(script, ListKind.DELTA)
+            assert not received_updates(script, ListKind.DELTA)
 
     run(work())
 
 
-PARTLY_VALID = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
+PARTLY_VALID_LIST = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
 MALFORMED_RESPONSES = [
     b"\x00nonsense\r\n\r\n",
     ok(b"not json"),
     ok(b"[" * 50_000),
     ok(b"[]"),
-    ok(json.dumps(PARTLY_VALID).encode()),
+    ok(json.dumps(PARTLY_VALID_LIST).encode()),
     status(503),
 ]
 
 
-def test_malformed_answers_are_failed_calls_and_the_list_stays() -> None:
-    """Guards against lists valid in part: nothing of a malformed answer counts, and the watch goes on."""
+def test_malformed_responses_are_failed_calls_and_the_list_is_retained() -> None:
+    """No part of a malformed response is applied, even if other parts are valid; the watch continues."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -187,13 +187,13 @@
             await served(network.client)
             discovery.change(entry("b", 9))
             change = await next_update(script, ListKind.DELTA)
-            assert servers_of(change) == [2]  # no number was used up by malformed answers
+            assert server_numbers(change) == [2]  # malformed responses have not used up a number
 
     run(work())
 
 
-def test_changes_while_discovery_is_down_follow_once_it_is_back() -> None:
-    """Guards service while discovery is down, and the watch's return with what changed meanwhile."""
+def test_changes_during_a_discovery_outage_are_received_after_it() -> None:
+    """Requests are served while discovery is down; later the watch receives the missed changes."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -203,20 +203,20 @@
             await served(network.client)
             network.balancer.discovery.change(entry("b", 9))
             await network.balancer.discovery.start()
-            assert servers_of(await next_update(script, ListKind.DELTA)) == [2]
-        failed = updates(script, ListKind.FAILED)
+            assert server_numbers(await next_update(script, ListKind.DELTA)) == [2]
+        failed = received_updates(script, ListKind.FAILED)
         assert failed
         assert all(event.version == 1 and not event.entries and event.call for event in failed)
 
     run(work())
 
 
-def test_polled_discovery_publishes_a_failure_and_is_polled_once_more() -> None:
-    """Guards polled discovery: no call before it is ordered, FAILED when it breaks."""
+def test_polled_discovery_publishes_a_failure_and_accepts_another_poll() -> None:
+    """Polled discovery makes no call before one is ordered, and publishes FAILED when the call fails."""
 
     async def work() -> None:
         script = ScriptedBalancer([1], follows=False)
-        async with loopback(serve_ok, clients=0, script=script, base=POLLED) as network:
+        async with loopback(serve_ok, clients=0, script=script, base=POLLED_SETTINGS) as network:
             discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
             assert discovery.calls.empty()
@@ -232,15 +232,15 @@
 
 
 async def relocate_while_a_change_is_sent(network: Loopback, new: FakeDiscovery) -> None:
-    """Discovery moves to another address while the old one is sending a change."""
+    """Switch to discovery at another address while the previous one is sending a change."""
     await next_call(network.balancer, "after=1")
     network.balancer.discovery.change(entry("late", 9))
     network.balancer.watch.relocate(("127.0.0.1", new.port))
 
 
-def test_no_late_answer_from_the_previous_address_counts() -> None:
-    """Guards the move to another address: the present list stays valid until the new one has arrived, the old
-    connection ends, and what the old service writes in that moment is dropped.
+def test_late_response_from_the_previous_address_is_dropped() -> None:
+    """After discovery has moved to another address, the current list stays valid until the new one has been
+    received, the old connection is closed, and a change that the old service is just sending is dropped.
     """
 
     async def work() -> None:
@@ -251,23 +251,23 @@
             await relocate_while_a_change_is_sent(network, new)
             await served(network.client)
             full = await next_update(script, ListKind.FULL)
-            assert set(network.pool.table) == set(servers_of(full)) == {2}
+            assert set(network.pool.table) == set(server_numbers(full)) == {2}
             await wait_until(lambda: not old._writers)  # the old connection is closed
             new.change(b.entry("b", lifecycle="leaving"))
             change = await next_update(script, ListKind.DELTA)
-            assert servers_of(change) == [2]
-            assert updates(script, ListKind.DELTA) == [change]
+            assert server_numbers(change) == [2]
+            assert received_updates(script, ListKind.DELTA) == [change]
             network.balancer.watch.stop()
-            network.balancer.watch.relocate(("127.0.0.1", old.port))  # too late: no call
+            network.balancer.watch.relocate(("127.0.0.1", old.port))  # ignored after stop: no call is made
         assert all("after=" in call for call in remaining_calls(old))
         new.stop()
 
     run(work())
 
 
-def test_complete_list_may_take_as_long_as_discovery_keeps_a_call() -> None:
-    """Guards the list after a reload: a call given up early loses its turn in discovery's queue, and the next
-    one comes too late for what changed meanwhile.
+def test_fetch_of_the_complete_list_waits_as_long_as_discovery_holds_a_call() -> None:
+    """A fetch after a reload must not time out early: the call would lose its place in discovery's queue, and
+    the repeated call would receive the changes too late.
     """
 
     async def work() -> None:
@@ -285,14 +285,14 @@
     run(work())
 
 
-def test_new_watch_replaces_a_silent_one_and_its_connection() -> None:
-    """Guards against a watch that receives nothing more: a new one on the same connection, behind the answer
-    that never comes, would be as silent.
+def test_new_watch_replaces_a_watch_without_response_and_its_connection() -> None:
+    """A watch whose response never arrives must not block the next one, as would happen if the next one used
+    the same connection and waited behind the missing response.
     """
 
     async def work() -> None:
         script = ScriptedBalancer([1], follows=False)
-        async with loopback(serve_ok, clients=0, script=script, base=POLLED) as network:
+        async with loopback(serve_ok, clients=0, script=script, base=POLLED_SETTINGS) as network:
             discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
             discovery.silent = True
@@ -301,7 +301,7 @@
             discovery.change(entry("b", 9))
             discovery.silent = False
             order_watch(network.balancer, 2)
-            assert servers_of(await next_update(script, ListKind.DELTA)) == [2]
-            assert not updates(script, ListKind.FAILED)
+            assert server_numbers(await next_update(script, ListKind.DELTA)) == [2]
+            assert not received_updates(script, ListKind.FAILED)
 
     run(work())
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's answers: what counts as an endpoint list, and how its servers are numbered."""
+"""Tests of the endpoint list parser: validation of discovery's responses, and numbering of servers."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from testkit.platform import entry
 
 
-def test_server_keeps_its_number_for_good() -> None:
-    """Guards the balancer's memory of a server: removed and back, it is the same one."""
-    names = EndpointNumbering(("north",), ("box",))
-    assert [names.server(name) for name in ("a", "b", "a", "c", "b")] == [1, 2, 1, 3, 2]
+def test_server_id_keeps_its_number() -> None:
+    """The balancer recognizes a server that was removed and listed again by its number."""
+    numbering = EndpointNumbering(("north",), ("box",))
+    assert [numbering.server(instance_id) for instance_id in ("a", "b", "a", "c", "b")] == [1, 2, 1, 3, 2]
 
 
 @pytest.mark.parametrize(
@@ -33,8 +33,8 @@
         {"zone": 3},
     ],
 )
-def test_malformed_entry_fails_the_complete_answer(change: dict[str, Any]) -> None:
-    """Guards the list against answers that are valid in part."""
+def test_malformed_entry_rejects_the_complete_response(change: dict[str, Any]) -> None:
+    """A response that is only partly valid must not be applied."""
     data = {"generation": 1, "reset": True, "instances": [entry("a", 80), entry("b", 81) | change]}
     with pytest.raises(DiscoveryError, match=next(iter(change))):
         parse_listing(data, EndpointNumbering(("north",), ("box",)))
@@ -50,19 +50,19 @@
         ({"instances": [7]}, "instances: 7 is not an object"),
     ],
 )
-def test_malformed_answer_is_named_by_key_and_value(change: dict[str, Any], message: str) -> None:
+def test_error_for_a_malformed_response_names_key_and_value(change: dict[str, Any], message: str) -> None:
     with pytest.raises(MalformedListError) as caught:
         parse_listing({"generation": 1, "reset": True, "instances": []} | change, EndpointNumbering((), ()))
     assert str(caught.value) == message
     assert caught.value.key == next(iter(change))
 
 
-def test_malformed_answer_uses_up_no_number() -> None:
-    names = EndpointNumbering((), ())
+def test_malformed_response_uses_up_no_server_number() -> None:
+    numbering = EndpointNumbering((), ())
     data = {"generation": 1, "reset": False, "instances": [entry("a", 80), entry("b", 81, weight=-1)]}
     with pytest.raises(MalformedListError):
-        parse_listing(data, names)
-    assert names.known() == []
+        parse_listing(data, numbering)
+    assert numbering.known() == []
 
 
 def test_removed_server_needs_no_address() -> None:
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -1,4 +1,4 @@
-"""Lists of over a thousand servers: no cap, complete in any form, within the memory of a small instance."""
+"""Tests of endpoint lists with over a thousand servers: no length limit, complete parsing, bounded memory."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 from tests.fakes import fake_servers, running, served
 from tests.platform.harness import ready, spawn
 
-SERVERS = 1_500
-MEMORY_MB = 64
+SERVER_COUNT = 1_500
+MAX_MEMORY_MB = 64
 
 
-def rows(number: int, first: dict[str, Any]) -> list[dict[str, Any]]:
-    return [first, *(entry(f"s-{n:08x}", 1 + n % 60_000, lifecycle="leaving") for n in range(number - 1))]
+def make_rows(count: int, first: dict[str, Any]) -> list[dict[str, Any]]:
+    return [first, *(entry(f"s-{n:08x}", 1 + n % 60_000, lifecycle="leaving") for n in range(count - 1))]
 
 
 @pytest.mark.parametrize("indent", [None, 4])
-def test_large_list_that_arrives_in_single_bytes_is_complete(indent: int | None) -> None:
-    data = {"generation": 7, "reset": True, "instances": rows(SERVERS, entry("a", 9))}
+def test_large_list_received_in_single_bytes_is_parsed_completely(indent: int | None) -> None:
+    data = {"generation": 7, "reset": True, "instances": make_rows(SERVER_COUNT, entry("a", 9))}
     payload = ok(json.dumps(data, indent=indent).encode())
     assert len(payload) < MAX_LIST_BYTES
     reader = ResponseParser(MAX_LIST_BYTES)
@@ -46,86 +46,90 @@
     assert len(responses) == 1
     assert reader.fault is None
     listing = parse_listing(json.loads(responses[0].body), EndpointNumbering((), ()))
-    assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVERS
+    assert len(listing.entries) == len({row.server for row in listing.entries}) == SERVER_COUNT
 
 
-def test_every_server_of_a_large_list_is_used() -> None:
+def test_every_server_of_a_large_list_receives_requests() -> None:
     settings = Settings([RequestClass(1_000.0, 1_000.0, Effect.IDEMPOTENT)], instances=230, tier=1, tiers=2)
     balancer = Balancer(settings, 1)
-    data = {"generation": 7, "reset": True, "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVERS)]}
+    data = {
+        "generation": 7,
+        "reset": True,
+        "instances": [entry(f"s-{n}", 1 + n) for n in range(SERVER_COUNT)],
+    }
     listing = parse_listing(data, EndpointNumbering((), ()))
     balancer.handle(1.0, ListUpdate(ListKind.FULL, 7, listing.entries))
     used = set()
-    for number in range(SERVERS):
+    for number in range(SERVER_COUNT):
         actions = balancer.handle(2.0 + number / 1e6, RequestArrived(number, 0, 1_000.0))
         used |= {action.server for action in actions if isinstance(action, Send)}
-    assert len(used) == SERVERS  # each has a token until it has an attempt
+    assert len(used) == SERVER_COUNT  # each server has a token until its first attempt
 
 
 def test_change_within_a_large_list_is_applied() -> None:
     async def work() -> None:
         async with fake_servers(serve_ok) as (upstream,):
-            listed = rows(SERVERS, upstream.entry("a"))
+            listed = make_rows(SERVER_COUNT, upstream.entry("a"))
             async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
                 table = balancer.dispatcher.connection_pool.table
                 await wait_until(lambda: balancer.dispatcher.ready)
-                assert len(table) == SERVERS
+                assert len(table) == SERVER_COUNT
                 balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
-                await wait_until(lambda: len(table) > SERVERS)
+                await wait_until(lambda: len(table) > SERVER_COUNT)
                 await served(client)
 
     run(work())
 
 
 def write_config(path: Path, listed: list[dict[str, Any]], discovery: FakeDiscovery, port: int) -> Path:
-    """A small instance's configuration, which knows the list at the start."""
+    """Write the configuration of a small instance whose `known` list is complete."""
     data = config_data(
         listed,
         discovery.port,
         listen=f"127.0.0.1:{port}",
         settings=SETTINGS | {"Discovery": "on_request"},
-        limits={"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": 256},
+        limits={"cores": 1.0, "memory_mb": MAX_MEMORY_MB, "sockets": 256},
     )
     path.write_text(json.dumps(data))
     return path
 
 
 def peak_memory_mb(process_id: int) -> float:
-    """The most memory that the process has had so far."""
+    """Peak resident memory of the process so far."""
     status = Path(f"/proc/{process_id}/status").read_text()
     peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
     return int(peak.split()[1]) / 1024
 
 
-async def listed_watch(discovery: FakeDiscovery) -> None:
-    """Waits for the watch that follows the complete list."""
+async def wait_for_watch(discovery: FakeDiscovery) -> None:
+    """Wait for the watch that follows the complete list."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while "after=" not in await discovery.calls.get():
             pass
 
 
-def test_large_list_fits_a_small_instance(tmp_path: Path) -> None:
-    """As known at the start, and as the complete list that discovery answers with."""
+def test_large_list_stays_within_the_memory_of_a_small_instance(tmp_path: Path) -> None:
+    """Holds both for the list known at the start and for the complete list in discovery's response."""
 
     async def work(server: FakeServer, discovery: FakeDiscovery, listed: list[dict[str, Any]]) -> None:
         port = free_port()
         process = await spawn(write_config(tmp_path / "config.json", listed, discovery, port))
         try:
             await ready(port)
-            await listed_watch(discovery)
+            await wait_for_watch(discovery)
             async with HttpClient(port) as client:
                 await served(client)
             assert len(server.requests) == 1
-            assert peak_memory_mb(process.pid) <= MEMORY_MB
+            assert peak_memory_mb(process.pid) <= MAX_MEMORY_MB
         finally:
             process.kill()
             await process.wait()
 
     async def with_fakes() -> None:
         async with fake_servers(serve_ok) as (server,):
-            listed = rows(SERVERS, server.entry("a"))
+            listed = make_rows(SERVER_COUNT, server.entry("a"))
             discovery = await FakeDiscovery(listed).start()
-            discovery.generation = 3  # a later one than is known
+            discovery.generation = 3  # later than the generation of the known list
             try:
                 await work(server, discovery, listed)
             finally:
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Limits of client connections over loopback: time, memory and descriptors, and what gives way to whom."""
+"""Tests of client connection limits over loopback: time, memory, descriptors, and eviction order."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 FEW_DESCRIPTORS = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
-DELAYED = "/api?delayed"
+DELAYED_TARGET = "/api?delayed"
 SMALL_BUFFER_BYTES = 4096
 
 
 def delays_until(released: asyncio.Event) -> Behaviour:
-    """Answers requests for `DELAYED` once the event is set, all others at once."""
+    """Respond to requests for `DELAYED_TARGET` once the event is set, to all others immediately."""
 
     async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
-        if request.target == DELAYED:
+        if request.target == DELAYED_TARGET:
             await released.wait()
         await talk.send(ok())
 
@@ -47,7 +47,7 @@
 
 
 async def connect_with_small_buffers(network: Loopback) -> asyncio.StreamWriter:
-    """A client that reads nothing, and for which the system takes little on either side."""
+    """Connect a client that reads nothing, with small socket buffers on both sides."""
     client_socket = socket.socket()
     client_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     client_socket.connect(("127.0.0.1", network.balancer.port))
@@ -61,15 +61,15 @@
     return writer
 
 
-def test_a_client_that_does_not_read_takes_bounded_memory() -> None:
-    """No further request is begun for a client until its answers are read."""
+def test_client_that_does_not_read_takes_bounded_memory() -> None:
+    """No further request is begun for a client until it has read its responses."""
 
     async def work() -> None:
         sent = 400
         async with loopback(serves(b"x" * 64_000), clients=0) as network:
             writer = await connect_with_small_buffers(network)
             (connection,) = network.balancer.listener._connections
-            for number in range(sent):  # never more ahead than is allowed
+            for number in range(sent):  # pipelines no more requests than are allowed
                 writer.write(request_bytes())
                 responded = number + 1
                 await wait_until(
@@ -88,9 +88,9 @@
     run(work())
 
 
-def test_idle_connections_are_evicted_when_the_descriptor_budget_is_spent() -> None:
-    """Beyond the clients' descriptor budget the connection idle for longest is closed, and a new client is
-    served.
+def test_longest_idle_connection_is_evicted_when_the_descriptor_budget_is_exhausted() -> None:
+    """When the clients' descriptor budget is exhausted, the longest idle connection is closed, and a new
+    client is served.
     """
 
     async def work() -> None:
@@ -103,8 +103,8 @@
     run(work())
 
 
-def test_connections_with_an_incomplete_request_are_evicted_too(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Clients may take every connection with a request that they never complete."""
+def test_connections_with_an_incomplete_request_can_be_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients that never complete their requests must not be able to occupy every connection."""
     monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_MS", 1e9)  # none times out before it can be evicted
 
     async def work() -> None:
@@ -119,8 +119,8 @@
     run(work())
 
 
-def test_connections_to_servers_keep_to_their_descriptor_budget() -> None:
-    """Beyond the budget an attempt ends as never sent, at once."""
+def test_server_connections_stay_within_their_descriptor_budget() -> None:
+    """When the budget is exhausted, an attempt ends immediately as not sent."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -139,7 +139,7 @@
 
 
 async def trickle(client: HttpClient) -> None:
-    """Send a request a byte at a time."""
+    """Send a request one byte at a time."""
     for byte in request_bytes("move", b"x" * 5000):
         client.send(bytes((byte,)))
         await asyncio.sleep(0.01)
@@ -147,7 +147,7 @@
 
 @asynccontextmanager
 async def trickling(*clients: HttpClient) -> AsyncIterator[None]:
-    """All these clients trickle meanwhile."""
+    """Let all these clients trickle requests within the context."""
     tasks = [asyncio.ensure_future(trickle(client)) for client in clients]
     try:
         yield
@@ -157,8 +157,8 @@
 
 
 def test_silent_clients_and_endless_requests_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A silent connection is closed; an incomplete request gets 408 however often a byte of it comes, on a
-    new connection and on a reused one; a client that waits for its answer is left alone.
+    """A silent connection is closed. An incomplete request gets 408 even if further bytes keep arriving, on a
+    new and on a reused connection. A client that waits for its response is not affected.
     """
     monkeypatch.setattr(Listener, "SWEEP_MS", 10.0)
 
@@ -166,9 +166,9 @@
         released = asyncio.Event()
         async with loopback(delays_until(released), clients=2) as network:
             waiting, reused = network.clients
-            waiting.send_request(target=DELAYED)
+            waiting.send_request(target=DELAYED_TARGET)
             await served(reused)
-            # From here on, so that the requests above have the time they need.
+            # Set only now, so that the requests above are not limited.
             monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_MS", 1_000.0)
             monkeypatch.setattr(ClientConnection, "REQUEST_MS", 1_000.0)
             silent = await network.connect()
@@ -184,21 +184,21 @@
 
 
 async def fill_with_requests(network: Loopback, count: int, budget: int) -> list[HttpClient]:
-    """Clients whose answers are delayed, and each of which is connected within the budget."""
+    """Connect clients whose responses are delayed, asserting that the budget is never exceeded."""
     clients = []
     for _ in range(count):
         requests_before = len(network.server.requests)
         client = await network.connect()
         clients.append(client)
-        client.send_request(target=DELAYED)
+        client.send_request(target=DELAYED_TARGET)
         await wait_until(lambda before=requests_before: len(network.server.requests) > before)
         assert len(network.balancer.listener._connections) <= budget
     return clients
 
 
-def test_the_client_budget_is_a_cap_that_aborts_no_request_in_flight() -> None:
-    """With a request in flight in every slot a new client waits in the backlog, and is served once a slot is
-    free; silent connections are evicted before those between requests.
+def test_client_budget_is_enforced_without_aborting_requests_in_flight() -> None:
+    """While every slot has a request in flight, a new client waits in the backlog, and is served once a slot
+    is free. Silent connections are evicted before idle ones that have had a request.
     """
 
     async def work() -> None:
@@ -211,8 +211,8 @@
             await served(reused)
             await connect_many(network, 60)  # silent
             busy = await fill_with_requests(network, budget - 1, budget)
-            await served(reused)  # the silent ones were closed, this one was not
-            reused.send_request(target=DELAYED)
+            await served(reused)  # the silent connections were evicted, this one was not
+            reused.send_request(target=DELAYED_TARGET)
             late = await connect_many(network, 5)
             for client in late:
                 client.send_request()
@@ -225,8 +225,8 @@
     run(work())
 
 
-def test_all_connections_share_one_memory_budget() -> None:
-    """What does not fit is rejected with Retry-After, others are served, and nothing stays booked."""
+def test_connections_share_one_memory_budget() -> None:
+    """A request beyond the budget gets 503 with Retry-After, others are served; all memory is released."""
 
     async def work() -> None:
         released = asyncio.Event()
@@ -235,7 +235,7 @@
             memory_budget = network.balancer.dispatcher.memory_budget
             assert memory_budget.limit_bytes == 48 * 1024 * 1024
             memory_budget.limit_bytes = 100_000
-            one.send_request("move", b"x" * 60_000, DELAYED)
+            one.send_request("move", b"x" * 60_000, DELAYED_TARGET)
             await network.server.arrived.get()
             two.send_request("move", b"x" * 60_000)
             response = await two.read_response()
@@ -259,8 +259,8 @@
         await talk.send(ok())
 
 
-# Served, reset by the server, of no class, malformed, too long, and pipelined.
-ENDINGS = (
+# Served, reset by the server, of an unknown class, malformed, too long, and pipelined.
+REQUESTS_BY_ENDING = (
     request_bytes("move", b"x"),
     request_bytes(target="/api?reset"),
     request_bytes("nosuch"),
@@ -271,8 +271,8 @@
 
 
 async def end_connections(network: Loopback) -> None:
-    """A connection of its own for each ending, and the end of those to the server."""
-    for data in ENDINGS:
+    """End one client connection in each way, and close the connections to the server."""
+    for data in REQUESTS_BY_ENDING:
         async with HttpClient(network.balancer.port) as client:
             client.send(data)
             assert (await client.read_response()).status
@@ -292,9 +292,9 @@
         gc.enable()
 
 
-def test_nothing_is_left_to_the_garbage_collector() -> None:
-    """Connections and requests are freed as they end, rejected ones and ones with a parse error too, with the
-    garbage collector off.
+def test_ended_connections_and_requests_are_freed_without_the_garbage_collector() -> None:
+    """With the garbage collector off, connections and requests are freed when they end, including rejected
+    ones and those with a parse error.
     """
 
     async def work() -> None:
@@ -303,6 +303,6 @@
             with without_garbage_collector():
                 await end_connections(network)
                 left = [type(item).__name__ for item in gc.get_objects() if isinstance(item, kinds)]
-        assert left == ["ResponseParser"]  # of the connection to discovery
+        assert left == ["ResponseParser"]  # parser of the connection to discovery
 
     run(work())
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests over loopback: malformed input, pipelining, ids, and exactly one answer to each."""
+"""Tests of requests over loopback: malformed input, pipelining, ids, and exactly one response to each."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
 
-BAD = [
-    ("no HTTP", b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400),
+MALFORMED_REQUESTS = [
+    ("not HTTP", b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400),
     ("unknown method", b"BREW /api HTTP/1.1\r\n\r\n", 400),
     ("bad header", b"GET /api HTTP/1.1\r\nno colon here\r\n\r\n", 400),
     ("bad length", HEAD + b"Content-Length: ten\r\n\r\n", 400),
@@ -31,35 +31,35 @@
         400,
     ),
     (
-        "length and chunks, the other way",
+        "chunks and length",
         HEAD + CHUNKED + b"Content-Length: 1\r\n\r\n1\r\na\r\n0\r\n\r\n",
         400,
     ),
     ("signed length", HEAD + b"Content-Length: +1\r\n\r\na", 400),
-    ("length and none", HEAD + b"Content-Length: 1, 1\r\n\r\na", 400),
-    ("a coding before chunked", HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
+    ("list of lengths", HEAD + b"Content-Length: 1, 1\r\n\r\na", 400),
+    ("another coding before chunked", HEAD + b"Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 400),
     ("chunked twice", HEAD + CHUNKED + CHUNKED + b"\r\n0\r\n\r\n", 400),
-    ("chunks of an old version", HEAD.replace(b"1.1", b"1.0") + CHUNKED + b"\r\n0\r\n\r\n", 400),
+    ("chunks in HTTP/1.0", HEAD.replace(b"1.1", b"1.0") + CHUNKED + b"\r\n0\r\n\r\n", 400),
     ("no version", b"GET /api\r\n\r\n", 400),
     ("folded header", HEAD + b"X-A: b\r\n c\r\nContent-Length: 0\r\n\r\n", 400),
     ("bare CR", HEAD + b"X-A: b\rc\r\nContent-Length: 0\r\n\r\n", 400),
     ("bare LF", HEAD + b"X-A: b\nContent-Length: 0\r\n\r\n", 400),
     ("NUL", HEAD + b"X-A: b\0c\r\nContent-Length: 0\r\n\r\n", 400),
     ("thousands of fields", HEAD + b"a:b\r\n" * 3000, 431),
-    ("hundreds of requests at once", b"".join(request_bytes() for _ in range(300)), 429),
+    ("hundreds of pipelined requests", b"".join(request_bytes() for _ in range(300)), 429),
     ("no id", HEAD + b"Content-Length: 0\r\n\r\n", 400),
-    ("an empty id", request_bytes(X_Trace_Id=""), 400),
-    ("two ids", request_bytes().replace(b"\r\n", b"\r\nX-Trace-Id: 5\r\n", 1), 400),
-    ("an endless id", request_bytes(X_Trace_Id="5" * 1000), 400),
+    ("empty id", request_bytes(X_Trace_Id=""), 400),
+    ("repeated id", request_bytes().replace(b"\r\n", b"\r\nX-Trace-Id: 5\r\n", 1), 400),
+    ("id too long", request_bytes(X_Trace_Id="5" * 1000), 400),
     ("bad chunk", HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n", 400),
     ("upgrade", b"GET /api HTTP/1.1\r\nConnection: upgrade\r\nUpgrade: h2c\r\n\r\n", 400),
     ("unknown class", request_bytes("nosuch"), 400),
     ("no class", b"GET /api HTTP/1.1\r\nHost: x\r\n\r\n", 400),
-    ("class twice", request_bytes(x_qos="look"), 400),
+    ("repeated class", request_bytes(x_qos="look"), 400),
     ("deadline in words", request_bytes(X_Expires_In_Ms="soon"), 400),
     ("negative deadline", request_bytes(X_Expires_In_Ms="-5"), 400),
     ("empty deadline", request_bytes(X_Expires_In_Ms=""), 400),
-    ("keyed without a key", request_bytes("post", b"x", Idempotency_Key=""), 400),
+    ("keyed class without a key", request_bytes("post", b"x", Idempotency_Key=""), 400),
     ("body over the limit", request_bytes("move", b"x" * (64 * 1024 + 1)), 413),
     ("stated body over the limit", HEAD + b"Content-Length: 65537\r\n\r\n", 413),
     (
@@ -68,15 +68,17 @@
         413,
     ),
     ("unknown path", request_bytes(target="/nope"), 404),
-    ("near path", request_bytes(target="/apis"), 404),
+    ("path with a known prefix", request_bytes(target="/apis"), 404),
     ("method that no class has", request_bytes().replace(b"GET", b"OPTIONS", 1), 405),
-    ("endless head", b"GET /api HTTP/1.1\r\n" + b"X-A: " + b"a" * 40_000, 431),
+    ("header line too long", b"GET /api HTTP/1.1\r\n" + b"X-A: " + b"a" * 40_000, 431),
 ]
 
 
-@pytest.mark.parametrize(("data", "code"), [row[1:] for row in BAD], ids=[row[0] for row in BAD])
-def test_malformed_input_is_rejected_and_harms_no_other_request(data: bytes, code: int) -> None:
-    """Each kind is answered, and the other requests go on."""
+@pytest.mark.parametrize(
+    ("data", "code"), [row[1:] for row in MALFORMED_REQUESTS], ids=[row[0] for row in MALFORMED_REQUESTS]
+)
+def test_malformed_input_is_rejected_without_effect_on_other_requests(data: bytes, code: int) -> None:
+    """Malformed input receives an error response, and a request on another connection completes."""
 
     async def work() -> None:
         released = asyncio.Event()
@@ -93,8 +95,8 @@
     run(work())
 
 
-def test_a_missing_deadline_defaults_to_that_of_the_class() -> None:
-    """Clients need not state one."""
+def test_missing_or_longer_deadline_becomes_that_of_the_class() -> None:
+    """Clients need not state a deadline, and can't exceed the one of the class."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -107,8 +109,8 @@
     run(work())
 
 
-def test_pipelined_requests_are_answered_in_order_one_at_a_time() -> None:
-    """Order and exactly one answer hold where a client does not wait."""
+def test_pipelined_requests_get_one_response_each_in_order() -> None:
+    """Order and exactly one response are guaranteed even if a client does not wait for responses."""
 
     async def work() -> None:
         async with loopback(echoes_target) as network:
@@ -122,8 +124,8 @@
     run(work())
 
 
-def test_a_client_that_expects_100_continue_gets_it() -> None:
-    """Else such a client would wait in vain."""
+def test_client_that_expects_100_continue_receives_it() -> None:
+    """Without 100 (Continue) such a client would never send the body."""
 
     async def work() -> None:
         async with loopback(serve_ok) as network:
@@ -138,8 +140,8 @@
     run(work())
 
 
-def test_connection_close_is_honoured() -> None:
-    """A client may say that the connection ends with this answer."""
+def test_connection_close_of_the_client_is_honoured() -> None:
+    """A client may request that the connection ends with the next response."""
 
     async def work() -> None:
         async with loopback(serve_ok) as network:
@@ -151,7 +153,7 @@
 
 
 def test_rejections_carry_retry_after_in_decimal_seconds() -> None:
-    """Guards Reject: 503 at once, with Retry-After where the decisions advise it, and without where not."""
+    """Reject causes an immediate 503, with Retry-After only if the balancer's action states a delay."""
 
     async def work() -> None:
         waits_ms = [1250.0, 0.0]
@@ -174,14 +176,14 @@
 
 def raise_for_class_2(event: Event) -> list[Action] | None:
     if isinstance(event, RequestArrived) and event.class_index == 2:
-        raise RuntimeError("a fault")
+        raise RuntimeError("balancer error for the test")
     return None
 
 
-def test_an_error_in_one_request_is_answered_500_with_its_id_in_the_log(
+def test_error_in_one_request_causes_500_and_a_log_line_with_its_id(
     capfd: pytest.CaptureFixture[str],
 ) -> None:
-    """Guards the process against a fault in the decisions: that request alone ends, and the log names it."""
+    """An exception in the balancer ends only the request that caused it, and the log names the request."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -196,14 +198,14 @@
 
 
 def respond_to_class_2_twice(event: Event) -> list[Action] | None:
-    """Two answers to a request that has an attempt in flight."""
+    """Request two final responses for a request that has an attempt in flight."""
     if isinstance(event, RequestArrived) and event.class_index == 2:
         return [Send(event.request, 1, 300.0), Fail(event.request), Reject(event.request)]
     return None
 
 
-def test_a_second_final_answer_is_dropped() -> None:
-    """Guards 'exactly one answer': decisions that answer twice while an attempt is out must not answer the
+def test_second_final_response_is_dropped() -> None:
+    """A balancer that responds twice to a request with an attempt in flight must not thereby respond to the
     client's next request in place of a server.
     """
 
@@ -215,13 +217,13 @@
             assert [(await network.client.read_response()).status for _ in range(2)] == [502, 200]
             first = script.received(RequestArrived)[0]
             end = await script.next_event(AttemptEnded, lambda event: event.request == first.request)
-            assert end.final  # the decisions are notified of the attempt's end all the same
+            assert end.final  # the balancer is still notified of the attempt's end
 
     run(work())
 
 
-def test_an_incomplete_request_is_not_forwarded() -> None:
-    """The client has shut down its sending side before the last byte."""
+def test_incomplete_request_is_not_forwarded() -> None:
+    """A client that shuts down its sending side before the last byte gets no response."""
 
     async def work() -> None:
         script = ScriptedBalancer([1])
@@ -239,17 +241,17 @@
     run(work())
 
 
-async def assert_id_rejected(network: Loopback, cls: str, body: bytes, trace: str) -> None:
-    """Send a request under an id that is taken, on a connection of its own, which is closed then."""
+async def assert_id_rejected(network: Loopback, class_name: str, body: bytes, trace_id: str) -> None:
+    """Send a request with an id in use on a new connection; expect 409 and the connection's end."""
     client = await network.connect()
-    client.send_request(cls, body, X_Trace_Id=trace)
+    client.send_request(class_name, body, X_Trace_Id=trace_id)
     assert (await client.read_response()).status == 409
     assert await client.read_to_end() == b""
 
 
-def test_a_request_under_the_id_of_a_recent_one_is_rejected() -> None:
-    """The first request is answered as if there were no second; neither is one forwarded that comes just
-    after that answer.
+def test_request_with_the_id_of_a_recent_request_is_rejected() -> None:
+    """The first request is served as if there were no second. A request with the same id that arrives just
+    after the response to the first one is not forwarded either.
     """
 
     async def work() -> None:
@@ -275,8 +277,8 @@
     run(work())
 
 
-def test_bytes_behind_a_rejected_message_are_never_parsed() -> None:
-    """Prevents request smuggling: two parsers might find the end of such a message in two places."""
+def test_bytes_after_a_rejected_message_are_never_parsed() -> None:
+    """Prevents request smuggling: two parsers might disagree about the end of such a message."""
 
     async def work() -> None:
         async with loopback(serve_ok) as network:
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -1,5 +1,5 @@
-"""Silent clients that take every descriptor they can get while discovery fails: the program as a process,
-under the system's own limit.
+"""Tests of the program as a process under the operating system's descriptor limit, while silent clients
+occupy all the descriptors that they can get and discovery fails.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 from tests.race_conditions.skipping_clock import SkippingLoop
 from tests.race_conditions.skipping_clock import run as skip
 
-POLLED = SETTINGS | {"Discovery": "on_request"}
-SILENCE_LIMIT_S = 3.0  # within which a silent client gets an error or a close
-BUSY = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
+POLLED_SETTINGS = SETTINGS | {"Discovery": "on_request"}
+SILENCE_LIMIT_S = 3.0  # time within which a silent client must get an error or a close
+BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
 @asynccontextmanager
-async def flooded(port: int, peers: int) -> AsyncIterator[list[socket.socket]]:
-    """That many clients connect and send nothing; one that is closed is left so."""
+async def connect_silent_clients(port: int, peers: int) -> AsyncIterator[list[socket.socket]]:
+    """Connect that many clients, which send nothing and do not reconnect when closed."""
     loop = asyncio.get_running_loop()
     peer_sockets = []
     for _ in range(peers):
@@ -48,8 +48,8 @@
             peer.close()
 
 
-async def closed(peer: socket.socket) -> None:
-    """Expects its end or a reset: nothing was sent, so nothing is answered."""
+async def expect_close(peer: socket.socket) -> None:
+    """Wait for the connection's end or reset; a client that has sent nothing gets no response."""
     with suppress(ConnectionError):
         assert await asyncio.get_running_loop().sock_recv(peer, 100) == b""
 
@@ -58,7 +58,7 @@
     if fault == "down":
         discovery.stop()
     elif fault == "refusing":
-        discovery.garbage = [BUSY] * 1000
+        discovery.garbage = [BUSY_RESPONSE] * 1000
     else:
         discovery.silent = True
 
@@ -70,8 +70,8 @@
 
 
 @asynccontextmanager
-async def program(path: Path, descriptor_limit: int) -> AsyncIterator[None]:
-    """The program as a process of its own, which must still run at the end."""
+async def run_program(path: Path, descriptor_limit: int) -> AsyncIterator[None]:
+    """Run the program as a separate process, which must still be running at the end."""
     process = await spawn(path, descriptor_limit)
     try:
         yield
@@ -83,7 +83,14 @@
 
 
 class FailingDiscovery:
-    """Two servers, and a discovery that lists the first and fails in one way."""
+    """Two servers, and a discovery service that lists the first one and fails in a given way.
+
+    Attributes:
+        first: Server that is listed at the start.
+        second: Server that replaces the first one.
+        fault: How discovery fails: "down", "refusing" (503 to each call) or "silent" (no response).
+        discovery: The discovery service.
+    """
 
     def __init__(self, servers: list[FakeServer], fault: str) -> None:
         self.first, self.second = servers
@@ -91,12 +98,12 @@
         self.discovery = FakeDiscovery([self.first.entry("a")])
 
     def write_config(self, path: Path, port: int, descriptor_limit: int) -> Path:
-        """The configuration of a program that knows no list at its start."""
+        """Write the configuration of a program that has no list at its start."""
         data = config_data(
             [self.first.entry("a")],
             self.discovery.port,
             listen=f"127.0.0.1:{port}",
-            settings=POLLED,
+            settings=POLLED_SETTINGS,
             known={},
         )
         data["limits"]["sockets"] = descriptor_limit
@@ -104,7 +111,7 @@
         return path
 
     def fail_with_a_change(self) -> None:
-        """Discovery fails, and then its list changes: the second server takes the first one's place."""
+        """Make discovery fail, then replace the first server by the second one in its list."""
         break_discovery(self.discovery, self.fault)
         self.discovery.change(self.second.entry("b"), self.first.entry("a", lifecycle="leaving"))
 
@@ -113,7 +120,7 @@
 
 
 async def assert_change_is_received(client: HttpClient, second: FakeServer) -> None:
-    """The client is served all the time, and by the second server in the end."""
+    """The client is served throughout, and finally by the second server."""
     async with asyncio.timeout(4.0 * RESPONSE_TIMEOUT_S):
         while not second.requests:
             await served(client)
@@ -121,21 +128,21 @@
 
 
 async def assert_service_under_floods(port: int, limit: int, failing: FailingDiscovery) -> None:
-    """While discovery fails and once it is back, with more silent clients than there are descriptors."""
+    """Service continues during and after discovery's failure, with more silent clients than descriptors."""
     await ready(port)
     async with HttpClient(port) as reused:
         await served(reused)
         failing.fail_with_a_change()
-        async with flooded(port, limit + 100) as peers, HttpClient(port) as fresh:
+        async with connect_silent_clients(port, limit + 100) as peers, HttpClient(port) as fresh:
             await ready(port)
             for client in (reused, fresh):
                 await served(client)
-            # In the same moment that discovery is back, as many come again.
+            # The same number of silent clients connects again just when discovery recovers.
             await failing.restore()
-            async with flooded(port, limit + 100):
+            async with connect_silent_clients(port, limit + 100):
                 await assert_change_is_received(reused, failing.second)
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                await asyncio.gather(*map(closed, peers))
+                await asyncio.gather(*map(expect_close, peers))
         await ready(port)
 
 
@@ -144,19 +151,19 @@
 def test_silent_clients_block_neither_discovery_nor_servers_nor_other_clients(
     limit: int, fault: str, tmp_path: Path
 ) -> None:
-    """While discovery fails and after its return: `/ready` is answered, clients on new and on reused
+    """During discovery's failure and after its recovery, `/ready` responds, clients on new and on reused
     connections are served, the endpoint list is received, and silent connections are closed.
     """
 
     async def work() -> None:
-        assert raise_descriptor_limit(2 * limit + 500) >= 2 * limit + 500  # of this process, for both sides
+        assert raise_descriptor_limit(2 * limit + 500) >= 2 * limit + 500  # this process has both ends
         async with fake_servers(serve_ok, serve_ok) as servers:
             failing = FailingDiscovery(servers, fault)
             await failing.discovery.start()
             port = free_port()
             path = failing.write_config(tmp_path / "config.json", port, limit)
             try:
-                async with program(path, limit):
+                async with run_program(path, limit):
                     await assert_service_under_floods(port, limit, failing)
             finally:
                 failing.discovery.stop()
@@ -165,14 +172,14 @@
 
 
 def test_silent_clients_time_out_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Under a clock that skips, so that it tells the program's own times."""
+    """Uses a clock that advances only by the program's timers, so that a busy machine adds no time."""
 
     async def work(loop: SkippingLoop) -> None:
-        async with loopback(serve_ok, clients=0, base=POLLED, machine={"sockets": 256}) as network:
+        async with loopback(serve_ok, clients=0, base=POLLED_SETTINGS, machine={"sockets": 256}) as network:
             network.balancer.discovery.stop()
-            async with flooded(network.balancer.port, 60) as peers:
+            async with connect_silent_clients(network.balancer.port, 60) as peers:
                 started_s = loop.time()
-                await asyncio.gather(*map(closed, peers))
+                await asyncio.gather(*map(expect_close, peers))
                 assert loop.time() - started_s <= SILENCE_LIMIT_S
 
     skip(monkeypatch, work)
