--- a/sandhatch/balancing/__init__.py
+++ b/sandhatch/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Load-balancing decisions for services that call services, without any input or output of their own."""
+"""Load-balancing decisions for service-to-service calls, free of I/O."""
 
 from sandhatch.balancing.errors import ContractError, SettingsError
 from sandhatch.balancing.policy.balancer import Balancer
--- a/sandhatch/balancing/actions.py
+++ b/sandhatch/balancing/actions.py
@@ -1,7 +1,7 @@
-"""Actions: what a balancer wants its caller to do, in the order in which it returns them.
+"""Actions that a balancer returns to its caller, which carries them out in that order.
 
-Servers, requests and timers are named by the integers of the events. Times are durations in milliseconds.
-A balancer never waits for an action: what comes of it arrives as an event.
+Servers, requests and timers are identified by the integers of the events. Times are durations in
+milliseconds. A balancer never waits for an action: its result arrives as an event.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
     Attributes:
         request: The request.
-        server: The server that it goes to.
-        timeout_ms: After which the attempt ends with `Outcome.TIMEOUT`.
+        server: The server that receives it.
+        timeout_ms: Time after which the attempt ends with `Outcome.TIMEOUT`.
     """
 
     request: int
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt in flight. Its `AttemptEnded` follows all the same.
+    """Cancel an attempt in flight. Its `AttemptEnded` still follows.
 
     Attributes:
         request: The request.
@@ -43,11 +43,11 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: the request was not served, and a retry does no harm.
+    """Final response: the request was not served, and a retry does no harm.
 
     Attributes:
         request: The request.
-        wait_ms: How long the client should wait before its retry (Retry-After); 0 gives no advice.
+        wait_ms: Suggested wait before a retry (Retry-After); 0 if there is none.
     """
 
     request: int
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: the request failed, and may or may not have had its effect."""
+    """Final response: the request failed, and may or may not have had its effect."""
 
     request: int
 
@@ -69,8 +69,8 @@
     """Send `TimerFired` after a delay. Timers can't be cancelled.
 
     Attributes:
-        cookie: What the event is to carry.
-        delay_ms: How long from now.
+        cookie: Value that the event carries.
+        delay_ms: Time from now until the event.
     """
 
     cookie: int
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Probe a server: check whether it answers, and get its load report."""
+    """Probe a server: check whether it responds, and get its load report."""
 
     server: int
 
@@ -96,8 +96,8 @@
     """Send a message to other instances of the tier.
 
     Attributes:
-        peer: The index of the instance; None sends it to all.
-        payload: What to send.
+        peer: Index of the receiving instance; None sends the message to all.
+        payload: Content of the message.
     """
 
     peer: int | None
@@ -114,17 +114,17 @@
 
 @dataclass(slots=True)
 class WatchList:
-    """Request changes of the endpoint list, or stop watching it.
+    """Request changes of the endpoint list, or stop watching the list.
 
-    A request that is still in flight ends, with its connection. Without a number the action starts or ends a
-    standing subscription, and the fields that follow the number don't count.
+    A request that is still in flight is aborted and its connection closed. Without a number the action starts
+    or ends a standing subscription, and the fields after the number are ignored.
 
     Attributes:
-        active: Whether to watch.
-        call: The request's number, which its answer carries; 0 for a standing subscription.
-        after: The version after which changes are requested; `NO_VERSION` requests the complete list.
-        wait_ms: How long discovery may hold the request until there is a change.
-        response_timeout_ms: After which the request is abandoned, and counts as failed.
+        active: Whether to watch the list.
+        call: The request's number, which its response carries; 0 for a standing subscription.
+        after: The version since which changes are requested; `NO_VERSION` requests the complete list.
+        wait_ms: Maximum time for which discovery may hold the request until there is a change.
+        response_timeout_ms: Time after which the request is abandoned and counts as failed.
     """
 
     active: bool = field(default=True)
@@ -146,11 +146,11 @@
 
 @dataclass(slots=True)
 class GuidanceRejected:
-    """Report that guidance was out of bounds, so that none of it counts.
+    """Report that guidance was out of bounds, so that all of it is ignored.
 
     Attributes:
         planner: The planner that sent it.
-        why: What was out of bounds.
+        why: Description of the value that was out of bounds.
     """
 
     planner: str
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -1,39 +1,39 @@
-"""How old the endpoint list may be, and every request to discovery that keeps it fresh.
+"""Freshness of the endpoint list: a bound on its age, and the requests to discovery that keep it fresh.
 
-`Freshness` decides when to send a request, what for, how long discovery may hold it, and when to abandon it.
-It does no I/O and reads no clock. Sources: the protocol's figures for lists (6 s until a change counts as
-notified, 200 ms from an answer to the next request, 4 s after a change of address), and the settings.
+`Freshness` decides when to send a request, of which kind, how long discovery may hold it, and when to abandon
+it. It does no I/O and reads no clock. Sources: the protocol's limits for lists (6 s until a change counts as
+notified, 200 ms from a response to the next request, 4 s after a change of address), and the settings.
 
-One bound matters. A list is fresh as of its last complete answer. The next complete answer is due
-`notified_ms` later: from then on every change that discovery has counts as notified to this instance, whether
-it was received or not. Nothing but a complete answer moves this bound: a failure, a pause, a rejection or a
-malformed answer does not. A watch waits for a third of the bound at most, so that a silent watch is noticed
-early; the rest of the bound is for the requests that follow it, which queue at discovery.
+A single bound limits the list's age. A list is fresh as of its last complete response. The next complete
+response is due `notified_ms` later: from then on every change that discovery has counts as notified to this
+instance, whether it was received or not. Only a complete response moves this bound; a failure, a pause, a
+rejection or a malformed response does not. A watch waits for at most a third of the bound, so that a silent
+watch is detected early; the rest of the bound is for the requests that follow, which queue at discovery.
 
 A request is one of three kinds, and each is sent as a `WatchList` action:
 
-    COMPLETE_LIST  the complete list, where no version of it is known
-    OPEN_WATCH     changes since the known version, without a wait: queues at discovery, and opens a watch
-    RENEW_WATCH    the same with a wait: continues that watch, doesn't queue, and must follow at once
+    COMPLETE_LIST  requests the complete list, where no version is known
+    OPEN_WATCH     requests changes since the known version without a wait: queues at discovery, opens a watch
+    RENEW_WATCH    requests these changes with a wait: continues the watch, doesn't queue, must follow at once
 
     state        event                              next         action
     -----------  ---------------------------------  -----------  ---------------------------------------------
-    NOT_STARTED  the cached list at the start       SCHEDULED    COMPLETE_LIST or OPEN_WATCH, spread over the
-                                                                 instances that may start in the same moment
-    SCHEDULED    the scheduled time has come        IN_FLIGHT    send the request; one in flight is abandoned
-    IN_FLIGHT    COMPLETE_LIST is answered          SCHEDULED    OPEN_WATCH, after NEXT_REQUEST_MS; the bound
+    NOT_STARTED  cached list at the start           SCHEDULED    COMPLETE_LIST or OPEN_WATCH, spread over the
+                                                                 instances that may start at the same time
+    SCHEDULED    scheduled time reached             IN_FLIGHT    send the request; abandon one in flight
+    IN_FLIGHT    response to COMPLETE_LIST          SCHEDULED    OPEN_WATCH, after NEXT_REQUEST_MS; the bound
                                                                  starts again
-    IN_FLIGHT    another request is answered        SCHEDULED    RENEW_WATCH, after NEXT_REQUEST_MS; the bound
+    IN_FLIGHT    response to another request        SCHEDULED    RENEW_WATCH, after NEXT_REQUEST_MS; the bound
                                                                  starts again
-    IN_FLIGHT    failed, rejected or abandoned      SCHEDULED    COMPLETE_LIST or OPEN_WATCH: after the first
-                                                                 failure spread like a start, then with a
+    IN_FLIGHT    failed, rejected or abandoned      SCHEDULED    COMPLETE_LIST or OPEN_WATCH: spread like a
+                                                                 start after the first failure, then with a
                                                                  pause that counts from the failed request
     any          discovery has a new address        SCHEDULED    COMPLETE_LIST, spread; due in RELOCATED_MS
-    any          the answer to an earlier request   unchanged    the known version is that answer's
+    any          response to an earlier request     unchanged    adopt the version of that response
 
-A standing subscription (the simulator's wire) needs no renewals. There an answer to OPEN_WATCH leads to the
-state SUBSCRIBED, from which a failure leads to SCHEDULED as above. A subscription that has fallen silent
-shows only by a listed server that rejects requests: that raises a suspicion, see `Freshness.on_rejection`.
+A standing subscription (in the simulator's wire protocol) needs no renewals. There a response to OPEN_WATCH
+leads to the state SUBSCRIBED, from which a failure leads to SCHEDULED as above. The only sign of a silent
+subscription is a listed server that rejects requests, which raises a suspicion; see `Freshness.on_rejection`.
 """
 
 from __future__ import annotations
@@ -48,32 +48,32 @@
 from sandhatch.balancing.events import NO_VERSION, ListKind, ListUpdate, ServerState
 from sandhatch.balancing.settings import Settings
 
-REQUEST_COOKIE = 1 << 40  # above every request id
+REQUEST_COOKIE = 1 << 40  # above all request ids
 SUSPICION_COOKIE = REQUEST_COOKIE + 1
 COOKIES = (REQUEST_COOKIE, SUSPICION_COOKIE)
 
-NOTIFIED_MS = 6_000.0  # from a change at discovery until it counts as notified
-RELOCATED_MS = 4_000.0  # the same after discovery has changed its address
-LEAST_NOTIFIED_MS = 1_000.0  # guards discovery against settings by which a list would be old at once
+NOTIFIED_MS = 6_000.0  # time from a change at discovery until it counts as notified
+RELOCATED_MS = 4_000.0  # time until changes count as notified after discovery has changed its address
+MIN_NOTIFIED_MS = 1_000.0  # limits the request rate at discovery under settings with tiny intervals
 
 
 def notified_after_ms(settings: Settings) -> float:
-    """How long after a change at discovery it counts as notified, received or not: the bound on a list's age.
+    """Return the bound on a list's age: the time after which a change at discovery counts as notified.
 
-    An instance that neither watches nor polls counts as notified of all that is older than the settings' poll
-    interval.
+    A change then counts as notified whether it was received or not. An instance that neither watches nor
+    polls counts as notified of all changes that are older than the settings' poll interval.
     """
     if not settings.polled_discovery:
         return NOTIFIED_MS
-    return min(NOTIFIED_MS, max(LEAST_NOTIFIED_MS, settings.poll_interval_ms))
+    return min(NOTIFIED_MS, max(MIN_NOTIFIED_MS, settings.poll_interval_ms))
 
 
 class Suspect(Protocol):
-    """A listed server that rejected a request, as far as the list's age is judged by it.
+    """A listed server that rejected a request, which may mean that the list is out of date.
 
     Attributes:
-        state: What discovery says of it.
-        consecutive_failures: Those since it last served a request.
+        state: State of the server according to discovery.
+        consecutive_failures: Number of failures since it last served a request.
     """
 
     state: ServerState
@@ -81,7 +81,7 @@
 
 
 class State(Enum):
-    """Where the requests to discovery stand."""
+    """State of the requests to discovery."""
 
     NOT_STARTED = "not started"
     SCHEDULED = "scheduled"
@@ -90,7 +90,7 @@
 
 
 class RequestKind(Enum):
-    """What a request to discovery is for."""
+    """Purpose of a request to discovery."""
 
     COMPLETE_LIST = "complete list"
     OPEN_WATCH = "open watch"
@@ -99,12 +99,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Pacing:
-    """How far requests are kept apart. Pauses are drawn from half of what is stated here up to all of it.
+    """Pacing of requests. Pauses are drawn uniformly between half of the stated value and the full value.
 
     Attributes:
-        spread_ms: For each instance that may send a request in the same moment.
-        pause_ms: Between the starts of requests in a row that fail, until the list is due.
-        overdue_pause_ms: The same once the list is overdue.
+        spread_ms: Width of the spread per instance that may send a request at the same time.
+        pause_ms: Time between the starts of consecutive failing requests until the list is due.
+        overdue_pause_ms: Time between the starts of consecutive failing requests once the list is overdue.
     """
 
     spread_ms: float
@@ -112,72 +112,74 @@
     overdue_pause_ms: float
 
 
-# For each instance of each tier: twice the time that a request is taken to need at discovery. Nothing states
+# Spread per instance of each tier: twice the assumed service time of a request at discovery. Nothing states
 # that time.
 SPREAD_MS = 500.0
 
 
 def _pacing(settings: Settings, notified_ms: float) -> Pacing:
     if not settings.polled_discovery:
-        # Pushed lists come from the instance's own agent, whose answers count at once when it is back: nobody
-        # else waits there, and a pause must fit into the shortest grace period.
+        # Pushed lists come from the instance's own agent, whose changes count as notified as soon as it is
+        # back. No other instance queues there, and a pause must fit into the shortest grace period.
         return Pacing(0.0, 100.0, 500.0)
-    # Once the list is overdue about one request an instance in each bound, so that a discovery that can serve
-    # all instances within it is not kept busy by rejections; but no longer than the grace period leaves once
-    # it is back.
-    grace_ms = min(settings.drain_grace_ms, notified_ms)  # guards against one without end
+    # Once the list is overdue, each instance sends about one request per bound, so that a discovery service
+    # that can serve all instances within the bound is not saturated by rejections. The pause must leave time
+    # for a response within the grace period once discovery is back.
+    grace_ms = min(settings.drain_grace_ms, notified_ms)  # the setting may be arbitrarily large
     return Pacing(SPREAD_MS, 2.0 * (notified_ms / 3.0), notified_ms + grace_ms / 2.0)
 
 
 class Freshness:
-    """The freshness of one instance's endpoint list. Each method returns the actions to carry out.
+    """Keeps the endpoint list of one instance fresh. Each public method returns actions to carry out.
 
-    Discovery has one capacity for all instances, and a request that it rejects costs it as much as one that
-    it serves. The pacing guards against instances that send requests in step at their start or after a
-    failure, against requests that leave discovery's queue and join it anew, and against rejected requests
-    that are retried so fast that no instance is served any more.
+    All instances share discovery's capacity, and a rejected request costs it as much as one that it serves.
+    The pacing prevents instances from sending requests in step at their start or after a failure, requests
+    from leaving discovery's queue and joining it again, and rejected requests from being retried so fast that
+    no instance is served.
 
     Attributes:
         notified_ms: The bound on the list's age.
-        state: Where the requests to discovery stand.
+        state: State of the requests to discovery.
     """
 
-    SPREAD_SHARE = 0.9  # of the time until the list is due, over which requests are spread at most
-    # Beyond a renewal's wait, for its answer to arrive: it doesn't queue, and an instance on a part of a core
-    # may read late.
+    MAX_SPREAD_FRACTION = 0.9  # maximum spread, as a fraction of the time until the list is due
+    # Time beyond a renewal's wait for its response to arrive. Renewals don't queue at discovery, but an
+    # instance on a fraction of a core may read late.
     RESPONSE_MARGIN_MS = 500.0
-    NEXT_REQUEST_MS = 25.0  # from an answer to the next request: far below what ends a watch, no busy loop
-    SUSPICION_MS = 2_000.0  # about as long as a change of a server takes to arrive by the list
+    NEXT_REQUEST_MS = 25.0  # pause after a response: far below what ends a watch, but no busy loop
+    SUSPICION_MS = (
+        2_000.0  # mean delay of a check, about the time that a change takes to arrive with the list
+    )
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         """Start without a list; the first list event starts the requests."""
         self._rng = rng
-        self._fleet_size = settings.instances * settings.tiers  # an estimate: tiers differ in size
+        self._fleet_size = settings.instances * settings.tiers  # estimate, as tiers differ in size
         self._half_tick_ms = settings.tick_ms / 2.0
         self._poll_interval_ms = settings.poll_interval_ms
         self._has_one_shot_watches = settings.one_shot_watches
         self._is_polled = settings.polled_discovery
         self.notified_ms = notified_after_ms(settings)
         self._pacing = _pacing(settings, self.notified_ms)
-        self._longest_wait_ms = self.notified_ms / 3.0
-        # Of a request that queues: one that is abandoned loses its turn, and so may take half of the bound.
+        self._max_wait_ms = self.notified_ms / 3.0
+        # A queued request that is abandoned loses its place, so it may take half of the bound.
         self._response_timeout_ms = self.notified_ms / 2.0 + self.RESPONSE_MARGIN_MS
 
         self.state = State.NOT_STARTED
-        self._kind = RequestKind.OPEN_WATCH  # of the request that is scheduled or in flight
-        self._request_number = 0  # of the request sent last
-        self._version = NO_VERSION  # of the known list
-        self._due_ms = math.inf  # when the next complete answer is due: the bound
-        self._scheduled_ms = math.inf  # when the scheduled request is to be sent
-        self._sent_ms = 0.0  # when the last request was sent
-        # Whether the next failure is the first since the last list, and is spread. Instances that start in
-        # the same moment are spread already.
+        self._kind = RequestKind.OPEN_WATCH  # kind of the request that is scheduled or in flight
+        self._request_number = 0  # number of the request sent last
+        self._version = NO_VERSION  # version of the known list
+        self._due_ms = math.inf  # time at which the next complete response is due: the bound
+        self._scheduled_ms = math.inf  # time at which the scheduled request is sent
+        self._sent_ms = 0.0  # time at which the last request was sent
+        # Whether the retry after the next failure is spread, as it is for the first failure since the last
+        # list. Requests of instances that start at the same time are already spread.
         self._spreads_failure = not self._is_polled
-        self._knows_only_cached = False  # there is only the cached list, and no request was sent
-        self._suspect: Suspect | None = None  # listed as ready, but rejects requests
-        # From the last request that a suspect caused to the next one; 0 if there was none.
+        self._knows_only_cached = False  # only the cached list is known, and no request was sent
+        self._suspect: Suspect | None = None  # server that is listed as ready, but rejects requests
+        # Minimum time between two requests caused by suspects; 0 if there was none.
         self._suspicion_pause_ms = 0.0
-        self._next_suspicion_ms = 0.0  # when the next one may be sent
+        self._next_suspicion_ms = 0.0  # earliest time of the next request caused by a suspect
 
     # ------------------------------------------------ events
 
@@ -197,25 +199,26 @@
         """Handle one of the timers in `COOKIES`."""
         if cookie == SUSPICION_COOKIE:
             return self._confirm_suspicion(now_ms)
-        # Half a tick: a caller's clock may round down. Timers of requests that were rescheduled are ignored.
+        # Tolerates half a tick: clocks may round down. Timers of rescheduled requests are ignored.
         if self.state is not State.SCHEDULED or now_ms + self._half_tick_ms < self._scheduled_ms:
             return []
         return self._send(now_ms)
 
     def on_rejection(self, server: Suspect, now_ms: float) -> list[Action]:
-        """Handle that a listed server rejected a request unseen: it may be leaving, and the list be old.
+        """Handle a rejection by a listed server before any work, which may mean that the list is out of date.
 
-        Guards against a standing subscription that has fallen silent, which nothing else reveals, while
-        listed servers leave and new ones stay unknown. A change that is on its way has precedence: a request
-        is sent only if the server is still listed after a while, and has served nothing since.
+        This is the only sign of a standing subscription that has fallen silent while listed servers are
+        removed and new ones stay unknown. A change that is already on its way has precedence: a request is
+        sent only if the server is still listed as ready after a delay and has served nothing since.
         """
         if not self._is_polled:
             return []
         if self._knows_only_cached and self.state is State.SCHEDULED:
-            # The cached list turns out to be old. Not at once: instances that start together would all poll.
+            # The cached list is out of date. The request is sent earlier, but not at once: instances that
+            # start together would all poll.
             return self._schedule(self._kind, max(0.0, self._scheduled_ms - now_ms) / 3.0, now_ms)
         if self._has_one_shot_watches:
-            return []  # a watch that is renewed reveals its own silence, and sooner
+            return []  # renewals detect a silent watch earlier
         if self._suspect is not None or now_ms < self._next_suspicion_ms:
             return []
         self._suspect = server
@@ -224,9 +227,9 @@
     # ------------------------------------------------ transitions
 
     def _on_first_list(self, update: ListUpdate, now_ms: float) -> list[Action]:
-        """Serve from the cached list at first, and spread the first request over the fleet.
+        """Use the cached list at first, and spread the first requests of the fleet.
 
-        An instance that knows no list has nothing to serve from, and comes before the others.
+        An instance without any list can't serve, so its request is sent earlier than those of others.
         """
         self._version = update.version
         self._due_ms = now_ms + self.notified_ms
@@ -235,7 +238,7 @@
         return self._schedule(self._first_kind(), self._spread_ms(now_ms) / precedence, now_ms)
 
     def _on_relocated(self, now_ms: float) -> list[Action]:
-        """Start again at the new address, which knows neither the old requests nor the old versions."""
+        """Start again at the new address, where earlier requests and versions are unknown."""
         self._version = NO_VERSION
         self._due_ms = min(self._due_ms, now_ms + RELOCATED_MS)
         self._reset_failures()
@@ -244,7 +247,7 @@
     def _on_response(self, update: ListUpdate, now_ms: float) -> list[Action]:
         self._version = update.version
         if self._has_one_shot_watches and not self._is_response_to_request(update):
-            return []  # to an earlier request; the one in flight stays in flight
+            return []  # response to an earlier request; the request in flight continues
         self._due_ms = now_ms + self.notified_ms
         self._reset_failures()
         if not self._has_one_shot_watches:
@@ -272,16 +275,16 @@
             return []
         if self.state is State.SCHEDULED:
             return []  # a request is about to be sent anyway
-        # Each request that brought nothing new doubles the pause to the next: the list may not be at fault.
-        longest_pause_ms = 4.0 * self._poll_interval_ms
+        # Each request that brings nothing new doubles the pause: the list may not be out of date.
+        max_pause_ms = 4.0 * self._poll_interval_ms
         next_pause_ms = 2.0 * (self._suspicion_pause_ms or self.SUSPICION_MS)
-        self._suspicion_pause_ms = min(longest_pause_ms, next_pause_ms)
+        self._suspicion_pause_ms = min(max_pause_ms, next_pause_ms)
         self._next_suspicion_ms = now_ms + self._suspicion_pause_ms * (0.5 + self._rng.random())
         self._kind = RequestKind.OPEN_WATCH
         return self._send(now_ms)
 
     def _is_response_to_request(self, update: ListUpdate) -> bool:
-        """Whether a list event answers the request in flight."""
+        """Return whether a list event is the response to the request in flight."""
         return self.state is State.IN_FLIGHT and update.call == self._request_number
 
     def _reset_failures(self) -> None:
@@ -291,31 +294,31 @@
     # ------------------------------------------------ requests
 
     def _first_kind(self) -> RequestKind:
-        """What a request is for where no watch continues."""
+        """Return the kind of a request that does not continue a watch."""
         if self._version == NO_VERSION and self._has_one_shot_watches:
             return RequestKind.COMPLETE_LIST
         return RequestKind.OPEN_WATCH
 
     def _spread_ms(self, now_ms: float) -> float:
-        """The delay of a request that other instances may send for the same reason in the same moment."""
+        """Return the delay of a request that other instances may send at the same time."""
         left_ms = max(0.0, self._due_ms - now_ms)
         return self._rng.random() * min(
-            self._pacing.spread_ms * self._fleet_size, self.SPREAD_SHARE * left_ms
+            self._pacing.spread_ms * self._fleet_size, self.MAX_SPREAD_FRACTION * left_ms
         )
 
     def _pause_after_failure_ms(self, now_ms: float) -> float:
-        """The delay from a failure to the next request.
+        """Return the delay from a failure to the next request.
 
-        The first failure after a list is a watch that broke or fell silent: everything that changed since is
-        unknown, and the delay is a spread. Later failures keep requests apart from start to start: a request
-        that was in flight until it was abandoned has spent that time already.
+        The first failure after a list is a watch that broke or fell silent: all changes since then are
+        unknown, and the retry is spread. Later failures are paced from the start of one request to the start
+        of the next: the time that a request was in flight counts towards the pause.
         """
         if self._spreads_failure:
             self._spreads_failure = False
             return self._spread_ms(now_ms)
         is_due = now_ms >= self._due_ms
-        longest_ms = self._pacing.overdue_pause_ms if is_due else self._pacing.pause_ms
-        pause_ms = longest_ms * (0.5 + 0.5 * self._rng.random())
+        max_pause_ms = self._pacing.overdue_pause_ms if is_due else self._pacing.pause_ms
+        pause_ms = max_pause_ms * (0.5 + 0.5 * self._rng.random())
         return max(0.0, self._sent_ms + pause_ms - now_ms)
 
     def _schedule(self, kind: RequestKind, delay_ms: float, now_ms: float) -> list[Action]:
@@ -334,7 +337,7 @@
         self._request_number += 1
         if self._kind is not RequestKind.RENEW_WATCH:
             return [WatchList(True, self._request_number, self._version, 0.0, self._response_timeout_ms)]
-        # Drawn anew each time: watches that broke together are neither renewed nor found silent in step.
-        wait_ms = self._longest_wait_ms * (0.5 + 0.5 * self._rng.random())
+        # Random for each renewal: watches that broke together are not renewed or found silent in step.
+        wait_ms = self._max_wait_ms * (0.5 + 0.5 * self._rng.random())
         response_timeout_ms = wait_ms + self.RESPONSE_MARGIN_MS
         return [WatchList(True, self._request_number, self._version, wait_ms, response_timeout_ms)]
--- a/sandhatch/balancing/errors.py
+++ b/sandhatch/balancing/errors.py
@@ -1,14 +1,14 @@
-"""The errors that the balancing package raises. Each message names what is wrong.
+"""Errors raised by the balancing package. Each message names the invalid value or event.
 
-A failed request is never an error here: it is an `Outcome` that comes in and an action that goes out.
+A failed request never raises: it is reported by an `Outcome` in an event and handled by an action.
 """
 
 from __future__ import annotations
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense; the message names its key and value."""
+    """A setting is missing or invalid; the message names its key and value."""
 
 
 class ContractError(RuntimeError):
-    """The caller broke the contract of events: an id used twice, time going backwards, an unknown event."""
+    """The caller violated the contract of events: a reused id, time going backwards, an unknown event."""
--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -1,8 +1,9 @@
-"""Events: what happened outside, as the caller of a balancer passes it in.
+"""Events that the caller passes to a balancer.
 
-Servers, requests and timers are named by integers that the caller chooses; nothing is ever read into them.
-All times are milliseconds. `started_ms`, `report_sent_ms` and names that end in `until_ms` are readings of
-the caller's clock, whose present reading goes to `Balancer.handle` with each event; others are durations.
+Servers, requests and timers are identified by integers that the caller chooses and that have no further
+meaning. All times are milliseconds. `started_ms`, `report_sent_ms` and names that end in `until_ms` are
+readings of the caller's clock, whose present reading is passed to `Balancer.handle` with each event; others
+are durations.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 
 
 class ServerState(IntEnum):
-    """What discovery says of a server."""
+    """State of a server according to discovery."""
 
-    GONE = 0  # removed
-    READY = 1  # may be sent requests
-    DRAINING = 2  # finishes its work; nothing new is sent to it
+    GONE = 0  # removed from the endpoint list
+    READY = 1  # accepts requests
+    DRAINING = 2  # finishes its requests in flight; receives no new ones
 
 
 class ListKind(Enum):
-    """What a list event carries."""
+    """Kind of a list event."""
 
-    FULL = "full"  # the complete list: a server that is not on it is gone
+    FULL = "full"  # the complete list: servers that are missing from it are gone
     DELTA = "delta"  # changed entries only
-    CACHED = "cached"  # the complete list as this instance knew it last; may be old
+    CACHED = "cached"  # the last complete list that this instance knew; may be out of date
     FAILED = "failed"  # a request to discovery failed or the subscription broke; no entries
     RELOCATED = "moved"  # discovery has a new address, and requests in flight have ended; no entries
 
@@ -38,13 +39,13 @@
 
     Attributes:
         server: The server's number.
-        state: What discovery says of it.
-        started_ms: When its process started, by the caller's clock; 0 means long ago.
-        weight: Its rating, in comparison with those of other servers; has no unit.
-        zone: Its zone.
-        cell: Its cell: the servers of a cell share the idempotency keys that they have seen.
-        kind: Its kind of machine.
-        label: A number that is the same for this server in all instances; used where these share a ramp.
+        state: The server's state according to discovery.
+        started_ms: Start time of its process by the caller's clock; 0 means long ago.
+        weight: Weight relative to those of other servers; has no unit.
+        zone: The server's zone.
+        cell: The server's cell; the servers of a cell share the idempotency keys that they have seen.
+        kind: The server's kind of machine.
+        label: Number that is the same for this server in all instances; used where instances share a ramp.
     """
 
     server: int
@@ -57,7 +58,7 @@
     label: int = 0
 
 
-NO_VERSION = -1  # in place of a list's version: no list is known
+NO_VERSION = -1  # stands for the list's version while no list is known
 
 
 @dataclass(slots=True)
@@ -65,10 +66,10 @@
     """An event of the endpoint list.
 
     Attributes:
-        kind: What it carries.
-        version: The version of the list that is known from now on.
-        entries: The list's entries, or the changed ones.
-        call: The number of the `WatchList` that this answers; 0 if it answers none.
+        kind: Kind of the event.
+        version: Version of the list that is known after this event.
+        entries: All entries of the list, or the changed ones.
+        call: Number of the `WatchList` that this responds to; 0 if there is none.
     """
 
     kind: ListKind
@@ -84,34 +85,34 @@
     """How an attempt or a probe ended."""
 
     OK = 0
-    ERROR = 1  # the server answered with an error; it may have run
-    FULL = 2  # rejected by the server unseen: proves that it never ran
-    TIMEOUT = 3  # no answer in time; may have run, or still be running
-    CONNECT_FAILED = 4  # no connection: proves that it never ran
-    RESET = 5  # connection lost; may have run
-    CANCELLED = 6  # cancelled by us; may have run
-    DISCARDED = 7  # never sent: proves that it never ran
-    CLIENT_ERROR = 8  # the server says that the request itself is invalid, which says nothing of the server
+    ERROR = 1  # the server responded with an error; the request may have run
+    FULL = 2  # rejected by the server before any work: proves that the request never ran
+    TIMEOUT = 3  # no response in time; the request may have run, or still be running
+    CONNECT_FAILED = 4  # no connection: proves that the request never ran
+    RESET = 5  # connection lost; the request may have run
+    CANCELLED = 6  # cancelled by this instance; the request may have run
+    DISCARDED = 7  # never sent: proves that the request never ran
+    CLIENT_ERROR = 8  # the server found the request invalid, which is no evidence about the server
 
 
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.DISCARDED))
-# Outcomes that say nothing of the server's health.
+# Outcomes that are no evidence about the server's health.
 NEUTRAL_OUTCOMES = frozenset((Outcome.CANCELLED, Outcome.DISCARDED, Outcome.CLIENT_ERROR))
 
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client's request. From now on the balancer has to give it exactly one final answer.
+    """A client's request has arrived. The balancer must give it exactly one final response.
 
     Attributes:
-        request: Its number, never used twice.
-        class_index: Its class in `Settings.classes`.
-        time_left_ms: How long until the client abandons it.
-        tenant: Its tenant in `Settings.tenants`.
-        key: What it is about: requests with the same key belong together; 0 means none.
-        expected_ms: The work that it is expected to take, on a standard core; None if unknown.
+        request: The request's number, never used twice.
+        class_index: Index of its class in `Settings.classes`.
+        time_left_ms: Time until the client abandons the request.
+        tenant: Index of its tenant in `Settings.tenants`.
+        key: Routing key: requests with the same key belong together; 0 means none.
+        expected_ms: Cost hint: expected work on a standard core; None if unknown.
         client_retry: Whether the client marked it as a retry.
-        write: Whether it writes.
+        write: Whether the request writes.
     """
 
     request: int
@@ -126,7 +127,7 @@
 
 @dataclass(slots=True)
 class AnswerStarted:
-    """A streamed answer has started: the attempt is the request's last, and no deadline runs any more.
+    """A streamed response has started: this is the request's last attempt, and deadlines no longer apply.
 
     Attributes:
         request: The request.
@@ -143,7 +144,7 @@
 
 @dataclass(slots=True)
 class Unrepeatable:
-    """Part of a request's body was sent and is not buffered any more: no further attempt could send it."""
+    """Part of a request's body was sent and is no longer buffered, so that no further attempt is possible."""
 
     request: int
 
@@ -156,8 +157,8 @@
         request: The request.
         attempt: The attempt's number within the request.
         server: The server.
-        outcome: How it ended.
-        final: Whether the request itself has ended, by this outcome or before.
+        outcome: Outcome of the attempt.
+        final: Whether the request itself has ended, with this outcome or before.
         spent_ms: The time since the attempt was sent.
         report: The load report that came with it, in the order of `Settings.report_fields`; may be empty.
     """
@@ -173,7 +174,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request has disconnected: the request needs no answer any more."""
+    """The client of a request has disconnected: the request needs no response."""
 
     request: int
 
@@ -194,7 +195,7 @@
 
     Attributes:
         server: The server.
-        outcome: How it ended.
+        outcome: Outcome of the probe.
         spent_ms: The time since the probe was sent.
         report: The load report that came with it, in the order of `Settings.report_fields`; may be empty.
     """
@@ -210,8 +211,8 @@
     """Another instance of the tier has sent a message.
 
     Attributes:
-        sender: The index of that instance.
-        payload: What it sent.
+        sender: Index of the sending instance.
+        payload: Content of the message.
     """
 
     sender: int
@@ -223,11 +224,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerWeight:
-    """The weight of a server.
+    """Weight of a server, set by a planner.
 
     Attributes:
         server: The server.
-        weight: The share of its draws that it keeps, from 0 to 1.
+        weight: Fraction of its draws that the server retains, from 0 to 1.
     """
 
     server: int
@@ -241,7 +242,7 @@
     Attributes:
         server: The server.
         rate: Share of the ramp's rate, from 0 to 1.
-        burst: Requests that may be sent at once beyond that rate.
+        burst: Number of requests that may be sent at once beyond that rate.
     """
 
     server: int
@@ -251,19 +252,19 @@
 
 @dataclass(slots=True)
 class Guidance:
-    """Guidance from a planner: weights of servers, and shares that this instance may use for a while.
+    """Guidance from a planner: weights of servers, and shares that this instance may use until it expires.
 
-    The shares count only where this instance has leased its own shares to that planner.
+    The shares take effect only where this instance has leased its own shares to that planner.
 
     Attributes:
         planner: The planner's name.
-        report_sent_ms: When this instance sent the report that the guidance answers.
-        until_ms: When the guidance expires.
-        weights: The servers' weights; one that is not named has the weight 1. None extends those before.
+        report_sent_ms: Time when this instance sent the report that the guidance responds to.
+        until_ms: Expiry time of the guidance.
+        weights: Weights of servers; servers not named have the weight 1. None extends the previous weights.
         leased: Whether this instance has leased its own shares to that planner.
-        leased_until_ms: Until when these are leased to others.
-        parts: Shares of ramps; a server that is not named has none.
-        own_part: Share of the tier's capacity. None extends the share before.
+        leased_until_ms: Time until which these shares are leased to others.
+        parts: Shares of ramps; servers not named have no share.
+        own_part: Share of the tier's capacity. None extends the previous share.
     """
 
     planner: str
@@ -278,7 +279,7 @@
 
 @dataclass(slots=True)
 class OwnSharesLeased:
-    """This instance has leased its own shares of ramps to others until this time, whatever guidance comes."""
+    """This instance has leased its own shares of ramps to others until this time, whatever the guidance."""
 
     until_ms: float
 
--- a/sandhatch/balancing/indexed_set.py
+++ b/sandhatch/balancing/indexed_set.py
@@ -1,7 +1,6 @@
-"""A set of numbered things to draw from: an array and an index into it, so that every operation is O(1).
+"""A set with O(1) addition, removal and uniform draws: an array and an index by id.
 
-It decides nothing: who is added, and what a draw is for, is the caller's. Source: the swap-with-last removal
-of array-backed sets.
+Source: the swap-with-last removal of array-backed sets.
 """
 
 from __future__ import annotations
@@ -12,7 +11,7 @@
 
 
 class Numbered(Protocol):
-    """Something with a number of its own."""
+    """A member with a unique id."""
 
     id: int
 
@@ -21,7 +20,11 @@
 
 
 class IndexedSet(Generic[Member]):
-    """Members in an array (`items`), found again by their number; the order changes with each removal."""
+    """Members in an array, indexed by id; the order changes with each removal.
+
+    Attributes:
+        items: The members.
+    """
 
     __slots__ = ("_index_by_id", "items")
 
@@ -35,17 +38,17 @@
         return len(self.items)
 
     def __contains__(self, member: Member) -> bool:
-        """Return whether a member of this number is in the set."""
+        """Return whether a member with this id is in the set."""
         return member.id in self._index_by_id
 
     def add(self, member: Member) -> None:
-        """Add at the end of the array; nothing happens if the number is there already."""
+        """Add a member at the end of the array; no effect if its id is already present."""
         if member.id not in self._index_by_id:
             self._index_by_id[member.id] = len(self.items)
             self.items.append(member)
 
     def discard(self, member: Member) -> None:
-        """Remove, and move the last member into the gap; nothing happens if the number is absent."""
+        """Remove a member and move the last one into the gap; no effect if the id is absent."""
         index = self._index_by_id.pop(member.id, None)
         if index is None:
             return
@@ -56,7 +59,7 @@
 
 
 def draw_uniformly(sets: Sequence[IndexedSet[Member]], rng: Random) -> Member | None:
-    """Draw from the union of disjoint sets; None, and no draw of `rng`, if all are empty."""
+    """Draw from the union of disjoint sets; returns None without using `rng` if all are empty."""
     total = 0
     for part in sets:
         total += len(part.items)
--- a/sandhatch/balancing/policy/__init__.py
+++ b/sandhatch/balancing/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision: which server, retry or not, admit or reject."""
+"""Load-balancing decisions: choice of a server, retries, admission control."""
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -1,8 +1,9 @@
-"""The balancer: takes `events` and gives `actions`, for one tier; no I/O, no clock, no global state.
+"""The balancer of one tier: consumes `events` and returns `actions`; no I/O, no clock, no global state.
 
-The ordinary path is PULL (Stolyar), single-token form: a request goes to a server drawn uniformly from the
-token holders, the ready servers with none of this instance's attempts outstanding; if none holds a token, to
-a uniformly random ready server. That path comes first; its exceptions follow, each with its condition.
+The common path is PULL (Stolyar) in its single-token form: a request goes to a server drawn uniformly from
+the token holders, which are the ready servers without an outstanding attempt of this instance. If no server
+holds a token, the request goes to a uniformly random ready server. The common path comes first in this
+module; the exceptions to it follow, each with its condition.
 """
 
 import math
@@ -18,9 +19,9 @@
 from sandhatch.balancing.indexed_set import IndexedSet, draw_uniformly
 from sandhatch.balancing.policy.admission_control import AdmissionControl
 from sandhatch.balancing.policy.connection_reuse import ConnectionReuse
-from sandhatch.balancing.policy.latency_estimates import ArrivalGaps, LatencyEstimates
+from sandhatch.balancing.policy.latency_estimates import InterarrivalTime, LatencyEstimates
 from sandhatch.balancing.policy.outlier_detection import SLOW_FACTOR, OutlierDetection
-from sandhatch.balancing.policy.probing import BUSY_FRACTION, IDLE_BELOW, Probing
+from sandhatch.balancing.policy.probing import BUSY_PAUSE_FRACTION, IDLE_THRESHOLD, Probing
 from sandhatch.balancing.policy.retry_rules import RetryBudget, RetryRules
 from sandhatch.balancing.policy.servers import ServerList
 from sandhatch.balancing.policy.slow_start import SlowStart
@@ -29,25 +30,27 @@
 from sandhatch.balancing.records import Attempt, Request, Server
 from sandhatch.balancing.settings import Effect, Settings
 
-MAX_DRAWS = 8  # of a server that the retry rules and slow start let through, from one list
-# Of the mean latency, that must be left for an attempt. Guards against work that nobody can use, and against
-# time-outs that count against servers which were given no time.
+MAX_DRAWS = 8  # draws from one set until the retry rules and slow start allow the drawn server
+# Minimum time left for an attempt, as a fraction of the mean latency. Prevents work whose result comes
+# too late to be used, and time-outs that count as failures of servers which had no time to respond.
 MIN_TIME_LEFT_FRACTION = 0.25
-MIN_RETRY_TIME_FRACTION = 0.75  # the same for a retry, and for a request to stay queued
-MAX_QUEUED_FRACTION = 0.25  # of the attempts in flight, without probing: slots open one by one
+# Minimum time left, as a fraction of the mean latency, to retry or to stay queued.
+MIN_RETRY_TIME_FRACTION = 0.75
+# Maximum queue length without probing, as a fraction of in-flight attempts: slots open one by one.
+MAX_QUEUED_FRACTION = 0.25
 
 
 class Balancer:
-    """One instance of the decision logic, in front of one tier."""
+    """The decision logic of one load balancer instance in front of one tier."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """Start without servers; the same seed and events give the same actions."""
+        """Start without servers. The same seed and events give the same actions."""
         self.settings = settings
         self.rng = Random(seed)
         self.now = -1.0
-        self.actions: list[Action] = []  # of the event that is being handled
+        self.actions: list[Action] = []  # actions returned for the event that is being handled
         self.requests: dict[int, Request] = {}
-        self.queued: dict[int, Request] = {}  # those that wait for a server
+        self.queued: dict[int, Request] = {}  # requests that wait for a server
         self.server_list = ServerList(settings.zones)
         self.retry_rules = RetryRules(settings)
         self.retry_budget = RetryBudget()
@@ -56,15 +59,15 @@
         self.connections = ConnectionReuse(settings)
         self.freshness = Freshness(settings, self.rng)
         self.latency = LatencyEstimates(settings)
-        self.gaps = ArrivalGaps()
+        self.interarrival = InterarrivalTime()
         self.admission = AdmissionControl(
             settings, self.rng, self.server_list, self.latency, self.guidance_state, self.slow_start
         )
         self.quotas = TenantQuotas(settings)
-        self.outliers = OutlierDetection(self.rng, self.server_list, self.latency, self.gaps)
+        self.outliers = OutlierDetection(self.rng, self.server_list, self.latency, self.interarrival)
         self.zone_routing = ZoneRouting(settings, self.rng)
         self.probing = Probing(settings, self.rng)
-        self._server_limit = math.inf  # own attempts that a server may have, as of the current draw
+        self._per_server_limit = math.inf  # maximum own attempts at one server in the current draw
         self._handlers = {
             events.RequestArrived: self._on_request,
             events.AttemptEnded: self._on_attempt_ended,
@@ -74,7 +77,7 @@
             events.ClientDisconnected: self._on_client_disconnected,
             events.AnswerStarted: self._on_response_started,
             events.Unrepeatable: self._on_unrepeatable,
-            events.PeerMessage: lambda _event: None,  # instances have nothing to say to each other
+            events.PeerMessage: lambda _event: None,  # instances send each other no messages
             events.Guidance: self._on_guidance,
             events.OwnSharesLeased: lambda event: self.guidance_state.lease_own_shares(
                 event.until_ms, self.now
@@ -82,7 +85,7 @@
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event; return the actions to carry out, in order, at the same time."""
+        """Handle one event; return the actions to carry out, in order, at the same time."""
         if not now_ms >= self.now:
             raise ContractError(f"time went back from {self.now} to {now_ms}")
         self.now = now_ms
@@ -90,14 +93,14 @@
         if handler is None:
             raise ContractError(f"unknown event {event!r}")
         self.actions = []
-        self.server_list.return_tokens(now_ms)
-        expired = self.connections.expired(now_ms)
+        self.server_list.release_withheld_tokens(now_ms)
+        expired = self.connections.find_expired(now_ms)
         if expired is not None:
             self._close_connection(expired)
         handler(event)  # type: ignore[operator]
         return self.actions
 
-    # ------------------------------------------------ the ordinary path
+    # ------------------------------------------------ the common path
 
     def _on_request(self, event: events.RequestArrived) -> None:
         if event.request in self.requests:
@@ -110,7 +113,7 @@
         request = Request(event.request, request_class, class_index, deadline_ms, deadline_ms)
         self.requests[request.id] = request
         self.slow_start.earn(self.server_list.ready_count, self.now)
-        self.admission.record_arrival(self.gaps.record(self.now))
+        self.admission.record_arrival(self.interarrival.record(self.now))
         if event.expected_ms:
             request.relative_size = self.latency.relative_size(class_index, event.expected_ms)
         self.retry_budget.earn()
@@ -118,29 +121,29 @@
             request.objective_deadline_ms = min(deadline_ms, self._objective_deadline_ms(request, event))
         over_quota = self.quotas.is_over_quota(event)
         min_left_ms = MIN_TIME_LEFT_FRACTION * self.latency.mean_ms[class_index]
-        hopeless = request.objective_deadline_ms - self.now <= min_left_ms
-        if hopeless or not self.admission.admits(over_quota, self.now):
+        too_late = request.objective_deadline_ms - self.now <= min_left_ms
+        if too_late or not self.admission.admits(over_quota, self.now):
             self._give_up(request)
         else:
             self._dispatch(request)
 
     def _dispatch(self, request: Request) -> None:
-        """Begin a round of draws."""
+        """Start a round of draws for a request."""
         request.probes = 0
         request.cross_zone = self.zone_routing.draws_cross_zone()
         self._continue_dispatch(request)
 
     def _continue_dispatch(self, request: Request) -> None:
-        """Draw a server and send to it, or probe it first; without one, queue the request."""
+        """Draw a server, then probe it or send to it; queue the request if no server can be drawn."""
         if self.now + self.settings.tick_ms >= request.objective_deadline_ms:
             self._give_up(request)
             return
         server = self._draw(request)
         if server is None:
             self._queue(request)
-        elif self.probing.pays(request, self.latency.mean_ms[request.class_index], self.now):
+        elif self.probing.is_worthwhile(request, self.latency.mean_ms[request.class_index], self.now):
             self._send_probe(request, server)
-        elif request.probes and self.probing.servers_are_serial:  # every drawn server was busy
+        elif request.probes and self.probing.servers_are_serial:  # every drawn server reported itself busy
             self._queue(request)
         else:
             self._send(request, server)
@@ -148,15 +151,15 @@
     def _draw(self, request: Request) -> Server | None:
         """Draw a token holder uniformly, else a uniformly random ready server."""
         return (
-            self._draw_exceptionally(request)
+            self._draw_by_exception(request)
             or self._draw_from(self.server_list.tokens, request)
             or self._draw_from(self.server_list.ready, request)
             or self._draw_any(request)
         )
 
     def _draw_from(self, zones: list[IndexedSet[Server]], request: Request) -> Server | None:
-        """Draw from all zones; where crossing costs, from the own one first."""
-        if self.zone_routing.stays_home(request):
+        """Draw from all zones; where cross-zone attempts have a price, from the own zone first."""
+        if self.zone_routing.prefers_own_zone(request):
             server = self._draw_acceptable([zones[self.settings.own_zone]], request)
             if server is not None:
                 return server
@@ -167,36 +170,36 @@
             server = draw_uniformly(sets, self.rng)
             if server is None:
                 break
-            if self._may_draw(request, server) and not self._avoids(request, server):
+            if self._may_draw(request, server) and not self._is_avoided(request, server):
                 return server
         return None
 
     def _may_draw(self, request: Request, server: Server) -> bool:
-        if server.outstanding + 1 > self._server_limit:
+        if server.outstanding + 1 > self._per_server_limit:
             return False
         allowed = self.retry_rules.may_send(request, server, self.now)
         return allowed and self.slow_start.admits(server, self.now)
 
     def _send(self, request: Request, server: Server) -> None:
         if not self.retry_rules.may_send(request, server, self.now):
-            raise AssertionError("a send that the retry rules forbid")
+            raise AssertionError("attempt dispatched although the retry rules forbid it")
         self.queued.pop(request.id, None)
         request.timer_due_ms = -1.0
         self.slow_start.spend(server, self.now)
         idle_ms = self.connections.idle_ms(server, self.now)
-        if idle_ms is not None and idle_ms > self.connections.trusted_ms:
+        if idle_ms is not None and idle_ms > self.connections.idle_limit_ms:
             self._close_connection(server)
             idle_ms = None
         server.outstanding += 1
-        self.server_list.earn_token(server, self.now)
-        self.connections.use(server, self.now)
+        self.server_list.update_token(server, self.now)
+        self.connections.mark_used(server, self.now)
         request.attempts.append(Attempt(server, server.zone, server.cell, self.now, idle_ms))
         request.outstanding += 1
         self.server_list.in_flight += 1
         self.actions.append(Send(request.id, server.id, self._attempt_timeout_ms(request)))
 
     def _close_connection(self, server: Server) -> None:
-        self.connections.drop(server)
+        self.connections.mark_closed(server)
         self.actions.append(CloseIdle(server.id))
 
     def _on_attempt_ended(self, event: events.AttemptEnded) -> None:
@@ -210,19 +213,19 @@
         attempt.server.outstanding -= 1
         request.outstanding -= 1
         self.server_list.in_flight -= 1
-        self._learn(event, request, attempt)
-        self.server_list.earn_token(attempt.server, self.now)
+        self._record_outcome(event, request, attempt)
+        self.server_list.update_token(attempt.server, self.now)
         if request.done or event.final or event.outcome is Outcome.OK:
-            self._forget(request)
+            self._finish(request)
         elif event.outcome is Outcome.CLIENT_ERROR:
-            # Guards the servers against a client's bad requests, which each of them would reject in turn.
+            # An invalid request is not retried: each server would reject it in turn.
             self.actions.append(Fail(request.id))
-            self._forget(request)
+            self._finish(request)
         elif not request.outstanding:
             self._retry(request, event.outcome)
 
-    def _learn(self, event: events.AttemptEnded, request: Request, attempt: Attempt) -> None:
-        """Hand the end of an attempt to every part that learns from it."""
+    def _record_outcome(self, event: events.AttemptEnded, request: Request, attempt: Attempt) -> None:
+        """Report the outcome of an attempt to every component that learns from it."""
         outcome = event.outcome
         neutral = outcome in NEUTRAL_OUTCOMES
         server = attempt.server
@@ -236,7 +239,8 @@
         if outcome is Outcome.OK:
             self.outliers.record_response(server, request, event.spent_ms, self.now)
             if not (self.probing.enabled and self.probing.servers_are_serial):
-                self.outliers.withhold_slow(server, self.now)  # no report shows which server is idle
+                # No load report shows which server is idle.
+                self.outliers.withhold_slow_token(server, self.now)
             self.latency.record_response(class_index, request.relative_size, event.spent_ms)
         elif not neutral:
             self.outliers.record_failure(server, class_index, outcome, self.now)
@@ -246,47 +250,50 @@
     def _update_connection(self, server: Server, outcome: Outcome) -> None:
         lost = outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
         if server.connected and not lost:
-            self.connections.use(server, self.now)
+            self.connections.mark_used(server, self.now)
         elif server.connected and not server.outstanding:
-            self.connections.drop(server)
-            if outcome is Outcome.TIMEOUT:  # the connection may be dead without a sign of it
+            self.connections.mark_closed(server)
+            if outcome is Outcome.TIMEOUT:  # the connection may be dead without an error
                 self.actions.append(CloseIdle(server.id))
 
-    def _forget(self, request: Request) -> None:
-        """End a request; attempts still outstanding keep it known until they have ended."""
+    def _finish(self, request: Request) -> None:
+        """Finish a request; its record is retained until its outstanding attempts have ended."""
         request.done = True
         self.queued.pop(request.id, None)
         if not request.outstanding:
             self.requests.pop(request.id, None)
 
     def _give_up(self, request: Request) -> None:
-        """Give the final answer of a request that will not be served.
+        """Send the final response of a request that will not be served.
 
-        A retry is welcome once slots are free, if an answer can be in time; else as late as may be.
+        The suggested wait before a retry is about the time until slots are free, if a response can still meet
+        the objective after it; otherwise it is the longest wait that clients respect.
         """
         if self.retry_rules.may_reject(request):
             mean_ms = self.latency.mean_ms[request.class_index]
-            wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())  # jitter: many were rejected at once
+            # Jitter, as many requests are rejected at the same time.
+            wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())
             if self.now + wait_ms + mean_ms > request.objective_deadline_ms:
                 wait_ms = self.settings.max_retry_after_ms
             self.actions.append(Reject(request.id, min(wait_ms, self.settings.max_retry_after_ms)))
         else:
             self.actions.append(Fail(request.id))
-        self._forget(request)
+        self._finish(request)
 
     # ------------------------------------------------ exceptions to the draw
 
-    def _draw_exceptionally(self, request: Request) -> Server | None:
-        """Draw by another rule than the ordinary one, where an exception holds."""
+    def _draw_by_exception(self, request: Request) -> Server | None:
+        """Draw by another rule than PULL where the condition of an exception holds."""
         loaded = self.admission.is_loaded(self.now)
-        self._server_limit = self.admission.server_limit(self.now) if loaded else math.inf
+        self._per_server_limit = self.admission.server_limit(self.now) if loaded else math.inf
         server = None
-        if self.connections.new_are_expensive:
-            # Exception, while new connections are seen to take long: token holders with an open one first.
+        if self.connections.is_connecting_expensive:
+            # Exception while connecting is slow: token holders with an open connection are drawn first.
             server = self._draw_connected(request)
-        if server is None and (loaded or self.server_list.is_outnumbered):
-            # Exception, while own attempts outnumber the servers, so that own counts show the load, or while
-            # much of this instance's capacity is in flight: those with the fewest.
+        if server is None and (loaded or self.server_list.is_oversubscribed):
+            # Exception while this instance has more attempts in flight than there are ready servers, so that
+            # its own counts show the load, or while much of its capacity is in use: the servers with the
+            # fewest own attempts are drawn.
             server = self._draw_fewest(request)
         return server
 
@@ -295,22 +302,23 @@
             server = draw_uniformly([self.connections.connected], self.rng)
             if server is None:
                 break
-            if server.token and self._may_draw(request, server):
+            if server.has_token and self._may_draw(request, server):
                 return server
         return None
 
     def _draw_fewest(self, request: Request) -> Server | None:
         """Draw uniformly from the healthy servers with the fewest own attempts.
 
-        Each consecutive failure counts as one: guards against a silent server, which keeps its share of them.
-        One that is withheld for slowness is drawn too: else all requests pile on the few that are not.
+        Each consecutive failure counts as an attempt; otherwise a server that does not respond would keep
+        receiving its share of requests. Servers whose token is withheld for slowness are drawn too; otherwise
+        all requests would pile up on the few other servers.
         """
         candidates: list[Server] = []
         fewest = math.inf
-        zone = self.settings.own_zone if self.zone_routing.stays_home(request) else None
-        for server in self.server_list.all_ready(zone):
+        zone = self.settings.own_zone if self.zone_routing.prefers_own_zone(request) else None
+        for server in self.server_list.iter_ready(zone):
             count = server.outstanding + server.consecutive_failures
-            if count > fewest or server.failing_until_ms > self.now or self._avoids(request, server):
+            if count > fewest or server.failing_until_ms > self.now or self._is_avoided(request, server):
                 continue
             if not self._may_draw(request, server):
                 continue
@@ -321,80 +329,89 @@
         return candidates[int(self.rng.random() * len(candidates))] if candidates else None
 
     def _draw_any(self, request: Request) -> Server | None:
-        """Draw uniformly from the servers that may be sent to; from those to avoid if there are no others."""
-        allowed = [s for s in self.server_list.all_ready() if self._may_draw(request, s)]
-        candidates = [s for s in allowed if not self._avoids(request, s)] or allowed
+        """Draw uniformly from the allowed servers; avoided ones are drawn only if there are no others."""
+        allowed = [s for s in self.server_list.iter_ready() if self._may_draw(request, s)]
+        candidates = [s for s in allowed if not self._is_avoided(request, s)] or allowed
         return candidates[int(self.rng.random() * len(candidates))] if candidates else None
 
-    def _avoids(self, request: Request, server: Server) -> bool:
-        """Whether others are drawn before it: it fails, or fails this class, or has failed this request."""
+    def _is_avoided(self, request: Request, server: Server) -> bool:
+        """Return whether other servers are preferred for this request.
+
+        A server is avoided while it is ejected, while its circuit for the request's class is open, where
+        planners' weights decline it, or after it has failed an attempt of this request.
+        """
         circuit = server.circuits.get(request.class_index)
         failing = server.ejected or (circuit is not None and circuit.open_until_ms > self.now)
         if failing or self.guidance_state.declines(server.id, self.now):
             return True
         return any(a.server is server and a.outcome is not Outcome.OK for a in request.attempts)
 
-    # ------------------------------------------------ time-outs, retries and queueing
+    # ------------------------------------------------ time-outs, retries and queuing
 
     def _objective_deadline_ms(self, request: Request, event: events.RequestArrived) -> float:
-        """Return when an answer stops having a value, as far as this instance can tell.
+        """Return the estimated time after which a response has no value.
 
-        The first attempt of a client comes with the common time left of its class; with another, it has spent
-        what is missing from the deadline before. Inner tiers have what our instances above left.
+        A client's first attempt arrives with the time left that is common in its class. With any other value
+        the client is taken to have spent the rest of its deadline on earlier attempts. In inner tiers the
+        time left is what the instances of the tier above left.
         """
         spent_ms = 0.0
         left_ms = event.time_left_ms
         tick_ms = self.settings.tick_ms
-        common = self.settings.tier or self.latency.time_left[event.class_index].vote(left_ms, 2.0 * tick_ms)
-        if not common and (event.client_retry or not self.settings.clients_mark_retries):
-            # A first attempt that comes with little time is that of a client in haste, not of a late one.
+        is_common = self.settings.tier or self.latency.time_left[event.class_index].vote(
+            left_ms, 2.0 * tick_ms
+        )
+        if not is_common and (event.client_retry or not self.settings.clients_mark_retries):
+            # A first attempt with little time left has a short deadline; no time was spent before it.
             spent_ms = max(0.0, request.request_class.deadline_ms - left_ms)
         return self.now + request.request_class.objective_ms - spent_ms - 2.0 * tick_ms
 
     def _attempt_timeout_ms(self, request: Request) -> float:
-        """Return how long to wait for an answer: not all that is left if a harmless retry can be in time."""
+        """Return the time-out of an attempt: below the time left if an idempotent retry can be in time."""
         left_ms = request.objective_deadline_ms - self.now
         mean_ms = self.latency.mean_ms[request.class_index]
         slow_ms = SLOW_FACTOR * mean_ms * max(1.0, request.relative_size)
-        harmless = request.request_class.effect is Effect.IDEMPOTENT
-        # Not under load: answers are slow then because servers are full, and a retry fills them further.
-        light = self.admission.is_lightly_loaded(self.now) and self.retry_budget.balance >= 1.0
-        retriable = harmless and light and len(request.attempts) < self.settings.max_attempts
+        is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
+        # Not under load: responses are slow then because servers are full, and retries add to their load.
+        may_add_load = self.admission.is_lightly_loaded(self.now) and self.retry_budget.balance >= 1.0
+        retriable = is_idempotent and may_add_load and len(request.attempts) < self.settings.max_attempts
         return slow_ms if retriable and left_ms - slow_ms > mean_ms else left_ms
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
-        """Nothing is outstanding and nothing was served: dispatch anew, or give up."""
+        """Dispatch a failed request without outstanding attempts again, or give it up."""
         min_left_ms = MIN_RETRY_TIME_FRACTION * self.latency.mean_ms[request.class_index]
-        useful = request.objective_deadline_ms - self.now > min_left_ms
-        allowed = useful and self.retry_rules.may_send_somewhere(request, self.now)
+        has_time = request.objective_deadline_ms - self.now > min_left_ms
+        allowed = has_time and self.retry_rules.may_send_somewhere(request, self.now)
         if allowed and self.retry_budget.spend(outcome):
             self._dispatch(request)
         else:
             self._give_up(request)
 
     def _send_probe(self, request: Request, server: Server) -> None:
-        self.server_list.spend_token(server)  # reserved: one report must not admit two requests
-        self.probing.await_report(request, server)
+        # Reserves the server, because one load report must not admit two requests.
+        self.server_list.remove_token(server)
+        self.probing.record_probe_sent(request, server)
         self.actions.append(Probe(server.id))
         self._set_timer(request, self.probing.timeout_ms)
 
     def _on_probe_ended(self, event: events.ProbeEnded) -> None:
-        request = self.probing.next_waiting(event.server)
+        request = self.probing.pop_waiting(event.server)
         load = self.probing.record(event)
         server = self.server_list.servers.get(event.server)
         if server is None:
             return
-        if load is None or load >= IDLE_BELOW:
+        if load is None or load >= IDLE_THRESHOLD:
             mean_ms = sum(self.latency.mean_ms) / len(self.latency.mean_ms)
-            pause_ms = BUSY_FRACTION * mean_ms * (0.5 + self.rng.random())
+            pause_ms = BUSY_PAUSE_FRACTION * mean_ms * (0.5 + self.rng.random())
             self.server_list.withhold_token(server, self.now + pause_ms)
         else:
-            self.server_list.earn_token(server, self.now)
+            self.server_list.update_token(server, self.now)
         if request is None or request.done or request.probed_server is not server:
             return
         request.probed_server = None
-        idle = load is not None and load < IDLE_BELOW
-        # Looked at anew: requests answered first may have spent the credit of a server that is warming up.
+        idle = load is not None and load < IDLE_THRESHOLD
+        # Checked again: requests dispatched while the probe was in flight may have spent the slow-start
+        # credit of the server.
         admitted = self.slow_start.admits(server, self.now)
         if idle and admitted and self.retry_rules.may_send(request, server, self.now):
             self._send(request, server)
@@ -402,24 +419,24 @@
             self._continue_dispatch(request)
 
     def _set_timer(self, request: Request, delay_ms: float) -> None:
-        # No later than the last moment to answer: a request may arrive with less time left than the delay.
-        last_ms = request.objective_deadline_ms - self.settings.tick_ms - self.now
-        delay_ms = max(0.0, min(delay_ms, last_ms))
+        # At the latest when a response is still in time: a request may have less time left than the delay.
+        latest_ms = request.objective_deadline_ms - self.settings.tick_ms - self.now
+        delay_ms = max(0.0, min(delay_ms, latest_ms))
         request.timer_due_ms = self.now + delay_ms
         self.actions.append(SetTimer(request.id, delay_ms))
 
     def _queue(self, request: Request) -> None:
-        """Wait for a ready, allowed and idle server while an answer can still be in time."""
+        """Queue a request for an idle server that may serve it, while a response can still be in time."""
         mean_ms = self.latency.mean_ms[request.class_index]
-        last_ms = request.objective_deadline_ms - MIN_RETRY_TIME_FRACTION * mean_ms
-        late = self.now >= last_ms or not self.retry_rules.may_send_somewhere(request, self.now)
-        full = len(self.queued) > MAX_QUEUED_FRACTION * self.server_list.in_flight
-        if late or (full and not self.settings.tier and not self.probing.enabled):
+        latest_ms = request.objective_deadline_ms - MIN_RETRY_TIME_FRACTION * mean_ms
+        is_late = self.now >= latest_ms or not self.retry_rules.may_send_somewhere(request, self.now)
+        is_queue_full = len(self.queued) > MAX_QUEUED_FRACTION * self.server_list.in_flight
+        if is_late or (is_queue_full and not self.settings.tier and not self.probing.enabled):
             self._give_up(request)
             return
         self.queued[request.id] = request
-        pause_ms = self.probing.queue_pause_ms(mean_ms)
-        self._set_timer(request, max(self.settings.tick_ms, min(pause_ms, last_ms - self.now)))
+        pause_ms = self.probing.draw_queue_pause_ms(mean_ms)
+        self._set_timer(request, max(self.settings.tick_ms, min(pause_ms, latest_ms - self.now)))
 
     def _on_timer(self, event: events.TimerFired) -> None:
         if event.cookie in COOKIES:
@@ -428,10 +445,10 @@
         request = self.requests.get(event.cookie)
         if request is None or request.done or request.timer_due_ms < 0.0:
             return
-        # Half a tick: a clock may round below the delay that was set.
+        # Tolerates half a tick: a clock may round below the delay that was set.
         if self.now + self.settings.tick_ms / 2.0 < request.timer_due_ms:
             return
-        if request.probed_server is not None:  # no report in time: the silence counts as busy
+        if request.probed_server is not None:  # probe timed out: the server counts as busy
             request.probed_server = None
             self._continue_dispatch(request)
         elif request.id in self.queued:
@@ -444,18 +461,18 @@
     def _on_list_update(self, event: events.ListUpdate) -> None:
         if event.kind is not ListKind.FAILED:
             change = self.server_list.update(event)
-            for server in change.removed:  # its connections ended with it
-                self.connections.drop(server)
+            for server in change.removed:  # connections end with the server's process
+                self.connections.mark_closed(server)
             self.slow_start.watch(change.added, self.now)
             self.admission.open_window(self.now)
             for server in change.added:
-                self.server_list.earn_token(server, self.now)
+                self.server_list.update_token(server, self.now)
         self.actions.extend(self.freshness.on_list_update(event, self.now))
 
     def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self.requests.get(event.request)
         if request is not None:
-            self._forget(request)
+            self._finish(request)
 
     def _on_response_started(self, event: events.AnswerStarted) -> None:
         request = self.requests.get(event.request)
@@ -468,14 +485,14 @@
             request.body_consumed = True
 
     def _on_guidance(self, event: events.Guidance) -> None:
-        ready = self.server_list.all_ready() if event.weights else ()
+        ready = self.server_list.iter_ready() if event.weights else ()
         warm = [server.id for server in ready if not self.slow_start.is_warming_up(server, self.now)]
         rejected = self.guidance_state.take(event, self.server_list.servers, warm, self.now)
         if rejected is not None:
             self.actions.append(rejected)
 
     def share_guidance(self, guidance_state: GuidanceState) -> None:
-        """Follow the same guidance as another balancer, and send from the same credit."""
+        """Share the guidance and the slow-start credit of another balancer."""
         self.guidance_state = guidance_state
         self.slow_start = guidance_state.ramp or self.slow_start
         self.admission.guidance_state = self.guidance_state
--- a/sandhatch/balancing/policy/connection_reuse.py
+++ b/sandhatch/balancing/policy/connection_reuse.py
@@ -1,105 +1,123 @@
-"""Connection reuse: how long an idle connection is trusted, and whether a new one is expensive."""
+"""Connection reuse: the maximum idle time of a reused connection, and whether connecting is expensive."""
 
 from sandhatch.balancing.events import Outcome
 from sandhatch.balancing.indexed_set import IndexedSet
 from sandhatch.balancing.records import Attempt, Server
 from sandhatch.balancing.settings import Settings
 
-MEMORY = 1.0 / 8.0  # weight of a new sample in the running means
-CROWDED = 0.25  # of the new connections refused at once: more than servers that died would explain
-MIN_IDLE_LOSS = 0.1  # of attempts on idle connections: less than that says nothing
-TRUST_GROWTH = 1.25  # factor of the trusted time, after a success and while new connections are expensive
-EXPENSIVE = 0.15  # of the objective, by which attempts on new connections take longer
+EWMA_WEIGHT = 1.0 / 8.0  # weight of a new sample in the running means
+MAX_REFUSED_FRACTION = 0.25  # refused fraction of new connections; more than failed servers would explain
+MIN_IDLE_LOSS_RATE = 0.1  # loss rate on idle connections; below it, losses carry no information
+IDLE_LIMIT_GROWTH = 1.25  # growth factor of the idle limit, on success and while connecting is expensive
+EXPENSIVE_CONNECT_FRACTION = 0.15  # extra latency on new connections, as a fraction of the objective
 
 
 class ConnectionReuse:
-    """The connections believed open, and the time for which an idle one is trusted.
+    """The connections believed to be open, and the idle time after which they are closed.
 
-    Guards against connections dropped silently while idle, on which a request is lost. A loss on an idle one
-    halves the trusted time, a success after nearly that time lengthens it; longer idle ones are closed. New
-    ones refused at once by many servers shorten it too: hundreds of instances fill their connection tables.
+    Connections that were dropped silently while idle lose the next request that is sent on them. A loss on an
+    idle connection halves the idle limit; a success after more than half of the limit raises it. Connections
+    idle for longer than the limit are closed. The limit is also lowered when many servers refuse new
+    connections at once, which happens when hundreds of instances fill the servers' connection tables.
+
+    Attributes:
+        idle_limit_ms: Maximum idle time of a connection that is reused.
+        connected: Servers with a connection that is believed to be open.
     """
 
     def __init__(self, settings: Settings) -> None:
-        """Trust for as long as the settings allow."""
+        """Start with the longest idle time that the settings allow."""
         self._settings = settings
-        self._min_trusted_ms = settings.tick_ms
-        self.trusted_ms = self._max_trusted_ms = settings.connection_idle_ms
-        self._new_loss = 0.0  # of attempts on new connections, lost: what does not come of being idle
-        self._idle_loss = 0.0  # the same of attempts on idle connections
-        self._refused = 0.0  # of new connections, refused at once
-        self._new_extra = 0.0  # time that attempts on new connections take beyond the mean, in objectives
-        self._reused_extra = 0.0
-        self._by_last_use: dict[int, Server] = {}  # connected ones, the longest unused first
+        self._min_idle_limit_ms = settings.tick_ms
+        self.idle_limit_ms = self._max_idle_limit_ms = settings.connection_idle_ms
+        # Lost fraction of attempts on new connections: losses not caused by idleness.
+        self._new_loss_rate = 0.0
+        self._idle_loss_rate = 0.0  # lost fraction of attempts on idle connections
+        self._refused_fraction = 0.0  # fraction of new connections that is refused at once
+        # Time beyond the mean latency that attempts take on new and on reused connections, in objectives.
+        self._new_excess = 0.0
+        self._reused_excess = 0.0
+        self._by_last_use: dict[int, Server] = {}  # connected servers, least recently used first
         self.connected: IndexedSet[Server] = IndexedSet()
 
     @property
-    def new_are_expensive(self) -> bool:
-        """Whether attempts on new connections take clearly longer than those on open ones."""
-        return self._new_extra - self._reused_extra > EXPENSIVE
+    def is_connecting_expensive(self) -> bool:
+        """Whether attempts on new connections take clearly longer than those on open connections."""
+        return self._new_excess - self._reused_excess > EXPENSIVE_CONNECT_FRACTION
 
     def idle_ms(self, server: Server, now_ms: float) -> float | None:
-        """Return for how long its connection has been idle; None if an attempt has to open one."""
+        """Return how long the server's connection has been idle; None if an attempt has to open one."""
         if not server.connected:
             return None
         return 0.0 if server.outstanding else now_ms - server.last_used_ms
 
-    def use(self, server: Server, now_ms: float) -> None:
-        """Record that its connection carries something."""
+    def mark_used(self, server: Server, now_ms: float) -> None:
+        """Record that the server's connection is open and was just used."""
         server.last_used_ms = now_ms
         server.connected = True
         self._by_last_use.pop(server.id, None)
         self._by_last_use[server.id] = server
         self.connected.add(server)
 
-    def drop(self, server: Server) -> None:
-        """Record that no connection is open."""
+    def mark_closed(self, server: Server) -> None:
+        """Record that no connection to the server is open."""
         server.connected = False
         self._by_last_use.pop(server.id, None)
         self.connected.discard(server)
 
-    def expired(self, now_ms: float) -> Server | None:
-        """Return the server with the longest unused connection, if that is past its trusted time."""
-        if self._new_extra - self._reused_extra > EXPENSIVE and self._refused < CROWDED:
-            return None  # it may yet be used
+    def find_expired(self, now_ms: float) -> Server | None:
+        """Return the server with the least recently used connection if that exceeds the idle limit."""
+        if (
+            self._new_excess - self._reused_excess > EXPENSIVE_CONNECT_FRACTION
+            and self._refused_fraction < MAX_REFUSED_FRACTION
+        ):
+            return None  # reconnecting is expensive, and few new connections are refused
         server = next(iter(self._by_last_use.values()), None)
-        if server is None or now_ms - server.last_used_ms <= self.trusted_ms:
+        if server is None or now_ms - server.last_used_ms <= self.idle_limit_ms:
             return None
         if server.outstanding:
-            self.use(server, now_ms)  # in use now: looked at again later
+            self.mark_used(server, now_ms)  # the connection is in use and is checked again later
             return None
         return server
 
     def record_outcome(self, attempt: Attempt, spent_ms: float, mean_ms: float, objective_ms: float) -> None:
-        """Learn from the end of an attempt; `mean_ms` is that of its class's answers."""
-        if self.new_are_expensive:  # too short a trusted time is costly: see whether it may be longer
-            self.trusted_ms = min(self._max_trusted_ms, TRUST_GROWTH * self.trusted_ms)
+        """Update the estimates with the outcome of an attempt.
+
+        Args:
+            attempt: The attempt that has ended.
+            spent_ms: Time from its send to its end.
+            mean_ms: Mean latency of its request class.
+            objective_ms: Latency objective of its request class.
+        """
+        if self.is_connecting_expensive:  # a low idle limit costs reconnects: probes a higher one
+            self.idle_limit_ms = min(self._max_idle_limit_ms, IDLE_LIMIT_GROWTH * self.idle_limit_ms)
         if attempt.connection_idle_ms is None:
             self._record_new(attempt, spent_ms, mean_ms, objective_ms)
         else:
-            extra = (spent_ms - mean_ms) / objective_ms
-            self._record_reused(attempt.outcome, attempt.connection_idle_ms, extra)
+            excess = (spent_ms - mean_ms) / objective_ms
+            self._record_reused(attempt.outcome, attempt.connection_idle_ms, excess)
 
     def _record_new(self, attempt: Attempt, spent_ms: float, mean_ms: float, objective_ms: float) -> None:
         outcome = attempt.outcome
         lost = outcome is Outcome.RESET or outcome is Outcome.TIMEOUT
         refused = outcome is Outcome.CONNECT_FAILED and spent_ms < 0.5 * self._settings.connect_timeout_ms
-        self._refused += MEMORY * (refused - self._refused)
-        if refused and self._refused > CROWDED:
-            self.trusted_ms = max(self._min_trusted_ms, 0.5 * min(self.trusted_ms, objective_ms))
-        self._new_loss += MEMORY * (lost - self._new_loss)
+        self._refused_fraction += EWMA_WEIGHT * (refused - self._refused_fraction)
+        if refused and self._refused_fraction > MAX_REFUSED_FRACTION:
+            self.idle_limit_ms = max(self._min_idle_limit_ms, 0.5 * min(self.idle_limit_ms, objective_ms))
+        self._new_loss_rate += EWMA_WEIGHT * (lost - self._new_loss_rate)
         if outcome is Outcome.OK or (outcome is Outcome.CONNECT_FAILED and not refused):
-            extra = (spent_ms - mean_ms if outcome is Outcome.OK else spent_ms) / objective_ms
-            self._new_extra += MEMORY * (extra - self._new_extra)
+            excess = (spent_ms - mean_ms if outcome is Outcome.OK else spent_ms) / objective_ms
+            self._new_excess += EWMA_WEIGHT * (excess - self._new_excess)
 
-    def _record_reused(self, outcome: Outcome | None, idle_ms: float, extra: float) -> None:
+    def _record_reused(self, outcome: Outcome | None, idle_ms: float, excess: float) -> None:
         lost = outcome is Outcome.RESET or outcome is Outcome.TIMEOUT
-        if idle_ms > self._min_trusted_ms:
-            weight = 0.5 if outcome is Outcome.TIMEOUT else 1.0  # a slow answer may be the reason
-            self._idle_loss += MEMORY * (weight * lost - self._idle_loss)
+        if idle_ms > self._min_idle_limit_ms:
+            # A time-out may also be a slow response on a live connection.
+            weight = 0.5 if outcome is Outcome.TIMEOUT else 1.0
+            self._idle_loss_rate += EWMA_WEIGHT * (weight * lost - self._idle_loss_rate)
         if outcome is Outcome.OK:
-            self._reused_extra += MEMORY * (extra - self._reused_extra)
-            if idle_ms > 0.5 * self.trusted_ms:
-                self.trusted_ms = min(self._max_trusted_ms, TRUST_GROWTH * self.trusted_ms)
-        elif lost and self._idle_loss > 2.0 * self._new_loss + MIN_IDLE_LOSS:
-            self.trusted_ms = max(self._min_trusted_ms, 0.5 * min(self.trusted_ms, idle_ms))
+            self._reused_excess += EWMA_WEIGHT * (excess - self._reused_excess)
+            if idle_ms > 0.5 * self.idle_limit_ms:
+                self.idle_limit_ms = min(self._max_idle_limit_ms, IDLE_LIMIT_GROWTH * self.idle_limit_ms)
+        elif lost and self._idle_loss_rate > 2.0 * self._new_loss_rate + MIN_IDLE_LOSS_RATE:
+            self.idle_limit_ms = max(self._min_idle_limit_ms, 0.5 * min(self.idle_limit_ms, idle_ms))
--- a/sandhatch/balancing/policy/retry_rules.py
+++ b/sandhatch/balancing/policy/retry_rules.py
@@ -1,4 +1,4 @@
-"""Whether a request may be sent to a server, or rejected, now, and the budget of retries."""
+"""Rules for attempts, retries and rejections, and the retry budget."""
 
 from dataclasses import dataclass
 
@@ -6,30 +6,34 @@
 from sandhatch.balancing.records import Attempt, Request, Server
 from sandhatch.balancing.settings import DeduplicationScope, Effect, Settings
 
-RETRIES_PER_REQUEST = 0.25  # earned
-MAX_RETRY_BALANCE = 8.0  # saved up: a burst of failures may be retried, an outage may not
-NEVER_RAN_PRICE = 0.25  # an attempt that no server looked at cost no work
+RETRIES_PER_REQUEST = 0.25  # retry budget earned by each request
+MAX_RETRY_BALANCE = 8.0  # maximum balance: covers a burst of failures, but not an outage
+NEVER_RAN_RETRY_COST = 0.25  # cost of a retry after an attempt that cost no server any work
 
 
 @dataclass(frozen=True)
 class RetryRules:
-    """What the effect of a request and the settings allow, whatever would be useful."""
+    """Attempts and rejections that the effect of a request and the settings allow, useful or not."""
 
     settings: Settings
 
     @staticmethod
     def may_have_run(request: Request) -> list[Attempt]:
-        """Return the attempts not proven never to have run; outstanding and cancelled ones count."""
-        return [a for a in request.attempts if a.outcome is None or a.outcome not in NEVER_RAN]
+        """Return the attempts that may have run, among them outstanding and cancelled ones."""
+        return [
+            attempt
+            for attempt in request.attempts
+            if attempt.outcome is None or attempt.outcome not in NEVER_RAN
+        ]
 
     def may_send(self, request: Request, server: Server, now_ms: float) -> bool:
-        """Return whether an attempt at this server is allowed."""
+        """Return whether an attempt at this server is allowed now."""
         if server.state is not ServerState.READY:
-            return False  # draining or removed: observed from the list update on
+            return False  # draining or removed: takes effect with the list update
         return self.may_send_somewhere(request, now_ms) and self._in_scope(request, server)
 
     def may_send_somewhere(self, request: Request, now_ms: float) -> bool:
-        """Return whether any further attempt is allowed, at a server still to be chosen."""
+        """Return whether a further attempt is allowed now, at a server still to be chosen."""
         settings = self.settings
         if request.done or now_ms >= request.deadline_ms or len(request.attempts) >= settings.max_attempts:
             return False
@@ -44,40 +48,42 @@
         return now_ms + settings.tick_ms < ran[0].sent_ms + request_class.deduplication_ms
 
     def _in_scope(self, request: Request, server: Server) -> bool:
-        """Whether this server's group would drop what an earlier attempt has run already."""
+        """Return whether this server would deduplicate a request that an earlier attempt may have run."""
         if request.request_class.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return True
         scope = request.request_class.deduplication_scope
         any_zone = scope is DeduplicationScope.ALL
         any_cell = scope is not DeduplicationScope.CELL
         ran = self.may_have_run(request)
-        return any_zone or all(a.zone == server.zone and (any_cell or a.cell == server.cell) for a in ran)
+        return any_zone or all(
+            attempt.zone == server.zone and (any_cell or attempt.cell == server.cell) for attempt in ran
+        )
 
     def may_reject(self, request: Request) -> bool:
-        """Return whether a rejection is true: it tells the client that a retry is harmless."""
+        """Return whether a rejection is allowed, which tells the client that a retry does no harm."""
         if request.done:
             return False
         request_class = request.request_class
         if request_class.effect is Effect.IDEMPOTENT or not self.may_have_run(request):
             return True
-        keyed = request_class.effect is Effect.IDEMPOTENT_WITH_KEY
-        return keyed and request_class.deduplication_scope is DeduplicationScope.ALL
+        is_keyed = request_class.effect is Effect.IDEMPOTENT_WITH_KEY
+        return is_keyed and request_class.deduplication_scope is DeduplicationScope.ALL
 
 
 @dataclass
 class RetryBudget:
-    """Retries, earned by requests and spent one by one: a tier that fails gets little more than those."""
+    """Balance of retries, earned by requests: limits the extra load of retries on a failing tier."""
 
     balance: float = MAX_RETRY_BALANCE / 2.0
 
     def earn(self) -> None:
-        """Count a request."""
+        """Add the retry budget that a new request earns."""
         self.balance = min(MAX_RETRY_BALANCE, self.balance + RETRIES_PER_REQUEST)
 
     def spend(self, outcome: Outcome) -> bool:
-        """Pay for a retry after this end of an attempt; return False if the balance does not allow it."""
-        price = NEVER_RAN_PRICE if outcome in NEVER_RAN else 1.0
-        if self.balance < price:
+        """Deduct the cost of a retry after this outcome; return False if the balance is too low."""
+        cost = NEVER_RAN_RETRY_COST if outcome in NEVER_RAN else 1.0
+        if self.balance < cost:
             return False
-        self.balance -= price
+        self.balance -= cost
         return True
--- a/sandhatch/balancing/policy/servers.py
+++ b/sandhatch/balancing/policy/servers.py
@@ -1,4 +1,4 @@
-"""The servers of one tier, and which hold a token: PULL's mark of one believed to be idle."""
+"""The servers of one tier and their tokens; in PULL a token marks a server believed to be idle."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -19,22 +19,22 @@
         self.tokens = [IndexedSet[Server]() for _ in range(zones)]
         self.ready_count = 0
         self.ejected_count = 0
-        self.in_flight = 0  # attempts of this instance, those at removed servers included
-        self._withheld: list[tuple[float, int, Server]] = []  # heap by when the token is due back
-        self._serial = 0  # keeps the heap from comparing servers
+        self.in_flight = 0  # own attempts in flight, including those at removed servers
+        self._withheld: list[tuple[float, int, Server]] = []  # heap by the time when the token is returned
+        self._sequence = 0  # tie-breaker of heap entries, as servers can't be compared
 
     @property
-    def is_outnumbered(self) -> bool:
-        """Whether more own attempts are in flight than there are ready servers."""
+    def is_oversubscribed(self) -> bool:
+        """Whether this instance has more attempts in flight than there are ready servers."""
         return self.in_flight > self.ready_count
 
-    def all_ready(self, zone: int | None = None) -> Iterator[Server]:
+    def iter_ready(self, zone: int | None = None) -> Iterator[Server]:
         """Yield the ready servers of one zone, or of all."""
         parts = self.ready if zone is None else [self.ready[zone]]
         return chain.from_iterable(part.items for part in parts)
 
     def update(self, update: ListUpdate) -> ListChange:
-        """Apply an endpoint list or its changes."""
+        """Apply a complete endpoint list or a delta."""
         change = ListChange()
         if update.kind in (ListKind.FULL, ListKind.CACHED):
             listed = {entry.server for entry in update.entries}
@@ -42,7 +42,7 @@
                 self._remove(server, change)
         for entry in update.entries:
             known = self.servers.get(entry.server)
-            # A restarted process is a new server: it has not earned what its predecessor had.
+            # A restarted process is a new server and does not inherit its predecessor's state.
             restarted = known and (known.started_ms != entry.started_ms or known.zone != entry.zone)
             if known is not None and (restarted or entry.state is ServerState.GONE):
                 self._remove(known, change)
@@ -59,58 +59,58 @@
         server.state = entry.state
         server.cell = entry.cell
         if entry.state is ServerState.READY:
-            self._of_zone(self.ready, server).add(server)
-        else:  # draining: it can't be drawn from this moment on
-            self._of_zone(self.ready, server).discard(server)
-            self.spend_token(server)
+            self._zone_set(self.ready, server).add(server)
+        else:  # draining: not drawn from now on
+            self._zone_set(self.ready, server).discard(server)
+            self.remove_token(server)
 
     def _remove(self, server: Server, change: ListChange) -> None:
         server.state = ServerState.GONE
         self._end_ejection(server)
-        self._of_zone(self.ready, server).discard(server)
-        self.spend_token(server)
+        self._zone_set(self.ready, server).discard(server)
+        self.remove_token(server)
         del self.servers[server.id]
         change.removed.append(server)
 
     @staticmethod
-    def _of_zone(sets: list[IndexedSet[Server]], server: Server) -> IndexedSet[Server]:
-        while server.zone >= len(sets):  # a zone that the settings did not name
+    def _zone_set(sets: list[IndexedSet[Server]], server: Server) -> IndexedSet[Server]:
+        while server.zone >= len(sets):  # a zone beyond the number in the settings
             sets.append(IndexedSet())
         return sets[server.zone]
 
-    def earn_token(self, server: Server, now_ms: float) -> None:
-        """Give a ready server without own attempts its token, unless that is withheld."""
-        self.spend_token(server)
+    def update_token(self, server: Server, now_ms: float) -> None:
+        """Give a ready server its token if it has no own attempts and the token is not withheld."""
+        self.remove_token(server)
         if server.outstanding or server.withheld_until_ms > now_ms:
             return
         if server.state is ServerState.READY:
-            server.token = True
-            self._of_zone(self.tokens, server).add(server)
+            server.has_token = True
+            self._zone_set(self.tokens, server).add(server)
 
-    def spend_token(self, server: Server) -> None:
-        """Take the token away, if there is one."""
-        if server.token:
-            self._of_zone(self.tokens, server).discard(server)
-            server.token = False
+    def remove_token(self, server: Server) -> None:
+        """Remove the server's token, if it has one."""
+        if server.has_token:
+            self._zone_set(self.tokens, server).discard(server)
+            server.has_token = False
 
     def withhold_token(self, server: Server, until_ms: float) -> None:
-        """Keep the token back until a time, or a later one set before."""
-        self.spend_token(server)
+        """Withhold the token until this time, or until a later time set before."""
+        self.remove_token(server)
         if until_ms > server.withheld_until_ms:
             server.withheld_until_ms = until_ms
-            self._serial += 1
-            heappush(self._withheld, (until_ms, self._serial, server))
+            self._sequence += 1
+            heappush(self._withheld, (until_ms, self._sequence, server))
 
-    def return_tokens(self, now_ms: float) -> None:
-        """Return the tokens that were withheld until now or earlier, and end ejections with them."""
+    def release_withheld_tokens(self, now_ms: float) -> None:
+        """Return the tokens whose withholding time has passed, and end the ejections of those servers."""
         while self._withheld and self._withheld[0][0] <= now_ms:
             server = heappop(self._withheld)[2]
             if server.withheld_until_ms <= now_ms:
                 self._end_ejection(server)
-            self.earn_token(server, now_ms)
+            self.update_token(server, now_ms)
 
     def eject(self, server: Server, until_ms: float) -> None:
-        """Withhold the token, and count the server as ejected until it is back."""
+        """Withhold the token, and count the server as ejected until the token is returned."""
         self.ejected_count += not server.ejected
         server.ejected = True
         self.withhold_token(server, until_ms)
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start of servers that are warming up, where no stated ramp is shared (`guidance.shared_ramp`)."""
+"""Slow start of servers that are warming up, without a configured shared ramp (`guidance.shared_ramp`)."""
 
 from random import Random
 
@@ -7,37 +7,42 @@
 from sandhatch.balancing.records import Server
 from sandhatch.balancing.settings import Settings
 
-# Of the overload that topples a server, what is planned for; the rest is left to chance, heavy requests,
-# retries and instances with another view.
+# Planned load as a fraction of the overload that makes a server fail. The rest is a margin for random
+# variation, expensive requests, retries and instances with a different endpoint list.
 PLANNED_OVERLOAD_FRACTION = 0.25
-REFRESHES_PER_WARM_UP = 100.0  # of the sum over the servers that are warming up; never once a request
+# Updates of the warming servers' total capacity; one per request would be expensive.
+REFRESHES_PER_WARM_UP = 100.0
 
 
 class SlowStart(WarmUp):
-    """Credit for the servers that are warming up; a send spends a whole one.
+    """Credits of the servers that are warming up; each send costs one credit.
 
-    Each request earns each of them what it can do by now, of what all ready servers can do. All instances
-    together then load it `overload` times as much as the whole tier, by what it can do, and never more than a
-    tier of warm ones. Sends are spaced, and none is saved up: guards against the sum over many instances.
+    Each request earns each warming server a credit in proportion to its present share of the capacity of all
+    ready servers. All instances together thus load it `overload` times as much as the whole tier, relative to
+    its capacity, and never more than a server of a warm tier. Sends are spaced and credits are not saved up;
+    otherwise the sum over many instances could overload the server.
+
+    Attributes:
+        credits: Credit of each warming server by its id, and the value of `earned` when it was computed.
+        earned: Credit that a server at full capacity has earned since the start.
     """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        """Draw the seed of the phases from `rng`."""
+        """Start without warming servers; the initial credits are seeded from `rng`."""
         super().__init__(settings)
         self._overload = min(1.0, settings.overload_multiple * PLANNED_OVERLOAD_FRACTION)
         self._phases = Random(rng.random())
         self._warming: list[Server] = []
-        self._capacity = 0.0  # of those, in warm servers
+        self._capacity = 0.0  # total capacity of the warming servers, in units of warm servers
         self._refresh_due_ms = 0.0
-        # By server: its credit, and `earned` as of then.
         self.credits: dict[int, tuple[float, float]] = {}
-        self.earned = 0.0  # since the start, by a server that does all that a warm one does
+        self.earned = 0.0
 
     def watch(self, servers: list[Server], now_ms: float) -> None:
-        """Begin with those of the added servers that are warming up."""
+        """Start credits for the added servers that are warming up."""
         warming = [server for server in servers if self.is_warming_up(server, now_ms)]
         for server in warming:
-            # The phase: instances of low rate must not all start with a free send, nor all without.
+            # A random initial credit: low-rate instances must not all start with a send, nor all without.
             self.credits[server.id] = self._phases.random(), self.earned
         if warming:
             self._warming.extend(warming)
@@ -53,12 +58,12 @@
             self._refresh_due_ms = now_ms + self._ms / REFRESHES_PER_WARM_UP
 
     def warm_up_deficit(self, now_ms: float) -> float:
-        """Return what the ready servers that are warming up can't do yet, in warm servers."""
+        """Return the capacity that warming servers still lack, in units of warm servers."""
         self._refresh(now_ms)
         return len(self._warming) - self._capacity if self._warming else 0.0
 
     def earn(self, ready: int, now_ms: float) -> None:
-        """Count a request, before it is dispatched to one of `ready` servers."""
+        """Earn credit for a request, before it is dispatched to one of `ready` servers."""
         self._refresh(now_ms)
         if not self._warming or not ready:
             return
@@ -66,19 +71,19 @@
         self.earned += min(self._overload / capacity, 1.0 / ready)
 
     def credit(self, server: Server, now_ms: float) -> float:
-        """Return the credit of a server that is warming up, brought up to date."""
+        """Update and return the credit of a server that is warming up."""
         credit, earned_before = self.credits.get(server.id, (0.0, self.earned))
         credit += (self.earned - earned_before) * self.share(server, now_ms)
         if credit >= 2.0:
-            credit %= 1.0  # not used until the next one came: lost, with its place in the spacing kept
+            credit %= 1.0  # unused credits expire; the fraction keeps the spacing of sends
         self.credits[server.id] = credit, self.earned
         return credit
 
     def admits(self, server: Server, now_ms: float) -> bool:
-        """Return whether a drawn server may be sent to."""
+        """Return whether slow start allows an attempt at a drawn server."""
         return not self.is_warming_up(server, now_ms) or self.credit(server, now_ms) >= 1.0
 
     def spend(self, server: Server, now_ms: float) -> None:
-        """Count a send."""
+        """Deduct one credit for an attempt at a server that is warming up."""
         if self.is_warming_up(server, now_ms):
             self.credits[server.id] = self.credit(server, now_ms) - 1.0, self.earned
--- a/sandhatch/balancing/policy/zone_routing.py
+++ b/sandhatch/balancing/policy/zone_routing.py
@@ -1,4 +1,4 @@
-"""Zone-aware routing: draws stay in the own zone as far as it does no worse than crossing costs."""
+"""Zone-aware routing: draws stay in the own zone unless its extra cost exceeds the cross-zone price."""
 
 from dataclasses import dataclass
 from random import Random
@@ -7,39 +7,46 @@
 from sandhatch.balancing.records import Attempt, Request
 from sandhatch.balancing.settings import Settings
 
-MEMORY = 1.0 / 16.0
-NEVER_RAN_COST = 0.5  # in objectives; of an attempt that may have run and failed: 1
-WORSE_FACTOR = 1.5  # times the cost elsewhere, from which the own zone does worse
-MIN_CROSS_ZONE_FRACTION = 0.02  # although the own zone does well, to learn of the others
-OVERFLOW_STEP = 0.1  # towards all or none of the rounds of draws, with each attempt that ends
-MAX_HOME_PROBES = 2  # of servers in the own zone, before a round of draws goes over all
+EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the mean costs
+NEVER_RAN_COST = 0.5  # cost of an attempt that never ran, in objectives; 1 if it may have run and failed
+WORSE_FACTOR = 1.5  # cost of the own zone over that of other zones, above which requests overflow
+MIN_CROSS_ZONE_FRACTION = 0.02  # minimum fraction of cross-zone rounds, to learn the cost in other zones
+OVERFLOW_STEP = 0.1  # step of the overflow fraction towards 0 or 1 per ended attempt
+MAX_OWN_ZONE_PROBES = 2  # maximum probes in the own zone before a round of draws covers all zones
 
 
 @dataclass
 class ZoneRouting:
-    """The mean cost of attempts in the own zone and in others, in objectives, and the overflow it justifies.
+    """Mean cost of attempts in the own zone and in other zones, and the resulting overflow fraction.
 
-    Guards against a zone with more traffic than its own servers can take: an instance of low rate always
-    finds a token there, so running out of tokens does not show it.
+    Running out of tokens does not show that a zone has more traffic than its own servers can take, because a
+    low-rate instance always finds a token there. The cost of attempts shows it.
+
+    Attributes:
+        settings: Settings of the instance.
+        rng: Source of randomness.
+        own_cost: Mean cost of attempts in the own zone, in objectives.
+        other_cost: Mean cost of attempts in other zones, in objectives.
+        overflow_fraction: Fraction of the rounds of draws that cover all zones.
     """
 
     settings: Settings
     rng: Random
     own_cost: float = 0.0
     other_cost: float = 0.0
-    overflow: float = 0.0  # part of the rounds of draws that go over all zones
+    overflow_fraction: float = 0.0
 
     def draws_cross_zone(self) -> bool:
-        """Draw whether a round of draws goes over all zones."""
-        return self.rng.random() < max(MIN_CROSS_ZONE_FRACTION, self.overflow)
+        """Return at random whether a round of draws covers all zones."""
+        return self.rng.random() < max(MIN_CROSS_ZONE_FRACTION, self.overflow_fraction)
 
-    def stays_home(self, request: Request) -> bool:
-        """Return whether servers of the own zone are drawn before others."""
+    def prefers_own_zone(self, request: Request) -> bool:
+        """Return whether servers of the own zone are drawn first."""
         costly = self.settings.price_cross_zone > 0.0
-        return costly and request.probes < MAX_HOME_PROBES and not request.cross_zone
+        return costly and request.probes < MAX_OWN_ZONE_PROBES and not request.cross_zone
 
     def record_outcome(self, event: AttemptEnded, request: Request, attempt: Attempt) -> None:
-        """Learn from the end of an attempt that says something of its server."""
+        """Update the mean costs with the outcome of an attempt that is evidence about its server."""
         if self.settings.price_cross_zone <= 0.0:
             return
         if event.outcome is Outcome.OK:
@@ -47,11 +54,11 @@
         else:
             cost = NEVER_RAN_COST if event.outcome in NEVER_RAN else 1.0
         if attempt.zone == self.settings.own_zone:
-            self.own_cost += MEMORY * (cost - self.own_cost)
+            self.own_cost += EWMA_WEIGHT * (cost - self.own_cost)
         else:
-            self.other_cost += MEMORY * (cost - self.other_cost)
-        # Few attempts show either: the own zone must do clearly worse, else chance would send half across.
+            self.other_cost += EWMA_WEIGHT * (cost - self.other_cost)
+        # Few samples are available: without a margin, chance would send half of the traffic across zones.
         if self.own_cost > WORSE_FACTOR * self.other_cost + self.settings.price_cross_zone:
-            self.overflow += OVERFLOW_STEP * (1.0 - self.overflow)
+            self.overflow_fraction += OVERFLOW_STEP * (1.0 - self.overflow_fraction)
         else:
-            self.overflow -= OVERFLOW_STEP * self.overflow
+            self.overflow_fraction -= OVERFLOW_STEP * self.overflow_fraction
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -1,9 +1,9 @@
-"""What a balancer that takes another's place learns from it, where the pool's settings have changed.
+"""State transfer from a balancer to its successor when a pool's settings change.
 
-Without this a change of one key would make a pool forget which servers fail, how long its answers take and
-how much they can take, and its slow start would begin anew with a fresh credit each time. It does no I/O and
-reads no clock. Attempts in flight stay with the balancer that sent them; a server that has some there has no
-token here for as long as an answer takes on average.
+Without a transfer the change of a single key would discard the known failures, latencies and capacity of a
+pool, and slow start would restart with new credit each time. The transfer does no I/O and reads no clock.
+Attempts in flight stay with the balancer that sent them; the successor withholds the tokens of their servers
+for one mean latency.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 def inherit(successor: Balancer, predecessor: Balancer, connected: frozenset[int] = frozenset()) -> int:
-    """Hand on what was learned of the servers that both know and whose process is the same.
+    """Transfer the state of the servers that both balancers know and whose process is the same.
 
     Args:
-        successor: has its endpoint list, but no requests yet.
-        predecessor: goes on until its requests have ended, and learns nothing from the successor.
-        connected: the servers whose idle connections were handed over.
+        successor: Balancer with an endpoint list, but without requests yet.
+        predecessor: Balancer that runs until its requests have ended; it is not changed.
+        connected: Servers whose idle connections were transferred.
 
     Returns:
-        The number of servers of which something was handed on.
+        Number of servers whose state was transferred.
     """
     same_classes = list(successor.settings.classes) == list(predecessor.settings.classes)
     _inherit_guidance(successor, predecessor)
@@ -44,10 +44,10 @@
             _inherit_health(server, known, same_classes)
             _inherit_token(successor, server, known)
             if server.id in connected:
-                successor.connections.use(server, known.last_used_ms)
+                successor.connections.mark_used(server, known.last_used_ms)
             count += 1
-    trusted_ms = min(successor.settings.connection_idle_ms, predecessor.connections.trusted_ms)
-    successor.connections.trusted_ms = trusted_ms
+    idle_limit_ms = min(successor.settings.connection_idle_ms, predecessor.connections.idle_limit_ms)
+    successor.connections.idle_limit_ms = idle_limit_ms
     return count
 
 
@@ -61,7 +61,7 @@
 
 
 def _inherit_credit(successor: SlowStart, predecessor: SlowStart) -> None:
-    """Hand on the credit left for the servers that both watch while they warm up."""
+    """Transfer the remaining credit of the servers that both balancers know as warming up."""
     for number, (credit, earned_before) in predecessor.credits.items():
         if number in successor.credits:
             left = credit + predecessor.earned - earned_before
@@ -78,7 +78,10 @@
 
 
 def _inherit_load(successor: Balancer, predecessor: Balancer) -> None:
-    """Hand on the window, by the ready servers, and the load: what is in flight there counts here too."""
+    """Transfer the window, scaled by the number of ready servers, and the mean load.
+
+    The load is transferred because the predecessor's attempts in flight still load the servers.
+    """
     admission = successor.admission
     before = predecessor.admission
     ready = successor.server_list.ready_count
@@ -88,27 +91,27 @@
     admission.window_opened = before.window_opened
     admission.mean_in_flight = before.mean_in_flight
     admission.load = before.load
-    successor.gaps.mean_ms = predecessor.gaps.mean_ms
-    successor.gaps.last_ms = predecessor.gaps.last_ms
+    successor.interarrival.mean_ms = predecessor.interarrival.mean_ms
+    successor.interarrival.last_ms = predecessor.interarrival.last_ms
 
 
 def _inherit_health(server: Server, known: Server, same_classes: bool) -> None:
     server.consecutive_failures = known.consecutive_failures
     server.ejections = known.ejections
     server.failing_until_ms = known.failing_until_ms
-    server.slowness = known.slowness
+    server.latency_ratio = known.latency_ratio
     if same_classes:
         server.circuits = dict(known.circuits)
 
 
 def _inherit_token(successor: Balancer, server: Server, known: Server) -> None:
-    """Withhold the token where the predecessor does, or where it has attempts in flight."""
+    """Withhold the token if the predecessor withholds it or has attempts in flight at the server."""
     if known.ejected:
         successor.server_list.eject(server, known.withheld_until_ms)
     elif known.withheld_until_ms > successor.now:
         successor.server_list.withhold_token(server, known.withheld_until_ms)
     elif known.outstanding:
-        # For a while, not until an attempt of its own ends: guards against a server that is never drawn
-        # again, where others always hold a token.
+        # Withheld for a limited time, not until an own attempt ends there: while other servers always hold
+        # a token, the server would never be drawn again.
         until_ms = successor.now + max(successor.latency.mean_ms)
         successor.server_list.withhold_token(server, until_ms)
--- a/tests/balancing/driver.py
+++ b/tests/balancing/driver.py
@@ -1,6 +1,7 @@
-"""Feeds a balancer legal event sequences and checks the four rules by an account of its own.
+"""A test driver that feeds a balancer valid event sequences and checks the rules for actions.
 
-It sees events and actions only, no state of the balancer, and fails on the first action that breaks a rule.
+The four rules cover final responses, rejections, attempts, and servers that are warming up. The driver has
+its own records of events and actions, uses no state of the balancer, and fails on the first violation.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass
 class AttemptRecord:
-    """An attempt as the events and actions show it."""
+    """An attempt as recorded from events and actions."""
 
     server: int
     zone: int
@@ -40,13 +41,13 @@
 
 @dataclass
 class RequestRecord:
-    """A request, and whether it has its one final answer."""
+    """A request and its final responses, of which there must be exactly one."""
 
     class_index: int
     deadline_ms: float
     attempts: list[AttemptRecord] = field(default_factory=list)
     responses: int = 0
-    over: bool = False
+    finished: bool = False
 
 
 class Driver:
@@ -58,13 +59,13 @@
         self.now = start
         self.listed: dict[int, ServerEntry] = {}
         self.requests: dict[int, RequestRecord] = {}
-        self.unfinished: list[int] = []  # requests not settled yet
+        self.unfinished: list[int] = []  # requests without a final response or with attempts in flight
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
         self.actions: list[Action] = []
         self.next_id = 0
         self.warming_sends = 0
-        self.warming_allowance = 0.0
+        self.allowed_warming_sends = 0.0
 
     # events
 
@@ -89,22 +90,22 @@
         tenant: int = 0,
         hint_ms: float | None = None,
     ) -> list[Action]:
-        cls = self.settings.classes[class_index]
-        time_left_ms = cls.deadline_ms if time_left_ms is None else time_left_ms
+        request_class = self.settings.classes[class_index]
+        time_left_ms = request_class.deadline_ms if time_left_ms is None else time_left_ms
         self.next_id += 1
         self.unfinished.append(self.next_id)
         self.requests[self.next_id] = RequestRecord(class_index, self.now + time_left_ms)
-        self._earn_warming_allowance()
+        self._add_allowed_warming_sends()
         return self.feed(RequestArrived(self.next_id, class_index, time_left_ms, tenant, expected_ms=hint_ms))
 
-    def _earn_warming_allowance(self) -> None:
-        """A request's fair part for the servers that warm up: by what each can do now."""
+    def _add_allowed_warming_sends(self) -> None:
+        """Add a request's fair share of sends to warming servers, by their present capacity."""
         ready = [entry for entry in self.listed.values() if entry.state is ServerState.READY]
         warming = [entry for entry in ready if self.is_warming_up(entry)]
         if warming:
             share = self.settings.initial_capacity_share
             ages = [(self.now - entry.started_ms) / self.settings.warm_up_ms for entry in warming]
-            self.warming_allowance += sum(share + (1 - share) * age for age in ages) / len(ready)
+            self.allowed_warming_sends += sum(share + (1 - share) * age for age in ages) / len(ready)
 
     def is_warming_up(self, entry: ServerEntry) -> bool:
         return entry.started_ms > 0 and self.now - entry.started_ms < self.settings.warm_up_ms
@@ -122,16 +123,16 @@
         attempt_record = record.attempts[attempt]
         assert attempt_record.outcome is None
         attempt_record.outcome = outcome
-        if outcome is Outcome.OK and not record.over:
+        if outcome is Outcome.OK and not record.finished:
             record.responses += 1
-            record.over = True
+            record.finished = True
         return self.feed(
             AttemptEnded(
                 request,
                 attempt,
                 attempt_record.server,
                 outcome,
-                record.over,
+                record.finished,
                 self.now - attempt_record.sent_ms,
             )
         )
@@ -140,7 +141,7 @@
         return self.feed(ProbeEnded(self.probes.pop(0), outcome, 1.0, report))
 
     def advance(self, ms: float) -> None:
-        """Let time pass a tick at a time: timers fire and attempts run into their time-outs."""
+        """Advance the clock from event to event: timers fire and attempts time out."""
         end = self.now + ms
         while self.now < end:
             self.unfinished = [
@@ -154,24 +155,26 @@
             for request, attempt in self.open_attempts():
                 if self.requests[request].attempts[attempt].expires_ms <= self.now:
                     self.end_attempt(request, attempt, Outcome.TIMEOUT)
-            ripe = sorted(item for item in self.timers if item[0] <= self.now)
+            due = sorted(item for item in self.timers if item[0] <= self.now)
             self.timers = [item for item in self.timers if item[0] > self.now]
-            for _, cookie in ripe:
+            for _, cookie in due:
                 self.feed(TimerFired(cookie))
             self.check_responses()
 
     @staticmethod
     def _settled(record: RequestRecord) -> bool:
-        return record.over and all(attempt.outcome is not None for attempt in record.attempts)
+        return record.finished and all(attempt.outcome is not None for attempt in record.attempts)
 
-    # the rules
+    # rules
 
     def check_responses(self) -> None:
         slack = self.settings.response_slack_ms
         for request in self.unfinished:
             record = self.requests[request]
-            assert record.responses <= 1, f"request {request} answered twice"
-            assert record.over or self.now <= record.deadline_ms + slack, f"request {request} lost"
+            assert record.responses <= 1, f"request {request} got two final responses"
+            assert record.finished or self.now <= record.deadline_ms + slack, (
+                f"request {request} got no final response by its deadline"
+            )
 
     def _check(self, action: Action) -> None:
         if isinstance(action, Send):
@@ -179,12 +182,13 @@
         elif isinstance(action, Reject):
             record = self.requests[action.request]
             self._respond(record, action.request)
-            cls = self.settings.classes[record.class_index]
+            request_class = self.settings.classes[record.class_index]
             ran = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
-            harmless = cls.effect is Effect.IDEMPOTENT or (
-                cls.effect is Effect.IDEMPOTENT_WITH_KEY and cls.deduplication_scope is DeduplicationScope.ALL
+            is_idempotent = request_class.effect is Effect.IDEMPOTENT or (
+                request_class.effect is Effect.IDEMPOTENT_WITH_KEY
+                and request_class.deduplication_scope is DeduplicationScope.ALL
             )
-            assert harmless or not ran, "rejected though it may have run"
+            assert is_idempotent or not ran, "rejected although it may have run"
         elif isinstance(action, Fail):
             self._respond(self.requests[action.request], action.request)
         elif isinstance(action, SetTimer):
@@ -199,38 +203,42 @@
             assert action.attempt < len(self.requests[action.request].attempts)
 
     def _respond(self, record: RequestRecord, request: int) -> None:
-        assert not record.over, f"request {request} answered after its end"
+        assert not record.finished, f"request {request} got a final response after its end"
         record.responses += 1
-        record.over = True
+        record.finished = True
 
     def _check_send(self, action: Send) -> None:
         record = self.requests[action.request]
-        cls = self.settings.classes[record.class_index]
+        request_class = self.settings.classes[record.class_index]
         entry = self.listed.get(action.server)
-        assert not record.over, "sent for a request that is over"
-        assert entry is not None, "sent to a server that is not listed"
-        assert entry.state is ServerState.READY, "sent to a server that drains or was removed"
-        assert len(record.attempts) < self.settings.max_attempts, "more attempts than allowed"
+        assert not record.finished, "attempt sent for a request that has ended"
+        assert entry is not None, "attempt sent to a server that is not listed"
+        assert entry.state is ServerState.READY, "attempt sent to a draining or removed server"
+        assert len(record.attempts) < self.settings.max_attempts, "more attempts than max_attempts"
         if not self.settings.hedging_allowed:
-            assert all(attempt.outcome is not None for attempt in record.attempts), "two attempts at once"
+            assert all(attempt.outcome is not None for attempt in record.attempts), (
+                "two attempts in flight without hedging"
+            )
         ran = [attempt for attempt in record.attempts if attempt.outcome not in NEVER_RAN]
-        if cls.effect is Effect.NON_IDEMPOTENT:
-            assert not ran, "non-idempotent retried though it may have run"
-        if cls.effect is Effect.IDEMPOTENT_WITH_KEY and ran:
-            assert self.now < ran[0].sent_ms + cls.deduplication_ms, (
-                "keyed retried after its deduplication time"
+        if request_class.effect is Effect.NON_IDEMPOTENT:
+            assert not ran, "non-idempotent request retried although it may have run"
+        if request_class.effect is Effect.IDEMPOTENT_WITH_KEY and ran:
+            assert self.now < ran[0].sent_ms + request_class.deduplication_ms, (
+                "keyed request retried after its deduplication time"
             )
-            if cls.deduplication_scope is DeduplicationScope.ZONE:
-                assert all(attempt.zone == entry.zone for attempt in ran), "keyed retried outside its zone"
-            if cls.deduplication_scope is DeduplicationScope.CELL:
+            if request_class.deduplication_scope is DeduplicationScope.ZONE:
+                assert all(attempt.zone == entry.zone for attempt in ran), (
+                    "keyed request retried outside its zone"
+                )
+            if request_class.deduplication_scope is DeduplicationScope.CELL:
                 cells = {(attempt.zone, attempt.cell) for attempt in ran}
-                assert cells == {(entry.zone, entry.cell)}, "keyed retried outside its cell"
+                assert cells == {(entry.zone, entry.cell)}, "keyed request retried outside its cell"
         if self.is_warming_up(entry):
             self.warming_sends += 1
-            # Own bound: the fair part of the traffic, cut to the capacity of the servers that warm up, and a
-            # little to begin with.
-            assert self.warming_sends <= 4 + 1.1 * self.warming_allowance, (
-                "server overloaded while it warms up"
+            # The bound is the fair share of the traffic, reduced to the present capacity of the warming
+            # servers, plus a margin of 10 % and 4 initial sends.
+            assert self.warming_sends <= 4 + 1.1 * self.allowed_warming_sends, (
+                "server overloaded while it is warming up"
             )
         expires_ms = (
             record.deadline_ms
--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet in simulated time: each instance's `Freshness`, and one discovery service with scripted faults.
+"""A fleet in simulated time: the `Freshness` of each instance, and a discovery service with faults.
 
-Discovery serves requests one after the other at a stated rate. Nothing here reads a clock: a run with one
-seed is the same each time.
+Discovery serves requests one after the other at a given rate. Nothing here reads a clock: runs with the same
+seed are identical.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 from sandhatch.balancing.events import NO_VERSION, ListKind, ListUpdate
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 
-CONTINUES_MS = 200.0  # a watch continues if the next request follows its last answer so soon
+CONTINUES_MS = 200.0  # maximum time from a response to the next request of a continued watch
 
 
 @dataclass
 class Instance:
-    """An instance: what it knows of the list, and its request to discovery."""
+    """An instance, the list version that it knows, and its request to discovery."""
 
     number: int
     freshness: Freshness
-    version: int = 0  # of the list that it knows
-    received_ms: dict[int, float] = field(default_factory=dict)  # by version, when it was first known
+    version: int = 0  # version of the list that the instance knows
+    received_ms: dict[int, float] = field(default_factory=dict)  # time at which each version was first known
     in_flight: WatchList | None = None
     responded_ms: float = float("-inf")
-    connected: bool = False  # the connection of its watch still stands
+    connected: bool = False  # whether the connection of its watch is still open
 
 
 @dataclass
 class Change:
     """A new version of the list.
 
-    `reachable_ms`: since when discovery has it and can be reached; `notified_ms` later it counts as notified.
+    Attributes:
+        version: Version of the list.
+        reachable_ms: Time since which discovery has this version and is reachable.
+        notified_ms: Time from then until the change counts as notified.
     """
 
     version: int
@@ -47,8 +50,9 @@
 class Fleet:
     """Instances and their discovery service.
 
-    Discovery serves `rate_per_s` requests a second, one after the other. A request that would queue for
-    longer than `queue_ms` is rejected at once, which costs as much: requested too often, it answers nobody.
+    Discovery serves `rate_per_s` requests per second, one after the other. A request that would queue for
+    longer than `queue_ms` is rejected at once, which costs as much as serving it: under too many requests,
+    discovery serves no instance.
     """
 
     def __init__(
@@ -73,16 +77,16 @@
         self.now = 0.0
         self.version = 1
         self.changes: list[Change] = []
-        self.requests_ms: list[float] = []  # of requests that queue
+        self.requests_ms: list[float] = []  # times of the requests that queue
         self.renewals_ms: list[float] = []
         self.rejected = 0
         self.is_up = True
         self.is_silent = False
         self._queue_ms = queue_ms
-        self._turn_ms = 1_000.0 / rate_per_s
-        self._free_ms = 0.0  # when the requests so far are served
+        self._service_time_ms = 1_000.0 / rate_per_s
+        self._busy_until_ms = 0.0  # time at which all requests so far are served
         self._heap: list[tuple[float, int, Callable[[], object]]] = []
-        self._serial = 0
+        self._sequence = 0
         self.instances = [
             Instance(number, Freshness(settings, Random(self.rng.getrandbits(64)))) for number in range(count)
         ]
@@ -92,8 +96,8 @@
     # ------------------------------------------------ time
 
     def at(self, time_ms: float, callback: Callable[[], object]) -> None:
-        self._serial += 1
-        heappush(self._heap, (time_ms, self._serial, callback))
+        self._sequence += 1
+        heappush(self._heap, (time_ms, self._sequence, callback))
 
     def after(self, delay_ms: float, callback: Callable[[], object]) -> None:
         self.at(self.now + delay_ms, callback)
@@ -104,7 +108,7 @@
             callback()
         self.now = until_ms
 
-    # ------------------------------------------------ what happens to discovery
+    # ------------------------------------------------ faults and changes at discovery
 
     def change(self, reachable_ms: float | None = None, notified_ms: float = NOTIFIED_MS) -> None:
         self.version += 1
@@ -117,7 +121,7 @@
                     self._respond(instance, instance.in_flight)
 
     def fall_silent(self) -> None:
-        """Requests in flight are never answered; those sent from now on are."""
+        """Requests in flight get no response; those sent from now on do."""
         for instance in self.instances:
             if instance.in_flight is not None:
                 instance.connected = False
@@ -131,24 +135,24 @@
                 )
 
     def occupy(self, duration_ms: float) -> None:
-        """Requests of other clients arrive, which take discovery that long."""
-        self._free_ms = max(self.now, self._free_ms) + duration_ms
+        """Requests of other clients arrive that occupy discovery for this time."""
+        self._busy_until_ms = max(self.now, self._busy_until_ms) + duration_ms
 
     def go_down(self) -> None:
         self.is_up = False
-        self._free_ms = self.now
+        self._busy_until_ms = self.now
         self.reset()
 
     def come_back_up(self) -> None:
         self.is_up = True
-        self._free_ms = self.now
+        self._busy_until_ms = self.now
         for change in self.changes:
             if change.reachable_ms > self.now:
                 change.reachable_ms = self.now
 
     def relocate(self) -> None:
-        """All instances are notified within a moment; the new address counts from then on."""
-        self._free_ms = self.now
+        """All instances are notified within 100 ms; requests then go to the new address."""
+        self._busy_until_ms = self.now
         for instance in self.instances:
             instance.in_flight, instance.connected = None, False
             self.after(
@@ -199,14 +203,16 @@
             self.after(request.wait_ms, lambda: self._respond(instance, request))
 
     def _queue(self, instance: Instance, request: WatchList) -> None:
-        begin = max(self.now, self._free_ms)
+        begin = max(self.now, self._busy_until_ms)
         # A request that is rejected costs as much as one that is served.
-        self._free_ms = begin + self._turn_ms
+        self._busy_until_ms = begin + self._service_time_ms
         if begin - self.now > self._queue_ms:
             self.rejected += 1
             self.after(0.1, lambda: self._fail(instance, request))
             return
-        self.at(max(self._free_ms, self.now + request.wait_ms), lambda: self._respond(instance, request))
+        self.at(
+            max(self._busy_until_ms, self.now + request.wait_ms), lambda: self._respond(instance, request)
+        )
 
     def _respond(self, instance: Instance, request: WatchList) -> None:
         if instance.in_flight is not request or not instance.connected:
@@ -223,8 +229,8 @@
 
     # ------------------------------------------------ results
 
-    def latest_ms(self) -> float:
-        """The longest time from when a change counts as notified until an instance has it; may be below 0."""
+    def max_lateness_ms(self) -> float:
+        """Return the longest time from when a change counts as notified to its receipt; may be below 0."""
         worst = float("-inf")
         for change in self.changes:
             notified_ms = change.reachable_ms + change.notified_ms
@@ -235,12 +241,12 @@
         return worst
 
 
-def most_in_a_second(times_ms: list[float]) -> int:
-    """The largest number of these times that are within one second."""
+def max_in_one_second(times_ms: list[float]) -> int:
+    """Return the largest number of these times within any one second."""
     times = sorted(times_ms)
-    most = first = 0
+    max_count = first = 0
     for last, time_ms in enumerate(times):
         while times[first] <= time_ms - 1_000.0:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        max_count = max(max_count, last - first + 1)
+    return max_count
--- a/tests/balancing/endpoint_freshness/test_bound.py
+++ b/tests/balancing/endpoint_freshness/test_bound.py
@@ -1,13 +1,13 @@
-"""The bound on the age of an endpoint list, over seeds in simulated time.
+"""The bound on the age of an endpoint list under faults of discovery, in simulated time and over seeds.
 
-Whatever fails at discovery, each instance has a change soon after it counts as notified, and discovery's
-load stays bounded.
+Whatever fails at discovery, each instance receives a change soon after it counts as notified, and the load on
+discovery stays bounded.
 
-Two discovery services are simulated. Both serve one request after the other, and a rejected one costs as
-much as one that is served. The first queues a request for 3 s and serves 2.7 a second, or those of all
-instances in 4 s; the second queues it for 1 s and serves 4 a second, or those of all instances in 2.5 s. An
-instance is late by the time from when a change counts as notified until it is received; the grace period of
-the settings that go with them (2 s, 1 s) is for that.
+Two discovery services are simulated. Both serve one request after the other, and a rejected request costs as
+much as a served one. The first queues a request for up to 3 s and serves 2.7 per second, or those of all
+instances in 4 s; the second queues it for up to 1 s and serves 4 per second, or those of all instances in
+2.5 s. The lateness of an instance is the time from when a change counts as notified to its receipt. It must
+not exceed the grace period of the settings, which is 2 s and 1 s respectively.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 import pytest
 
-from tests.balancing.endpoint_freshness.simulated_fleet import Fleet, most_in_a_second
+from tests.balancing.endpoint_freshness.simulated_fleet import Fleet, max_in_one_second
 
-# By how long a request may queue: requests a second, and seconds for a request of each instance.
+# By maximum queuing time in ms: minimum requests per second, and seconds to serve a request of each instance.
 RATES = {1_000.0: (4.0, 2.5), 3_000.0: (2.7, 4.0)}
 
 
 def rate_of(count: int, queue_ms: float = 3_000.0) -> float:
-    """Requests a second that discovery serves."""
-    least_per_s, all_instances_s = RATES[queue_ms]
-    return max(least_per_s, count / all_instances_s)
+    """Return the number of requests per second that discovery serves."""
+    min_per_s, all_instances_s = RATES[queue_ms]
+    return max(min_per_s, count / all_instances_s)
 
 
-GRACE_MS = {1_000.0: 1_000.0, 3_000.0: 2_000.0}  # by how long discovery queues a request
-SIZES = [(1, 600), (8, 150), (40, 24), (230, 3)]  # instances, and seeds
+GRACE_MS = {1_000.0: 1_000.0, 3_000.0: 2_000.0}  # grace period by the maximum queuing time at discovery
+SIZES = [(1, 600), (8, 150), (40, 24), (230, 3)]  # number of instances and number of seeds
 BEGIN_MS = 15_000.0
 NEVER = 1e12
 
@@ -37,7 +37,7 @@
 
 
 def starts(fleet: Fleet, _at_ms: float, _fraction: float) -> None:
-    """All instances start with a list that is old already."""
+    """All instances start with a list that is out of date."""
     fleet.change()
 
 
@@ -85,7 +85,7 @@
 
 
 def falls_silent_twice(fleet: Fleet, at_ms: float, fraction: float) -> None:
-    """Again while the first requests after the silence are in flight."""
+    """A second silence while the first requests after the first one are in flight."""
     fleet.at(at_ms, fleet.fall_silent)
     fleet.at(at_ms + 1_500.0 + 1_500.0 * fraction, fleet.fall_silent)
     fleet.at(at_ms + 3_000.0, fleet.change)
@@ -103,7 +103,7 @@
 
 
 def run_with(fault: Fault, count: int, seed: int, queue_ms: float) -> Fleet:
-    # An instance knows the number of instances in its own tier; discovery serves those of all tiers.
+    # An instance knows only the number of instances in its own tier; discovery serves all tiers.
     fleet = Fleet(count, seed, rate_of(count, queue_ms), queue_ms, peers=max(1, count // 3))
     fault(fleet, BEGIN_MS + 4_000.0 * fleet.rng.random(), fleet.rng.random())
     fleet.run(45_000.0)
@@ -113,53 +113,56 @@
 @pytest.mark.parametrize("queue_ms", list(GRACE_MS))
 @pytest.mark.parametrize(("count", "seeds"), SIZES)
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.__name__ for fault in FAULTS])
-def test_a_change_is_received_within_the_grace_period_after_it_counts_as_notified(
+def test_change_is_received_within_the_grace_period_after_it_counts_as_notified(
     fault: Fault, count: int, seeds: int, queue_ms: float
 ) -> None:
     for seed in range(seeds):
-        late_ms = run_with(fault, count, seed, queue_ms).latest_ms()
-        assert late_ms <= GRACE_MS[queue_ms], f"seed {seed}: {late_ms:.0f} ms late"
+        lateness_ms = run_with(fault, count, seed, queue_ms).max_lateness_ms()
+        assert lateness_ms <= GRACE_MS[queue_ms], f"seed {seed}: {lateness_ms:.0f} ms late"
 
 
 @pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_a_second_silence_during_the_requests_after_the_first_is_bounded_too(count: int, seeds: int) -> None:
-    """A silent request takes all its time before it is abandoned; the bound holds except for that."""
+def test_lateness_is_bounded_after_a_second_silence_during_recovery(count: int, seeds: int) -> None:
+    """The bound holds but for the response time-out of the second silent request."""
     for seed in range(seeds):
-        late_ms = run_with(falls_silent_twice, count, seed, 3_000.0).latest_ms()
-        assert late_ms <= 2_000.0 + 3_500.0, f"seed {seed}: {late_ms:.0f} ms late"
+        lateness_ms = run_with(falls_silent_twice, count, seed, 3_000.0).max_lateness_ms()
+        assert lateness_ms <= 2_000.0 + 3_500.0, f"seed {seed}: {lateness_ms:.0f} ms late"
 
 
 @pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_rejected_requests_do_not_keep_discovery_busy_for_good(count: int, seeds: int) -> None:
-    """Guards against what a simulated day with 192 instances showed.
+def test_retries_of_rejected_requests_do_not_saturate_discovery(count: int, seeds: int) -> None:
+    """Guards against a failure of a simulated day with 192 instances.
 
-    Rejected requests were retried within a second each and kept discovery so busy that it answered nobody.
+    Rejected requests were each retried within a second, which kept discovery so busy that it served no
+    instance.
     """
     for seed in range(seeds):
         fleet = run_with(occupied_by_other_clients, count, seed, 3_000.0)
         fleet.run(60_000.0)
-        watches = [instance.responded_ms > 55_000.0 for instance in fleet.instances]
-        assert all(watches), f"seed {seed}: {watches.count(False)} instances have no watch 36 s after that"
+        has_watch = [instance.responded_ms > 55_000.0 for instance in fleet.instances]
+        assert all(has_watch), (
+            f"seed {seed}: {has_watch.count(False)} instances have no watch 36 s after the fault"
+        )
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.__name__ for fault in FAULTS])
 @pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_requests_at_discovery_are_bounded_by_the_number_of_instances(
+def test_request_rate_at_discovery_is_bounded_by_the_number_of_instances(
     fault: Fault, count: int, seeds: int
 ) -> None:
-    """In any second: two renewals an instance, and three requests that queue.
+    """In any second there are at most two renewals and three queuing requests per instance.
 
-    Renewals don't queue; there is one an instance, and a few that a change brings forward. Most of the
+    Renewals don't queue; each instance sends one, and a few more are caused early by a change. Most of the
     requests that queue are rejected, or sent to an address that is down.
     """
     for seed in range(min(seeds, 20)):
         fleet = run_with(fault, count, seed, 3_000.0)
-        assert most_in_a_second(fleet.renewals_ms) <= 2.0 * count + 1
-        assert most_in_a_second(fleet.requests_ms) <= 3.0 * count
+        assert max_in_one_second(fleet.renewals_ms) <= 2.0 * count + 1
+        assert max_in_one_second(fleet.requests_ms) <= 3.0 * count
 
 
 @pytest.mark.parametrize("count", [count for count, _ in SIZES])
-def test_a_fleet_without_changes_only_renews_its_watches(count: int) -> None:
+def test_fleet_without_changes_only_renews_its_watches(count: int) -> None:
     fleet = Fleet(count, 1, rate_of(count), 3_000.0)
     fleet.run(60_000.0)
     assert not [time_ms for time_ms in fleet.requests_ms if time_ms > BEGIN_MS]
@@ -168,54 +171,58 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_pushed_lists_are_received_at_once_when_the_agent_is_back(seed: int) -> None:
-    """The agent's answers count at its return: the shortest grace period in use is 0.7 s."""
+def test_pushed_list_is_received_within_700_ms_of_the_agents_return(seed: int) -> None:
+    """Changes count as notified when the agent is back, and the shortest grace period in use is 0.7 s."""
     fleet = Fleet(1, seed, 100.0, 1_000.0, pushed=True)
     fleet.at(5_000.0, fleet.go_down)
     fleet.at(6_000.0, lambda: fleet.change(reachable_ms=NEVER, notified_ms=0.0))
     fleet.at(9_000.0 + 1_000.0 * fleet.rng.random(), fleet.come_back_up)
     fleet.run(20_000.0)
-    assert fleet.latest_ms() <= 700.0
+    assert fleet.max_lateness_ms() <= 700.0
 
 
-READY_MS = 10_000.0  # in which nine of ten processes that start are to be ready
+READY_MS = 10_000.0  # time within which 9 of 10 starting processes must be ready
 
 
-def first_lists(fleet: Fleet) -> list[float]:
-    """When each instance received its first list, sorted; 10 minutes if never."""
+def first_list_times_ms(fleet: Fleet) -> list[float]:
+    """Return the times at which instances received their first list, sorted; 10 minutes if never."""
     return sorted(instance.received_ms.get(1, 600_000.0) for instance in fleet.instances)
 
 
 @pytest.mark.parametrize("queue_ms", list(GRACE_MS))
 @pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_nine_of_ten_instances_that_start_without_a_list_have_one_within_ten_seconds(
+def test_nine_of_ten_instances_started_without_a_list_have_one_within_ten_seconds(
     count: int, seeds: int, queue_ms: float
 ) -> None:
-    """All instances start at once, none knows a server, and discovery serves their requests in turn.
+    """All instances start at once without a list, and discovery serves their requests in turn.
 
-    Over all seeds. The tenth is one that was rejected twice; it has its list some seconds later.
+    The fraction is over all seeds. The remaining instances were rejected twice and have a list some seconds
+    later.
     """
     first_ms: list[float] = []
     for seed in range(seeds):
         fleet = Fleet(count, seed, rate_of(count, queue_ms), queue_ms, peers=max(1, count // 3), known=False)
         fleet.run(60_000.0)
-        first_ms += first_lists(fleet)
+        first_ms += first_list_times_ms(fleet)
     first_ms.sort()
     assert first_ms[int(0.9 * len(first_ms))] <= READY_MS
     assert first_ms[-1] <= 3.0 * READY_MS
 
 
 @pytest.mark.parametrize("count", [1, 40, 230])
-def test_instances_that_start_while_discovery_is_down_have_a_list_within_ten_seconds_of_its_return(
+def test_instances_started_while_discovery_is_down_have_a_list_soon_after_its_return(
     count: int,
 ) -> None:
-    """Without a cached list they can't be ready sooner; with one they are at once."""
+    """Nine of ten instances have a list within 10 s of the return.
+
+    Without a cached list they can't be ready earlier; with one they are ready at once.
+    """
     first_ms: list[float] = []
     for seed in range(10):
         fleet = Fleet(count, seed, rate_of(count), 3_000.0, peers=max(1, count // 3), known=False)
         fleet.is_up = False
         fleet.at(8_000.0, fleet.come_back_up)
         fleet.run(60_000.0)
-        first_ms += [time_ms - 8_000.0 for time_ms in first_lists(fleet)]
+        first_ms += [time_ms - 8_000.0 for time_ms in first_list_times_ms(fleet)]
     first_ms.sort()
     assert first_ms[int(0.9 * len(first_ms))] <= READY_MS
--- a/tests/balancing/endpoint_freshness/test_polling.py
+++ b/tests/balancing/endpoint_freshness/test_polling.py
@@ -1,4 +1,4 @@
-"""When a balancer polls discovery, through its `Freshness`."""
+"""Times at which a balancer polls discovery, as decided by its `Freshness`."""
 
 from __future__ import annotations
 
@@ -10,63 +10,65 @@
 from tests.balancing.policy.harness import PLAIN, make_driver
 
 
-def polls(driver: Driver) -> int:
-    """Number of polls so far."""
+def count_polls(driver: Driver) -> int:
+    """Return the number of polls so far."""
     return sum(isinstance(action, WatchList) for action in driver.actions)
 
 
-def test_an_instance_subscribes_in_time_and_keeps_polls_apart_after_failures() -> None:
+def test_instance_subscribes_in_time_and_spaces_its_polls_after_failures() -> None:
     settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, drain_grace_ms=2000.0)
     driver = make_driver(settings)
     driver.advance(2000.0)
     assert [action for action in driver.actions if isinstance(action, WatchList)] == [WatchList(True)]
-    gaps = [gap_after_a_failure(driver) for _ in range(12)]
-    # A change counts as notified 6 s after discovery has it, whatever failed, and a poll half the grace
-    # later is answered within the grace: no pause is longer. None is short enough to be a storm.
+    gaps = [measure_gap_after_failure(driver) for _ in range(12)]
+    # A change counts as notified 6 s after discovery has it, whatever failed. A poll half the grace period
+    # later gets its response within the grace period, so no pause is longer. No pause is short enough for a
+    # retry storm.
     assert min(gaps[1:]) >= 2_000.0
     assert max(gaps) <= 7_000.0 + 100.0
     assert sum(gaps[6:]) / 6 > 4_000.0
 
 
-def gap_after_a_failure(driver: Driver, step_ms: float = 50.0) -> float:
+def measure_gap_after_failure(driver: Driver, step_ms: float = 50.0) -> float:
     """Return the time from a failed poll to the next one."""
     begin = driver.now
     driver.feed(ListUpdate(ListKind.FAILED))
-    before = polls(driver)
-    while polls(driver) == before:
+    before = count_polls(driver)
+    while count_polls(driver) == before:
         driver.advance(step_ms)
     return driver.now - begin
 
 
-def test_a_broken_watch_is_reopened_at_once_and_each_retry_comes_within_the_bound() -> None:
-    # What a broken watch misses counts as notified 6 s after discovery has it: the first poll comes at once
-    # where no other instances poll too, and a second one, and a third, in what is left of that.
+def test_broken_watch_is_reopened_at_once_and_retried_within_the_bound() -> None:
+    # A change that a broken watch misses counts as notified 6 s after discovery has it. Without other polling
+    # instances the first poll is sent at once, and a second and a third one in the rest of that time.
     settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0)
     for seed in range(20):
         driver = make_driver(settings, seed=seed)
         driver.advance(2000.0)
-        driver.feed(ListUpdate(ListKind.DELTA, 2))  # the watch lives, and breaks
-        gaps = [gap_after_a_failure(driver) for _ in range(18)]
+        driver.feed(ListUpdate(ListKind.DELTA, 2))  # the watch works, and then breaks
+        gaps = [measure_gap_after_failure(driver) for _ in range(18)]
         assert gaps[0] <= 550.0
         assert gaps[0] + gaps[1] <= 4_600.0
         assert max(gaps) <= 6_000.0 + 50.0
         assert gaps[-1] >= 2_950.0
 
 
-def test_fresh_instances_do_not_all_poll_discovery_at_once() -> None:
+def test_first_polls_of_starting_instances_are_spread() -> None:
     settings = replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, instances=40)
     first_poll_ms = []
     for seed in range(40):
         driver = make_driver(settings, seed=seed)
         first_poll_ms.append(driver.timers[0][0] - driver.now)
-    assert max(first_poll_ms) <= 0.9 * 6_000.0  # in the bound on the list's age, and a turn is left
-    # Of forty in a second and more, half were rejected, or none was served.
+    # Within the bound on the list's age, with time left to be served.
+    assert max(first_poll_ms) <= 0.9 * 6_000.0
+    # With forty polls in little more than a second, half were rejected, or none was served.
     assert max(first_poll_ms) - min(first_poll_ms) > 3_000.0
 
 
-def test_a_fresh_instance_polls_soon_when_its_cached_list_proves_old() -> None:
-    # Guards the first seconds after a restart: servers on the old list are gone, and new ones not on it. Not
-    # at once: forty instances that start together would all poll together.
+def test_starting_instance_polls_early_when_its_cached_list_is_out_of_date() -> None:
+    # Guards the first seconds after a restart, when servers of the cached list are gone and new ones are
+    # missing from it. The poll is not sent at once: forty instances that start together would poll together.
     for seed in range(20):
         driver = make_driver(
             replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0, instances=40), seed=seed
@@ -75,13 +77,13 @@
             driver.request()
             driver.end_attempt(request, 0, Outcome.CONNECT_FAILED)
         driver.advance(250.0)
-        assert polls(driver) == 1
+        assert count_polls(driver) == 1
         driver.advance(4000.0)
-        assert polls(driver) == 1
+        assert count_polls(driver) == 1
 
 
-def test_an_instance_that_starts_alone_does_not_wait_for_others() -> None:
-    # Guards the same: where no other instance starts with it, there are no polls to spread.
+def test_instance_that_starts_alone_polls_without_a_spread() -> None:
+    # Guards the first seconds after a restart: without other starting instances there is nothing to spread.
     for seed in range(20):
         driver = make_driver(replace(PLAIN, polled_discovery=True, poll_interval_ms=8000.0), seed=seed)
         driver.advance(500.0)
--- a/tests/balancing/endpoint_freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -1,6 +1,6 @@
-"""Settings that affect the list's age and warming servers.
+"""Settings that affect the age of the endpoint list and servers that are warming up.
 
-A value that makes no sense is named; one that is odd but valid neither stops an instance nor makes it send
+An error names an invalid value. An unusual but valid value neither stops an instance nor makes it send
 requests to discovery without a pause.
 """
 
@@ -14,7 +14,7 @@
 
 from sandhatch.balancing.actions import SetTimer, WatchList
 from sandhatch.balancing.endpoint_freshness import (
-    LEAST_NOTIFIED_MS,
+    MIN_NOTIFIED_MS,
     NOTIFIED_MS,
     Freshness,
     notified_after_ms,
@@ -25,7 +25,7 @@
 from testkit.platform import SETTINGS, config_data, entry
 
 KEYS = ["DrainGraceMs", "AskWithinMs", "ColdMs", "FallMs", "PeersTotal"]
-NONSENSE = [-1, -0.5, "soon", None, True, [], {}, 1e400]
+INVALID_VALUES = [-1, -0.5, "soon", None, True, [], {}, 1e400]
 MAY_BE_ZERO = {"DrainGraceMs", "AskWithinMs", "ColdMs"}
 
 
@@ -43,10 +43,10 @@
     return json.dumps(config_data([entry("a", 9)], 9, settings=settings))
 
 
-@pytest.mark.parametrize("value", NONSENSE, ids=repr)
+@pytest.mark.parametrize("value", INVALID_VALUES, ids=repr)
 @pytest.mark.parametrize("key", KEYS)
-def test_a_value_that_makes_no_sense_is_named_with_its_key(key: str, value: Any) -> None:
-    if value is None and key != "DrainGraceMs":  # as if it were missing: the default
+def test_error_names_an_invalid_value_and_its_key(key: str, value: Any) -> None:
+    if value is None and key != "DrainGraceMs":  # treated like a missing key: the default
         assert decode(text_of(settings_with(key, None)), {}) == decode(text_of(settings_with(key, ...)), {})
         return
     with pytest.raises(ConfigError) as raised:
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("key", KEYS)
-def test_zero_is_named_or_accepted(key: str) -> None:
+def test_zero_is_accepted_or_rejected_with_its_key(key: str) -> None:
     text = text_of(settings_with(key, 0))
     if key in MAY_BE_ZERO:
         decode(text, {})
@@ -69,16 +69,16 @@
 
 @pytest.mark.parametrize("key", KEYS)
 @pytest.mark.parametrize("value", [..., 0.0, 1.0, 1e12], ids=["missing", "zero", "tiny", "vast"])
-def test_with_any_accepted_value_requests_to_discovery_stay_within_bounds(key: str, value: Any) -> None:
-    """In a minute of failures: at most six requests a second, and at least one in the longest pause."""
+def test_request_rate_to_discovery_is_bounded_for_any_accepted_value(key: str, value: Any) -> None:
+    """In a minute of failures: at most six requests per second, and at least one in the longest pause."""
     if value == 0.0 and key not in MAY_BE_ZERO:
         return
     if key == "DrainGraceMs" and value == 1e12:
-        value = 9e8  # the most that is accepted
+        value = 9e8  # the largest accepted value
     if key == "PeersTotal" and value is not ...:
         value = int(value)
     settings = decode(text_of(settings_with(key, value)), {}).settings
-    assert LEAST_NOTIFIED_MS <= notified_after_ms(settings) <= NOTIFIED_MS
+    assert MIN_NOTIFIED_MS <= notified_after_ms(settings) <= NOTIFIED_MS
     freshness = Freshness(settings, Random(1))
     now = 0.0
     requests = []
--- a/tests/balancing/policy/harness.py
+++ b/tests/balancing/policy/harness.py
@@ -1,4 +1,4 @@
-"""Settings and drivers that the tests of the policy share."""
+"""Settings and drivers shared by the policy tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_driver(settings: Settings = PLAIN, servers: int = 10, seed: int = 1, **entry: float) -> Driver:
-    """Return a driver whose balancer has a list of this many servers, with these fields of their entries."""
+    """Return a driver whose balancer has a list of this many servers, all with the given entry fields."""
     driver = Driver(settings, seed)
     entries = tuple(ServerEntry(number, **entry) for number in range(servers))  # type: ignore[arg-type]
     driver.update_list(ListKind.CACHED, entries)
@@ -31,11 +31,11 @@
 
 
 def sends(actions: Iterable[Action]) -> list[int]:
-    """Return the servers that these actions send to."""
+    """Return the servers of the `Send` actions."""
     return [action.server for action in actions if isinstance(action, Send)]
 
 
 def chi_square(counts: list[int]) -> float:
-    """Return Pearson's statistic of counts that should be equal."""
+    """Return Pearson's chi-square statistic of counts that are expected to be equal."""
     mean = sum(counts) / len(counts)
     return sum((count - mean) ** 2 / mean for count in counts)
--- a/tests/balancing/policy/test_balancer.py
+++ b/tests/balancing/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer's ordinary path, its final answers and its contract."""
+"""The balancer's common path, its final responses and its contract."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_draw_is_uniform_among_token_holders(seed: int) -> None:
+def test_draw_is_uniform_among_token_holders(seed: int) -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10, seed=seed)
     for _ in range(4):
-        driver.request()  # four tokens are spent and stay so
+        driver.request()  # four tokens are removed and not returned
     busy = {t.server for o in driver.requests.values() for t in o.attempts}
     counts: Counter[int] = Counter()
     for _ in range(6000):
@@ -42,10 +42,11 @@
         driver.end_attempt(driver.next_id, 0, Outcome.OK)
     assert len(busy) == 4
     assert not busy & counts.keys()
-    assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5  # 5 degrees, odds 0.001
+    # 20.5 is the limit for 5 degrees of freedom and a probability of 0.001.
+    assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5
 
 
-def test_without_any_token_the_draw_is_over_the_ready_servers() -> None:
+def test_draw_without_tokens_is_uniform_among_ready_servers() -> None:
     counts: Counter[int] = Counter()
     for seed in range(3000):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -53,24 +54,25 @@
             driver.request()
         (server,) = sends(driver.request())
         counts[server] += 1
-    assert chi_square([counts[n] for n in range(3)]) < 13.9  # 2 degrees, odds 0.001
+    # 13.9 is the limit for 2 degrees of freedom and a probability of 0.001.
+    assert chi_square([counts[n] for n in range(3)]) < 13.9
 
 
-def test_a_token_returns_only_when_no_attempt_is_outstanding() -> None:
+def test_token_returns_only_when_no_attempt_is_outstanding() -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     driver.request()
     driver.request()  # one attempt at each server
-    (third,) = sends(driver.request())  # no token: a second attempt somewhere
+    (third,) = sends(driver.request())  # no token is left: a second attempt at one of the servers
     first = next(r for r, o in driver.requests.items() if o.attempts[0].server == third)
-    driver.end_attempt(first, 0, Outcome.OK)  # that server still has the third attempt
+    driver.end_attempt(first, 0, Outcome.OK)  # the same server still has the third attempt
     other = next(r for r, o in driver.requests.items() if o.attempts[0].server != third)
     driver.end_attempt(other, 0, Outcome.OK)
     (fourth,) = sends(driver.request())
     assert fourth != third
 
 
-def test_an_instance_whose_requests_run_one_at_a_time_visits_every_server() -> None:
-    # Guards against the lone sticky token: an instance of low rate returned to the first server it had met.
+def test_sequential_requests_of_an_instance_visit_every_server() -> None:
+    # Guards against a single sticky token: a low-rate instance always returned to its first server.
     driver = make_driver(servers=10)
     seen = set()
     for _ in range(100):
@@ -80,8 +82,8 @@
     assert len(seen) == 10
 
 
-def test_without_tokens_attempts_are_spread_evenly() -> None:
-    # Guards against piling a third attempt onto a server while another has one.
+def test_attempts_without_tokens_are_spread_evenly() -> None:
+    # Guards against a third attempt at one server while another server has one attempt.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=5)
     for _ in range(10):
         driver.request()
@@ -89,8 +91,8 @@
     assert set(load.values()) == {2}
 
 
-def test_own_counts_choose_only_while_own_attempts_outnumber_the_servers() -> None:
-    # Guards the design's fallback: with no token held, any ready server may be drawn, a withheld one too.
+def test_fewest_attempts_rule_applies_only_while_attempts_outnumber_servers() -> None:
+    # Guards the fallback of PULL: without token holders any ready server may be drawn, also a withheld one.
     counts: Counter[bool] = Counter()
     for seed in range(600):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -102,8 +104,8 @@
     assert 150 < counts[True] < 250
 
 
-def test_servers_withheld_for_slowness_share_the_load_while_own_attempts_outnumber_the_servers() -> None:
-    # Guards against the pile-up: slow servers left out, all requests go to the rest, which get slow in turn.
+def test_slow_servers_share_the_load_while_attempts_outnumber_servers() -> None:
+    # Guards against a pile-up: without slow servers all requests go to the rest, which become slow in turn.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4)
     for _ in range(200):  # servers 0 to 2 are known to be slow, and their tokens are withheld
         (server,) = sends(driver.request(class_index=1))
@@ -117,7 +119,7 @@
     assert len(load) == 4
 
 
-def test_same_seed_same_actions() -> None:
+def test_same_seed_and_events_give_the_same_actions() -> None:
     runs = []
     for _ in range(2):
         driver = make_driver(PROBING, seed=9)
@@ -130,10 +132,10 @@
     assert runs[0] == runs[1]
 
 
-def test_a_request_is_queued_for_a_server_and_answered_when_none_comes() -> None:
+def test_request_without_servers_is_queued_and_gets_a_final_response_in_time() -> None:
     driver = make_driver(servers=0)
     driver.request()
-    assert not driver.requests[1].over
+    assert not driver.requests[1].finished
     driver.update_list(ListKind.DELTA, (ServerEntry(4),))
     driver.advance(20.0)
     assert [t.server for t in driver.requests[1].attempts] == [4]
@@ -143,17 +145,17 @@
     assert empty.requests[1].responses == 1
 
 
-def test_a_streamed_answer_belongs_to_the_client() -> None:
+def test_reset_after_a_streamed_response_has_started_causes_no_action() -> None:
     driver = make_driver(replace(PLAIN, classes=(replace(IDEMPOTENT, streaming=True),)))
     driver.request()
     driver.feed(AnswerStarted(1, 0, driver.requests[1].attempts[0].server))
-    driver.requests[1].over = True
+    driver.requests[1].finished = True
     driver.requests[1].attempts[0].outcome = Outcome.RESET
     assert driver.feed(AttemptEnded(1, 0, driver.requests[1].attempts[0].server, Outcome.RESET, True)) == []
 
 
-def test_every_rejection_says_when_to_retry() -> None:
-    # Guards against a client that retries at once what no server could take: in a request's time none can.
+def test_every_rejection_carries_a_bounded_retry_wait() -> None:
+    # Guards against clients that retry at once: no server is free before about one request's time has passed.
     driver = make_driver(replace(PLAIN, max_retry_after_ms=2000.0), servers=2)
     for _ in range(30):
         driver.request(0)
@@ -166,8 +168,8 @@
     assert all(10.0 < action.wait_ms <= 2000.0 for action in rejected)
 
 
-def test_a_rejection_names_a_wait_that_still_serves_the_client_or_the_longest() -> None:
-    # Guards rejected requests: with a wait beyond their objective they are lost though slots get free.
+def test_rejection_wait_leaves_time_for_a_retry_or_is_the_maximum() -> None:
+    # Guards against a wait beyond the objective, which loses requests although slots become free.
     settings = replace(
         PLAIN,
         max_retry_after_ms=2000.0,
@@ -178,27 +180,26 @@
         driver.request(0)
         driver.advance(40.0)
         driver.end_attempt(driver.next_id, 0, Outcome.OK)
-    driver.balancer.admission.load = 1000.0  # the servers are full
+    driver.balancer.admission.load = 1000.0  # the tier is at capacity
     (early,) = [a for a in driver.request(0) if isinstance(a, Reject)]
     assert 20.0 <= early.wait_ms < 200.0
-    (late,) = [
-        a for a in driver.request(0, time_left_ms=5.0) if isinstance(a, Reject)
-    ]  # comes too late for its objective
+    # The next request comes too late for its objective.
+    (late,) = [a for a in driver.request(0, time_left_ms=5.0) if isinstance(a, Reject)]
     assert late.wait_ms == 2000.0
 
 
-def test_a_request_without_time_for_an_answer_is_rejected_at_once() -> None:
-    # Guards servers against work nobody can use, and against time-outs that come of having had no time.
+def test_request_without_time_for_a_response_is_rejected_at_once() -> None:
+    # Guards servers against work that is discarded, and against time-outs caused by a lack of time.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     mean_ms = driver.balancer.latency.mean_ms[0]
     driver.request(0, time_left_ms=0.2 * mean_ms)
-    assert driver.requests[1].over
+    assert driver.requests[1].finished
     assert not driver.requests[1].attempts
     driver.request(0, time_left_ms=0.5 * mean_ms)
     assert len(driver.requests[2].attempts) == 1
 
 
-def test_a_broken_contract_raises_an_error_that_names_it() -> None:
+def test_contract_violation_raises_an_error_that_names_it() -> None:
     balancer = Balancer(PLAIN, 1)
     balancer.handle(5.0, RequestArrived(1, 0, 100.0))
     with pytest.raises(ContractError, match="twice"):
@@ -211,7 +212,7 @@
         balancer.handle(6.0, "hello")  # type: ignore[arg-type]
 
 
-def test_late_and_odd_events_are_ignored() -> None:
+def test_events_of_unknown_requests_and_probes_are_ignored() -> None:
     driver = make_driver()
     assert driver.feed(AttemptEnded(99, 0, 0, Outcome.OK, True)) == []
     assert driver.feed(ProbeEnded(77, Outcome.OK, 1.0, ())) == []
--- a/tests/balancing/policy/test_connection_reuse.py
+++ b/tests/balancing/policy/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Connection reuse: how long an idle connection is trusted."""
+"""Connection reuse: the idle limit and expired connections."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 )
 
 
-def test_a_loss_on_an_idle_connection_shortens_the_time_such_ones_are_trusted() -> None:
-    # Guards against connections dropped unseen while idle: each is lost once, then closed before it is used.
+def test_loss_on_an_idle_connection_lowers_the_idle_limit() -> None:
+    # Guards against connections dropped silently while idle: after one loss they are closed before use.
     driver = make_driver(servers=1)
     driver.request()
     driver.end_attempt(driver.next_id, 0, Outcome.OK)
@@ -31,8 +31,8 @@
     assert kinds.index(CloseIdle) < kinds.index(Send)
 
 
-def test_unused_connections_are_closed_where_connects_to_many_servers_fail() -> None:
-    # Guards against hundreds of instances filling the servers' connection tables with idle connections.
+def test_refused_connects_at_many_servers_close_idle_connections() -> None:
+    # Guards against connection tables filled by the idle connections of hundreds of instances.
     driver = make_driver(servers=50)
     for _ in range(6):
         driver.request()
@@ -48,8 +48,8 @@
     assert len(closed) >= 2
 
 
-def test_the_connection_of_a_restarted_server_is_forgotten() -> None:
-    # Guards against the connection of a process that has ended being taken for its successor's.
+def test_connection_of_a_restarted_server_is_discarded() -> None:
+    # Guards against treating the connection of an ended process as that of its successor.
     driver = make_driver(servers=3)
     for _ in range(9):
         driver.request()
--- a/tests/balancing/policy/test_latency_estimates.py
+++ b/tests/balancing/policy/test_latency_estimates.py
@@ -1,4 +1,4 @@
-"""Latency estimates, and the objective that is derived from the time left."""
+"""Latency estimates, and the objective derived from the time left."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 
 
-def test_attempts_time_out_just_before_the_objective_where_late_answers_have_no_value() -> None:
+def test_attempt_times_out_just_before_the_objective_if_late_responses_have_no_value() -> None:
     driver = make_driver()
     (send,) = [a for a in driver.request(1) if isinstance(a, Send)]
     assert 90.0 < send.timeout_ms < 100.0
@@ -25,8 +25,8 @@
     assert send.timeout_ms == 400.0
 
 
-def test_a_last_retry_with_the_rest_of_the_deadline_does_not_make_fresh_requests_late() -> None:
-    # Guards fresh requests against time-outs of milliseconds: the longest time left is not the common one.
+def test_unusual_time_left_does_not_shorten_the_objective_of_first_attempts() -> None:
+    # Guards against time-outs of a few milliseconds when the maximum time left is taken as the common one.
     driver = make_driver(servers=40)
     for _ in range(20):
         driver.request(1, time_left_ms=250.0)
@@ -35,14 +35,13 @@
     driver.end_attempt(driver.next_id, 0, Outcome.OK)
     (send,) = [a for a in driver.request(1, time_left_ms=250.0) if isinstance(a, Send)]
     assert send.timeout_ms > 90.0
-    late = driver.request(
-        1, time_left_ms=210.0
-    )  # 190 ms of the deadline are over already, and the objective with them
+    # With 210 ms left, 190 ms of the deadline have passed, and the objective with them.
+    late = driver.request(1, time_left_ms=210.0)
     assert [type(a) for a in late] == [Reject]
 
 
-def test_a_fresh_instance_learns_the_latency_from_its_first_answers() -> None:
-    # Guards the start: what it goes by at first is a guess from the objective, far above what answers take.
+def test_new_instance_learns_the_latency_from_its_first_responses() -> None:
+    # Guards the start: the initial estimate is derived from the objective and far above the real latency.
     driver = make_driver(
         replace(PLAIN, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, objective_ms=3000.0, deadline_ms=9000.0)))
     )
--- a/tests/balancing/policy/test_probing.py
+++ b/tests/balancing/policy/test_probing.py
@@ -1,4 +1,4 @@
-"""When a drawn server is probed, and what its load report leads to."""
+"""Probing: when a drawn server is probed, and the effect of its load report."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 
 
-def test_an_idle_report_confirms_the_token_and_a_busy_one_draws_another() -> None:
+def test_idle_report_sends_the_request_and_busy_report_draws_another_server() -> None:
     driver = make_driver(PROBING)
     driver.request()
     first = driver.probes[0]
@@ -35,7 +35,7 @@
     assert sends(driver.respond_to_probe((0.0, 0.0))) == [second]
 
 
-def test_silence_counts_as_busy() -> None:
+def test_probe_without_a_response_counts_as_busy() -> None:
     driver = make_driver(PROBING)
     driver.request()
     first = driver.probes[0]
@@ -43,21 +43,21 @@
     assert driver.probes[1] != first
 
 
-def test_a_request_with_little_time_left_is_not_lost_while_a_report_is_awaited() -> None:
+def test_request_with_little_time_left_gets_a_response_while_a_probe_is_in_flight() -> None:
     driver = make_driver(replace(PROBING, tick_ms=5.0))
     driver.request(time_left_ms=12.0)
     driver.advance(40.0)
     assert driver.requests[1].responses == 1
 
 
-def test_one_report_never_admits_two_requests() -> None:
+def test_two_requests_do_not_share_one_load_report() -> None:
     driver = make_driver(PROBING, servers=2)
     driver.request()
     driver.request()
     assert driver.probes[0] != driver.probes[1]
 
 
-def test_requests_are_queued_while_all_drawn_servers_are_busy_and_rejected_before_the_objective() -> None:
+def test_request_is_queued_while_servers_are_busy_and_rejected_before_its_objective() -> None:
     driver = make_driver(PROBING, servers=4)
     driver.request()
     for _ in range(400):
@@ -69,8 +69,8 @@
     assert any(isinstance(a, Reject) for a in driver.actions)
 
 
-def test_probes_thin_out_while_next_to_nothing_is_idle() -> None:
-    # Guards against a herd on the one server that falls idle, seen by many instances at once.
+def test_probe_rate_falls_while_almost_no_server_is_idle() -> None:
+    # Guards against a thundering herd on a single server that becomes idle, seen by many instances.
     driver = make_driver(
         replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=200
     )
@@ -87,13 +87,13 @@
 
 
 @pytest.mark.parametrize("fields", [(), ("waiting",), ("svc_ms", "served_ps"), ("cpu_share",)])
-def test_reports_that_do_not_show_idleness_are_not_paid_for(fields: tuple[str, ...]) -> None:
+def test_no_probe_is_sent_if_reports_do_not_show_idle_servers(fields: tuple[str, ...]) -> None:
     driver = make_driver(replace(PROBING, report_fields=fields))
     assert len(sends(driver.request())) == 1
     assert not driver.probes
 
 
-def test_an_expensive_probe_that_can_save_little_is_not_sent() -> None:
+def test_probe_whose_price_exceeds_its_gain_is_not_sent() -> None:
     driver = make_driver(replace(PROBING, price_probe=0.5))
     for _ in range(200):
         driver.request()
@@ -102,15 +102,15 @@
     assert sum(isinstance(a, Probe) for a in driver.actions) < 20
 
 
-def test_a_server_that_drains_while_its_report_is_awaited_gets_nothing() -> None:
+def test_server_that_drains_while_it_is_probed_receives_no_request() -> None:
     driver = make_driver(PROBING, servers=1)
     driver.request()
     driver.feed(ListUpdate(ListKind.DELTA, 2, (ServerEntry(0, ServerState.DRAINING),)))
     assert sends(driver.respond_to_probe((0.0, 0.0))) == []
 
 
-def test_a_queued_request_probes_two_servers_not_eight() -> None:
-    # Guards against a herd: in a jam the probes of all instances met at each server that fell idle.
+def test_queued_request_probes_two_servers_per_round_instead_of_eight() -> None:
+    # Guards against a thundering herd: under overload the probes of all instances met at each idle server.
     driver = make_driver(
         replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=100
     )
--- a/tests/balancing/policy/test_retry_rules.py
+++ b/tests/balancing/policy/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""Which attempts and rejections are allowed, and how many retries are affordable."""
+"""Retry rules and the retry budget."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 )
 
 
-def test_a_non_idempotent_request_is_retried_only_after_proof_that_nothing_ran() -> None:
+def test_non_idempotent_request_is_retried_only_after_proof_that_it_never_ran() -> None:
     driver = make_driver(servers=5)
     driver.request(1)
     assert len(sends(driver.end_attempt(1, 0, Outcome.CONNECT_FAILED))) == 1
@@ -44,7 +44,7 @@
     assert actions == [Fail(1)]
 
 
-def test_a_keyed_request_stays_in_the_zone_of_its_first_server() -> None:
+def test_keyed_request_with_zone_scope_stays_in_the_zone_of_its_first_server() -> None:
     for seed in range(30):
         driver = Driver(replace(PLAIN, classes=(KEYED,), zones=3), seed)
         driver.update_list(ListKind.FULL, tuple(ServerEntry(n, zone=n % 3) for n in range(9)))
@@ -56,7 +56,7 @@
 
 
 class AttemptedRequest:
-    """A request whose attempts at one server, sent at 100 ms, have these outcomes; None is in flight."""
+    """A request with attempts at one server, sent at 100 ms, of the given outcomes; None is in flight."""
 
     def __init__(
         self, settings: Settings, request_class: RequestClass, outcomes: list[Outcome | None]
@@ -71,31 +71,31 @@
             self._request.outstanding += outcome is None
 
     def may_send(self, now_ms: float) -> bool:
-        """Whether the rules allow a further attempt at the server."""
+        """Return whether the rules allow a further attempt at the server."""
         return self._rules.may_send(self._request, self._server, now_ms)
 
     def may_reject(self) -> bool:
-        """Whether the rules allow a rejection."""
+        """Return whether the rules allow a rejection."""
         return self._rules.may_reject(self._request)
 
 
-def test_a_keyed_request_is_not_retried_after_the_deduplication_time_of_its_first_send() -> None:
+def test_keyed_request_is_not_retried_after_the_deduplication_time_of_its_first_send() -> None:
     keyed = replace(KEYED, deadline_ms=5000.0, deduplication_scope=DeduplicationScope.ALL)
     request = AttemptedRequest(PLAIN, keyed, [Outcome.RESET])
     assert request.may_send(390.0)
     assert not request.may_send(400.0)
-    unrun = AttemptedRequest(PLAIN, keyed, [Outcome.FULL])
-    assert unrun.may_send(4000.0)
+    never_ran = AttemptedRequest(PLAIN, keyed, [Outcome.FULL])
+    assert never_ran.may_send(4000.0)
 
 
-def test_no_hedged_attempt_where_none_is_allowed() -> None:
+def test_hedged_attempt_is_sent_only_if_the_settings_allow_it() -> None:
     request = AttemptedRequest(PLAIN, IDEMPOTENT, [None])
     assert not request.may_send(110.0)
     request = AttemptedRequest(replace(PLAIN, hedging_allowed=True), IDEMPOTENT, [None])
     assert request.may_send(110.0)
 
 
-def test_outstanding_and_cancelled_attempts_count_as_may_have_run() -> None:
+def test_attempts_without_proof_that_they_never_ran_forbid_retry_and_rejection() -> None:
     for outcome in (None, Outcome.CANCELLED, Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET):
         request = AttemptedRequest(replace(PLAIN, hedging_allowed=True), NON_IDEMPOTENT, [outcome])
         assert not request.may_send(110.0)
@@ -106,12 +106,12 @@
         assert request.may_reject()
 
 
-def test_no_more_attempts_than_allowed() -> None:
+def test_number_of_attempts_is_limited_by_max_attempts() -> None:
     request = AttemptedRequest(PLAIN, IDEMPOTENT, [Outcome.RESET] * 4)
     assert not request.may_send(110.0)
 
 
-def test_retries_stop_when_their_budget_is_spent() -> None:
+def test_retries_stop_when_the_retry_budget_is_spent() -> None:
     driver = make_driver(servers=20)
     for _ in range(200):
         driver.request()
@@ -121,7 +121,7 @@
     assert attempts < 200 * 1.3 + 10
 
 
-def test_attempts_that_never_ran_are_retried_more_freely() -> None:
+def test_attempts_that_never_ran_cost_less_of_the_retry_budget() -> None:
     def attempts(outcome: Outcome) -> int:
         driver = make_driver(servers=40)
         for _ in range(100):
@@ -133,8 +133,8 @@
     assert attempts(Outcome.CONNECT_FAILED) > 1.4 * attempts(Outcome.RESET)
 
 
-def test_a_retry_goes_to_another_server_than_the_one_that_failed() -> None:
-    # Guards against a request that is given up after four attempts at the same dead server.
+def test_retry_goes_to_another_server_than_the_failed_one() -> None:
+    # Guards against a request that fails after four attempts at the same dead server.
     for seed in range(50):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4, seed=seed)
         for _ in range(4):
@@ -148,8 +148,8 @@
         assert len(set(tried)) == 4
 
 
-def test_an_idempotent_request_without_an_answer_is_retried_in_time() -> None:
-    # Guards against the answer that never comes, on which all of the time would be spent.
+def test_idempotent_request_without_a_response_is_retried_in_time() -> None:
+    # Guards against spending all of the time left on an attempt without a response.
     settings = replace(
         PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
     )
@@ -170,8 +170,8 @@
     assert [attempt.outcome for attempt in driver.requests[driver.next_id].attempts] == [None]
 
 
-def test_a_slow_idempotent_attempt_is_not_given_up_while_servers_are_full() -> None:
-    # Guards against repeats that fill full servers further.
+def test_slow_idempotent_attempt_is_not_aborted_while_servers_are_full() -> None:
+    # Guards against retries that add to the load of full servers.
     settings = replace(
         PLAIN, classes=(replace(IDEMPOTENT, objective_ms=300.0), replace(NON_IDEMPOTENT, objective_ms=300.0))
     )
--- a/tests/balancing/policy/test_servers.py
+++ b/tests/balancing/policy/test_servers.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers may be drawn at all."""
+"""The endpoint list: servers that may be drawn."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 
 
-def test_nothing_goes_to_a_draining_or_removed_server() -> None:
+def test_draining_and_removed_servers_receive_no_request() -> None:
     driver = make_driver(servers=3)
     driver.update_list(
         ListKind.DELTA, (ServerEntry(0, ServerState.DRAINING), ServerEntry(1, ServerState.GONE))
@@ -22,7 +22,7 @@
         assert set(sends(driver.request())) <= {2}
 
 
-def test_a_full_list_removes_the_servers_it_does_not_name() -> None:
+def test_full_list_removes_servers_missing_from_it() -> None:
     driver = make_driver(servers=3)
     driver.update_list(ListKind.FULL, (ServerEntry(2),))
     assert sends(driver.request()) == [2]
--- a/tests/balancing/policy/test_tenant_quotas.py
+++ b/tests/balancing/policy/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""Tenant quotas: whose requests count as over their share."""
+"""Tenant quotas: requests that count as over their tenant's quota."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def test_retries_of_a_tenant_that_mostly_retries_are_over_its_quota() -> None:
-    # Guards against clients that retry at once, whatever wait they are given.
+    # Guards against clients that retry at once whatever wait a rejection asks for.
     driver = make_driver(replace(PLAIN, tenants=(Tenant(100.0), Tenant(100.0)), clients_mark_retries=True))
     verdicts = {}
     for n in range(200):
--- a/tests/balancing/policy/test_zone_routing.py
+++ b/tests/balancing/policy/test_zone_routing.py
@@ -1,4 +1,4 @@
-"""Zone-aware routing: when draws leave the own zone."""
+"""Zone-aware routing: draws from the own zone and overflow to other zones."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     return drawn
 
 
-def test_where_crossing_costs_servers_of_the_own_zone_are_drawn_while_they_keep_up() -> None:
+def test_cross_zone_price_makes_draws_stay_in_a_healthy_own_zone() -> None:
     assert zones_drawn(0.02, Outcome.OK)[1] > 90
     assert 30 < zones_drawn(0.0, Outcome.OK)[1] < 70
 
 
-def test_requests_overflow_to_other_zones_while_the_own_one_does_worse() -> None:
-    # Guards against a zone with more traffic than its own servers can take; instances of low rate never run
-    # out of tokens there.
+def test_requests_overflow_to_other_zones_while_the_own_zone_has_a_higher_cost() -> None:
+    # Guards against a zone with more traffic than its own servers can serve; low-rate instances never run out
+    # of tokens there.
     assert zones_drawn(0.02, Outcome.ERROR)[0] > 30
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -1,6 +1,7 @@
-"""Forty instances and one discovery service that serves polls in turn, in simulated time.
+"""Detection of outdated endpoint lists by forty instances that poll one discovery service.
 
-What each learns from its own attempts when the endpoint list says nothing, and how many polls that costs.
+In simulated time: what each instance learns from its own attempts while its subscription is silent, and the
+number of polls that this costs.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.tier import Tier
-from tests.balancing.endpoint_freshness.simulated_fleet import most_in_a_second
+from tests.balancing.endpoint_freshness.simulated_fleet import max_in_one_second
 
 PLAN = TierPlan(
     forwarders=40,
@@ -32,7 +33,7 @@
 
 @pytest.mark.parametrize("instances", [1, 3, 40])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_silent_subscriptions_are_detected_by_servers_that_were_removed(instances: int, seed: int) -> None:
+def test_attempts_at_removed_servers_reveal_silent_subscriptions(instances: int, seed: int) -> None:
     tier = Tier(replace(PLAN, forwarders=instances), seed)
     tier.at(9_000.0, tier.discovery.fall_silent)
     for number in range(0, 60, 3):
@@ -49,23 +50,23 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_listed_servers_that_reject_do_not_cause_polls_for_ever(seed: int) -> None:
-    """Some servers are cut off while discovery goes on listing them as ready."""
+def test_polls_become_rarer_while_listed_servers_keep_rejecting(seed: int) -> None:
+    """Some servers are unreachable while discovery continues to list them as ready."""
     tier = Tier(PLAN, seed)
 
     def disconnect() -> None:
         for server in tier.servers[:20]:
-            server.up = False  # nobody is notified
+            server.up = False  # no instance is notified
 
     tier.at(10_000.0, disconnect)
     tier.run(70_000.0)
     polls_per_instance = len([at for at in tier.discovery.calls_ms if at > 1_010_000.0]) / 40
-    # In a minute: each poll that brings nothing doubles the time to the next.
+    # Within a minute: each poll that brings nothing new doubles the time to the next one.
     assert 1.0 <= polls_per_instance <= 5.0
 
 
-def test_a_full_server_that_still_serves_does_not_cause_polls() -> None:
-    """Overload causes rejections too; the list has nothing to say of that."""
+def test_rejections_by_a_full_server_that_still_serves_do_not_cause_polls() -> None:
+    """Overload causes rejections too, but does not mean that the list is out of date."""
     tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
     tier.run(20_000.0)
     rejected = [
@@ -78,10 +79,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_instances_that_start_together_with_an_old_list_poll_a_failing_discovery_within_bounds(
+def test_instances_started_with_an_outdated_list_poll_failing_discovery_within_bounds(
     seed: int,
 ) -> None:
-    """Half of the list is gone, discovery is down for five seconds and then takes one call at a time."""
+    """Half of the listed servers are gone; discovery is down for 5 s and then serves one call at a time."""
     tier = Tier(PLAN, seed)
     tier.discovery.up = False
     for number in range(0, 60, 2):
@@ -89,6 +90,6 @@
     tier.at(5_000.0, lambda: setattr(tier.discovery, "up", True))
     tier.run(30_000.0)
     calls = tier.discovery.calls_ms
-    assert most_in_a_second(calls) <= 40  # one an instance
+    assert max_in_one_second(calls) <= 40  # one per instance
     assert len(tier.discovery.notified_ms) == 40
     assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.poll_interval_ms
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -1,7 +1,7 @@
-"""A release: six in ten servers are replaced within seconds, under many instances and under few.
+"""A release in simulated time: six of ten servers are replaced within seconds, with few or many instances.
 
-In simulated time, with servers that turn slow when too many requests are in flight there for long, and stay
-so until few are: a warm one that is overloaded at the start is lost for the rest of the release.
+Servers become slow when too many requests are in flight at them for long, and stay slow until few are. A
+warm server that is overloaded at the start is therefore lost for the rest of the release.
 """
 
 from __future__ import annotations
@@ -27,44 +27,47 @@
     overload_attempts=10,
     tier=0,
 )
-BEGIN, SPAN, END = 20_000.0, 7_000.0, 42_000.0
+BEGIN_MS, RELEASE_MS, END_MS = 20_000.0, 7_000.0, 42_000.0
 SEEDS = (1, 2)
 
 
 def run_release(instances: int, seed: int, with_outlier: bool = False) -> Tier:
-    """Replace servers 0 to 5 at random times; 6 to 9 stay. With an outlier, 6 fails at once meanwhile."""
+    """Replace servers 0 to 5 at random times; 6 to 9 stay. An outlier makes server 6 fail fast meanwhile."""
     tier = Tier(replace(PLAN, forwarders=instances), seed)
     if with_outlier:
-        tier.at(BEGIN - 4_000.0, lambda: setattr(tier.servers[6], "broken", True))
-        tier.at(BEGIN + 10_000.0, lambda: setattr(tier.servers[6], "broken", False))
+        tier.at(BEGIN_MS - 4_000.0, lambda: setattr(tier.servers[6], "broken", True))
+        tier.at(BEGIN_MS + 10_000.0, lambda: setattr(tier.servers[6], "broken", False))
     for number in range(6):
-        tier.at(BEGIN + SPAN * tier.rng.random(), lambda number=number: tier.replace(number))  # type: ignore[misc]
-    tier.run(END)
+        tier.at(BEGIN_MS + RELEASE_MS * tier.rng.random(), lambda number=number: tier.replace(number))  # type: ignore[misc]
+    tier.run(END_MS)
     return tier
 
 
 def goodput(instances: int, with_outlier: bool = False) -> float:
-    """Return the part of the requests after all are replaced that is served in time, over the seeds."""
-    return mean(run_release(instances, seed, with_outlier).goodput_share(BEGIN + SPAN, END) for seed in SEEDS)
+    """Return the mean goodput share over the seeds, once all servers are replaced."""
+    return mean(
+        run_release(instances, seed, with_outlier).goodput_share(BEGIN_MS + RELEASE_MS, END_MS)
+        for seed in SEEDS
+    )
 
 
 @pytest.mark.parametrize("instances", [1, 3])
-def test_warm_servers_are_not_overloaded_by_what_others_cannot_take_yet(instances: int) -> None:
-    assert goodput(instances) > 0.55  # about 0.3 where a server that warms up counts as a warm one
+def test_load_that_warming_servers_cannot_take_does_not_overload_warm_ones(instances: int) -> None:
+    assert goodput(instances) > 0.55  # about 0.3 if warming servers count as warm ones
 
 
 @pytest.mark.parametrize("instances", [3, 7])
-def test_instances_of_few_requests_each_know_that_the_tier_is_crowded(instances: int) -> None:
-    """Else slow answers count against single servers, and all requests move from one to the next."""
+def test_low_rate_instances_detect_an_overloaded_tier(instances: int) -> None:
+    """Otherwise slow responses count against single servers, and all requests move between them."""
     assert goodput(instances) > 0.93
 
 
-def test_servers_that_warm_up_take_their_share_of_the_capacity() -> None:
-    # About 0.7 where their share is that of their number, and the warm ones get the rest.
+def test_warming_servers_receive_requests_in_proportion_to_their_capacity() -> None:
+    # About 0.7 if their share is proportional to their number and the warm servers get the rest.
     assert goodput(1) > 0.9
 
 
 @pytest.mark.parametrize("instances", [1, 3, 7])
-def test_the_few_warm_servers_beside_an_outlier_are_not_overloaded(instances: int) -> None:
-    """The capacity of the whole tier comes upon three servers: each needs a limit of its own."""
-    assert goodput(instances, with_outlier=True) > 0.85  # 0.34 to 0.45 without
+def test_few_warm_servers_beside_an_outlier_are_not_overloaded(instances: int) -> None:
+    """The load for the whole tier's capacity hits three servers, so each server needs a limit of its own."""
+    assert goodput(instances, with_outlier=True) > 0.85  # 0.34 to 0.45 without the limit per server
