--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -1,7 +1,7 @@
-"""Servers that warm up under the sum of what all instances send, in simulated time.
+"""Servers that are warming up under the sum of the sends of all instances, in simulated time.
 
-Over every window of the settings' length the requests sent to one stay within N and what chance explains, N
-being the overload multiple x what it can do then x the window.
+In every window of the length in the settings, the requests sent to one server stay within N plus random
+variation, where N is the overload multiple x the server's capacity at that time x the window.
 """
 
 from __future__ import annotations
@@ -34,108 +34,108 @@
     queue=600,
     overload_attempts=14,
 )
-# Servers of one core that take long: few requests are a window's budget, so that each one more counts.
-FEW = replace(PLAN, cores=1, work_ms=200.0, objective_ms=2_000.0, deadline_ms=4_000.0)
-MULTIPLE, WINDOW_MS = 2.0, 2_000.0  # what `Settings` has by default
+# Slow servers of one core: the budget of a window is a few requests, so that each further one matters.
+SLOW_SINGLE_CORE = replace(PLAN, cores=1, work_ms=200.0, objective_ms=2_000.0, deadline_ms=4_000.0)
+MULTIPLE, WINDOW_MS = 2.0, 2_000.0  # defaults of `Settings`
 
 
-def allowed(budget: float) -> float:
-    """Return what may come of a budget of requests: past it only what chance explains."""
+def max_sends(budget: float) -> float:
+    """Return the maximum number of sends for a budget, with a margin for random variation."""
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
-def fullest(plan: TierPlan, sent_ms: list[float], started_ms: float) -> float:
-    """Return the most that came in any window of the warm-up, by what was allowed then."""
+def peak_budget_use(plan: TierPlan, sent_ms: list[float], started_ms: float) -> float:
+    """Return the largest ratio of sends to allowed sends in any window of the warm-up."""
     worst, first = 0.0, 0
-    per_s = plan.cores * 1_000.0 / plan.work_ms
+    capacity_per_s = plan.cores * 1_000.0 / plan.work_ms
     times = [at for at in sorted(sent_ms) if at < started_ms + plan.warm_up_ms]
     for last, at in enumerate(times):
         while times[first] <= at - WINDOW_MS:
             first += 1
-        age = max(0.0, at - WINDOW_MS - started_ms)
-        share = plan.initial_capacity_share + (1.0 - plan.initial_capacity_share) * age / plan.warm_up_ms
-        budget = MULTIPLE * share * per_s * WINDOW_MS / 1_000.0
-        worst = max(worst, (last - first + 1) / allowed(budget))
+        age_ms = max(0.0, at - WINDOW_MS - started_ms)
+        share = plan.initial_capacity_share + (1.0 - plan.initial_capacity_share) * age_ms / plan.warm_up_ms
+        budget = MULTIPLE * share * capacity_per_s * WINDOW_MS / 1_000.0
+        worst = max(worst, (last - first + 1) / max_sends(budget))
     return worst
 
 
-class Run:
-    """Servers are restarted at stated times; what each process was sent is kept."""
+class RestartRun:
+    """A simulated tier with restarts of servers, which retains the sends to each server process."""
 
     def __init__(self, plan: TierPlan, load: float, seed: int) -> None:
         capacity = plan.servers * plan.cores * 1_000.0 / plan.work_ms
         self.plan = replace(plan, rate_per_s=load * capacity)
         self.tier = Tier(self.plan, seed)
-        self.lives: list[tuple[list[float], float]] = []
+        self.processes: list[tuple[list[float], float]] = []
 
     def restart(self, at_ms: float, *numbers: int) -> None:
-        def now() -> None:
+        def restart_now() -> None:
             for number in numbers:
-                self._keep(self.tier.servers[number])
+                self._record_process(self.tier.servers[number])
                 self.tier.restart(number)
 
-        self.tier.at(at_ms, now)
+        self.tier.at(at_ms, restart_now)
 
-    def _keep(self, server: SimServer) -> None:
+    def _record_process(self, server: SimServer) -> None:
         if server.started_ms:
-            self.lives.append((server.sent_ms, server.started_ms))
+            self.processes.append((server.sent_ms, server.started_ms))
 
     def run(self, until_ms: float) -> None:
         self.tier.run(until_ms)
         for server in self.tier.servers:
-            self._keep(server)
+            self._record_process(server)
 
     @property
-    def fullest(self) -> float:
-        return max(fullest(self.plan, sent, started) for sent, started in self.lives)
+    def peak_budget_use(self) -> float:
+        return max(peak_budget_use(self.plan, sent, started) for sent, started in self.processes)
 
     @property
-    def least_sent(self) -> int:
-        return min(len(sent) for sent, _ in self.lives)
+    def min_sent(self) -> int:
+        return min(len(sent) for sent, _ in self.processes)
 
 
 @pytest.mark.parametrize("load", [0.6, 1.05])
 @pytest.mark.parametrize("demand", ["even", "uneven"])
 @pytest.mark.parametrize("instances", [1, 3, 20, 30, 230])
-def test_several_servers_that_warm_up_stay_within_their_budget(
+def test_sends_to_several_warming_servers_stay_within_their_budget(
     instances: int, demand: str, load: float
 ) -> None:
-    """With uneven demand a third of all requests comes to one instance."""
+    """With uneven demand a third of all requests goes to one instance."""
     shares = {0: 0.5 * instances} if demand == "uneven" and instances > 1 else {}
-    run = Run(replace(PLAN, forwarders=instances, demand=shares), load, 1)
+    run = RestartRun(replace(PLAN, forwarders=instances, demand=shares), load, 1)
     run.restart(5_000.0, *range(5))
     run.run(14_000.0)
-    assert run.fullest <= 1.0
-    assert run.least_sent > 0  # none is starved
+    assert run.peak_budget_use <= 1.0
+    assert run.min_sent > 0  # no server is starved
 
 
 @pytest.mark.parametrize("instances", [3, 20, 230])
-def test_a_tier_that_mostly_warms_up_stays_within_its_budget(instances: int) -> None:
-    run = Run(replace(PLAN, forwarders=instances), 0.6, 1)
+def test_sends_to_a_mostly_warming_tier_stay_within_their_budget(instances: int) -> None:
+    run = RestartRun(replace(PLAN, forwarders=instances), 0.6, 1)
     run.restart(5_000.0, *range(16))
     run.run(14_000.0)
-    assert run.fullest <= 1.0
-    assert run.least_sent > 0
+    assert run.peak_budget_use <= 1.0
+    assert run.min_sent > 0
 
 
 @pytest.mark.parametrize("instances", [3, 20, 30])
-def test_a_server_that_starts_after_a_release_gets_no_saved_credit(instances: int) -> None:
-    """Servers of small budgets under overload: with one credit an instance, three of them broke it."""
+def test_server_that_starts_after_a_release_gets_no_saved_credit(instances: int) -> None:
+    """Servers with small budgets under overload: a saved credit per instance made three exceed them."""
     for seed in range(3):
-        run = Run(replace(FEW, forwarders=instances), 1.05, seed)
+        run = RestartRun(replace(SLOW_SINGLE_CORE, forwarders=instances), 1.05, seed)
         run.restart(5_000.0, *range(12))
         run.restart(24_000.0, 3)
         run.restart(42_000.0, 7)
         run.run(44_000.0)
-        assert run.fullest <= 1.0, f"seed {seed}"
+        assert run.peak_budget_use <= 1.0, f"seed {seed}"
 
 
 @pytest.mark.parametrize("instances", [1, 3, 20, 30, 230])
-def test_the_credit_of_all_instances_is_spaced_whatever_they_did_before(instances: int) -> None:
-    """What may be sent to a server is its own credit, not what was left of others'.
+def test_sends_of_all_instances_are_spaced_whatever_their_earlier_credit(instances: int) -> None:
+    """Sends to a server are limited by its own credit, not by unused credit of other servers.
 
-    Each instance saw a release whose servers it did not draw, and then one more server starts, which each of
-    its requests draws.
+    Each instance sees a release whose servers it does not draw. Then one more server starts, which every
+    request draws.
     """
     settings = Settings(
         [RequestClass(1.0, 1.0, Effect.IDEMPOTENT)],
@@ -145,7 +145,7 @@
     )
     rng = Random(instances)
     slow_starts = [SlowStart(settings, rng) for _ in range(instances)]
-    requests = 60_000 // instances  # of each instance, in the time before
+    requests = 60_000 // instances  # requests per instance before the late server starts
     for slow_start in slow_starts:
         slow_start.watch([Server.from_entry(ServerEntry(n, started_ms=1.0)) for n in range(12)], 1.0)
         for _ in range(requests):
@@ -153,7 +153,7 @@
     late = Server.from_entry(ServerEntry(99, started_ms=16_000.0))
     for slow_start in slow_starts:
         slow_start.watch([late], 16_000.0)
-    sent, rate_per_s = 0, 600.0  # of 20 servers, each of 33 requests a second
+    sent, rate_per_s = 0, 600.0  # a tier of 20 servers with a capacity of 33 requests per second each
     for _ in range(int(rate_per_s * WINDOW_MS / 1_000.0)):
         slow_start = rng.choice(slow_starts)
         slow_start.earn(20, 16_000.0)
@@ -161,4 +161,4 @@
             slow_start.spend(late, 16_000.0)
             sent += 1
     budget = MULTIPLE * 0.15 * rate_per_s / 20 * WINDOW_MS / 1_000.0
-    assert 0 < sent <= allowed(budget) / 2.0  # half the budget of a server that warms up is planned for
+    assert 0 < sent <= max_sends(budget) / 2.0  # sends are planned for half the budget
--- a/tests/balancing/test_indexed_set.py
+++ b/tests/balancing/test_indexed_set.py
@@ -21,7 +21,7 @@
     return members
 
 
-def test_a_member_is_added_once_and_found_by_its_number() -> None:
+def test_member_is_added_once_and_found_by_its_id() -> None:
     members = filled(1, 2, 2)
     assert len(members) == 2
     assert Member(2) in members
@@ -32,13 +32,13 @@
     members = filled(1, 2, 3)
     first = members.items[0]
     members.discard(first)
-    members.discard(Member(9))  # absent: nothing happens
+    members.discard(Member(9))  # absent: no effect
     assert [member.id for member in members.items] == [3, 2]
     members.discard(members.items[0])
     assert [member.id for member in members.items] == [2]
 
 
-def test_any_order_of_additions_and_removals_agrees_with_a_plain_set() -> None:
+def test_any_sequence_of_additions_and_removals_agrees_with_a_builtin_set() -> None:
     rng = Random(7)
     members, expected = filled(), set()
     for _ in range(2_000):
@@ -52,7 +52,7 @@
         assert sorted(m.id for m in members.items) == sorted(expected)
 
 
-def test_a_draw_is_uniform_over_the_union_of_sets() -> None:
+def test_draw_is_uniform_over_the_union_of_sets() -> None:
     rng = Random(1)
     sets = [filled(1), filled(), filled(2, 3)]
     counts = Counter(member.id for _ in range(3_000) if (member := draw_uniformly(sets, rng)))
@@ -60,7 +60,7 @@
     assert all(850 < counts[number] < 1_150 for number in (1, 2, 3))
 
 
-def test_a_draw_from_empty_sets_takes_nothing_from_the_generator() -> None:
+def test_draw_from_empty_sets_does_not_use_the_random_generator() -> None:
     rng = Random(1)
     state = rng.getstate()
     assert draw_uniformly([filled(), filled()], rng) is None
--- a/tests/balancing/test_invariants.py
+++ b/tests/balancing/test_invariants.py
@@ -1,4 +1,4 @@
-"""The four rules as properties of legal event sequences; `tests/balancing/driver.py` checks them."""
+"""Rules for actions as properties of valid event sequences; `tests/balancing/driver.py` checks them."""
 
 from __future__ import annotations
 
@@ -117,7 +117,7 @@
         ),
     )
     def request_with_outcomes(self, class_index: int, outcomes: list[tuple[Outcome, float]]) -> None:
-        """A request and the outcomes of its attempts, with idle reports for whatever it probes."""
+        """A request with outcomes of its attempts; all of its probes get idle reports."""
         self.driver.request(class_index)
         request = self.driver.next_id
         for outcome, wait in outcomes:
@@ -164,17 +164,17 @@
         self.driver.feed(ListUpdate(ListKind.FAILED))
 
     @rule(payload=st.binary(max_size=20), cookie=st.integers(0, 2**64 - 1))
-    def odd_but_legal(self, payload: bytes, cookie: int) -> None:
+    def unusual_but_valid_events(self, payload: bytes, cookie: int) -> None:
         self.driver.feed(PeerMessage(3, payload))
         self.driver.feed(TimerFired(cookie))
         self.driver.feed(ClientDisconnected(10**9))
 
     @rule(pick=st.integers(0, 10**6))
     def client_disconnects(self, pick: int) -> None:
-        waiting = [request for request, record in self.driver.requests.items() if not record.over]
+        waiting = [request for request, record in self.driver.requests.items() if not record.finished]
         if waiting:
             request = waiting[pick % len(waiting)]
-            self.driver.requests[request].over = True
+            self.driver.requests[request].finished = True
             self.driver.feed(ClientDisconnected(request))
 
     @invariant()
@@ -185,8 +185,8 @@
     def teardown(self) -> None:
         if hasattr(self, "driver"):
             self.driver.advance(950.0)
-            assert all(record.over for record in self.driver.requests.values())
-            assert not self.driver.balancer.requests, "finished requests are kept"
+            assert all(record.finished for record in self.driver.requests.values())
+            assert not self.driver.balancer.requests, "finished requests are retained"
 
 
 Rules.TestCase.settings = settings(
--- a/tests/balancing/test_majority_value.py
+++ b/tests/balancing/test_majority_value.py
@@ -1,4 +1,4 @@
-"""The majority value of a stream of samples."""
+"""Majority value of a stream of samples."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from sandhatch.balancing.majority_value import MajorityValue
 
 
-def test_a_majority_value_needs_a_clear_majority() -> None:
+def test_samples_count_as_uncommon_only_with_a_clear_majority() -> None:
     majority = MajorityValue()
     rng = Random(3)
     assert all(majority.vote(rng.uniform(0.0, 1000.0), 1.0) for _ in range(500))
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that don't fit together."""
+"""Settings that are inconsistent with each other."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.balancing.guidance.harness import SETTINGS
 
 
-def test_an_instance_index_out_of_range_and_a_burst_below_one_request_are_rejected() -> None:
+def test_instance_index_out_of_range_and_burst_below_one_request_are_rejected() -> None:
     with pytest.raises(SettingsError, match="instance_index: 4 is not below the number of instances, 4"):
         replace(SETTINGS, instance_index=4)
     with pytest.raises(SettingsError, match=r"ramp_burst: 0\.5"):
--- a/tests/balancing/test_state_transfer.py
+++ b/tests/balancing/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""What a successor takes over from the balancer before it."""
+"""State that a successor inherits from its predecessor."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 def successor_of(driver: Driver, servers: int, **changes: object) -> Driver:
-    """Return a driver with the same clock and settings but for these changes, and its own list."""
+    """Return a driver with the same clock, the settings with these changes, and its own list."""
     successor = Driver(replace(driver.settings, **changes), 2, driver.now)  # type: ignore[arg-type]
     successor.update_list(ListKind.CACHED, tuple(ServerEntry(number) for number in range(servers)))
     return successor
 
 
-def test_failures_and_withheld_tokens_go_over() -> None:
+def test_failures_and_withheld_tokens_are_inherited() -> None:
     driver = make_driver(servers=3)
     driver.request(1)
     failed = driver.requests[1].attempts[0].server
@@ -30,11 +30,11 @@
     assert inherit(successor.balancer, driver.balancer) == 3
     server = successor.balancer.server_list.servers[failed]
     assert server.consecutive_failures == 1
-    assert not server.token
+    assert not server.has_token
     assert server.circuits == driver.balancer.server_list.servers[failed].circuits != {}
 
 
-def test_a_server_with_attempts_in_flight_has_no_token_for_as_long_as_an_answer_takes() -> None:
+def test_token_of_a_server_with_attempts_in_flight_is_withheld_for_one_mean_latency() -> None:
     driver = make_driver(servers=2)
     driver.request(1)
     busy = driver.requests[1].attempts[0].server
@@ -42,10 +42,10 @@
     inherit(successor.balancer, driver.balancer)
     server = successor.balancer.server_list.servers[busy]
     assert server.withheld_until_ms == successor.now + max(successor.balancer.latency.mean_ms)
-    assert not server.token
+    assert not server.has_token
 
 
-def test_a_restarted_server_inherits_nothing() -> None:
+def test_restarted_server_inherits_nothing() -> None:
     driver = make_driver(servers=1)
     driver.request(1)
     driver.end_attempt(1, 0, Outcome.ERROR)
@@ -56,14 +56,14 @@
 
 
 @pytest.mark.parametrize("servers", [2, 8])
-def test_the_window_goes_with_the_number_of_ready_servers(servers: int) -> None:
+def test_window_is_scaled_by_the_number_of_ready_servers(servers: int) -> None:
     driver = make_driver(servers=4)
     successor = successor_of(driver, servers)
     inherit(successor.balancer, driver.balancer)
     assert successor.balancer.admission.window == driver.balancer.admission.window * servers / 4
 
 
-def test_latency_goes_over_only_between_the_same_classes() -> None:
+def test_latency_is_inherited_only_between_the_same_classes() -> None:
     driver = make_driver(servers=2)
     driver.request(0)
     driver.advance(10.0)
@@ -77,7 +77,7 @@
     assert other.balancer.latency.responses == [0]
 
 
-def test_tenant_shares_go_over_only_between_the_same_tenants() -> None:
+def test_tenant_shares_are_inherited_only_between_the_same_tenants() -> None:
     tenants = (Tenant(100.0), Tenant(100.0))
     driver = make_driver(replace(PLAIN, tenants=tenants))
     for _ in range(10):
@@ -90,7 +90,7 @@
     assert other.balancer.quotas.shares == [1.0]
 
 
-def test_idle_connections_go_over_where_they_were_handed_over() -> None:
+def test_only_transferred_idle_connections_are_inherited() -> None:
     driver = make_driver(servers=2)
     for request in (1, 2):
         driver.request(0)
@@ -101,7 +101,7 @@
     assert connected == {1}
 
 
-def test_slow_start_goes_on_with_the_credit_left_under_other_instances() -> None:
+def test_slow_start_credit_is_inherited_when_the_number_of_instances_changes() -> None:
     driver = Driver(replace(PLAIN, warm_up_ms=20_000.0, instances=2), 1)
     entries = (ServerEntry(0, started_ms=driver.now),)
     driver.update_list(ListKind.FULL, entries)
