--- a/sandhatch/planning/grant_ledger.py
+++ b/sandhatch/planning/grant_ledger.py
@@ -1,15 +1,16 @@
-"""What a planner granted of one server's ramp: never more than the shares that were leased to it.
-
-A forwarder leases its own shares to one planner at a time, and a planner grants only out of shares leased to
-it. Two planners thus grant shares of different forwarders, and need neither a leader nor agreement. No I/O,
-no clock.
-
-Each side of a lease measures from the event that is safe for it (Gray and Cheriton 1989). A grantee counts
-from when it sent the report that the advice answers, the planner from when it sent the advice. A lessor takes
-its shares back one lease time after it received the advice that its last report acknowledged; the planner
-counts from when it sent that advice. A grant is made only of shares that stay leased for as long as the grant
-may be valid. At every moment the valid grants of all forwarders therefore sum to at most what is leased,
-whatever the network delays and however often either side restarts; only the clocks' rates are trusted.
+"""Ledger of a planner's grants on one server's ramp, whose sum never exceeds the leased shares.
+
+A forwarder leases its own shares to one planner at a time, and a planner grants only from shares leased to
+it. Two planners therefore grant shares of different forwarders, and need neither a leader nor agreement. No
+I/O, no clock.
+
+Each side of a lease measures time from the event that is safe for it (Gray and Cheriton 1989). A grantee
+measures from the sending of the report to which the advice responds; the planner measures from the sending of
+the advice. A lessor takes its shares back one lease time after it received the advice that its last report
+acknowledged; the planner measures from the sending of that advice. A grant is made only from shares that stay
+leased for as long as the grant may be valid. At every moment the valid grants of all forwarders therefore sum
+to at most the leased shares, regardless of network delays and of restarts of either side; the only assumption
+is on the rates of the clocks.
 """
 
 from __future__ import annotations
@@ -18,13 +19,20 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from sandhatch.planning.lessors import NOTHING, RampAmount
+from sandhatch.planning.lessors import ZERO_AMOUNT, RampAmount
 
-PREVIOUS_INCARNATION_VERSION = 0  # below that of any advice, so that the first applied advice supersedes it
+# This version is lower than that of any advice, so that the first applied advice supersedes the grants.
+PREVIOUS_INCARNATION_VERSION = 0
 
 
 class Grant(NamedTuple):
-    """One grant: the version of the advice that carried it, its amount and its end."""
+    """One grant.
+
+    Attributes:
+        version: Version of the advice that carried the grant.
+        amount: Granted share of the ramp.
+        until_ms: Expiry time.
+    """
 
     version: int
     amount: RampAmount
@@ -35,7 +43,7 @@
     """Grants on one server's ramp.
 
     Attributes:
-        label: Number of the server, the same at all forwarders and planners.
+        label: Number of the server, identical at all forwarders and planners.
     """
 
     def __init__(self, label: int, applied_versions: Mapping[str, int]) -> None:
@@ -43,32 +51,33 @@
 
         Args:
             label: Number of the server.
-            applied_versions: By forwarder, the version of the last advice it is known to have applied while
-                its shares were leased; kept up to date by the caller. Earlier grants are superseded.
+            applied_versions: Version of the last advice that each forwarder is known to have applied while
+                its shares were leased, by forwarder; updated by the caller. Grants of earlier versions are
+                superseded.
         """
         self.label = label
         self._applied_versions = applied_versions
         self._grants: dict[str, list[Grant]] = {}
-        # Sums are maintained incrementally: with hundreds of forwarders and of servers warming up, each
-        # advice would otherwise visit all grants. Grants that ended since the last full pass are still
-        # included, which errs on the safe side.
+        # Sums are maintained incrementally: with hundreds of forwarders and hundreds of servers warming up,
+        # each advice would otherwise visit all grants. The sums still include grants that have expired since
+        # the last full pass, which can only make new grants smaller.
         self._max_granted: dict[str, RampAmount] = {}
         self._total_rate = 0.0
         self._total_burst = 0.0
-        self._next_pass_ms = math.inf  # when the first of the grants ends
+        self._next_pass_ms = math.inf  # earliest expiry time of any grant
 
     @property
     def holders(self) -> list[str]:
-        """Forwarders with grants."""
+        """Names of the forwarders with grants."""
         return list(self._grants)
 
     def granted(self, forwarder: str, now_ms: float) -> RampAmount:
-        """The most that a forwarder may use, over its grants that are valid and not superseded."""
-        self._drop_ended(now_ms)
+        """Maximum over a forwarder's grants that are valid and not superseded."""
+        self._recompute_if_ended(now_ms)
         return self._refresh(forwarder, now_ms)
 
     def granted_to_others(self, forwarder: str, now_ms: float) -> RampAmount:
-        """The most that all other forwarders may use together."""
+        """Sum of the maximum amounts that all other forwarders may use."""
         own = self.granted(forwarder, now_ms)
         rate = max(0.0, self._total_rate - own.rate)
         burst = max(0.0, self._total_burst - own.burst)
@@ -78,27 +87,29 @@
         self,
         forwarder: str,
         version: int,
-        wanted: RampAmount,
+        requested: RampAmount,
         leased: RampAmount,
         now_ms: float,
         until_ms: float,
     ) -> RampAmount:
-        """Grant as much of `wanted` as is leased until `until_ms` and not granted to other forwarders.
+        """Grant as much of `requested` as is leased until `until_ms` and not granted to other forwarders.
 
-        A burst of less than one attempt grants nothing.
+        Nothing is granted if the burst would be less than one attempt.
         """
         others = self.granted_to_others(forwarder, now_ms)
-        rate = min(wanted.rate, leased.rate - others.rate)
-        burst = min(wanted.burst, leased.burst - others.burst)
+        rate = min(requested.rate, leased.rate - others.rate)
+        burst = min(requested.burst, leased.burst - others.burst)
         if rate <= 0.0 or burst < 1.0:
-            return NOTHING
+            return ZERO_AMOUNT
         amount = RampAmount(rate, burst)
         self._add(forwarder, Grant(version, amount, until_ms))
         self._refresh(forwarder, now_ms)
         return amount
 
-    def claim(self, forwarder: str, amount: RampAmount, now_ms: float, until_ms: float) -> None:
-        """Record what a forwarder reports to have from this planner's previous incarnation."""
+    def record_previous_grant(
+        self, forwarder: str, amount: RampAmount, now_ms: float, until_ms: float
+    ) -> None:
+        """Record a grant that a forwarder reports to hold from this planner's previous incarnation."""
         self._add(forwarder, Grant(PREVIOUS_INCARNATION_VERSION, amount, until_ms))
         self._refresh(forwarder, now_ms)
 
@@ -107,30 +118,30 @@
         self._next_pass_ms = min(self._next_pass_ms, grant.until_ms)
 
     def _refresh(self, forwarder: str, now_ms: float) -> RampAmount:
-        """Drop a forwarder's ended and superseded grants; returns the most that it may still use."""
-        before = self._max_granted.pop(forwarder, NOTHING)
-        self._total_rate -= before.rate
-        self._total_burst -= before.burst
+        """Remove a forwarder's expired and superseded grants; returns the maximum that it may still use."""
+        previous = self._max_granted.pop(forwarder, ZERO_AMOUNT)
+        self._total_rate -= previous.rate
+        self._total_burst -= previous.burst
         grants = self._grants.get(forwarder)
         if not grants:
-            return NOTHING
+            return ZERO_AMOUNT
         applied = self._applied_versions.get(forwarder, 0)
         grants[:] = [grant for grant in grants if grant.until_ms > now_ms and grant.version >= applied]
         if not grants:
             del self._grants[forwarder]
-            return NOTHING
-        most = grants[0].amount
+            return ZERO_AMOUNT
+        max_amount = grants[0].amount
         if len(grants) > 1:
-            most_rate = max([grant.amount.rate for grant in grants])
-            most_burst = max([grant.amount.burst for grant in grants])
-            most = RampAmount(most_rate, most_burst)
-        self._max_granted[forwarder] = most
-        self._total_rate += most.rate
-        self._total_burst += most.burst
-        return most
-
-    def _drop_ended(self, now_ms: float) -> None:
-        """Form the sums again once the first of the grants has ended."""
+            max_rate = max([grant.amount.rate for grant in grants])
+            max_burst = max([grant.amount.burst for grant in grants])
+            max_amount = RampAmount(max_rate, max_burst)
+        self._max_granted[forwarder] = max_amount
+        self._total_rate += max_amount.rate
+        self._total_burst += max_amount.burst
+        return max_amount
+
+    def _recompute_if_ended(self, now_ms: float) -> None:
+        """Recompute the sums once the earliest grant has expired."""
         if now_ms < self._next_pass_ms:
             return
         self._max_granted = {}
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -1,6 +1,6 @@
-"""What a planner knows of one pool, from all its forwarders' reports together.
+"""Load of one pool, aggregated by a planner from the reports of all forwarders.
 
-The influence of each report is bounded, so that one forwarder that reports wrongly changes the result by
+The influence of each report is bounded, so that one forwarder with wrong reports changes the result only a
 little. No I/O, no clock. Source: docs/design/planning.md.
 """
 
@@ -15,31 +15,31 @@
 from sandhatch.planning.numbering import NumberingTable, ServerNumbering
 from sandhatch.planning.readiness import Readiness
 from sandhatch.planning.server_view import Assessment, ServerView
-from sandhatch.planning.weights import MEMORY_MS, assess_servers, median
+from sandhatch.planning.weights import EVIDENCE_DECAY_MS, assess_servers, median
 
-MAX_SERVERS = 20_000  # that a session may name in a pool
-OUTSTANDING_SMOOTHING_MS = 400.0
-DEMAND_SMOOTHING_MS = 5_000.0
-MAX_DEMAND_RATIO = 4.0  # times the median of all forwarders, in both directions
-MAX_ROW_RATIO = 3.0  # times the mean attempts of a row, beyond which a row's attempts count for less
-MAX_ROW_MEAN_RATIO = 10.0  # bounds what one report may do to that mean
-ROW_MEAN_RETENTION = 0.99  # weight of the earlier mean against one row
-BASELINE_PRIOR_ATTEMPTS = 50.0  # as many attempts as the earlier baseline counts against a report's
+MAX_SERVERS = 20_000  # servers that one session may name in a pool
+OUTSTANDING_SMOOTHING_MS = 400.0  # time constant
+DEMAND_SMOOTHING_MS = 5_000.0  # time constant
+MAX_DEMAND_RATIO = 4.0  # bound on a forwarder's demand relative to the median, above and below
+MAX_ROW_RATIO = 3.0  # multiple of the mean attempts per row, above which a row's attempts are weighted down
+MAX_ROW_MEAN_RATIO = 10.0  # multiple of the mean attempts per row at which a report's own mean is capped
+ROW_MEAN_RETENTION = 0.99  # weight of the previous mean attempts per row when one row is added
+BASELINE_PRIOR_ATTEMPTS = 50.0  # weight of the previous baseline, in attempts
 
 
 class MemberLoad:
-    """What one forwarder's reports on a pool say.
+    """Load of one pool as reported by one forwarder.
 
     Attributes:
-        instance_index: The forwarder's index among the pool's instances.
-        key: Key of `numbering`: of the names that the forwarder sent in this session.
-        numbering: The servers by the session's numbers.
-        readiness: A `Readiness` for each number.
-        warming_up: Numbers of the servers that it reports to be warming up.
-        outstanding: Attempts in flight, by number; without zeros.
-        demand_per_s: Rate of its requests, smoothed.
-        baseline_ms: Its mean response time over all servers; 0 if unknown.
-        sent_weights_version: Version of the weights that it was sent last; -1 for none.
+        instance_index: Index of the forwarder among the pool's instances.
+        key: Key of `numbering`, derived from the server names that the forwarder sent in this session.
+        numbering: Servers by their numbers in this session.
+        readiness: One `Readiness` value for each server number.
+        warming_up: Numbers of the servers reported to be warming up.
+        outstanding: Attempts in flight, by server number; without zeros.
+        demand_per_s: Smoothed rate of the forwarder's requests.
+        baseline_ms: Mean response time of the forwarder over all servers; 0 if unknown.
+        sent_weights_version: Version of the weights that were last sent to the forwarder; -1 for none.
     """
 
     __slots__ = (
@@ -55,7 +55,7 @@
     )
 
     def __init__(self, empty: ServerNumbering) -> None:
-        """Start with a session that has named no server."""
+        """Start with a session that has not named any server."""
         self.instance_index = 0
         self.key = b""
         self.numbering = empty
@@ -68,18 +68,18 @@
 
 
 class PoolLoad:
-    """A pool, as all its forwarders' reports together describe it.
+    """Load of one pool, aggregated over all forwarders.
 
     Attributes:
         name: Name of the pool.
-        servers: The servers that any session has named, by address.
-        members: The forwarders that report on the pool, by name.
+        servers: Servers named in any session, by address.
+        members: Forwarders that report on the pool, by name.
         warming_up: Servers that any forwarder reports to be warming up, by address.
-        weights_version: Increased whenever a weight changes.
+        weights_version: Counter that increases whenever a weight changes.
     """
 
     def __init__(self, name: str) -> None:
-        """Start without servers and forwarders."""
+        """Start without servers or forwarders."""
         self.name = name
         self.servers: dict[str, ServerView] = {}
         self.members: dict[str, MemberLoad] = {}
@@ -91,7 +91,7 @@
     # ------------------------------------------------ reports
 
     def new_session(self, name: str) -> None:
-        """Forget a forwarder's numbering and totals: it starts them again."""
+        """Discard a forwarder's numbering and totals, which start again in a new session."""
         member = self.members.get(name)
         if member is None:
             return
@@ -103,34 +103,34 @@
         member.sent_weights_version = -1
 
     def remove(self, name: str) -> None:
-        """Forget a forwarder."""
+        """Remove a forwarder and its contribution to the load."""
         self.new_session(name)
         self.members.pop(name, None)
 
     def apply(self, name: str, report: PoolReport, span_ms: float) -> None:
-        """Add a forwarder's report.
+        """Apply a forwarder's report.
 
         Args:
-            name: The forwarder.
-            report: Its report on this pool.
-            span_ms: Time that the report covers.
+            name: Name of the forwarder.
+            report: The forwarder's report on this pool.
+            span_ms: Time span that the report covers.
 
         Raises:
-            InvalidReportError: The report names too many servers, or a number without a server.
+            InvalidReportError: The session names too many servers, or a number is not assigned to a server.
         """
         member = self.members.get(name)
         if member is None:
             member = self.members[name] = MemberLoad(self._numberings.empty)
         member.instance_index = report.instance_index
         if report.names:
-            self._number(member, report.names)
+            self._append_names(member, report.names)
         self._check_numbers(report, len(member.readiness))
         self._apply_readiness(member, report)
         self._add_rows(member, report)
         if span_ms > 0.0:
             rate_per_s = sum(report.demand.values()) / span_ms * 1000.0
-            keep = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
-            member.demand_per_s = keep * member.demand_per_s + (1.0 - keep) * rate_per_s
+            decay_factor = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
+            member.demand_per_s = decay_factor * member.demand_per_s + (1.0 - decay_factor) * rate_per_s
 
     def _apply_readiness(self, member: MemberLoad, report: PoolReport) -> None:
         for number in report.warming_up:
@@ -140,46 +140,46 @@
         for number in report.not_ready:
             self._set_readiness(member, number, Readiness.NOT_READY)
 
-    def _check_numbers(self, report: PoolReport, known: int) -> None:
+    def _check_numbers(self, report: PoolReport, named_count: int) -> None:
         row_numbers = (row.server for row in report.rows)
         highest = max(chain(report.warming_up, report.warm, report.not_ready, row_numbers), default=-1)
-        if highest >= known:
+        if highest >= named_count:
             raise InvalidReportError(f"pool {self.name}: server {highest} has no name in this session")
 
-    def _number(self, member: MemberLoad, names: list[str]) -> None:
-        """Append addresses to a session's numbering."""
+    def _append_names(self, member: MemberLoad, names: list[str]) -> None:
+        """Append server addresses to a session's numbering."""
         if len(member.readiness) + len(names) > MAX_SERVERS:
             raise InvalidReportError(
                 f"pool {self.name}: more than {MAX_SERVERS} servers named in one session"
             )
-        key = self._numberings.key_after(member.key, names)
+        key = self._numberings.extended_key(member.key, names)
         numbering = self._numberings.get(key)
         if numbering is None:
-            views = [*member.numbering.views, *map(self._server, names)]
+            views = [*member.numbering.views, *map(self._get_or_add_view, names)]
             numbering = self._numberings.add(key, views)
         member.key = key
         member.numbering = numbering
-        member.readiness.extend(bytes(len(names)))  # NOT_READY until the report says otherwise
+        member.readiness.extend(bytes(len(names)))  # NOT_READY unless this report says otherwise
 
-    def _server(self, address: str) -> ServerView:
+    def _get_or_add_view(self, address: str) -> ServerView:
         view = self.servers.get(address)
         if view is None:
             view = self.servers[address] = ServerView(address)
         return view
 
     def _set_readiness(self, member: MemberLoad, number: int, readiness: Readiness) -> None:
-        """Record what a forwarder's endpoint list says of a server."""
-        before = member.readiness[number]
+        """Record the readiness of a server in a forwarder's endpoint list."""
+        previous = member.readiness[number]
         view = member.numbering.views[number]
-        # Rows of a server that drains still follow and state its outstanding attempts again; of one that was
-        # removed, none does.
+        # Later rows of a draining server report its outstanding attempts again; a removed server gets no more
+        # rows, so its outstanding attempts must be subtracted here.
         if readiness == Readiness.NOT_READY:
             view.outstanding -= member.outstanding.pop(number, 0)
-        if before == readiness:
+        if previous == readiness:
             return
         member.readiness[number] = readiness
-        view.listed_in += (readiness != Readiness.NOT_READY) - (before != Readiness.NOT_READY)
-        view.warming_up_in += (readiness == Readiness.WARMING_UP) - (before == Readiness.WARMING_UP)
+        view.listed_in += (readiness != Readiness.NOT_READY) - (previous != Readiness.NOT_READY)
+        view.warming_up_in += (readiness == Readiness.WARMING_UP) - (previous == Readiness.WARMING_UP)
         if readiness == Readiness.WARMING_UP:
             member.warming_up.add(number)
             self.warming_up[view.address] = view
@@ -189,9 +189,10 @@
     def _add_rows(self, member: MemberLoad, report: PoolReport) -> None:
         views = member.numbering.views
         baseline_ms = member.baseline_ms
-        # A forwarder that reports many times its attempts counts for three times the mean at most.
+        # A row counts for at most `MAX_ROW_RATIO` (three) times the mean, even if a forwarder reports many
+        # times its real attempts.
         max_attempts = MAX_ROW_RATIO * max(1.0, self._mean_row_attempts)
-        ended = 0
+        ended_attempts = 0
         rows_with_attempts = 0
         successes = 0
         spent_ms = 0.0
@@ -200,7 +201,7 @@
             attempts = row.ok + row.failed
             if attempts:
                 rows_with_attempts += 1
-                ended += attempts
+                ended_attempts += attempts
                 successes += row.ok
                 spent_ms += row.spent_ms
                 sample_weight = 1.0 if attempts <= max_attempts else max_attempts / attempts
@@ -208,21 +209,21 @@
             if row.outstanding != member.outstanding.get(row.server, 0):
                 self._set_outstanding(member, row.server, row.outstanding)
         if rows_with_attempts:
-            self._update_mean_row(ended, rows_with_attempts)
+            self._update_mean_row_attempts(ended_attempts, rows_with_attempts)
         if successes:
             weight = successes / (successes + BASELINE_PRIOR_ATTEMPTS) if baseline_ms else 1.0
             member.baseline_ms += weight * (spent_ms / successes - baseline_ms)
 
-    def _update_mean_row(self, ended: int, rows: int) -> None:
-        """Move the mean attempts of a row towards that of a report with so many rows."""
+    def _update_mean_row_attempts(self, ended_attempts: int, rows: int) -> None:
+        """Update the moving average of attempts per row with the rows of one report."""
         weight = 1.0 - ROW_MEAN_RETENTION**rows
-        row_mean = min(ended / rows, MAX_ROW_MEAN_RATIO * self._mean_row_attempts)
+        row_mean = min(ended_attempts / rows, MAX_ROW_MEAN_RATIO * self._mean_row_attempts)
         self._mean_row_attempts += weight * (row_mean - self._mean_row_attempts)
 
     @staticmethod
     def _set_outstanding(member: MemberLoad, number: int, outstanding: int) -> None:
-        before = member.outstanding.get(number, 0)
-        member.numbering.views[number].outstanding += outstanding - before
+        previous = member.outstanding.get(number, 0)
+        member.numbering.views[number].outstanding += outstanding - previous
         if outstanding:
             member.outstanding[number] = outstanding
         else:
@@ -231,18 +232,18 @@
     # ------------------------------------------------ weights and demand
 
     def update_weights(self, span_ms: float, unbounded_steps: bool = False) -> None:
-        """Assess the servers again.
+        """Update the weights of all listed servers.
 
         Args:
             span_ms: Time since the last update.
-            unbounded_steps: Weights go to their targets at once; otherwise they move there in small steps.
+            unbounded_steps: Whether weights go to their targets at once instead of in small steps.
         """
-        keep = math.exp(-span_ms / MEMORY_MS)
+        decay_factor = math.exp(-span_ms / EVIDENCE_DECAY_MS)
         smoothing = 1.0 - math.exp(-span_ms / OUTSTANDING_SMOOTHING_MS)
         self._remove_unused()
         listed = [view for view in self.servers.values() if view.listed_in]
         for view in listed:
-            view.decay(keep, smoothing)
+            view.decay(decay_factor, smoothing)
         warm = [view for view in listed if not view.warming_up]
         if warm:
             median_latency_ms = median(
@@ -258,13 +259,14 @@
         warmed_up = [address for address, view in self.warming_up.items() if not view.warming_up_in]
         for address in warmed_up:
             del self.warming_up[address]
-        # A view stays for as long as a session numbers it, listed or not: it may be listed again.
+        # A view is retained while any session numbers its server, even if it is unlisted: it may be listed
+        # again.
         if len(self.servers) > 2 * MAX_SERVERS:
             numbered = self._numberings.numbered_views()
             self.servers = {address: view for address, view in self.servers.items() if id(view) in numbered}
 
     def reduced_weights(self) -> dict[str, Assessment]:
-        """Assessments of the listed servers of weight below 1, by address."""
+        """Assessments of the listed servers with a weight below 1, by address."""
         return {
             address: view.assessment
             for address, view in self.servers.items()
@@ -272,13 +274,13 @@
         }
 
     def bounded_demands(self, names: Iterable[str]) -> dict[str, float]:
-        """The demand per second of each of these forwarders, bounded by their median.
+        """Requests per second of each of these forwarders, bounded relative to their median.
 
-        The bound keeps a forwarder that reports wrongly from starving the others.
+        The bound prevents a forwarder with wrong reports from starving the others.
         """
-        rates = {name: self.members[name].demand_per_s for name in names if name in self.members}
-        middle = median(rates.values()) or max(rates.values(), default=0.0) or 1.0
+        rates_per_s = {name: self.members[name].demand_per_s for name in names if name in self.members}
+        median_per_s = median(rates_per_s.values()) or max(rates_per_s.values(), default=0.0) or 1.0
         return {
-            name: min(MAX_DEMAND_RATIO * middle, max(middle / MAX_DEMAND_RATIO, rate))
-            for name, rate in rates.items()
+            name: min(MAX_DEMAND_RATIO * median_per_s, max(median_per_s / MAX_DEMAND_RATIO, rate))
+            for name, rate in rates_per_s.items()
         }
--- a/sandhatch/planning/membership.py
+++ b/sandhatch/planning/membership.py
@@ -1,4 +1,4 @@
-"""The forwarders that report to a planner, and which of its advice each has applied.
+"""Forwarders that report to a planner, and the advice that each has applied.
 
 No I/O, no clock. Source: the acknowledgement rules of docs/planning-link.md.
 """
@@ -8,7 +8,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-MAX_UNACKNOWLEDGED = 64  # advice that a forwarder may still acknowledge
+MAX_UNACKNOWLEDGED_ADVICE = 64  # advice messages that a forwarder may still acknowledge
 
 
 @dataclass(slots=True, frozen=True)
@@ -16,9 +16,9 @@
     """Advice that was sent to a forwarder.
 
     Attributes:
-        version: Its version.
-        sent_ms: When it was sent.
-        has_lease: Whether it counted the forwarder's own shares as leased.
+        version: Version of the advice.
+        sent_ms: Time at which the advice was sent.
+        has_lease: Whether the advice counted the forwarder's own shares as leased.
     """
 
     version: int
@@ -31,15 +31,15 @@
 
 @dataclass
 class Member:
-    """One forwarder, in this planner's present incarnation.
+    """One forwarder in the planner's current incarnation.
 
     Attributes:
-        name: Its name.
-        last_report_ms: When it reported or connected last.
-        version: Version of the last advice that it was sent; 0 for none.
-        unacknowledged: Advice that it was sent after the last that it applied.
-        applied: The last advice that it is known to have applied.
-        conflict: Why it cannot lease its shares; empty if it can.
+        name: Name of the forwarder.
+        last_report_ms: Time at which the forwarder last reported or connected.
+        version: Version of the last advice sent to the forwarder; 0 for none.
+        unacknowledged: Advice sent after the last advice that the forwarder is known to have applied.
+        applied: Last advice that the forwarder is known to have applied.
+        conflict: Reason why the forwarder cannot lease its shares; empty if there is none.
     """
 
     name: str
@@ -49,15 +49,18 @@
     applied: SentAdvice = NO_ADVICE
     conflict: str = ""
 
-    def sent(self, advice: SentAdvice) -> None:
-        """Record advice; the oldest of more than `MAX_UNACKNOWLEDGED` can be acknowledged no longer."""
+    def record_sent(self, advice: SentAdvice) -> None:
+        """Record sent advice.
+
+        Beyond `MAX_UNACKNOWLEDGED_ADVICE` the oldest advice is discarded and can no longer be acknowledged.
+        """
         self.version = advice.version
         self.unacknowledged.append(advice)
-        while len(self.unacknowledged) > MAX_UNACKNOWLEDGED:
+        while len(self.unacknowledged) > MAX_UNACKNOWLEDGED_ADVICE:
             self.unacknowledged.popleft()
 
     def acknowledge(self, version: int) -> SentAdvice | None:
-        """Record that advice was applied; returns it, or None if it was acknowledged before."""
+        """Record that advice was applied; returns the advice, or None if it was already acknowledged."""
         acknowledged = None
         while self.unacknowledged and self.unacknowledged[0].version <= version:
             advice = self.unacknowledged.popleft()
--- a/sandhatch/planning/numbering.py
+++ b/sandhatch/planning/numbering.py
@@ -1,7 +1,7 @@
-"""Servers by the numbers that a forwarder's session gave them.
+"""Numberings of servers, assigned by forwarders' sessions.
 
-Sessions that named the same servers in the same order share one table: with thousands of servers and of
-forwarders, a table for each forwarder would be most of a planner's memory. No I/O, no clock.
+Sessions that name the same servers in the same order share one table: with thousands of servers and thousands
+of forwarders, a table for each forwarder would take up most of a planner's memory. No I/O, no clock.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from sandhatch.planning.messages import WeightRow
 from sandhatch.planning.server_view import Assessment, ServerView
 
-MAX_WEIGHT_ROWS = 256  # of a pool in one advice, which is so bounded however large the tier
+MAX_WEIGHT_ROWS = 256  # rows for a pool in one advice, to bound the message size for large tiers
 
 
 class _ReducedServer(NamedTuple):
-    """A server of weight below 1; ordered by its weight, then by its number."""
+    """A server with a weight below 1; ordered by weight, then by number."""
 
     weight: float
     number: int
@@ -26,31 +26,31 @@
 
 
 class ServerNumbering:
-    """Servers in the order of their numbers, and the weights advised for them.
+    """Servers in the order of their numbers, with the rows of their advised weights.
 
     Attributes:
-        views: The servers, by number.
+        views: Servers, indexed by number.
     """
 
     __slots__ = ("__weakref__", "_rows", "_rows_version", "views")
 
     def __init__(self, views: list[ServerView]) -> None:
-        """Number these servers from 0."""
+        """Number the servers from 0."""
         self.views = views
         self._rows: list[WeightRow] = []
         self._rows_version = -1
 
-    def weights(self, version: int) -> list[WeightRow]:
-        """Rows of the servers of weight below 1, cached for this version of the pool's weights.
+    def weight_rows(self, version: int) -> list[WeightRow]:
+        """Rows of the servers with a weight below 1, cached by the version of the pool's weights.
 
-        Beyond `MAX_WEIGHT_ROWS` only the servers of the lowest weights are included.
+        If there are more than `MAX_WEIGHT_ROWS`, only the servers with the lowest weights are included.
         """
         if version != self._rows_version:
             self._rows_version = version
-            self._rows = [self._row(reduced) for reduced in self._reduced()]
+            self._rows = [self._row(reduced) for reduced in self._reduced_servers()]
         return self._rows
 
-    def _reduced(self) -> list[_ReducedServer]:
+    def _reduced_servers(self) -> list[_ReducedServer]:
         reduced = [
             _ReducedServer(view.assessment.weight, number, view.assessment)
             for number, view in enumerate(self.views)
@@ -73,30 +73,30 @@
 
 
 class NumberingTable:
-    """The numberings in use in one pool, each shared by the sessions that named the same servers."""
+    """Numberings in use in one pool, each shared by the sessions that have named the same servers."""
 
     def __init__(self) -> None:
-        """Start with the empty numbering, that of a session that has named no server."""
+        """Start with the empty numbering, for sessions that have not named any server."""
         self.empty = ServerNumbering([])
         self._by_key: WeakValueDictionary[bytes, ServerNumbering] = WeakValueDictionary()
 
     @staticmethod
-    def key_after(key: bytes, names: list[str]) -> bytes:
-        """Key of the numbering that follows from one with `key` when these addresses are appended."""
+    def extended_key(key: bytes, names: list[str]) -> bytes:
+        """Key of the numbering that results from appending addresses to the numbering with `key`."""
         digest = blake2b(key, digest_size=16)
         digest.update("\n".join(names).encode())
         return digest.digest()
 
     def get(self, key: bytes) -> ServerNumbering | None:
-        """The numbering of this key, if a session uses it."""
+        """Numbering with this key; None if no session uses it."""
         return self._by_key.get(key)
 
     def add(self, key: bytes, views: list[ServerView]) -> ServerNumbering:
-        """Keep a numbering of these servers, for as long as a session uses it."""
+        """Add a numbering of these servers, which is retained for as long as a session uses it."""
         numbering = ServerNumbering(views)
         self._by_key[key] = numbering
         return numbering
 
     def numbered_views(self) -> set[int]:
-        """Identities of the views that any numbering in use contains."""
+        """Object identities of the views in all numberings in use."""
         return {id(view) for numbering in self._by_key.values() for view in numbering.views}
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -1,8 +1,9 @@
-"""The planner's state machine: reports and ticks in, advice out.
+"""State machine of a planner: reports and ticks are its input, advice is its output.
 
-Advises weights of servers, shares of warm-up ramps and shares of a tier's capacity; the forwarders bound each
-of them again (`sandhatch.balancing.guidance`). Planners do not know of each other and need no leader. No I/O,
-no clock: times are milliseconds of any clock that only moves forward. Source: docs/design/planning.md.
+The planner advises server weights, shares of warm-up ramps and shares of a tier's capacity; the forwarders
+bound each of them again (`sandhatch.balancing.guidance`). Planners do not communicate with each other and
+need no leader. No I/O, no clock: times are milliseconds of any monotonic clock. Source:
+docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -17,7 +18,9 @@
 from sandhatch.planning.pool_plan import PoolPlan
 from sandhatch.planning.terms import PlannerTerms
 
-LEARNING_TIMES_WAITED = 4.0  # for forwarders that are configured and do not report
+# Time for which a new incarnation waits for configured forwarders to report, in multiples of
+# `share_lease_ms`.
+MAX_WAIT_SHARE_LEASES = 4.0
 
 
 class Planner:
@@ -25,17 +28,17 @@
 
     Attributes:
         name: The planner's name.
-        epoch: Number of this incarnation, above that of any earlier one.
-        terms: Its settings.
-        started_ms: When this incarnation started.
-        members: The forwarders that report, by name.
-        pools: The pools that they report on, by name.
-        reports: Reports received.
-        rejected: Reports that were invalid.
+        epoch: Number of this incarnation, higher than that of any earlier one.
+        terms: The planner's settings.
+        started_ms: Start time of this incarnation.
+        members: Forwarders that report to this planner, by name.
+        pools: Pools that the forwarders report on, by name.
+        reports: Number of reports received.
+        rejected: Number of reports rejected as invalid.
     """
 
     def __init__(self, name: str, epoch: int, now_ms: float, terms: PlannerTerms | None = None) -> None:
-        """Start an incarnation that knows nothing."""
+        """Start an incarnation without any state."""
         self.name = name
         self.epoch = epoch
         self.terms = terms or PlannerTerms()
@@ -44,18 +47,22 @@
         self.pools: dict[str, PoolPlan] = {}
         self.reports = 0
         self.rejected = 0
-        self._version = 0  # one count for all forwarders, since one may be removed and come back
-        self._applied_versions: dict[str, int] = {}  # by forwarder; shared with the grant ledgers
+        # Advice versions are counted for all forwarders together: a count for each forwarder would start
+        # again when the forwarder is removed and reconnects.
+        self._version = 0
+        # Version of the last advice that each forwarder is known to have applied, shared with the grant
+        # ledgers.
+        self._applied_versions: dict[str, int] = {}
         self._weights_updated_ms = now_ms
 
     # ------------------------------------------------ input
 
     def learning(self, now_ms: float) -> bool:
-        """Whether grants of this planner's previous incarnation may still be valid somewhere."""
+        """Whether grants of the previous incarnation may still be valid at some forwarder."""
         return now_ms < self.started_ms + self.terms.share_lease_ms * (1.0 + CLOCK_DRIFT)
 
     def joined(self, name: str, now_ms: float) -> None:
-        """A forwarder's session begins."""
+        """Record that a forwarder has opened a session."""
         member = self.members.get(name)
         if member is None:
             self.members[name] = Member(name, now_ms)
@@ -68,15 +75,16 @@
         """Apply a forwarder's report.
 
         Args:
-            name: The forwarder, authenticated by its session.
-            report: The report.
-            now_ms: The time.
+            name: Name of the forwarder, authenticated by its session.
+            report: Report to apply.
+            now_ms: Current time.
 
         Returns:
-            The advice to send to the forwarder.
+            Advice to send to the forwarder.
 
         Raises:
-            InvalidReportError: The report contradicts its session; the session should end.
+            InvalidReportError: The report is inconsistent with its session; the caller should end the
+                session.
         """
         member = self.members.setdefault(name, Member(name, now_ms))
         member.last_report_ms = now_ms
@@ -89,7 +97,7 @@
         except InvalidReportError:
             self.rejected += 1
             raise
-        self._leave_unreported_pools(name, report)
+        self._remove_from_unreported_pools(name, report)
         has_lease = report.leases_shares and member.applied.version > 0 and not member.conflict
         until_ms = member.applied.sent_ms + self.terms.share_lease_ms
         for plan in self.pools.values():
@@ -104,7 +112,7 @@
                 f"report {report.serial} names advice {report.version}, which was not given"
             )
         applied = member.acknowledge(report.version)
-        if applied is not None and applied.has_lease:  # its grants replace all earlier ones there
+        if applied is not None and applied.has_lease:  # the forwarder has dropped all earlier grants
             self._applied_versions[member.name] = applied.version
 
     def _apply(self, member: Member, report: PoolReport, span_ms: float, now_ms: float) -> None:
@@ -121,20 +129,20 @@
         if not member.conflict:
             member.conflict = plan.register(member.name, report, self.members)
         plan.load.apply(member.name, report, span_ms)
-        was_advised = member.version > 0
-        if self.learning(now_ms) and not member.conflict and not was_advised:
-            plan.claim(member.name, report, now_ms)
+        has_been_advised = member.version > 0
+        if self.learning(now_ms) and not member.conflict and not has_been_advised:
+            plan.record_previous_grants(member.name, report, now_ms)
 
-    def _leave_unreported_pools(self, name: str, report: Report) -> None:
+    def _remove_from_unreported_pools(self, name: str, report: Report) -> None:
         reported = {pool_report.pool for pool_report in report.pools}
         for pool, plan in self.pools.items():
             if pool not in reported and name in plan.load.members:
                 plan.remove(name)
 
     def tick(self, now_ms: float) -> None:
-        """Update weights when they are due, and remove silent forwarders.
+        """Update weights when they are due, and remove forwarders that have stopped reporting.
 
-        To be called several times a second, between the reports.
+        Must be called several times a second, independently of reports.
         """
         span_ms = now_ms - self._weights_updated_ms
         if span_ms >= self.terms.weights_interval_ms:
@@ -146,7 +154,10 @@
                 self._remove(name)
 
     def _remove(self, name: str) -> None:
-        """Forget a silent forwarder: its grants run to their ends, its own shares are its own again."""
+        """Remove a forwarder that has stopped reporting.
+
+        Its grants stay valid until they expire; its own shares are no longer leased to this planner.
+        """
         del self.members[name]
         self._applied_versions.pop(name, None)
         for plan in self.pools.values():
@@ -156,10 +167,12 @@
 
     def _advise(self, member: Member, report: Report, has_lease: bool, now_ms: float) -> Advice:
         learning = self.learning(now_ms)
-        if has_lease and learning and not self._covers_grants(member, now_ms):
-            has_lease = False  # it keeps what it holds; nothing is said of it until the others are back too
+        if has_lease and learning and not self._has_capacity_for_grants(member, now_ms):
+            # The advice leaves the forwarder's previous grants as they are until enough other forwarders have
+            # leased their shares to this incarnation again.
+            has_lease = False
         self._version += 1
-        member.sent(SentAdvice(self._version, now_ms, has_lease))
+        member.record_sent(SentAdvice(self._version, now_ms, has_lease))
         pools = [
             self._pool_advice(self.pools[pool_report.pool], member, has_lease, now_ms)
             for pool_report in report.pools
@@ -176,9 +189,11 @@
             pools,
         )
 
-    def _covers_grants(self, member: Member, now_ms: float) -> bool:
+    def _has_capacity_for_grants(self, member: Member, now_ms: float) -> bool:
         until_ms = self._grant_end_ms(now_ms)
-        return all(plan.covers_grants(member.name, now_ms, until_ms) for plan in self.pools.values())
+        return all(
+            plan.has_capacity_for_grants(member.name, now_ms, until_ms) for plan in self.pools.values()
+        )
 
     def _pool_advice(self, plan: PoolPlan, member: Member, has_lease: bool, now_ms: float) -> PoolAdvice:
         load = plan.load.members[member.name]
@@ -187,7 +202,7 @@
         version = plan.load.weights_version
         if self._has_enough_reports(plan, now_ms) and load.sent_weights_version != version:
             load.sent_weights_version = version
-            advice.weights = load.numbering.weights(version)
+            advice.weights = load.numbering.weight_rows(version)
         if has_lease and plan.lessors is not None:
             until_ms = self._grant_end_ms(now_ms)
             plan.assign_ramp_shares(now_ms, until_ms)
@@ -199,31 +214,36 @@
     def _has_enough_reports(self, plan: PoolPlan, now_ms: float) -> bool:
         """Whether weights may be advised in a pool.
 
-        While this incarnation learns, forwarders keep the weights that the previous one advised. Afterwards
-        the configured fraction of them must report, or must have been waited for.
+        While this incarnation is learning, forwarders use the weights advised by the previous incarnation.
+        Afterwards the configured fraction of forwarders must report, or the time to wait for them must be
+        over.
         """
         if plan.lessors is None or self.learning(now_ms):
             return False
-        has_waited = now_ms >= self.started_ms + LEARNING_TIMES_WAITED * self.terms.share_lease_ms
+        is_wait_over = now_ms >= self.started_ms + MAX_WAIT_SHARE_LEASES * self.terms.share_lease_ms
         return (
-            has_waited or len(plan.load.members) >= self.terms.min_reporting_fraction * plan.lessors.instances
+            is_wait_over
+            or len(plan.load.members) >= self.terms.min_reporting_fraction * plan.lessors.instances
         )
 
     def _grant_end_ms(self, now_ms: float) -> float:
-        """When a grant of now has ended at every forwarder; what it is made of must be leased until then."""
+        """Time by which a grant made now has expired at every forwarder.
+
+        The shares that it is made from must be leased until then.
+        """
         return now_ms + self.terms.lease_ms * (1.0 + CLOCK_DRIFT)
 
     # ------------------------------------------------ for operators
 
     def explain(self, pool: str, address: str, now_ms: float) -> dict[str, Any] | None:
-        """Why a server gets what it gets, as values for JSON; None if the server or pool is not known."""
+        """Evidence, weight and grants of a server as JSON values; None if the server or pool is unknown."""
         plan = self.pools.get(pool)
         if plan is None:
             return None
         return explain_server(plan, address, now_ms, now_ms + self.terms.lease_ms)
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """Forwarders and pools, as values for JSON; docs/operators/planning.md names the keys."""
+        """Status of forwarders and pools as JSON values; docs/operators/planning.md documents the keys."""
         return {
             "name": self.name,
             "epoch": self.epoch,
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -1,7 +1,7 @@
-"""One planner, as a forwarder knows it: its session, the advice applied, its health and its faults.
+"""A forwarder's state of one planner: session, applied advice, health and faults.
 
-Checks advice and counts faults, and decides nothing beyond that planner. No I/O, no clock. Source: the
-acknowledgement rules of docs/planning-link.md.
+Checks advice and counts faults of this planner only; `planner_selection` compares planners. No I/O, no clock.
+Source: the acknowledgement rules of docs/planning-link.md.
 """
 
 from __future__ import annotations
@@ -16,13 +16,15 @@
 from sandhatch.planning.pool_reporter import PoolReporter
 from sandhatch.planning.terms import ForwarderTerms
 
-MAX_UNACKNOWLEDGED_REPORTS = 64  # that an answer may still name
-CREDIT_S = 4.0  # of the report rate, that may be saved up; the first reports carry the whole endpoint list
+MAX_UNACKNOWLEDGED_REPORTS = 64  # reports for which advice is still accepted
+# Upper bound of the byte credit, in seconds of the report rate: the first reports of a session carry the
+# complete endpoint list.
+MAX_CREDIT_S = 4.0
 
 
 @dataclass(slots=True, frozen=True)
 class AdviceId:
-    """Identifies advice: the planner's epoch and the version within it."""
+    """Identifier of advice: the planner's epoch and the version within that epoch."""
 
     epoch: int
     version: int
@@ -33,7 +35,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SentReport:
-    """A report that may still be answered."""
+    """A report for which advice may still arrive."""
 
     serial: int
     sent_ms: float
@@ -41,35 +43,36 @@
 
 @dataclass
 class PlannerPeer:
-    """One planner.
+    """One planner of a forwarder.
 
     Attributes:
-        name: Its name.
-        rank: Its position in the configured order.
-        connected: Whether there is a session.
-        epoch: The highest epoch seen of it.
+        name: Name of the planner.
+        rank: Position in the configured order of planners.
+        connected: Whether a session is established.
+        epoch: Highest epoch of the planner seen so far.
         serial: Number of the last report in this session.
         version: Version of the last advice received in this session.
-        applied: The last advice that was applied.
-        applied_ms: When it was.
-        applied_before: The advice applied before that.
-        share_lease_ms: How long each advice leases the forwarder's own shares.
-        valid_until_ms: When the last advice applied expires.
-        healthy_since_ms: Since when its advice has come without a gap; infinite if it is not healthy.
-        learning: Whether it said that it does not know enough.
-        unacknowledged_reports: Reports sent in this session.
-        reporters: The session's reporters, by pool.
-        reported_ms: When it was reported to last.
+        applied: Identifier of the last applied advice.
+        applied_ms: Time at which the last advice was applied.
+        applied_before: Identifier of the advice applied before the last one.
+        share_lease_ms: Duration for which each advice leases the forwarder's own shares.
+        valid_until_ms: Expiry time of the last applied advice.
+        healthy_since_ms: Start of the period in which valid advice has arrived without a gap; infinite if the
+            planner is not healthy.
+        learning: Whether the planner's last advice said that the planner is still learning.
+        unacknowledged_reports: Reports of this session for which advice may still arrive.
+        reporters: Reporters of this session, by pool.
+        reported_ms: Time of the last report.
         credit_bytes: Report bytes that may be sent now.
-        fault_times_ms: Recent faults.
-        backoffs: How often its circuit opened.
-        backoff_until_ms: Until when its circuit is open.
-        report_now: Report at the next tick, without waiting for the interval.
-        reports: Reports sent.
-        advices: Advice received.
-        late: Advice that had expired on arrival.
-        faults: Advice rejected and violations of the protocol.
-        last_reason: The last reason for one of these, or the planner's last note.
+        fault_times_ms: Times of the faults within the fault window.
+        backoffs: Number of times the circuit has opened.
+        backoff_until_ms: Time until which the circuit is open.
+        report_now: Whether to report at the next tick without waiting for the report interval.
+        reports: Number of reports sent.
+        advices: Number of advice messages received.
+        late: Number of advice messages that had expired on arrival.
+        faults: Number of rejected advice messages and protocol violations.
+        last_reason: Reason of the last expired advice or fault, or the planner's last note.
     """
 
     name: str
@@ -104,21 +107,21 @@
     def begin_session(
         self, epoch: int, reporters: dict[str, PoolReporter], bytes_per_s: float, now_ms: float
     ) -> None:
-        """A session begins, with a planner of this epoch."""
+        """Reset the state of a session when one begins, with a planner of this epoch."""
         self.connected = True
         self.epoch = epoch
         self.serial = 0
         self.version = 0
         self.unacknowledged_reports.clear()
         self.reporters = reporters
-        self.credit_bytes = CREDIT_S * bytes_per_s
+        self.credit_bytes = MAX_CREDIT_S * bytes_per_s
         self.reported_ms = now_ms
         self.report_now = True
         self.learning = True
         self.healthy_since_ms = math.inf
 
     def end_session(self) -> None:
-        """The session ended; the advice applied stays valid until it expires."""
+        """Record the end of the session; applied advice stays valid until it expires."""
         self.connected = False
         self.healthy_since_ms = math.inf
         for reporter in self.reporters.values():
@@ -128,13 +131,13 @@
     # ------------------------------------------------ reports
 
     def next_serial(self, bytes_per_s: float, now_ms: float) -> int:
-        """Begin a report: its serial, with the credit of the time since the last one."""
+        """Begin a report and add the byte credit earned since the last one; returns the report's serial."""
         span_ms = now_ms - self.reported_ms
         self.reported_ms = now_ms
         self.report_now = False
         self.serial += 1
         self.reports += 1
-        max_credit_bytes = CREDIT_S * bytes_per_s
+        max_credit_bytes = MAX_CREDIT_S * bytes_per_s
         self.credit_bytes = min(max_credit_bytes, self.credit_bytes + span_ms * bytes_per_s / 1000.0)
         self.unacknowledged_reports.append(SentReport(self.serial, now_ms))
         while len(self.unacknowledged_reports) > MAX_UNACKNOWLEDGED_REPORTS:
@@ -142,7 +145,10 @@
         return self.serial
 
     def report_sent_ms(self, serial: int) -> float | None:
-        """When a report was sent; None if it is not known. Earlier ones can be answered no longer."""
+        """Time at which a report was sent; None if unknown.
+
+        Earlier reports are discarded: later advice on them is rejected.
+        """
         while self.unacknowledged_reports and self.unacknowledged_reports[0].serial < serial:
             self.unacknowledged_reports.popleft()
         if self.unacknowledged_reports and self.unacknowledged_reports[0].serial == serial:
@@ -152,7 +158,7 @@
     # ------------------------------------------------ advice
 
     def rejection_reason(self, advice: Advice, max_lease_ms: float) -> str | None:
-        """Why advice must be rejected, whatever its pools say; None if it need not be."""
+        """Reason to reject advice regardless of what it says about pools; None if it is acceptable."""
         if advice.epoch != self.epoch:
             return f"advice of epoch {advice.epoch} in a session of epoch {self.epoch}"
         if advice.version <= self.version:
@@ -165,15 +171,16 @@
         return None
 
     def expired(self, version: int, age_ms: float) -> None:
-        """Record advice that had expired on arrival, so long after its report."""
+        """Record advice that had expired on arrival, `age_ms` after its report was sent."""
         self.late += 1
-        self.last_reason = f"advice {version} came {age_ms:.0f} ms after its report"
+        self.last_reason = f"advice {version} expired: received {age_ms:.0f} ms after its report was sent"
         self.healthy_since_ms = math.inf
 
     def apply(self, advice: Advice, valid_until_ms: float, now_ms: float) -> None:
         """Record advice as applied."""
         self.applied_before = self.applied
-        # The planner cannot grant before it knows that its advice arrives: report that at once.
+        # The planner grants nothing before a report has acknowledged its advice, so the next report is not
+        # delayed.
         if self.applied.epoch != self.epoch or self.learning != advice.learning:
             self.report_now = True
         self.applied = AdviceId(advice.epoch, advice.version)
@@ -184,21 +191,21 @@
         self.healthy_since_ms = min(self.healthy_since_ms, now_ms)
 
     def revert(self) -> None:
-        """The balancer rejected the last advice: what the one before granted still counts."""
+        """Undo the last advice, which a balancer rejected; the previous grants remain in force."""
         self.applied = self.applied_before
 
     # ------------------------------------------------ health
 
     def is_healthy(self, now_ms: float) -> bool:
-        """Whether it is connected, its advice is valid and its circuit is closed."""
+        """Whether the planner is connected, its advice is valid and its circuit is closed."""
         return self.connected and self.valid_until_ms > now_ms and now_ms >= self.backoff_until_ms
 
     def has_recovered(self, now_ms: float, hold_ms: float) -> bool:
-        """Whether it has been healthy for long enough to get the lease back."""
+        """Whether the planner has been healthy for long enough to get the lease back."""
         return self.is_healthy(now_ms) and now_ms - self.healthy_since_ms >= hold_ms
 
     def record_fault(self, reason: str, now_ms: float, terms: ForwarderTerms) -> float | None:
-        """Count a fault; the backoff in milliseconds if it opens the circuit, or None."""
+        """Count a fault; returns the backoff in milliseconds if the circuit opens, otherwise None."""
         self.faults += 1
         self.last_reason = reason
         self.fault_times_ms.append(now_ms)
@@ -216,7 +223,7 @@
     # ------------------------------------------------ for operators
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """Its state, as values for JSON; the keys are part of the interface of `sandhatch status`."""
+        """State of the planner as JSON values; the keys are part of the interface of `sandhatch status`."""
         backoff_ms = max(0, round(self.backoff_until_ms - now_ms)) if self.backoffs else 0
         if backoff_ms:
             state = "shunned"
--- a/sandhatch/planning/planner_selection.py
+++ b/sandhatch/planning/planner_selection.py
@@ -1,7 +1,8 @@
-"""Which planner a forwarder leases its own shares to.
+"""Selection of the planner to which a forwarder leases its own shares.
 
-One planner at a time: the first, in the configured order, whose advice is valid. Before the lease moves to
-another planner, it must have ended at the one before. No I/O, no clock. Source: docs/design/planning.md.
+Only one planner holds the lease at a time: the first in the configured order whose advice is valid. Before
+the lease moves to another planner, the previous planner's lease must have expired. No I/O, no clock. Source:
+docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -12,21 +13,21 @@
 
 
 class PlannerSelection:
-    """The lease of a forwarder's own shares.
+    """Lease of a forwarder's own shares.
 
     Attributes:
-        lessee: The planner that they are leased to now; None for none.
-        last_lessee: The planner that they were leased to last, which may still grant out of them.
-        leased_until_ms: Until then other forwarders may use them.
+        lessee: Name of the current lease holder; None if there is none.
+        last_lessee: Name of the most recent lease holder, which may still grant from the shares.
+        leased_until_ms: Time until which other forwarders may use the shares.
     """
 
     def __init__(self, peers: Mapping[str, PlannerPeer], hold_ms: float, leased_until_ms: float) -> None:
         """Start without a lease.
 
         Args:
-            peers: All planners, in the order in which they are preferred.
-            hold_ms: How long a preferred planner must be healthy before the lease goes back to it.
-            leased_until_ms: Until when a lease of an earlier process may be valid.
+            peers: All planners, in order of preference.
+            hold_ms: Time for which a preferred planner must be healthy before the lease returns to it.
+            leased_until_ms: Latest time at which a lease of an earlier process may be valid.
         """
         self._peers = peers
         self._hold_ms = hold_ms
@@ -35,14 +36,14 @@
         self.leased_until_ms = leased_until_ms
 
     def extend(self, until_ms: float) -> bool:
-        """Extend the lease; whether it now lasts longer."""
+        """Extend the lease to a later end; returns whether the end changed."""
         if until_ms > self.leased_until_ms:
             self.leased_until_ms = until_ms
             return True
         return False
 
     def update(self, now_ms: float) -> str | None:
-        """Select a planner again; returns a line for the log if the selection changed."""
+        """Update the selection; returns a log line if it changed."""
         current = self._peers[self.lessee] if self.lessee is not None else None
         if current is not None and now_ms >= current.valid_until_ms:
             self.lessee = None
@@ -58,7 +59,7 @@
         return f"leases its own shares to planner {selected.name}"
 
     def _return_to_preferred(self, current: PlannerPeer, now_ms: float) -> str | None:
-        """End the lease if a preferred planner has recovered."""
+        """End the lease if a planner of higher preference has recovered."""
         for peer in self._peers.values():
             is_preferred = peer.rank < current.rank and not peer.learning
             if is_preferred and peer.has_recovered(now_ms, self._hold_ms):
@@ -66,13 +67,13 @@
                 return f"returns its lease from planner {current.name} to {peer.name}"
         return None
 
-    def _select(self, ranked: Iterable[PlannerPeer], now_ms: float) -> PlannerPeer | None:
-        """The first planner that may get the lease now."""
-        for peer in ranked:
+    def _select(self, peers_by_rank: Iterable[PlannerPeer], now_ms: float) -> PlannerPeer | None:
+        """First planner that may get the lease now; None if there is none."""
+        for peer in peers_by_rank:
             if not peer.is_healthy(now_ms) or peer.applied.epoch != peer.epoch:
                 continue
-            # A new incarnation of the last lessee continues where the old one ended; another planner must
-            # wait until the last lease has ended.
+            # A new incarnation of the last lease holder continues its predecessor's lease; any other planner
+            # must wait until that lease has expired.
             if peer.name == self.last_lessee:
                 return peer
             if peer.learning:
@@ -80,5 +81,5 @@
             if now_ms >= self.leased_until_ms:
                 return peer
             if peer.has_recovered(now_ms, self._hold_ms):
-                return None  # it is preferred and about to get the lease: no later one may
+                return None  # the lease is reserved for this recovered planner, ahead of later ones
         return None
--- a/sandhatch/planning/planner_status.py
+++ b/sandhatch/planning/planner_status.py
@@ -1,30 +1,30 @@
-"""What a planner shows to operators: its status, and why a server gets what it gets.
+"""Planner output for operators: status, and the evidence behind a server's weight and grants.
 
-Returns values to be printed as JSON; their keys are part of the interface of `sandhatch planner status` and
-named by docs/operators/planning.md. No I/O, no clock.
+The functions return values for JSON; their keys are part of the interface of `sandhatch planner status` and
+documented in docs/operators/planning.md. No I/O, no clock.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from sandhatch.planning.lessors import NOTHING
+from sandhatch.planning.lessors import ZERO_AMOUNT
 from sandhatch.planning.membership import Member
 from sandhatch.planning.pool_plan import PoolPlan
 from sandhatch.runtime.address import server_label
 
 
 def explain_server(plan: PoolPlan, address: str, now_ms: float, until_ms: float) -> dict[str, Any] | None:
-    """Why a server gets what it gets.
+    """Evidence, weight and grants of one server.
 
     Args:
-        plan: The pool.
-        address: The server's address.
-        now_ms: The time.
-        until_ms: End of a grant made now.
+        plan: Plan of the server's pool.
+        address: Address of the server.
+        now_ms: Current time.
+        until_ms: Expiry time of a grant made now.
 
     Returns:
-        The evidence, by the keys of the JSON output; None if no forwarder has named the server.
+        Values by the keys of the JSON output; None if no forwarder has named the server.
     """
     view = plan.load.servers.get(address)
     if view is None:
@@ -33,7 +33,7 @@
     granted = {}
     if ledger is not None:
         granted = {name: ledger.granted(name, now_ms) for name in ledger.holders}
-    leased = NOTHING
+    leased = ZERO_AMOUNT
     if plan.lessors is not None:
         leased = plan.lessors.leased(server_label(address), until_ms)
     return {
@@ -43,7 +43,7 @@
         "cold": view.warming_up,
         "outstanding": view.outstanding,
         "load": round(view.mean_outstanding, 2),
-        "slowness": round(view.slowness, 3),
+        "slowness": round(view.relative_latency, 3),
         "failing": round(view.failure_rate, 4),
         "calls": round(view.attempts, 1),
         "weight": view.assessment.weight,
@@ -56,7 +56,7 @@
 
 
 def member_status(member: Member, now_ms: float) -> dict[str, Any]:
-    """One forwarder, by the keys of the JSON output."""
+    """Status of one forwarder, by the keys of the JSON output."""
     return {
         "name": member.name,
         "heard_ms_ago": round(now_ms - member.last_report_ms),
@@ -67,7 +67,7 @@
 
 
 def pool_status(name: str, plan: PoolPlan) -> dict[str, Any]:
-    """One pool, by the keys of the JSON output."""
+    """Status of one pool, by the keys of the JSON output."""
     demand_per_s = sum(load.demand_per_s for load in plan.load.members.values())
     return {
         "pool": name,
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -1,6 +1,6 @@
-"""What a planner advises in one pool: ramp shares and shares of the tier's capacity.
+"""Plan of one pool: ramp shares and shares of the tier's capacity.
 
-Grants only out of shares that instances leased to the planner. No I/O, no clock. Source:
+Grants are made only from shares that instances have leased to the planner. No I/O, no clock. Source:
 docs/design/planning.md.
 """
 
@@ -19,18 +19,18 @@
 from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.address import server_label
 
-TOLERANCE = 1e-9  # for sums of shares that were divided
+ROUNDING_TOLERANCE = 1e-9  # rounding error allowed in a sum of divided shares
 
 
 class PoolPlan:
-    """A pool: its load, its lessors, and what is granted to whom.
+    """State of one pool: load, lessors and grants.
 
     Attributes:
-        load: What the forwarders reported.
-        lessors: The instances that leased their shares; None before the first report.
+        load: Load that the forwarders have reported.
+        lessors: Instances that have leased their shares; None before the first report.
         instances: Name of the forwarder at each instance index.
-        ledgers: Grants by the address of a server that is warming up.
-        ramp_shares: The fraction of a server's leased ramp that each forwarder should get, by address.
+        ledgers: Grant ledgers of servers that are warming up, by address.
+        ramp_shares: Target fraction of a server's leased ramp for each forwarder, by server address.
     """
 
     def __init__(self, name: str, terms: PlannerTerms, applied_versions: dict[str, int]) -> None:
@@ -38,8 +38,8 @@
 
         Args:
             name: Name of the pool.
-            terms: The planner's settings.
-            applied_versions: See `GrantLedger`.
+            terms: Settings of the planner.
+            applied_versions: Last advice version applied by each forwarder; see `GrantLedger`.
         """
         self.load = PoolLoad(name)
         self.lessors: Lessors | None = None
@@ -48,7 +48,7 @@
         self.ramp_shares: dict[str, dict[str, float]] = {}
         self._terms = terms
         self._applied_versions = applied_versions
-        self._demands: dict[str, float] = {}  # bounded demand of each lessor
+        self._demands: dict[str, float] = {}  # bounded requests per second of each lessor
         self._total_demand = 0.0
         self._assigned_ms = -math.inf
         self._members_at_assignment = 0
@@ -56,19 +56,19 @@
     # ------------------------------------------------ instances
 
     def register(self, forwarder: str, report: PoolReport, members: Container[str]) -> str:
-        """Give a forwarder its instance index, which only one may have.
+        """Assign an instance index, which only one forwarder may have.
 
         Args:
-            forwarder: The forwarder's name.
-            report: Its report on this pool.
-            members: Names of all forwarders that the planner knows.
+            forwarder: Name of the forwarder.
+            report: The forwarder's report on this pool.
+            members: Names of all forwarders that report to the planner.
 
         Returns:
-            Why it cannot have the index; empty if it has it.
+            Reason why the index cannot be assigned; empty if it was assigned.
         """
         if self.lessors is None:
             self.lessors = Lessors(report.instances, report.burst)
-        elif not self.lessors.agree_on(report.instances, report.burst):
+        elif not self.lessors.matches(report.instances, report.burst):
             if any(name != forwarder and name in members for name in self.instances.values()):
                 return (
                     f"pool {report.pool}: {report.instances} forwarders and a burst of {report.burst:g};"
@@ -83,7 +83,7 @@
         return ""
 
     def set_lease(self, forwarder: str, has_lease: bool, until_ms: float) -> None:
-        """Record whether a forwarder leases its own shares, and until when."""
+        """Record whether a forwarder leases its own shares, and the end of the lease."""
         load = self.load.members.get(forwarder)
         if load is None or self.lessors is None or not self._is_registered(forwarder, load.instance_index):
             return
@@ -93,7 +93,10 @@
             self.lessors.end(load.instance_index)
 
     def remove(self, forwarder: str) -> None:
-        """Forget a forwarder: its grants run to their ends, its own shares are its own again."""
+        """Remove a forwarder.
+
+        Its grants stay valid until they expire; its own shares are no longer leased to the planner.
+        """
         load = self.load.members.get(forwarder)
         if load is not None and self._is_registered(forwarder, load.instance_index):
             if self.lessors is not None:
@@ -107,27 +110,27 @@
     # ------------------------------------------------ grants
 
     def ledger(self, view: ServerView) -> GrantLedger:
-        """The grants on a server's ramp."""
+        """Grant ledger of a server's ramp, created on first use."""
         ledger = self.ledgers.get(view.address)
         if ledger is None:
             ledger = GrantLedger(server_label(view.address), self._applied_versions)
             self.ledgers[view.address] = ledger
         return ledger
 
-    def claim(self, forwarder: str, report: PoolReport, now_ms: float) -> None:
+    def record_previous_grants(self, forwarder: str, report: PoolReport, now_ms: float) -> None:
         """Record the grants that a forwarder holds from the planner's previous incarnation.
 
-        They are valid for one lease time at most.
+        These grants are valid for at most one lease time.
         """
         views = self.load.members[forwarder].numbering.views
         until_ms = now_ms + self._terms.share_lease_ms
         for row in report.previous_grants:
             if row.server < len(views):
                 amount = RampAmount(row.rate, min(row.burst, report.burst))
-                self.ledger(views[row.server]).claim(forwarder, amount, now_ms, until_ms)
+                self.ledger(views[row.server]).record_previous_grant(forwarder, amount, now_ms, until_ms)
 
-    def covers_grants(self, forwarder: str, now_ms: float, until_ms: float) -> bool:
-        """Whether what a forwarder holds from a previous incarnation fits into what is leased to this one."""
+    def has_capacity_for_grants(self, forwarder: str, now_ms: float, until_ms: float) -> bool:
+        """Whether the shares leased to this incarnation cover a forwarder's grants from the previous one."""
         load = self.load.members.get(forwarder)
         if load is None or self.lessors is None:
             return True
@@ -138,26 +141,26 @@
             own = ledger.granted(forwarder, now_ms)
             others = ledger.granted_to_others(forwarder, now_ms)
             leased = self.lessors.leased(ledger.label, until_ms)
-            if own.rate + others.rate > leased.rate + TOLERANCE:
+            if own.rate + others.rate > leased.rate + ROUNDING_TOLERANCE:
                 return False
-            if own.burst + others.burst > leased.burst + TOLERANCE:
+            if own.burst + others.burst > leased.burst + ROUNDING_TOLERANCE:
                 return False
         return True
 
     def grant_ramp_shares(
         self, forwarder: str, version: int, learning: bool, now_ms: float, until_ms: float
     ) -> Iterator[RampShareRow]:
-        """Grant a forwarder its shares of the ramps of the servers that it reports to be warming up.
+        """Grant a forwarder shares of the ramps of those servers that it reports to be warming up.
 
         Args:
-            forwarder: The grantee.
+            forwarder: Name of the grantee.
             version: Version of the advice that carries the grants.
-            learning: It keeps what it holds from the previous incarnation, and gets nothing new.
-            now_ms: The time.
-            until_ms: When a grant of now has ended at every forwarder.
+            learning: Whether to renew only grants from the previous incarnation and make no new ones.
+            now_ms: Current time.
+            until_ms: Time by which a grant made now has expired at every forwarder.
 
         Yields:
-            The grants, by the session's numbers of the servers.
+            Grants, with servers identified by their numbers in the session.
         """
         assert self.lessors is not None
         load = self.load.members[forwarder]
@@ -170,32 +173,32 @@
             ledger = self.ledger(view)
             leased = self.lessors.leased(ledger.label, until_ms)
             if learning or shares is None:
-                wanted = ledger.granted(forwarder, now_ms)
+                requested = ledger.granted(forwarder, now_ms)
             else:
-                # A whole burst stays an integer: it is encoded as one on the wire.
+                # `math.floor` gives an integer, which is encoded as an integer on the wire.
                 burst = max(1.0, math.floor(leased.burst / len(shares)))
-                wanted = RampAmount(shares[forwarder] * leased.rate, burst)
-            granted = ledger.grant(forwarder, version, wanted, leased, now_ms, until_ms)
+                requested = RampAmount(shares[forwarder] * leased.rate, burst)
+            granted = ledger.grant(forwarder, version, requested, leased, now_ms, until_ms)
             if granted.burst:
                 yield RampShareRow(number, granted.rate, granted.burst)
 
     # ------------------------------------------------ assignment
 
     def assign_ramp_shares(self, now_ms: float, until_ms: float) -> None:
-        """Decide which forwarders get which fraction of each ramp, by demand.
+        """Assign fractions of each ramp to forwarders in proportion to demand.
 
-        All ramps are assigned again at each interval and when the number of forwarders changes; that of a
-        server that just started is assigned at once.
+        All ramps are reassigned at each interval and when the number of forwarders changes; the ramp of a
+        server that has just started is assigned at once.
         """
         assert self.lessors is not None
-        previous: dict[str, dict[str, float]] = {}
+        previous_shares: dict[str, dict[str, float]] = {}
         members = len(self.load.members)
         is_due = now_ms - self._assigned_ms >= self._terms.assignment_interval_ms
         if is_due or members != self._members_at_assignment:
             self._assigned_ms = now_ms
             self._members_at_assignment = members
             self._update_demands(self.lessors)
-            previous = self.ramp_shares
+            previous_shares = self.ramp_shares
             self.ramp_shares = {}
             self._remove_unused_ledgers(now_ms)
         for address, view in self.load.warming_up.items():
@@ -204,8 +207,8 @@
             label = self.ledger(view).label
             max_holders = min(self._terms.max_ramp_holders, int(self.lessors.leased(label, until_ms).burst))
             shares = assign_ramp(self._demands, label, max_holders)
-            before = previous.get(address, {})
-            self.ramp_shares[address] = before if is_similar(before, shares) else shares
+            earlier = previous_shares.get(address, {})
+            self.ramp_shares[address] = earlier if is_similar(earlier, shares) else shares
 
     def _update_demands(self, lessors: Lessors) -> None:
         names = (name for index, name in self.instances.items() if index in lessors)
@@ -220,17 +223,17 @@
                 del self.ledgers[address]
 
     def own_share(self, forwarder: str, until_ms: float) -> float | None:
-        """A forwarder's share of the tier's capacity; None if nothing can be said of it.
+        """Share of the tier's capacity for a forwarder; None without lessors or demand.
 
-        It keeps a fixed fraction of its even share whatever its demand; the rest of the lessors' shares is
-        divided by demand.
+        Each forwarder has a fixed fraction of its even share regardless of demand; the rest of the lessors'
+        shares is divided in proportion to demand.
         """
         assert self.lessors is not None
         lessor_count = self.lessors.count(until_ms)
         if not lessor_count or not self._total_demand:
             return None
-        even = 1.0 / self.lessors.instances
+        even_share = 1.0 / self.lessors.instances
         floor = self._terms.own_share_floor
-        divisible = lessor_count * even * (1.0 - floor)
-        own = floor * even + divisible * self._demands.get(forwarder, 0.0) / self._total_demand
-        return min(own, GuidanceState.MAX_PART * even, 1.0)
+        divisible_share = lessor_count * even_share * (1.0 - floor)
+        own = floor * even_share + divisible_share * self._demands.get(forwarder, 0.0) / self._total_demand
+        return min(own, GuidanceState.MAX_PART * even_share, 1.0)
--- a/sandhatch/planning/ramp_assignment.py
+++ b/sandhatch/planning/ramp_assignment.py
@@ -1,7 +1,7 @@
-"""Which forwarders get a share of a server's warm-up ramp, and how much.
+"""Assignment of a server's warm-up ramp to forwarders.
 
-An attempt cannot be divided: at most as many forwarders get a share as attempts may be sent at once. Pure
-functions. Source: weighted rendezvous hashing (Schindelhauer and Schomaker 2005).
+An attempt cannot be divided, so the number of forwarders with a share is limited to the ramp's burst in
+attempts. Pure functions. Source: weighted rendezvous hashing (Schindelhauer and Schomaker 2005).
 """
 
 from __future__ import annotations
@@ -12,44 +12,47 @@
 
 from sandhatch.runtime.address import server_label
 
-MIN_SIMILAR_RATIO = 0.75  # changes of a share that are attributed to chance
+# Range of the ratio of a share to its earlier value that counts as random variation.
+MIN_SIMILAR_RATIO = 0.75
 MAX_SIMILAR_RATIO = 1.33
 
 
 def assign_ramp(demands: Mapping[str, float], label: int, max_holders: int) -> dict[str, float]:
-    """Divide a ramp by demand among at most `max_holders` forwarders.
+    """Divide a ramp in proportion to demand among at most `max_holders` forwarders.
 
-    With the demand as the weight of the hash, a forwarder that joins or leaves changes only its own shares,
-    and each server has other holders.
+    Demand is the weight of the rendezvous hash: a forwarder that joins or leaves changes only its own
+    shares, and holders differ between servers.
 
     Args:
-        demands: Positive demand of each forwarder.
+        demands: Demand of each forwarder, greater than zero.
         label: Number of the server.
         max_holders: Maximum number of forwarders with a share.
 
     Returns:
-        The share of each chosen forwarder; they sum to 1.
+        Share of each selected forwarder; the shares sum to 1.
     """
-    chosen = list(demands)
-    if len(chosen) > max_holders:
-        chosen = nsmallest(max_holders, chosen, key=lambda name: _score(name, label, demands[name]))
-    total = sum(demands[name] for name in chosen)
-    return {name: demands[name] / total for name in chosen}
+    holders = list(demands)
+    if len(holders) > max_holders:
+        holders = nsmallest(
+            max_holders, holders, key=lambda name: _rendezvous_score(name, label, demands[name])
+        )
+    total = sum(demands[name] for name in holders)
+    return {name: demands[name] / total for name in holders}
 
 
-def is_similar(before: Mapping[str, float], shares: Mapping[str, float]) -> bool:
-    """Whether shares differ from earlier ones only by chance variations of the demand.
+def is_similar(earlier: Mapping[str, float], shares: Mapping[str, float]) -> bool:
+    """Whether shares differ from earlier ones only by random variation of the demand.
 
-    Each change of a share wastes some of the ramp: what one forwarder may still hold cannot be granted to
-    another yet.
+    Each change of a share wastes part of the ramp: an amount that one forwarder may still hold cannot yet be
+    granted to another.
     """
-    return before.keys() == shares.keys() and all(
-        MIN_SIMILAR_RATIO * before[name] <= share <= MAX_SIMILAR_RATIO * before[name]
+    return earlier.keys() == shares.keys() and all(
+        MIN_SIMILAR_RATIO * earlier[name] <= share <= MAX_SIMILAR_RATIO * earlier[name]
         for name, share in shares.items()
     )
 
 
-def _score(name: str, label: int, weight: float) -> float:
-    """Weighted rendezvous hash of a forwarder and a server; the lowest scores are chosen."""
+def _rendezvous_score(name: str, label: int, weight: float) -> float:
+    """Weighted rendezvous hash of a forwarder and a server; the lowest scores are selected."""
     uniform = (server_label(f"{name} {label}") + 0.5) / 2.0**32
     return -math.log(uniform) / weight
--- a/sandhatch/planning/readiness.py
+++ b/sandhatch/planning/readiness.py
@@ -1,4 +1,4 @@
-"""What a forwarder's endpoint list says of a server, as reports state it.
+"""Readiness of a server in a forwarder's endpoint list, as contained in reports.
 
 Holds values only: no I/O, no clock. Source: the fields `cold`, `warm` and `left` of docs/planning-link.md.
 """
@@ -9,7 +9,7 @@
 
 
 class Readiness(IntEnum):
-    """Whether a server may get requests; planners store it as one byte for each server and forwarder."""
+    """Readiness of a server; planners store one byte for each pair of server and forwarder."""
 
     NOT_READY = 0  # removed from the list, or draining
     WARM = 1
--- a/sandhatch/planning/server_totals.py
+++ b/sandhatch/planning/server_totals.py
@@ -1,21 +1,21 @@
-"""Totals of the attempts at one server, as a forwarder counts them.
+"""Counters of a forwarder's attempts at one server.
 
-Plain counters that only grow, apart from the attempts in flight. No I/O, no clock.
+All counters are monotonic except the number of attempts in flight. No I/O, no clock.
 """
 
 from __future__ import annotations
 
 
 class ServerTotals:
-    """Totals of one server, since its first attempt.
+    """Counters of one server since its first attempt.
 
     Attributes:
         outstanding: Attempts in flight.
         ok: Attempts that succeeded.
         failed: Attempts that failed.
         rejected: Attempts proven never to have been executed.
-        spent_ms: Sum of the response times of the successful ones.
-        sketch: Counts of these response times, by bucket; see `quantile_sketch`.
+        spent_ms: Sum of the response times of the successful attempts.
+        sketch: Number of response times of successful attempts, by bucket; see `quantile_sketch`.
     """
 
     __slots__ = ("failed", "ok", "outstanding", "rejected", "sketch", "spent_ms")
@@ -30,7 +30,7 @@
         self.sketch: dict[int, int] = {}
 
     def copy(self) -> ServerTotals:
-        """The totals as they are now."""
+        """Copy of the current counters."""
         other = ServerTotals()
         other.outstanding = self.outstanding
         other.ok = self.ok
--- a/sandhatch/planning/terms.py
+++ b/sandhatch/planning/terms.py
@@ -1,6 +1,6 @@
-"""Durations and limits that planners and forwarders are configured with.
+"""Durations and limits in the configuration of planners and forwarders.
 
-Holds values only: no I/O, no clock. Their configuration keys are in docs/operators/planning.md.
+Holds values only: no I/O, no clock. The configuration keys are documented in docs/operators/planning.md.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
     """Settings of a planner.
 
     Attributes:
-        lease_ms: How long advice is valid.
-        share_lease_ms: How long a forwarder's own shares stay leased to the planner after each advice. Must
-            exceed `lease_ms` by the time of a few reports.
+        lease_ms: Validity period of advice.
+        share_lease_ms: Time for which a forwarder's own shares stay leased to the planner after each advice.
+            It must exceed `lease_ms` by the time of a few reports.
         weights_interval_ms: Interval at which server weights are updated.
         member_timeout_ms: Silence after which a forwarder is no longer a member.
         min_reporting_fraction: Fraction of a pool's forwarders that must report before weights are advised.
-        assignment_interval_ms: Interval at which ramp shares are assigned anew.
+        assignment_interval_ms: Interval at which ramp shares are reassigned.
         max_ramp_holders: Maximum number of forwarders with a share in one server's warm-up ramp.
-        own_share_floor: Fraction of a forwarder's even share of the tier's capacity that is never given to
+        own_share_floor: Fraction of a forwarder's even share of the tier's capacity that is never assigned to
             other forwarders.
     """
 
@@ -37,18 +37,18 @@
 
 @dataclass(frozen=True)
 class ForwarderTerms:
-    """Settings of a forwarder's end of the link.
+    """Settings of a forwarder's side of the link.
 
     Attributes:
-        report_ms: Interval between two reports to a planner.
+        report_ms: Interval between reports to a planner.
         bytes_per_s: Maximum rate of report bytes to each planner.
         max_lease_ms: Longest lease that is accepted.
-        hold_ms: How long a planner earlier in the configured order must be healthy before the forwarder
-            returns its lease to it.
+        hold_ms: Time for which a planner earlier in the configured order must be healthy before the lease
+            returns to that planner.
         fault_limit: Number of faults within `fault_window_ms` that opens the circuit of a planner.
-        fault_window_ms: Time over which faults are counted.
-        min_backoff_ms: Backoff after the circuit opens for the first time; doubled each time after.
-        max_backoff_ms: Upper bound of that backoff.
+        fault_window_ms: Length of the sliding window in which faults are counted.
+        min_backoff_ms: Backoff when the circuit opens for the first time; doubled each further time.
+        max_backoff_ms: Upper bound of the backoff.
     """
 
     report_ms: float = 250.0
--- a/sandhatch/planning/weights.py
+++ b/sandhatch/planning/weights.py
@@ -1,9 +1,9 @@
-"""How a planner weights the servers of a pool, from latency, failures and outstanding attempts.
+"""Weights of the servers of a pool, computed from latency, failures and outstanding attempts.
 
-Latency and failures change a weight slowly, on evidence; outstanding attempts change it at once, by as much
-as removes a server's excess over the mean within `DRAIN_MS`. (With attempts of 20 ms and a third of the
-servers slow, following latency at once lost 0.02 of the goodput.) No I/O, no clock. Source:
-docs/design/planning.md.
+Latency and failures change a weight slowly, as evidence accumulates: with attempts of 20 ms and a third of
+the servers slow, following latency at once cost 0.02 of the goodput. Outstanding attempts change a weight at
+once, by the amount that removes a server's excess over the mean within `EXCESS_REMOVAL_MS`. No I/O, no clock.
+Source: docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 from sandhatch.planning.server_view import ServerView
 
-MEMORY_MS = 10_000.0  # time constant of the decay of evidence
-MIN_ATTEMPTS = 8.0  # decayed count before a server is assessed
-TOLERATED_SLOWNESS = 1.5  # multiple of the median latency up to which a server is not slow
-TOLERATED_EXCESS_FAILURES = 0.05  # failure rate beyond the bound that does not count against a server
+EVIDENCE_DECAY_MS = 10_000.0  # time constant of the decay of evidence
+MIN_ATTEMPTS = 8.0  # decayed number of attempts below which a server is not assessed
+MAX_TOLERATED_RELATIVE_LATENCY = 1.5  # multiple of the median latency up to which a server is not slow
+MAX_TOLERATED_EXCESS_FAILURE_RATE = 0.05  # failure rate above the bound that does not reduce a weight
 MIN_WEIGHT = 0.1
-MIN_LOAD_FACTOR = 0.3
-DRAIN_MS = 1_000.0  # within which outstanding attempts beyond the mean should be gone
-FEEDBACK_LAG_MS = 500.0  # from an attempt to the draws that take account of it
-MERIT_STEP_PER_S = 0.3
-MIN_REPORTED_FAILURE_RATE = 0.01  # divisor at least, where a failure rate is given as a ratio
+MIN_LOAD_FACTOR = 0.3  # lower bound of the factor for outstanding attempts; its upper bound is 2.0 minus this
+EXCESS_REMOVAL_MS = 1_000.0  # time in which outstanding attempts in excess of the mean should complete
+FEEDBACK_LAG_MS = 500.0  # delay from an attempt to the first draws with a weight that reflects it
+MERIT_STEP_PER_S = 0.3  # maximum change of a merit
+MIN_REPORTED_FAILURE_RATE = 0.01  # minimum divisor of the reported ratio of failure rates
 
-# Reasons for a weight, as advice and the planner's status state them.
+# Reasons for a weight, used in advice and in the planner's status.
 SLOW = "slow"
 FAILING = "failing"
 CROWDED = "crowded"
@@ -32,7 +32,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Merit:
-    """The weight that evidence on a server justifies, the reason and its ratio to the tier's baseline."""
+    """Weight justified by a server's latency and failures.
+
+    Attributes:
+        weight: Target weight, at most 1.
+        reason: Reason for a weight below 1; empty at weight 1.
+        ratio: Ratio of the server's latency or failure rate to the tier's.
+    """
 
     weight: float
     reason: str = ""
@@ -41,24 +47,25 @@
 
 @dataclass(slots=True, frozen=True)
 class _TierBaseline:
-    """What the warm servers of a pool have in common.
+    """Aggregate values of the warm servers of a pool.
 
     Attributes:
-        slowness: Median of their slowness.
-        mean_outstanding: Mean of their outstanding attempts.
-        failure_rate: Of all their attempts together.
-        drained_per_server: Attempts that a server completes within the time in which an excess should go.
+        median_relative_latency: Median of the servers' relative latencies.
+        mean_outstanding: Mean number of outstanding attempts per server.
+        failure_rate: Fraction of all attempts that failed.
+        completed_per_server: Mean number of attempts that a server completes in the time for removing an
+            excess.
     """
 
-    slowness: float
+    median_relative_latency: float
     mean_outstanding: float
     failure_rate: float
-    drained_per_server: float
+    completed_per_server: float
 
 
 @dataclass(slots=True, frozen=True)
 class _Candidate:
-    """A server with its weight before it is normalized by the median."""
+    """Weight of a server before normalization by the median weight."""
 
     view: ServerView
     weight: float
@@ -67,7 +74,7 @@
 
 
 def median(values: Iterable[float]) -> float:
-    """The upper median; 0 of no values."""
+    """Upper median of the values; 0 if there are none."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else 0.0
 
@@ -76,9 +83,10 @@
     """Update the weights of the warm servers of a pool.
 
     Args:
-        warm: The servers, at least one.
+        warm: Warm servers, at least one.
         median_latency_ms: Median of the forwarders' mean response times; 0 if unknown.
-        span_ms: Time since the last update, which bounds the change of a merit; infinite for no bound.
+        span_ms: Time since the last update, to which the maximum change of a merit is proportional; infinite
+            for no bound.
 
     Returns:
         Whether a weight changed.
@@ -87,8 +95,8 @@
     max_step = MERIT_STEP_PER_S * span_ms / 1000.0
     candidates = [_candidate(view, baseline, max_step) for view in warm]
     candidates.sort(key=lambda candidate: candidate.weight)
-    # Half of the servers keep a weight near the maximum: this guards a tier that is bad as a whole, and the
-    # servers that would receive all the traffic of those whose weight is reduced.
+    # Half of the servers have a weight near the maximum. This protects a tier in which all servers are slow
+    # or failing, and the servers that would receive all the traffic of those with a reduced weight.
     median_weight = candidates[len(candidates) // 2].weight
     changed = False
     for candidate in candidates:
@@ -98,22 +106,24 @@
 
 
 def _baseline(warm: list[ServerView], median_latency_ms: float) -> _TierBaseline:
-    slowness = median(view.slowness for view in warm if view.attempts >= MIN_ATTEMPTS) or 1.0
+    median_relative_latency = (
+        median(view.relative_latency for view in warm if view.attempts >= MIN_ATTEMPTS) or 1.0
+    )
     mean_outstanding = sum(view.mean_outstanding for view in warm) / len(warm)
     attempts = sum(view.attempts for view in warm)
     failure_rate = sum(view.failure_rate * view.attempts for view in warm) / (attempts or 1.0)
-    # A reported number of outstanding attempts is out of date on arrival, the more so the shorter the
-    # attempts are: then it is followed slowly, so that noise does not steer.
+    # A reported number of outstanding attempts is already out of date on arrival, the more so the shorter the
+    # attempts are. Weights therefore react more slowly to short attempts, so that they do not follow noise.
     latency_ms = median_latency_ms or 1.0
-    drain_ms = DRAIN_MS * max(1.0, FEEDBACK_LAG_MS / latency_ms)
-    drained_per_server = max(1.0, attempts / len(warm) / MEMORY_MS * drain_ms)
-    return _TierBaseline(slowness, mean_outstanding, failure_rate, drained_per_server)
+    removal_ms = EXCESS_REMOVAL_MS * max(1.0, FEEDBACK_LAG_MS / latency_ms)
+    completed_per_server = max(1.0, attempts / len(warm) / EVIDENCE_DECAY_MS * removal_ms)
+    return _TierBaseline(median_relative_latency, mean_outstanding, failure_rate, completed_per_server)
 
 
 def _candidate(view: ServerView, baseline: _TierBaseline, max_step: float) -> _Candidate:
-    target = merit_of(view, baseline.slowness, baseline.failure_rate)
+    target = compute_merit(view, baseline.median_relative_latency, baseline.failure_rate)
     view.merit += max(-max_step, min(max_step, target.weight - view.merit))
-    excess = (view.mean_outstanding - baseline.mean_outstanding) / baseline.drained_per_server
+    excess = (view.mean_outstanding - baseline.mean_outstanding) / baseline.completed_per_server
     load_factor = max(MIN_LOAD_FACTOR, min(2.0 - MIN_LOAD_FACTOR, 1.0 - excess))
     reason = target.reason
     ratio = target.ratio
@@ -123,26 +133,26 @@
     return _Candidate(view, view.merit * load_factor, reason, ratio)
 
 
-def merit_of(view: ServerView, median_slowness: float, tier_failure_rate: float) -> Merit:
-    """The weight that a server's latency and failures justify.
+def compute_merit(view: ServerView, median_relative_latency: float, tier_failure_rate: float) -> Merit:
+    """Weight that a server's latency and failures justify.
 
     Args:
-        view: The server.
-        median_slowness: Median over the tier's warm servers.
-        tier_failure_rate: Of all the tier's attempts together.
+        view: Evidence on the server.
+        median_relative_latency: Median over the tier's warm servers.
+        tier_failure_rate: Fraction of all the tier's attempts that failed.
     """
     weight = 1.0
     reason = ""
     ratio = 1.0
     if view.attempts >= MIN_ATTEMPTS:
-        relative_slowness = view.slowness / median_slowness
-        if relative_slowness > TOLERATED_SLOWNESS:
-            weight = TOLERATED_SLOWNESS / relative_slowness
+        ratio_to_median = view.relative_latency / median_relative_latency
+        if ratio_to_median > MAX_TOLERATED_RELATIVE_LATENCY:
+            weight = MAX_TOLERATED_RELATIVE_LATENCY / ratio_to_median
             reason = SLOW
-            ratio = relative_slowness
-        excess_failures = view.failure_rate - 2.0 * tier_failure_rate - 1.0 / view.attempts
-        if excess_failures > TOLERATED_EXCESS_FAILURES and 1.0 - excess_failures < weight:
-            weight = 1.0 - excess_failures
+            ratio = ratio_to_median
+        excess_failure_rate = view.failure_rate - 2.0 * tier_failure_rate - 1.0 / view.attempts
+        if excess_failure_rate > MAX_TOLERATED_EXCESS_FAILURE_RATE and 1.0 - excess_failure_rate < weight:
+            weight = 1.0 - excess_failure_rate
             reason = FAILING
             ratio = view.failure_rate / max(tier_failure_rate, MIN_REPORTED_FAILURE_RATE)
     return Merit(max(MIN_WEIGHT, weight), reason, ratio)
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -1,4 +1,4 @@
-"""State machines driven by hand: a forwarder with its planners, and the forwarders of a planner."""
+"""Drivers for the state machines of a forwarder and of a planner, without I/O."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ForwarderDriver:
-    """Drives a forwarder's state machine, and answers its reports as the planners in a test do."""
+    """Drives a forwarder's state machine and responds to its reports in place of the planners."""
 
     def __init__(self, *planners: str, quiet_ms: float = 0.0, **terms: Any) -> None:
         self.now = 0.0
@@ -62,7 +62,7 @@
         self.carry_out(self.machine.tick(self.now))
 
     def respond(self, planner: str, after_ms: float = 1.0, **fields: Any) -> None:
-        """Advice on the planner's last report; `fields` replace what it says."""
+        """Let a planner respond to the forwarder's last report; `fields` override fields of the advice."""
         self.now += after_ms
         self.versions[planner] += 1
         version = self.versions[planner]
@@ -73,7 +73,7 @@
         self.carry_out(self.machine.advice(planner, advice, self.now))
 
     def rounds(self, count: int, *planners: str, **fields: Any) -> None:
-        """Report intervals after each of which these planners answer at once."""
+        """Run `count` report intervals, after each of which these planners respond at once."""
         for _ in range(count):
             self.tick(250.0)
             for planner in planners:
@@ -81,7 +81,7 @@
 
 
 class ReportingForwarder:
-    """Reports to a planner's state machine by hand, and acknowledges all advice."""
+    """Sends reports to a planner's state machine and acknowledges all advice."""
 
     def __init__(self, planner: Planner, instance_index: int, instances: int = 4, name: str = "") -> None:
         self.planner = planner
@@ -95,7 +95,7 @@
         planner.joined(self.name, 0.0)
 
     def report(self, now: float, **fields: object) -> Advice:
-        """A report on one pool of ten servers; `fields` replace what it says."""
+        """Send a report on one pool of ten servers; `fields` override fields of the pool's report."""
         self.serial += 1
         pool = PoolReport(POOL, self.instances, self.instance_index, float(self.instances))
         if not self.has_named_servers:
@@ -119,16 +119,17 @@
 def report_rounds(
     planner: Planner,
     forwarders: list[ReportingForwarder],
-    begin: float,
+    start_ms: float,
     count: int,
     rows: dict[int, Row] | None = None,
 ) -> float:
-    """Reports of all forwarders, every 250 ms; returns the time after them.
+    """Let all forwarders report every 250 ms; returns the time after the last round.
 
-    Each names one attempt in flight and four of 10 ms at each server, unless `rows` say otherwise.
+    Each report states one attempt in flight and four successful attempts of 10 ms at each server, unless
+    `rows` contains another row for the server.
     """
     special_rows = rows or {}
-    now = begin
+    now = start_ms
     for _ in range(count):
         for forwarder in forwarders:
             reported = [special_rows.get(n) or Row(n, 1, 4, 0, 0, 40.0) for n in range(len(ADDRESSES))]
@@ -139,5 +140,5 @@
 
 
 def advised_weights(advice: Advice) -> dict[int, WeightRow]:
-    """The rows of weights by the number of the server."""
+    """Advised weight rows by server number."""
     return {row.server: row for row in advice.pools[0].weights or []}
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -1,4 +1,4 @@
-"""What planners and their failures do to the goodput of a tier, on the same arrivals, in simulated time."""
+"""Effect of planners and their failures on the goodput of a tier, with equal arrivals in simulated time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 from testkit.simulation.tier import Tier
 
-# Ten servers of two cores with attempts of 100 ms: their capacity is 200 attempts a second.
+# Ten servers with two cores each and attempts of 100 ms have a capacity of 200 attempts per second.
 PLAN = TierPlan(
     forwarders=8,
     servers=10,
@@ -34,31 +34,31 @@
 )
 
 
-def shares(tier: Tier, begin: float, end: float) -> list[float]:
-    """Each server's share of the attempts sent in a span of the run."""
-    counts = [sum(begin <= at - START_MS < end for at in server.sent_ms) for server in tier.servers]
+def attempt_shares(tier: Tier, start_ms: float, end_ms: float) -> list[float]:
+    """Each server's share of the attempts sent between two times of the run."""
+    counts = [sum(start_ms <= at - START_MS < end_ms for at in server.sent_ms) for server in tier.servers]
     return [count / sum(counts) for count in counts]
 
 
 def largest_change(tier: Tier) -> float:
-    """The largest change of any server's share between two consecutive spans of 3 s."""
+    """Largest change of any server's share of attempts between two consecutive spans of 3 s."""
     changes = []
-    for begin in range(18_000, 30_000, 3_000):
-        before = shares(tier, begin - 3_000, begin)
-        now = shares(tier, begin, begin + 3_000)
+    for start_ms in range(18_000, 30_000, 3_000):
+        before = attempt_shares(tier, start_ms - 3_000, start_ms)
+        now = attempt_shares(tier, start_ms, start_ms + 3_000)
         changes += [abs(a - b) for a, b in zip(before, now, strict=True)]
     return max(changes)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_planner_that_restarts_empty_under_load_changes_no_servers_share_abruptly(
+def test_a_planner_restart_without_state_changes_no_servers_share_abruptly(
     seed: int,
 ) -> None:
     plan = replace(PLAN, planners=1, rate_per_s=0.75 * 200.0)
 
     def simulate(restart: bool) -> Tier:
         tier = Tier(plan, seed)
-        tier.servers[0].slow = tier.servers[1].slow = 3.0  # so that the planner has weights to lose
+        tier.servers[0].slow = tier.servers[1].slow = 3.0  # gives the planner reduced weights to lose
         if restart:
             tier.at(20_000.0, lambda: tier.kill_planner("p0"))
             tier.at(20_300.0, lambda: tier.start_planner("p0"))
@@ -68,14 +68,14 @@
     steady = simulate(False)
     restarted = simulate(True)
     weights = [f.balancer.guidance_state.weight(0, restarted.now) for f in restarted.forwarders]
-    assert max(weights) < 0.95  # it has learned the weights again
-    # With about 45 attempts each in 3 s, chance alone changes a share by 0.02 and more.
+    assert max(weights) < 0.95  # the new incarnation has advised reduced weights again
+    # With about 45 attempts per server in 3 s, random variation alone changes a share by 0.02 and more.
     assert largest_change(restarted) < largest_change(steady) + 0.03
     assert restarted.goodput_share(20_000.0, 31_000.0) > steady.goodput_share(20_000.0, 31_000.0) - 0.03
     assert not [why for forwarder in restarted.forwarders for why in forwarder.guidance_rejections]
 
 
-def test_a_planner_that_restarts_is_learning_and_the_grants_continue_unchanged() -> None:
+def test_after_a_restart_a_planner_is_learning_and_existing_grants_are_renewed_unchanged() -> None:
     plan = replace(PLAN, planners=1, warm_up_ms=20_000.0)
     tier = Tier(plan, 1)
     tier.at(9_000.0, lambda: tier.restart(0))
@@ -104,11 +104,11 @@
         assert all(rate <= earlier + 1e-9 for rate, earlier in zip(now, before, strict=True))
 
 
-def test_all_planners_killed_for_a_minute_are_no_worse_than_none() -> None:
-    load = replace(PLAN, rate_per_s=0.95 * 200.0, demand={0: 6.0})
+def test_goodput_with_all_planners_killed_for_a_minute_is_no_worse_than_without_planners() -> None:
+    uneven_plan = replace(PLAN, rate_per_s=0.95 * 200.0, demand={0: 6.0})
 
     def simulate(planners: int, kill: bool) -> float:
-        tier = Tier(replace(load, planners=planners), 3)
+        tier = Tier(replace(uneven_plan, planners=planners), 3)
         if kill:
             for name in tier.planners:
                 tier.at(12_000.0, partial(tier.kill_planner, name))
@@ -120,7 +120,7 @@
     killed = simulate(2, True)
     planned = simulate(2, False)
     assert killed > without - 0.02
-    assert planned > without + 0.01  # one forwarder has six times the demand of any other
+    assert planned > without + 0.01  # one forwarder has six times the demand of each other
 
 
 def test_a_forwarder_that_reports_ten_times_its_load_does_not_reduce_the_goodput() -> None:
@@ -136,17 +136,17 @@
                 row.outstanding *= 10
         return report
 
-    def simulate(lies: bool) -> Tier:
+    def simulate(is_misreporting: bool) -> Tier:
         tier = Tier(plan, 2)
-        if lies:
+        if is_misreporting:
             tier.forwarders[0].alter_report = multiply_load
         tier.run(30_000.0)
         return tier
 
-    honest = simulate(False)
-    lied = simulate(True)
-    assert lied.goodput_share(10_000.0, 28_000.0) > honest.goodput_share(10_000.0, 28_000.0) - 0.03
-    own_shares = [f.balancer.guidance_state.own_part(lied.now) for f in lied.forwarders]
+    correct = simulate(False)
+    misreported = simulate(True)
+    assert misreported.goodput_share(10_000.0, 28_000.0) > correct.goodput_share(10_000.0, 28_000.0) - 0.03
+    own_shares = [f.balancer.guidance_state.own_part(misreported.now) for f in misreported.forwarders]
     assert min(own_shares) > 0.6 / 8
 
 
@@ -158,7 +158,7 @@
         pytest.param(RepeatsFirstAdvice(), id="old"),
     ],
 )
-def test_the_goodput_does_not_fall_with_a_planner_that_sends_advice_that_is(script: Script) -> None:
+def test_goodput_does_not_fall_if_a_planner_sends_late_malformed_or_old_advice(script: Script) -> None:
     plan = replace(PLAN, planners=2)
 
     def simulate(script: Script) -> Tier:
@@ -170,5 +170,5 @@
     good = simulate(passes_advice)
     bad = simulate(script)
     assert bad.goodput_share(8_000.0, 24_000.0) > good.goodput_share(8_000.0, 24_000.0) - 0.03
-    # All lease their shares to the other one.
+    # All forwarders lease their shares to the other planner.
     assert {f.machine.leased_to for f in bad.forwarders if f.machine is not None} == {"p1"}
--- a/tests/planning/test_grant_ledger.py
+++ b/tests/planning/test_grant_ledger.py
@@ -1,4 +1,4 @@
-"""The grants on a server's ramp never sum to more than what was leased."""
+"""Grants on a server's ramp never sum to more than the leased shares."""
 
 from __future__ import annotations
 
@@ -9,53 +9,53 @@
 from hypothesis import strategies as st
 
 from sandhatch.planning.grant_ledger import GrantLedger
-from sandhatch.planning.lessors import NOTHING, Lessors, RampAmount
+from sandhatch.planning.lessors import ZERO_AMOUNT, Lessors, RampAmount
 
 
-def test_a_grant_leaves_what_others_may_hold() -> None:
+def test_a_grant_is_limited_to_the_amount_not_granted_to_others() -> None:
     ledger = GrantLedger(0, {})
-    wanted = RampAmount(0.7, 2.0)
+    requested = RampAmount(0.7, 2.0)
     leased = RampAmount(1.0, 3.0)
-    assert ledger.grant("a", 1, wanted, leased, 0.0, 2_000.0) == wanted
-    second = ledger.grant("b", 2, wanted, leased, 0.0, 2_000.0)
+    assert ledger.grant("a", 1, requested, leased, 0.0, 2_000.0) == requested
+    second = ledger.grant("b", 2, requested, leased, 0.0, 2_000.0)
     assert (second.rate, second.burst) == (pytest.approx(0.3), 1.0)
-    assert ledger.grant("c", 3, wanted, leased, 0.0, 2_000.0) == NOTHING
+    assert ledger.grant("c", 3, requested, leased, 0.0, 2_000.0) == ZERO_AMOUNT
 
 
-def test_a_reduced_share_is_free_only_once_the_forwarder_has_applied_the_reduction() -> None:
+def test_a_reduction_frees_capacity_only_after_the_forwarder_has_applied_it() -> None:
     applied: dict[str, int] = {}
     ledger = GrantLedger(0, applied)
     leased = RampAmount(1.0, 10.0)
     ledger.grant("a", 1, RampAmount(1.0, 5.0), leased, 0.0, 2_000.0)
     ledger.grant("a", 2, RampAmount(0.2, 1.0), leased, 100.0, 2_100.0)
     assert ledger.granted("a", 200.0) == RampAmount(1.0, 5.0)
-    assert ledger.grant("b", 3, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == NOTHING
+    assert ledger.grant("b", 3, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == ZERO_AMOUNT
     applied["a"] = 2
-    assert ledger.granted("a", 200.0) == RampAmount(0.2, 1.0)  # refreshed whenever the forwarder reports
+    assert ledger.granted("a", 200.0) == RampAmount(0.2, 1.0)  # superseded grants are removed on each access
     assert ledger.grant("b", 4, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == RampAmount(0.8, 5.0)
 
 
-def test_a_silent_forwarder_holds_its_share_until_its_grant_ends() -> None:
+def test_a_forwarder_that_stops_reporting_holds_its_share_until_the_grant_expires() -> None:
     ledger = GrantLedger(0, {})
     leased = RampAmount(1.0, 4.0)
     ledger.grant("a", 1, RampAmount(1.0, 4.0), leased, 0.0, 2_000.0)
-    assert ledger.grant("b", 2, RampAmount(0.5, 2.0), leased, 1_999.0, 4_000.0) == NOTHING
+    assert ledger.grant("b", 2, RampAmount(0.5, 2.0), leased, 1_999.0, 4_000.0) == ZERO_AMOUNT
     assert ledger.grant("b", 3, RampAmount(0.5, 2.0), leased, 2_000.0, 4_000.0) == RampAmount(0.5, 2.0)
 
 
-def test_claims_from_a_previous_incarnation_are_not_granted_to_others() -> None:
+def test_grants_of_a_previous_incarnation_are_not_granted_to_others() -> None:
     ledger = GrantLedger(0, {})
-    wanted = RampAmount(0.5, 2.0)
+    requested = RampAmount(0.5, 2.0)
     leased = RampAmount(1.0, 5.0)
-    ledger.claim("a", RampAmount(0.9, 4.0), 0.0, 3_000.0)
-    reduced = ledger.grant("b", 1, wanted, leased, 0.0, 2_000.0)
+    ledger.record_previous_grant("a", RampAmount(0.9, 4.0), 0.0, 3_000.0)
+    reduced = ledger.grant("b", 1, requested, leased, 0.0, 2_000.0)
     assert (reduced.rate, reduced.burst) == (pytest.approx(0.1), 1.0)
-    assert ledger.grant("b", 2, wanted, leased, 3_000.0, 5_000.0) == wanted
+    assert ledger.grant("b", 2, requested, leased, 3_000.0, 5_000.0) == requested
 
 
 @dataclass(frozen=True)
 class ReceivedGrant:
-    """A grant as its forwarder has received it."""
+    """A grant that a forwarder has received."""
 
     forwarder: str
     version: int
@@ -64,7 +64,7 @@
 
 
 class LeaseModel:
-    """Forwarders that use their largest grant, and lessors that wait for the end of their leases."""
+    """Model of forwarders that use their largest grant and lessors that wait until their leases expire."""
 
     INSTANCES = 5
     BURST = 5.0
@@ -77,7 +77,7 @@
         self._applied: dict[str, int] = {}
         self._ledger = GrantLedger(self.LABEL, self._applied)
         self._lessors = Lessors(self.INSTANCES, self.BURST)
-        self._lease_ends_ms: dict[int, float] = {}  # by instance index, as the lessor counts at the least
+        self._lease_ends_ms: dict[int, float] = {}  # earliest end of each lease at its lessor, by index
         self._received: list[ReceivedGrant] = []
         self._version = 0
 
@@ -87,11 +87,11 @@
         self._lease_ends_ms[index] = until_ms
 
     def end(self, index: int) -> None:
-        """End a lease; the lessor still waits until its end."""
+        """End a lease at the planner; the lessor still waits until the lease expires."""
         self._lessors.end(index)
 
     def apply(self, index: int) -> None:
-        """Let a forwarder apply the last advice that it received, which supersedes the grants before it."""
+        """Let a forwarder apply the last received advice, which supersedes its earlier grants."""
         name = str(index)
         own = [grant for grant in self._received if grant.forwarder == name]
         applied = max((grant.version for grant in own), default=0)
@@ -103,14 +103,14 @@
     def grant(self, index: int, amount: float) -> None:
         self._version += 1
         until_ms = self.now_ms + self.GRANT_MS
-        wanted = RampAmount(amount, self.BURST * amount)
+        requested = RampAmount(amount, self.BURST * amount)
         leased = self._lessors.leased(self.LABEL, until_ms)
-        granted = self._ledger.grant(str(index), self._version, wanted, leased, self.now_ms, until_ms)
+        granted = self._ledger.grant(str(index), self._version, requested, leased, self.now_ms, until_ms)
         if granted.burst:
             self._received.append(ReceivedGrant(str(index), self._version, granted, until_ms))
 
-    def used(self) -> RampAmount:
-        """The most that all forwarders may use now."""
+    def usable(self) -> RampAmount:
+        """Sum of the maximum amounts that the forwarders may use now."""
         valid: dict[str, list[RampAmount]] = {}
         for grant in self._received:
             if grant.until_ms > self.now_ms:
@@ -120,7 +120,7 @@
         return RampAmount(rate, burst)
 
     def leased(self) -> RampAmount:
-        """What lessors do not use themselves now."""
+        """Sum of the shares that the lessors do not use now."""
         lessors = sum(end_ms > self.now_ms for end_ms in self._lease_ends_ms.values())
         return RampAmount(lessors / self.INSTANCES, lessors * self.BURST / self.INSTANCES)
 
@@ -137,7 +137,7 @@
         max_size=80,
     )
 )
-def test_at_every_moment_what_may_be_used_is_at_most_what_is_leased(
+def test_usable_grants_never_sum_to_more_than_the_leased_shares(
     steps: list[tuple[str, int, float, float]],
 ) -> None:
     model = LeaseModel()
@@ -152,7 +152,7 @@
                 model.apply(index)
             case "grant":
                 model.grant(index, amount)
-        used = model.used()
+        usable = model.usable()
         leased = model.leased()
-        assert used.rate <= leased.rate + 1e-9
-        assert used.burst <= leased.burst + 1e-9
+        assert usable.rate <= leased.rate + 1e-9
+        assert usable.burst <= leased.burst + 1e-9
--- a/tests/planning/test_lessors.py
+++ b/tests/planning/test_lessors.py
@@ -1,4 +1,4 @@
-"""What the lessors of a pool leased: the sum of their own shares, for as long as a grant may be valid."""
+"""Sum of the shares leased by the lessors of a pool for as long as a grant may be valid."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
     st.integers(0, 2**32),
     st.sets(st.integers(0, 29)),
 )
-def test_what_is_leased_is_the_sum_of_the_lessors_own_shares(
+def test_the_leased_amount_is_the_sum_of_the_lessors_own_shares(
     instances: int, burst: float, label: int, indices: set[int]
 ) -> None:
     indices = {index for index in indices if index < instances}
-    own = [default_allocation(instances, index, burst, label) for index in indices]
+    own_shares = [default_allocation(instances, index, burst, label) for index in indices]
     leased = lessors_of(instances, burst, *indices).leased(label, 1_000.0)
-    assert math.isclose(leased.rate, sum(allocation.rate for allocation in own), abs_tol=1e-9)
-    assert math.isclose(leased.burst, sum(allocation.burst for allocation in own), abs_tol=1e-9)
+    assert math.isclose(leased.rate, sum(allocation.rate for allocation in own_shares), abs_tol=1e-9)
+    assert math.isclose(leased.burst, sum(allocation.burst for allocation in own_shares), abs_tol=1e-9)
 
 
-def test_an_instance_counts_only_if_its_lease_lasts_as_long_as_the_grant_may() -> None:
+def test_an_instance_counts_only_if_its_lease_lasts_until_the_given_time() -> None:
     lessors = lessors_of(4, 4.0, 0, 1)
     lessors.lease(2, 5_000.0)
     assert lessors.count(3_000.0) == 3
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -1,4 +1,4 @@
-"""What a planner knows of a pool from all forwarders' reports."""
+"""Load of a pool, aggregated from the reports of all forwarders."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.planning.machines import ADDRESSES, ReportingForwarder
 
 
-def test_a_new_session_replaces_what_the_forwarder_reported_before() -> None:
+def test_a_new_session_replaces_the_state_reported_in_the_previous_session() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0, rows=[Row(0, 5)], warming_up=[1])
@@ -21,18 +21,18 @@
     assert (view.outstanding, view.listed_in) == (1, 1)
 
 
-def test_outstanding_attempts_at_a_removed_server_are_forgotten() -> None:
+def test_outstanding_attempts_at_a_removed_server_are_discarded() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0, rows=[Row(0, 5)])
     view = planner.pools["core"].load.servers[ADDRESSES[0]]
-    forwarder.report(250.0, not_ready=[0], rows=[Row(0, 3)])  # it drains
+    forwarder.report(250.0, not_ready=[0], rows=[Row(0, 3)])  # the server is draining
     assert view.outstanding == 3
     forwarder.report(500.0, not_ready=[0])
     assert (view.outstanding, view.listed_in) == (0, 0)
 
 
-def test_demand_is_bounded_by_the_median_from_both_sides() -> None:
+def test_demand_is_bounded_above_and_below_relative_to_the_median() -> None:
     load = PoolLoad("core")
     for name, rate in (("a", 1_000.0), ("b", 10.0), ("c", 10.0), ("d", 0.0)):
         load.apply(name, PoolReport("core"), 0.0)
@@ -50,12 +50,12 @@
     assert members["f0"].numbering is members["f1"].numbering
 
 
-def test_the_weights_in_one_advice_are_bounded_and_are_the_lowest() -> None:
+def test_one_advice_contains_a_bounded_number_of_weights_the_lowest_ones() -> None:
     load = PoolLoad("core")
     names = [f"10.1.{n // 250}.{n % 250}:80" for n in range(1_000)]
     load.apply("f0", PoolReport("core", names=names, warm=list(range(1_000))), 0.0)
     for number, view in enumerate(load.servers.values()):
         view.assess(0.1 if number == 777 else 0.5, "slow", 2.0)
-    rows = load.members["f0"].numbering.weights(1)
+    rows = load.members["f0"].numbering.weight_rows(1)
     assert len(rows) == 256
     assert rows[0].server == 777
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner's state machine: membership, learning, and the shares that it grants."""
+"""State machine of a planner: membership, learning, leases and granted shares."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
     reporting_forwarders,
 )
 
-SLOW = {2: Row(2, 1, 4, 0, 0, 160.0)}
+SLOW_SERVER_ROWS = {2: Row(2, 1, 4, 0, 0, 160.0)}
 
 
-def test_a_new_planner_is_learning_until_enough_forwarders_report_or_were_waited_for() -> None:
+def test_weights_are_advised_after_learning_once_enough_forwarders_report_or_the_wait_ends() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     advice = forwarder.report(0.0)
@@ -26,20 +26,20 @@
     assert not advice.has_lease
     assert advice.pools[0].weights is None
     assert advice.pools[0].own_share is None
-    now = report_rounds(planner, [forwarder], 250.0, 16, SLOW)
+    now = report_rounds(planner, [forwarder], 250.0, 16, SLOW_SERVER_ROWS)
     advice = forwarder.report(now)
     assert not advice.learning
-    assert advice.pools[0].weights is None  # one of four is not enough
-    now = report_rounds(planner, [forwarder], now, 40, SLOW)
-    planner.joined("f0", now)  # a new session gets all weights
+    assert advice.pools[0].weights is None  # one of four forwarders is below the required fraction
+    now = report_rounds(planner, [forwarder], now, 40, SLOW_SERVER_ROWS)
+    planner.joined("f0", now)  # all weights are sent again in a new session
     forwarder.has_named_servers = False
-    assert advised_weights(forwarder.report(now))  # the others have been waited for
+    assert advised_weights(forwarder.report(now))  # the wait for the other forwarders is over
 
 
-def test_weights_follow_evidence_at_once_while_learning_and_in_small_steps_after() -> None:
+def test_weights_change_at_once_while_learning_and_in_small_steps_afterwards() -> None:
     planner = Planner("p0", 1, 0.0)
     forwarders = reporting_forwarders(planner, 4)
-    now = report_rounds(planner, forwarders, 0.0, 13, SLOW)
+    now = report_rounds(planner, forwarders, 0.0, 13, SLOW_SERVER_ROWS)
     first = planner.pools["core"].load.servers[ADDRESSES[2]].merit
     assert first < 0.5
     report_rounds(planner, forwarders, now, 1, {2: Row(2, 1, 400, 0, 0, 4_000.0)})
@@ -47,7 +47,7 @@
     assert first < merit < first + 0.1
 
 
-def test_nothing_is_granted_from_a_share_until_its_lessor_has_applied_advice() -> None:
+def test_shares_are_granted_only_after_their_lessor_has_acknowledged_advice() -> None:
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     advice = forwarder.report(0.0)
@@ -57,8 +57,8 @@
     assert [(share.server, share.rate) for share in advice.pools[0].ramp_shares] == [(3, 0.25)]
 
 
-def test_a_lease_starts_when_the_acknowledged_advice_was_sent() -> None:
-    """A report that is late, or acknowledges old advice, does not extend the lease."""
+def test_a_lease_is_measured_from_the_sending_of_the_acknowledged_advice() -> None:
+    """A late report, or one that acknowledges old advice, does not extend the lease."""
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
@@ -66,25 +66,25 @@
     acknowledged = forwarder.version
     assert planner.pools["core"].lessors is not None
     for now, number in ((900.0, 1), (1_150.0, 0)):
-        forwarder.version = acknowledged  # it has applied nothing since what was sent at 100
+        forwarder.version = acknowledged  # the last applied advice is the one sent at 100 ms
         forwarder.report(now)
         lessors = planner.pools["core"].lessors
         assert lessors.count(now + planner.terms.lease_ms) == number
 
 
-def test_ramp_shares_follow_demand_and_sum_to_at_most_what_is_leased() -> None:
+def test_ramp_shares_follow_demand_and_sum_to_at_most_the_leased_amount() -> None:
     planner = Planner("p0", 1, -10_000.0)
     busy, idle = reporting_forwarders(planner, 2)
     busy.instances = idle.instances = 2
-    for turn in range(40):
-        busy.report(turn * 250.0, warming_up=[3] if turn == 10 else [], demand={"view": 300})
-        idle.report(turn * 250.0, warming_up=[3] if turn == 10 else [], demand={"view": 100})
+    for round_index in range(40):
+        busy.report(round_index * 250.0, warming_up=[3] if round_index == 10 else [], demand={"view": 300})
+        idle.report(round_index * 250.0, warming_up=[3] if round_index == 10 else [], demand={"view": 100})
     rates = [forwarder.report(10_000.0).pools[0].ramp_shares[0].rate for forwarder in (busy, idle)]
     assert rates[0] > 2.0 * rates[1]
     assert sum(rates) <= 1.0 + 1e-9
 
 
-def test_a_report_with_unknown_advice_an_unnamed_server_or_a_wrong_index_is_rejected() -> None:
+def test_a_report_with_an_unknown_advice_version_server_or_instance_index_is_rejected() -> None:
     planner = Planner("p0", 7, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
@@ -98,7 +98,7 @@
         ReportingForwarder(planner, 4).report(3.0)
 
 
-def test_of_two_forwarders_with_one_instance_index_the_second_is_notified_and_granted_nothing() -> None:
+def test_a_second_forwarder_with_the_same_instance_index_is_notified_and_gets_no_grants() -> None:
     planner = Planner("p0", 1, -10_000.0)
     first = ReportingForwarder(planner, 0)
     second = ReportingForwarder(planner, 0, name="twin")
@@ -111,7 +111,7 @@
     assert first.report(500.0).pools[0].ramp_shares
 
 
-def test_forwarders_that_disagree_on_the_number_of_instances_are_notified() -> None:
+def test_a_forwarder_with_a_different_number_of_instances_is_notified() -> None:
     planner = Planner("p0", 1, -10_000.0)
     first = ReportingForwarder(planner, 0, 4)
     second = ReportingForwarder(planner, 1, 5)
@@ -119,7 +119,7 @@
     assert "5 forwarders and a burst of 5; others say 4 and 4" in second.report(0.0).note
 
 
-def test_a_silent_forwarder_is_removed_with_its_outstanding_attempts() -> None:
+def test_a_forwarder_that_stops_reporting_is_removed_with_its_outstanding_attempts() -> None:
     planner = Planner("p0", 1, 0.0)
     silent = ReportingForwarder(planner, 0)
     other = ReportingForwarder(planner, 1)
@@ -132,16 +132,18 @@
     assert [row["name"] for row in planner.status(3_000.0)["forwarders"]] == ["f1"]
 
 
-def test_a_forwarder_that_reports_ten_times_its_demand_does_not_starve_the_others() -> None:
+def test_a_forwarder_that_reports_ten_times_its_demand_does_not_starve_others() -> None:
     planner = Planner("p0", 1, -10_000.0)
     forwarders = reporting_forwarders(planner, 10)
     for forwarder in forwarders:
         forwarder.instances = 10
-    for turn in range(60):
+    for round_index in range(60):
         for forwarder in forwarders:
             factor = 10 if forwarder.instance_index == 0 else 1
-            forwarder.report(turn * 250.0, demand={"view": 40 * factor}, warming_up=[3] if turn == 20 else [])
-        planner.tick(turn * 250.0)
+            forwarder.report(
+                round_index * 250.0, demand={"view": 40 * factor}, warming_up=[3] if round_index == 20 else []
+            )
+        planner.tick(round_index * 250.0)
     advices = [forwarder.report(15_000.0).pools[0] for forwarder in forwarders]
     own_shares = [advice.own_share or 0.0 for advice in advices]
     assert min(own_shares) > 0.85 * 0.1
--- a/tests/planning/test_planner_peer.py
+++ b/tests/planning/test_planner_peer.py
@@ -1,10 +1,10 @@
-"""What a forwarder keeps of one planner: reports that may be answered, faults and the keys of its status."""
+"""A forwarder's state of one planner: unacknowledged reports, byte credit, faults and status keys."""
 
 from __future__ import annotations
 
 import pytest
 
-from sandhatch.planning.planner_peer import CREDIT_S, MAX_UNACKNOWLEDGED_REPORTS, PlannerPeer
+from sandhatch.planning.planner_peer import MAX_CREDIT_S, MAX_UNACKNOWLEDGED_REPORTS, PlannerPeer
 from sandhatch.planning.terms import ForwarderTerms
 
 BYTES_PER_S = 1_000.0
@@ -16,7 +16,7 @@
     return peer
 
 
-def test_only_recent_reports_can_be_answered_and_each_answer_ends_the_earlier_ones() -> None:
+def test_responses_are_matched_to_recent_reports_and_supersede_earlier_reports() -> None:
     peer = connected_peer()
     for number in range(1, MAX_UNACKNOWLEDGED_REPORTS + 2):
         assert peer.next_serial(BYTES_PER_S, 10.0 * number) == number
@@ -26,16 +26,16 @@
     assert peer.report_sent_ms(5) == 50.0
 
 
-def test_the_credit_of_bytes_grows_with_time_up_to_its_limit() -> None:
+def test_the_byte_credit_grows_with_time_up_to_its_limit() -> None:
     peer = connected_peer()
     peer.credit_bytes = 0.0
     peer.next_serial(BYTES_PER_S, 500.0)
     assert peer.credit_bytes == 500.0
     peer.next_serial(BYTES_PER_S, 60_000.0)
-    assert peer.credit_bytes == CREDIT_S * BYTES_PER_S
+    assert peer.credit_bytes == MAX_CREDIT_S * BYTES_PER_S
 
 
-def test_faults_outside_the_window_do_not_open_the_circuit() -> None:
+def test_faults_outside_the_fault_window_do_not_open_the_circuit() -> None:
     terms = ForwarderTerms(fault_limit=2, fault_window_ms=1_000.0, min_backoff_ms=100.0)
     peer = connected_peer()
     assert peer.record_fault("first", 0.0, terms) is None
@@ -48,7 +48,7 @@
     ("connected", "backoff_until_ms", "state"),
     [(True, 0.0, "up"), (False, 0.0, "down"), (True, 500.0, "shunned")],
 )
-def test_the_status_has_its_documented_keys_and_states(
+def test_the_status_has_the_documented_keys_and_states(
     connected: bool, backoff_until_ms: float, state: str
 ) -> None:
     peer = PlannerPeer("p0", 0, connected=connected, backoffs=1, backoff_until_ms=backoff_until_ms)
--- a/tests/planning/test_planner_selection.py
+++ b/tests/planning/test_planner_selection.py
@@ -1,11 +1,11 @@
-"""Which planner a forwarder leases its own shares to, and when the lease may move."""
+"""Selection of the planner that a forwarder leases its own shares to, and moves of the lease."""
 
 from __future__ import annotations
 
 from tests.planning.machines import ForwarderDriver
 
 
-def test_after_the_lessee_is_lost_the_next_planner_gets_the_lease_only_when_it_has_ended() -> None:
+def test_when_the_lease_holder_is_lost_the_next_planner_gets_the_lease_after_its_expiry() -> None:
     driver = ForwarderDriver("p0", "p1")
     driver.connect("p0")
     driver.connect("p1")
@@ -18,23 +18,22 @@
     assert driver.now >= lease_end_ms
 
 
-def test_a_planner_that_hangs_loses_the_lease_when_its_advice_has_expired() -> None:
+def test_a_planner_that_stops_responding_loses_the_lease_when_its_advice_expires() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(4, "p0")
     assert driver.machine.leased_to == "p0"
-    driver.tick(250.0)  # acknowledges the last advice that came
+    driver.tick(250.0)  # this report acknowledges the last received advice
     lease_end_ms = driver.machine.leased_until_ms
     for _ in range(20):
         driver.tick(250.0)
     assert driver.machine.leased_to is None
-    assert (
-        driver.machine.leased_until_ms == lease_end_ms
-    )  # reports that acknowledge nothing newer do not extend it
+    # Reports that do not acknowledge newer advice do not extend the lease.
+    assert driver.machine.leased_until_ms == lease_end_ms
     assert not driver.reports["p0"].leases_shares
 
 
-def test_another_planner_that_is_learning_does_not_get_the_lease() -> None:
+def test_a_learning_planner_without_an_earlier_lease_does_not_get_the_lease() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(3, "p0", learning=True, has_lease=False)
@@ -43,7 +42,7 @@
     assert driver.machine.leased_to == "p0"
 
 
-def test_nothing_is_leased_while_a_lease_of_an_earlier_process_may_be_valid() -> None:
+def test_no_shares_are_leased_while_a_lease_of_an_earlier_process_may_be_valid() -> None:
     driver = ForwarderDriver("p0", quiet_ms=3_000.0)
     assert driver.lease_ends_ms == [3_000.0]
     driver.connect("p0")
--- a/tests/planning/test_planner_status.py
+++ b/tests/planning/test_planner_status.py
@@ -1,4 +1,4 @@
-"""The JSON keys of a planner's status and explanations: they are part of the command line's interface."""
+"""JSON keys of a planner's status and explanations, which are part of the command-line interface."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.planning.machines import ADDRESSES, ReportingForwarder
 
 
-def test_the_status_has_its_documented_keys() -> None:
+def test_the_status_has_the_documented_keys() -> None:
     planner = Planner("p0", 1, -10_000.0)
     ReportingForwarder(planner, 0).report(0.0, warming_up=[3], demand={"view": 10})
     status = planner.status(100.0)
@@ -28,7 +28,7 @@
     ]
 
 
-def test_an_explanation_has_its_documented_keys() -> None:
+def test_an_explanation_has_the_documented_keys() -> None:
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -1,6 +1,6 @@
-"""All forwarders together never send a server that warms up more than its ramp, whatever faults occur.
+"""All forwarders together never exceed the ramp of a server that is warming up, regardless of faults.
 
-In simulated time, with the program's own balancers, forwarders and planners; each case with several seeds.
+The tests run the real balancers, forwarders and planners in simulated time, most of them with several seeds.
 """
 
 from __future__ import annotations
@@ -19,7 +19,8 @@
 from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
-# The load exceeds the ramp, so that it binds; with few servers, many draws hit the one that warms up.
+# The load exceeds the ramp, so that the ramp is the limit; with few servers, many draws select the server
+# that is warming up.
 PLAN = TierPlan(
     forwarders=20,
     servers=4,
@@ -30,13 +31,13 @@
     ramp_per_s=60.0,
     warm_up_ms=6_000.0,
 )
-RESTART_MS = 9_500.0  # by when all forwarders lease their shares to the first planner
+RESTART_MS = 9_500.0  # by this time all forwarders lease their shares to the first planner
 SEEDS = (1, 2)
-RAMP_ATTEMPTS = 60.0 * (0.1 * 6.0 + 0.9 * 3.0)  # that the ramp admits in all
+RAMP_ATTEMPTS = 60.0 * (0.1 * 6.0 + 0.9 * 3.0)  # total number of attempts that the ramp admits
 
 
-def used_fraction(tier: Tier, server: int = 0) -> float:
-    """Check that a restarted server's ramp was kept to; returns the fraction of it that was used."""
+def checked_ramp_use(tier: Tier, server: int = 0) -> float:
+    """Check that a restarted server's ramp was not exceeded; returns the used fraction of the ramp."""
     node = tier.servers[server]
     burst = tier.plan.ramp_burst or tier.settings.instances
     assert attempts_beyond_ramp(tier.plan, node.started_ms, node.sent_ms) <= burst + 1e-6
@@ -53,15 +54,15 @@
     return tier
 
 
-def test_the_check_itself_detects_attempts_beyond_the_ramp() -> None:
-    started = 1_000.0
-    assert attempts_beyond_ramp(PLAN, started, [started + 1.0] * 20) == pytest.approx(20.0, abs=0.01)
-    even = [started + 100.0 * n for n in range(60)]  # ten a second; the ramp begins with six
-    assert 1.0 < attempts_beyond_ramp(PLAN, started, even) < 20.0
+def test_the_ramp_check_detects_attempts_beyond_the_ramp() -> None:
+    started_ms = 1_000.0
+    assert attempts_beyond_ramp(PLAN, started_ms, [started_ms + 1.0] * 20) == pytest.approx(20.0, abs=0.01)
+    even = [started_ms + 100.0 * n for n in range(60)]  # ten per second; the ramp begins with six
+    assert 1.0 < attempts_beyond_ramp(PLAN, started_ms, even) < 20.0
 
 
-def test_instances_that_do_not_share_the_ramp_exceed_it() -> None:
-    """What the other tests would detect if each forwarder used the complete ramp."""
+def test_instances_that_each_use_the_complete_ramp_exceed_the_ramp() -> None:
+    """Shows that the other tests would fail if each forwarder used the complete ramp."""
     tier = Tier(replace(PLAN, planners=0), 1)
     complete = default_allocation(1, 0, ramp_burst(tier.settings), 0)
     for forwarder in tier.forwarders:
@@ -75,52 +76,59 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_twenty_forwarders_keep_to_the_ramp_with_planners(seed: int) -> None:
+def test_twenty_forwarders_do_not_exceed_the_ramp_with_planners(seed: int) -> None:
     tier = simulate(PLAN, seed)
-    assert used_fraction(tier) > 0.5
+    assert checked_ramp_use(tier) > 0.5
     assert all(f.machine is not None and f.machine.leased_to == "p0" for f in tier.forwarders)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_twenty_forwarders_keep_to_the_ramp_without_planners(seed: int) -> None:
-    assert used_fraction(simulate(replace(PLAN, planners=0), seed)) > 0.5
+def test_twenty_forwarders_do_not_exceed_the_ramp_without_planners(seed: int) -> None:
+    assert checked_ramp_use(simulate(replace(PLAN, planners=0), seed)) > 0.5
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_twenty_forwarders_keep_to_the_ramp_when_all_planners_are_lost(seed: int) -> None:
-    half = RESTART_MS + PLAN.warm_up_ms / 2.0
-    lost = [(half, lambda tier: tier.kill_planner("p0")), (half, lambda tier: tier.kill_planner("p1"))]
+def test_twenty_forwarders_do_not_exceed_the_ramp_when_all_planners_are_lost(seed: int) -> None:
+    midpoint_ms = RESTART_MS + PLAN.warm_up_ms / 2.0
+    lost = [
+        (midpoint_ms, lambda tier: tier.kill_planner("p0")),
+        (midpoint_ms, lambda tier: tier.kill_planner("p1")),
+    ]
     tier = simulate(PLAN, seed, *lost)
-    assert used_fraction(tier) > 0.3
+    assert checked_ramp_use(tier) > 0.3
     assert all(f.machine is not None and f.machine.leased_to is None for f in tier.forwarders)
 
 
 @pytest.mark.parametrize("planners", [0, 2])
 @pytest.mark.parametrize("seed", SEEDS)
-def test_twenty_forwarders_keep_to_the_ramp_when_ten_of_them_join_during_it(seed: int, planners: int) -> None:
+def test_twenty_forwarders_do_not_exceed_the_ramp_when_ten_join_during_warm_up(
+    seed: int, planners: int
+) -> None:
     plan = replace(PLAN, forwarders=10, instances=20, planners=planners)
-    half = RESTART_MS + plan.warm_up_ms / 2.0
-    tier = simulate(plan, seed, *[(half + 20.0 * n, Tier.join) for n in range(10)])
+    midpoint_ms = RESTART_MS + plan.warm_up_ms / 2.0
+    tier = simulate(plan, seed, *[(midpoint_ms + 20.0 * n, Tier.join) for n in range(10)])
     assert len(tier.forwarders) == 20
-    used_fraction(tier)
+    checked_ramp_use(tier)
 
 
-# With fewer holders than forwarders, only requests that arrive at the holders can be sent there.
-@pytest.mark.parametrize(("burst", "least"), [(1.0, 0.05), (2.5, 0.05), (7.0, 0.25), (40.0, 0.6)])
-def test_a_burst_of_fewer_or_more_attempts_than_forwarders_is_kept_to(burst: float, least: float) -> None:
+# With fewer holders than forwarders, only requests that arrive at the holders can be sent to the server.
+@pytest.mark.parametrize(("burst", "min_used"), [(1.0, 0.05), (2.5, 0.05), (7.0, 0.25), (40.0, 0.6)])
+def test_bursts_smaller_and_larger_than_the_number_of_forwarders_are_not_exceeded(
+    burst: float, min_used: float
+) -> None:
     for planners in (0, 1):
-        assert used_fraction(simulate(replace(PLAN, ramp_burst=burst, planners=planners), 1)) > least
+        assert checked_ramp_use(simulate(replace(PLAN, ramp_burst=burst, planners=planners), 1)) > min_used
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_the_lease_moves_to_the_next_planner_and_back_when_the_first_is_lost_and_restarts(seed: int) -> None:
+def test_the_lease_moves_when_the_first_planner_is_lost_and_returns_after_its_restart(seed: int) -> None:
     tier = simulate(
         replace(PLAN, warm_up_ms=14_000.0),
         seed,
         (RESTART_MS + 1_000.0, lambda tier: tier.kill_planner("p0")),
         (RESTART_MS + 5_000.0, lambda tier: tier.start_planner("p0")),
     )
-    used_fraction(tier)
+    checked_ramp_use(tier)
     notes = tier.forwarders[0].notes
     assert [note.split(" ", 1)[1] for note in notes] == [
         "leases its own shares to planner p0",
@@ -131,28 +139,28 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_partition_between_the_planners_keeps_to_the_ramp_and_heals(seed: int) -> None:
+def test_a_partition_does_not_exceed_the_ramp_and_leases_return_after_it_heals(seed: int) -> None:
     partitions = [LinkEnds(n, "p0") for n in range(10)] + [LinkEnds(n, "p1") for n in range(10, 20)]
     plan = replace(PLAN, warm_up_ms=17_000.0)
-    lessees: list[set[str | None]] = []
+    lease_holders: list[set[str | None]] = []
 
-    def record_lessees(tier: Tier) -> None:
+    def record_lease_holders(tier: Tier) -> None:
         leased = [f.machine.leased_to for f in tier.forwarders if f.machine is not None]
-        lessees.extend((set(leased[:10]), set(leased[10:])))
+        lease_holders.extend((set(leased[:10]), set(leased[10:])))
 
     tier = simulate(
         plan,
         seed,
         (RESTART_MS + 1_000.0, lambda tier: tier.partition(partitions)),
-        (RESTART_MS + 6_000.0, record_lessees),
+        (RESTART_MS + 6_000.0, record_lease_holders),
         (RESTART_MS + 6_500.0, lambda tier: tier.partition([])),
     )
-    used_fraction(tier)
-    assert lessees == [{"p1"}, {"p0"}]
+    checked_ramp_use(tier)
+    assert lease_holders == [{"p1"}, {"p0"}]
     assert {f.machine.leased_to for f in tier.forwarders if f.machine is not None} == {"p0"}
 
 
-def test_the_grants_of_a_dead_forwarder_are_reassigned_only_after_they_have_expired() -> None:
+def test_grants_of_a_terminated_forwarder_are_reassigned_only_after_their_expiry() -> None:
     plan = replace(PLAN, forwarders=4, instances=4, ramp_burst=4.0, planners=1)
     tier = Tier(plan, 1)
     tier.at(RESTART_MS, lambda: tier.restart(0))
@@ -172,12 +180,12 @@
     assert "f3" in granted()
     tier.run(RESTART_MS + 3_000.0 + plan.planner_terms.member_timeout_ms + 600.0)
     assert "f3" not in granted()
-    # Its own share is granted to nobody: another process may replace it.
+    # The own share of f3 is not granted to any forwarder, since another process may replace f3.
     assert sum(granted().values()) <= 0.75 + 1e-9
-    used_fraction(tier)
+    checked_ramp_use(tier)
 
 
-def test_a_restarted_forwarder_does_not_use_shares_that_its_earlier_process_may_have_leased() -> None:
+def test_a_restarted_forwarder_does_not_use_shares_its_previous_process_may_have_leased() -> None:
     plan = replace(PLAN, forwarders=4, instances=4, ramp_burst=4.0, planners=1)
     tier = Tier(plan, 1, quiet_ms=3_030.0)
     tier.run(RESTART_MS)
@@ -185,32 +193,34 @@
     restarted = tier.join()
     restarted.settings = replace(restarted.settings, instance_index=3)
     tier.restart(0)
-    begin = tier.now
+    begin_ms = tier.now
     assert restarted.machine is not None
-    assert restarted.machine.leased_until_ms >= begin + 3_000.0
+    assert restarted.machine.leased_until_ms >= begin_ms + 3_000.0
     ramp = restarted.balancer.guidance_state.ramp
     assert ramp is not None
-    assert ramp.part(restarted.balancer.server_list.servers[0], begin + 2_000.0) == RampAllocation(0.0, 0.0)
+    assert ramp.part(restarted.balancer.server_list.servers[0], begin_ms + 2_000.0) == RampAllocation(
+        0.0, 0.0
+    )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_random_order_of_faults_exceeds_the_ramp(seed: int) -> None:
-    """Planners killed, restarted and slow, partitions, losses, forwarders that die and join."""
+def test_random_sequences_of_faults_do_not_exceed_the_ramp(seed: int) -> None:
+    """Faults: planners killed, restarted or slow, partitions, losses, forwarders that terminate or join."""
     rng = Random(seed)
-    number = rng.choice([3, 8, 20])
+    forwarder_count = rng.choice([3, 8, 20])
     plan = replace(
         PLAN,
-        forwarders=number,
-        instances=number + rng.choice([0, 3]),
+        forwarders=forwarder_count,
+        instances=forwarder_count + rng.choice([0, 3]),
         planners=rng.choice([1, 2, 3]),
         ramp_burst=rng.choice([0.0, 2.5, 30.0]),
         rate_per_s=250.0,
         link_loss=rng.choice([0.0, 0.02]),
         link_ms=rng.choice([1.0, 50.0, 300.0]),
-        demand={n: rng.choice([1.0, 5.0]) for n in range(number)},
+        demand={n: rng.choice([1.0, 5.0]) for n in range(forwarder_count)},
     )
     tier = Tier(plan, seed)
     tier.at(RESTART_MS, lambda: tier.restart(0))
     random_faults(tier, rng, 4, RESTART_MS - 500.0, RESTART_MS + 5_000.0)
     tier.run(RESTART_MS + plan.warm_up_ms)
-    used_fraction(tier)
+    checked_ramp_use(tier)
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -1,7 +1,7 @@
-"""Twenty complete forwarders on loopback, with real planners, keep to the ramp of a server that starts.
+"""Twenty complete forwarders and real planners on loopback do not exceed the ramp of a starting server.
 
-Attempts are checked by the forwarders' own times of sending: a machine under load may slow the run, but does
-not change the result.
+Attempts are checked by the forwarders' own send times, so that a machine under load may slow the run without
+changing the result.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 from tests.service.harness import FakeServers, RunningService, run, serving
 
 FORWARDERS = 20
-WARM = ("w1", "w2", "w3")
-LEASES_TIMEOUT_S = 60.0  # for all forwarders to lease their shares, or to take them back
+WARM_SERVERS = ("w1", "w2", "w3")
+LEASES_TIMEOUT_S = 60.0  # time limit for all forwarders to lease their shares or to end their leases
 PLAN = TierPlan(forwarders=FORWARDERS, ramp_per_s=80.0, initial_capacity_share=0.1, warm_up_ms=2_500.0)
 
 
@@ -41,7 +41,7 @@
 
 
 class SentTimes:
-    """When any forwarder sent an attempt to each server."""
+    """Times at which any forwarder sent an attempt, by server."""
 
     def __init__(self) -> None:
         self.times_ms: dict[str, list[float]] = {}
@@ -62,19 +62,21 @@
         dispatcher.balancer.handle = recorded  # type: ignore[method-assign]
 
 
-class Site:
-    """Servers, discovery, planners, and forwarders that are started one after another."""
+class Deployment:
+    """Servers, a discovery service, planners, and forwarders that are started one after another."""
 
-    def __init__(self, stack: AsyncExitStack, farm: FakeServers, discovery: FakeDiscovery, key: Path) -> None:
+    def __init__(
+        self, stack: AsyncExitStack, fake_servers: FakeServers, discovery: FakeDiscovery, key: Path
+    ) -> None:
         self.stack = stack
-        self.farm = farm
+        self.fake_servers = fake_servers
         self.discovery = discovery
         self.key = key
         self.planners: dict[str, PlannerServer] = {}
         self.forwarders: list[RunningService] = []
         self.loads: list[LoadGenerator] = []
         self.request_log = RequestLog()
-        self.log_lines: list[str] = []  # of all planners
+        self.log_lines: list[str] = []  # log lines of all planners
         self.sent = SentTimes()
 
     async def planner(self, name: str) -> None:
@@ -109,10 +111,12 @@
             planning["planners"] = {
                 name: {"address": f"127.0.0.1:{server.port}"} for name, server in self.planners.items()
             }
-        orders = self.farm.pool("w1")
+        orders_pool = self.fake_servers.pool("w1")
         running = await self.stack.enter_async_context(
             serving(
-                self.farm.config(pool, orders | {"planned": False}, planning=planning, seed=instance_index)
+                self.fake_servers.config(
+                    pool, orders_pool | {"planned": False}, planning=planning, seed=instance_index
+                )
             )
         )
         self.sent.record(running)
@@ -133,90 +137,94 @@
 
 
 @asynccontextmanager
-async def running_site(tmp_path: Path, planners: int, forwarders: int) -> AsyncIterator[Site]:
+async def running_deployment(tmp_path: Path, planners: int, forwarders: int) -> AsyncIterator[Deployment]:
     key = tmp_path / "key"
     key.write_text("5a" * 32)
     key.chmod(0o600)
     async with AsyncExitStack() as stack:
-        farm = await FakeServers().start(*WARM, "fresh")
-        stack.callback(farm.close)
-        discovery = await FakeDiscovery([farm.servers[name].entry(name) for name in WARM]).start()
+        fake_servers = await FakeServers().start(*WARM_SERVERS, "fresh")
+        stack.callback(fake_servers.close)
+        discovery = await FakeDiscovery(
+            [fake_servers.servers[name].entry(name) for name in WARM_SERVERS]
+        ).start()
         stack.callback(discovery.stop)
-        site = Site(stack, farm, discovery, key)
+        deployment = Deployment(stack, fake_servers, discovery, key)
         for number in range(planners):
-            await site.planner(f"p{number}")
+            await deployment.planner(f"p{number}")
         for _ in range(forwarders):
-            await site.forwarder()
+            await deployment.forwarder()
         if planners:
-            await wait_until(lambda: site.lessor_count == forwarders, LEASES_TIMEOUT_S)
-        yield site
+            await wait_until(lambda: deployment.lessor_count == forwarders, LEASES_TIMEOUT_S)
+        yield deployment
 
 
-async def start_server(site: Site, halfway: Callable[[], Any]) -> int:
-    """Start a server under load and check its ramp; returns the attempts sent during its warm-up."""
-    for running in site.forwarders:
-        site.start_load(running)
+async def start_server(deployment: Deployment, at_midpoint: Callable[[], Any]) -> int:
+    """Start a server under load and check its ramp; returns the number of attempts sent during warm-up."""
+    for running in deployment.forwarders:
+        deployment.start_load(running)
     await asyncio.sleep(0.2)
     started_ms = time.time() * 1000.0
-    site.discovery.change(site.farm.servers["fresh"].entry("fresh", startedAtMs=int(started_ms)))
+    deployment.discovery.change(
+        deployment.fake_servers.servers["fresh"].entry("fresh", startedAtMs=int(started_ms))
+    )
     await asyncio.sleep(PLAN.warm_up_ms / 2000.0)
-    result = halfway()
+    result = at_midpoint()
     if result is not None:
         await result
     await asyncio.sleep(PLAN.warm_up_ms / 2000.0)
-    for load in site.loads:
+    for load in deployment.loads:
         await load.stop()
-    times = site.sent.times_ms.get("fresh", [])
-    # Clocks start at the system's time and run on independently, so they differ by a little.
+    times = deployment.sent.times_ms.get("fresh", [])
+    # Each clock starts at the system time and then runs independently, so the clocks differ slightly.
     excess = attempts_beyond_ramp(PLAN, int(started_ms), times)
     assert excess <= FORWARDERS + 0.5, f"{excess:.2f} attempts beyond the ramp"
-    assert len(site.farm.servers["fresh"].requests) <= len(times)
-    assert all(len(entry.responses) == 1 for entry in site.request_log.entries.values())
+    assert len(deployment.fake_servers.servers["fresh"].requests) <= len(times)
+    assert all(len(entry.responses) == 1 for entry in deployment.request_log.entries.values())
     return sum(at < started_ms + PLAN.warm_up_ms for at in times)
 
 
-def test_twenty_forwarders_keep_to_the_ramp_with_planners(tmp_path: Path) -> None:
+def test_twenty_forwarders_do_not_exceed_the_ramp_with_planners(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_site(tmp_path, 2, FORWARDERS) as site:
-            assert await start_server(site, lambda: None) > 0
+        async with running_deployment(tmp_path, 2, FORWARDERS) as deployment:
+            assert await start_server(deployment, lambda: None) > 0
 
     run(work())
 
 
-def test_twenty_forwarders_keep_to_the_ramp_without_planners(tmp_path: Path) -> None:
+def test_twenty_forwarders_do_not_exceed_the_ramp_without_planners(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_site(tmp_path, 0, FORWARDERS) as site:
-            assert await start_server(site, lambda: None) > 0
+        async with running_deployment(tmp_path, 0, FORWARDERS) as deployment:
+            assert await start_server(deployment, lambda: None) > 0
 
     run(work())
 
 
-def test_twenty_forwarders_keep_to_the_ramp_when_all_planners_are_lost(tmp_path: Path) -> None:
+def test_twenty_forwarders_do_not_exceed_the_ramp_when_all_planners_are_lost(tmp_path: Path) -> None:
     async def work() -> None:
-        async with running_site(tmp_path, 2, FORWARDERS) as site:
+        async with running_deployment(tmp_path, 2, FORWARDERS) as deployment:
 
             def stop_planners() -> None:
-                for planner in site.planners.values():
+                for planner in deployment.planners.values():
                     planner.stop()
 
-            assert await start_server(site, stop_planners) > 0
-            await wait_until(lambda: site.lessor_count == 0, LEASES_TIMEOUT_S)
+            assert await start_server(deployment, stop_planners) > 0
+            await wait_until(lambda: deployment.lessor_count == 0, LEASES_TIMEOUT_S)
 
     run(work())
 
 
 @pytest.mark.parametrize("planners", [0, 1])
-def test_twenty_forwarders_keep_to_the_ramp_when_ten_of_them_join_during_it(
+def test_twenty_forwarders_do_not_exceed_the_ramp_when_ten_join_during_warm_up(
     tmp_path: Path, planners: int
 ) -> None:
     async def work() -> None:
-        async with running_site(tmp_path, planners, FORWARDERS // 2) as site:
+        async with running_deployment(tmp_path, planners, FORWARDERS // 2) as deployment:
 
             async def join() -> None:
                 for _ in range(FORWARDERS // 2):
-                    site.start_load(await site.forwarder())
+                    deployment.start_load(await deployment.forwarder())
 
-            await start_server(site, join)
-            assert len(site.forwarders) == FORWARDERS
+            await start_server(deployment, join)
+            assert len(deployment.forwarders) == FORWARDERS
 
     run(work())
