--- a/sandhatch/planning/__init__.py
+++ b/sandhatch/planning/__init__.py
@@ -1,5 +1,6 @@
-"""Forwarders and planners: the link between them, what a planner advises, and what a forwarder applies.
+"""Forwarders and planners: the link between them, the advice of a planner, and its use by a forwarder.
 
-Planners see the load that all forwarders of a tier report, and advise each of them; a tier works without any.
-Everything that decides is a state machine without I/O and clock. Source: docs/design/planning.md.
+Planners receive load reports from all forwarders of a tier and advise each of them; a tier also works without
+planners. All decisions are made by state machines that do no I/O and read no clock. Source:
+docs/design/planning.md.
 """
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -1,6 +1,6 @@
-"""What the forwarder's state machine asks its link to do.
+"""Actions that the forwarder's state machine requests of its link.
 
-Plain values, handed from `sandhatch.planning.forwarder` to the code that owns sockets and balancers. No I/O,
+Plain values, returned by `sandhatch.planning.forwarder` to the code that owns sockets and balancers. No I/O,
 no clock.
 """
 
@@ -22,9 +22,9 @@
 
 @dataclass(slots=True, frozen=True)
 class NotifyBalancer:
-    """Hand an event to a pool's balancer.
+    """Pass an event to a pool's balancer.
 
-    If the balancer rejects it, `Forwarder.guidance_rejected` must be called.
+    If the balancer rejects the event, `Forwarder.guidance_rejected` must be called.
     """
 
     pool: str
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndSession:
-    """End the session with a planner; `why` is sent to it."""
+    """End the session with a planner; the reason, `why`, is sent to the planner."""
 
     planner: str
     why: str
--- a/sandhatch/planning/backoff.py
+++ b/sandhatch/planning/backoff.py
@@ -1,6 +1,6 @@
 """Exponential backoff: delays between attempts, which double up to a bound.
 
-No I/O, no clock: it gives durations, and the caller waits. Source: "Exponential Backoff And Jitter" (AWS
+No I/O, no clock: delays are returned, and the caller waits. Source: "Exponential Backoff And Jitter" (AWS
 Architecture Blog, 2015).
 """
 
@@ -8,30 +8,30 @@
 
 from random import Random
 
-MAX_DOUBLINGS = 16
+MAX_DOUBLINGS = 16  # limit of the exponent, so that any number of failures gives a finite power
 
 
 def backoff_bound_ms(min_ms: float, max_ms: float, failures: int) -> float:
-    """The longest delay after this number of earlier failures.
+    """The upper bound of the delay after a failure.
 
     Args:
         min_ms: Delay after the first failure.
-        max_ms: Bound of all delays.
-        failures: Number of failures before this one.
+        max_ms: Upper bound of all delays.
+        failures: Number of consecutive failures before the latest one.
     """
     return min(max_ms, min_ms * 2.0 ** min(failures, MAX_DOUBLINGS))
 
 
 class Backoff:
-    """Delays that grow until `reset`, each drawn between half the minimum and the present bound."""
+    """Delays whose bound doubles until `reset`, each drawn between half the minimum and the current bound."""
 
     def __init__(self, min_ms: float, max_ms: float, rng: Random) -> None:
         """Start at the minimum.
 
         Args:
-            min_ms: Bound of the first delay.
-            max_ms: Bound of all delays.
-            rng: Source of the jitter.
+            min_ms: Upper bound of the first delay.
+            max_ms: Upper bound of all delays.
+            rng: Random source of the jitter.
         """
         self._min_ms = min_ms
         self._max_ms = max_ms
@@ -45,5 +45,5 @@
         return self._rng.uniform(self._min_ms / 2.0, bound_ms)
 
     def reset(self) -> None:
-        """Start at the minimum again, after a connection that was of use."""
+        """Start at the minimum again, once a connection has proven usable."""
         self._attempts = 0
--- a/sandhatch/planning/errors.py
+++ b/sandhatch/planning/errors.py
@@ -1,17 +1,17 @@
 """Errors of the planning link: keys, messages, sessions and reports.
 
-Each message says which file, name or value is wrong. Nothing here does I/O.
+Each message names the file, name or value that is wrong. No I/O.
 """
 
 from __future__ import annotations
 
 
 class BadKeyError(ValueError):
-    """A key cannot be used; the message names the file or the peer, and the reason."""
+    """A key cannot be used; the message gives the file or the peer, and the reason."""
 
 
 class BadMessageError(ValueError):
-    """A payload is not a message of this protocol; the message says what is wrong with it."""
+    """A payload is not a message of this protocol; the error's text gives the reason."""
 
 
 class InvalidReportError(ValueError):
@@ -19,17 +19,17 @@
 
 
 class SessionError(Exception):
-    """The peer is not authenticated or violated the protocol; the session cannot be used any more."""
+    """The peer is not authenticated or violated the protocol; the session is unusable from then on."""
 
 
-class EpochOverError(SessionError):
-    """A forwarder has seen a later epoch of this planner: this process started with an earlier time.
+class SupersededEpochError(SessionError):
+    """A forwarder has seen a higher epoch of this planner: the system's time was set back before it started.
 
     Attributes:
         known_epoch: The highest epoch of this planner that the forwarder has seen.
     """
 
     def __init__(self, known_epoch: int) -> None:
-        """Record the epoch that the forwarder reported."""
-        super().__init__(f"a forwarder knows of epoch {known_epoch}")
+        """Store the epoch that the forwarder reported."""
+        super().__init__(f"a forwarder has seen the higher epoch {known_epoch}")
         self.known_epoch = known_epoch
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -1,8 +1,8 @@
-"""The forwarder's state machine: what it reports, which advice it applies, whom it leases its shares to.
+"""The forwarder's state machine: its reports, the advice it applies, and the lease of its own shares.
 
-Every planner gets reports, and every one's weights are used (`sandhatch.balancing.guidance` takes their
-median). Without a healthy planner the forwarder uses its own shares once their lease has ended. Events and
-ticks in, actions out; no I/O, no clock. Source: docs/design/planning.md.
+Reports go to every planner, and the weights of all planners are used (`sandhatch.balancing.guidance` takes
+their median). Without a healthy planner the forwarder uses its own shares once their lease has ended. Events
+and ticks in, actions out; no I/O, no clock. Source: docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 from sandhatch.planning.pool_reporter import PoolReporter
 from sandhatch.planning.terms import ForwarderTerms
 
-MAX_SPAN_MS = 3_600_000.0  # that a report may state
+MAX_SPAN_MS = 3_600_000.0  # maximum `span_ms` that the schema of a report accepts
 REPORT_OVERHEAD_BYTES = 64
 POOL_OVERHEAD_BYTES = 32
-MAX_LOGGED_FAULTS = 3  # of each planner; the status shows the later ones
+MAX_LOGGED_FAULTS = 3  # faults logged per planner; later ones are visible only in the status
 
 
 @dataclass
 class _Pool:
-    """A pool, with the settings in force."""
+    """A pool with its current settings."""
 
     name: str
     settings: Settings
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _AppliedAdvice:
-    """What holds for all pools of one piece of advice."""
+    """The part of a planner's advice that is common to all pools."""
 
     peer: PlannerPeer
     report_sent_ms: float
@@ -54,8 +54,8 @@
 
     Attributes:
         name: The forwarder's name.
-        terms: Its settings.
-        peers: The planners by name, in the order in which they are preferred.
+        terms: The forwarder's settings.
+        peers: The planners by name, in order of preference.
         pools: The pools by name.
     """
 
@@ -71,11 +71,11 @@
 
         Args:
             name: The forwarder's name.
-            planners: Names of the planners, in the order in which they are preferred.
-            now_ms: The time.
-            terms: The settings.
-            quiet_ms: How long after the start a lease of an earlier process of this forwarder may be valid;
-                by default the longest lease that is accepted.
+            planners: Names of the planners, in order of preference.
+            now_ms: Current time.
+            terms: The forwarder's settings.
+            quiet_ms: Time after the start in which a lease of an earlier process of this forwarder may still
+                be valid; by default the longest lease that is accepted.
         """
         self.name = name
         self.terms = terms or ForwarderTerms()
@@ -83,26 +83,26 @@
         self.pools: dict[str, _Pool] = {}
         quiet_ms = self.terms.max_lease_ms * (1.0 + CLOCK_DRIFT) if quiet_ms is None else quiet_ms
         self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + quiet_ms)
-        self._ramp_shares: dict[str, Sequence[RampShare]] = {}  # granted last, by pool
+        self._last_ramp_shares: dict[str, Sequence[RampShare]] = {}  # most recent grants, by pool
         self._ramp_shares_until_ms = -math.inf
 
     @property
     def leased_to(self) -> str | None:
-        """The planner that this forwarder's own shares are leased to; None for none."""
+        """The lease holder of this forwarder's own shares; None if they are not leased."""
         return self._selection.lessee
 
     @property
     def leased_until_ms(self) -> float:
-        """Until then other forwarders may use this forwarder's own shares."""
+        """Time until which other forwarders may use this forwarder's own shares."""
         return self._selection.leased_until_ms
 
     # ------------------------------------------------ pools and sessions
 
     def add_pool(self, name: str, settings: Settings, observer: Observer) -> list[Action]:
-        """Add a pool, or another version of it; its balancer must know at once what is leased."""
-        known = self.pools.get(name)
-        if known is not None and known.observer is observer:
-            known.settings = settings
+        """Add a pool, or replace its settings; its balancer is notified at once of the current lease."""
+        existing = self.pools.get(name)
+        if existing is not None and existing.observer is observer:
+            existing.settings = settings
         else:
             self.drop_pool(name)
             self.pools[name] = _Pool(name, settings, observer)
@@ -121,21 +121,21 @@
                 reporter.close()
 
     def connected(self, planner: str, epoch: int, now_ms: float) -> list[Action]:
-        """A session with a planner begins; one of an earlier epoch than was seen of it is rejected."""
+        """Start a session with a planner; an epoch below the highest one seen of that planner is rejected."""
         peer = self.peers[planner]
         if epoch < peer.epoch:
             reason = f"epoch {epoch} is before {peer.epoch}"
-            return [*self._fault(peer, reason, now_ms), EndSession(planner, reason)]
+            return [*self._record_fault(peer, reason, now_ms), EndSession(planner, reason)]
         reporters = {name: pool.observer.new_reporter() for name, pool in self.pools.items()}
         peer.begin_session(epoch, reporters, self.terms.bytes_per_s, now_ms)
         return []
 
     def disconnected(self, planner: str) -> None:
-        """The session has ended; what was advised counts until it expires."""
+        """Record that the session has ended; applied advice stays valid until it expires."""
         self.peers[planner].end_session()
 
     def may_connect(self, planner: str, now_ms: float) -> bool:
-        """Whether the planner's circuit is closed."""
+        """Whether the planner's circuit is closed, so that a connection may be attempted."""
         return now_ms >= self.peers[planner].backoff_until_ms
 
     # ------------------------------------------------ advice
@@ -148,38 +148,42 @@
         peer.advices += 1
         rejection_reason = peer.rejection_reason(advice, self.terms.max_lease_ms)
         if rejection_reason is not None:
-            return self._fault(peer, rejection_reason, now_ms)
+            return self._record_fault(peer, rejection_reason, now_ms)
         peer.version = advice.version
-        sent_ms = peer.report_sent_ms(advice.answered_serial)
-        if sent_ms is None:
+        report_sent_ms = peer.report_sent_ms(advice.answered_serial)
+        if report_sent_ms is None:
             reason = f"advice {advice.version} answers report {advice.answered_serial}, unknown"
-            return self._fault(peer, reason, now_ms)
-        until_ms = sent_ms + advice.lease_ms * (1.0 - CLOCK_DRIFT)
-        if now_ms >= until_ms:
-            peer.expired(advice.version, now_ms - sent_ms)
+            return self._record_fault(peer, reason, now_ms)
+        valid_until_ms = report_sent_ms + advice.lease_ms * (1.0 - CLOCK_DRIFT)
+        if now_ms >= valid_until_ms:
+            peer.expired(advice.version, now_ms - report_sent_ms)
             return []
-        actions = self._note(peer, advice.note) if advice.note else []
-        peer.apply(advice, until_ms, now_ms)
+        actions = self._log_note(peer, advice.note) if advice.note else []
+        peer.apply(advice, valid_until_ms, now_ms)
         has_lease = advice.has_lease and self.leased_to == planner
-        applied = _AppliedAdvice(peer, sent_ms, until_ms, has_lease)
+        applied = _AppliedAdvice(peer, report_sent_ms, valid_until_ms, has_lease)
         for pool_advice in advice.pools:
             pool = self.pools.get(pool_advice.pool)
             reporter = peer.reporters.get(pool_advice.pool)
             if pool is not None and reporter is not None:
-                actions.append(NotifyBalancer(pool.name, self._guidance(applied, pool_advice, reporter)))
+                actions.append(
+                    NotifyBalancer(pool.name, self._create_guidance(applied, pool_advice, reporter))
+                )
         if has_lease:
-            self._ramp_shares_until_ms = until_ms
+            self._ramp_shares_until_ms = valid_until_ms
         return actions
 
-    def _guidance(self, applied: _AppliedAdvice, pool_advice: PoolAdvice, reporter: PoolReporter) -> Guidance:
-        """The advice on one pool, by the balancer's numbers of the servers."""
+    def _create_guidance(
+        self, applied: _AppliedAdvice, pool_advice: PoolAdvice, reporter: PoolReporter
+    ) -> Guidance:
+        """Convert the advice on one pool to the balancer's server numbers."""
         weights = None
         if pool_advice.weights is not None:
-            weights = _server_weights(pool_advice.weights, reporter)
+            weights = _to_server_weights(pool_advice.weights, reporter)
         ramp_shares: list[RampShare] = []
         if applied.has_lease:
-            ramp_shares = _ramp_shares(pool_advice.ramp_shares, reporter)
-            self._ramp_shares[pool_advice.pool] = ramp_shares
+            ramp_shares = _to_ramp_shares(pool_advice.ramp_shares, reporter)
+            self._last_ramp_shares[pool_advice.pool] = ramp_shares
         return Guidance(
             applied.peer.name,
             applied.report_sent_ms,
@@ -191,25 +195,25 @@
             pool_advice.own_share if applied.has_lease else None,
         )
 
-    def guidance_rejected(self, planner: str, why: str, now_ms: float) -> list[Action]:
-        """A balancer rejected what this planner advised last."""
+    def guidance_rejected(self, planner: str, reason: str, now_ms: float) -> list[Action]:
+        """Record that a balancer rejected the planner's last advice, which is then not acknowledged."""
         peer = self.peers[planner]
         peer.revert()
-        return self._fault(peer, why, now_ms)
+        return self._record_fault(peer, reason, now_ms)
 
-    def protocol_violated(self, planner: str, why: str, now_ms: float) -> list[Action]:
-        """A planner has violated the protocol."""
-        return self._fault(self.peers[planner], why, now_ms)
+    def protocol_violated(self, planner: str, reason: str, now_ms: float) -> list[Action]:
+        """Record a planner's violation of the protocol as a fault."""
+        return self._record_fault(self.peers[planner], reason, now_ms)
 
     @staticmethod
-    def _note(peer: PlannerPeer, note: str) -> list[Action]:
-        """Log a planner's note, once."""
+    def _log_note(peer: PlannerPeer, note: str) -> list[Action]:
+        """Log a planner's note, unless it repeats the previous one."""
         if note == peer.last_reason:
             return []
         peer.last_reason = note
         return [LogLine(f"planner {peer.name}: {note}")]
 
-    def _fault(self, peer: PlannerPeer, reason: str, now_ms: float) -> list[Action]:
+    def _record_fault(self, peer: PlannerPeer, reason: str, now_ms: float) -> list[Action]:
         backoff_ms = peer.record_fault(reason, now_ms, self.terms)
         actions: list[Action] = []
         if peer.faults <= MAX_LOGGED_FAULTS:
@@ -225,17 +229,17 @@
     # ------------------------------------------------ reports
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Select a planner and send the reports that are due; to be called several times an interval."""
-        change = self._selection.update(now_ms)
-        actions: list[Action] = [] if change is None else [LogLine(change)]
+        """Select the lease holder and send due reports; to be called several times per report interval."""
+        selection_change = self._selection.update(now_ms)
+        actions: list[Action] = [] if selection_change is None else [LogLine(selection_change)]
         for peer in self.peers.values():
             if not peer.connected:
                 continue
             if peer.report_now or now_ms - peer.reported_ms >= self.terms.report_ms:
-                actions += self._report(peer, now_ms)
+                actions += self._create_report(peer, now_ms)
         return actions
 
-    def _report(self, peer: PlannerPeer, now_ms: float) -> list[Action]:
+    def _create_report(self, peer: PlannerPeer, now_ms: float) -> list[Action]:
         span_ms = now_ms - peer.reported_ms
         serial = peer.next_serial(self.terms.bytes_per_s, now_ms)
         leases_shares = self.leased_to == peer.name
@@ -250,12 +254,12 @@
                 actions += [
                     NotifyBalancer(pool, OwnSharesLeased(self.leased_until_ms)) for pool in self.pools
                 ]
-        self._add_pools(report, peer, now_ms)
+        self._add_pool_reports(report, peer, now_ms)
         actions.append(SendReport(peer.name, report))
         return actions
 
-    def _add_pools(self, report: Report, peer: PlannerPeer, now_ms: float) -> None:
-        """Add all pools to a report, within the peer's credit of bytes."""
+    def _add_pool_reports(self, report: Report, peer: PlannerPeer, now_ms: float) -> None:
+        """Add all pools to a report, within the peer's byte budget."""
         budget_bytes = int(peer.credit_bytes) - REPORT_OVERHEAD_BYTES
         for name, pool in self.pools.items():
             pool_budget_bytes = max(0, budget_bytes - POOL_OVERHEAD_BYTES)
@@ -273,18 +277,18 @@
     def _previous_grants(self, pool: str, peer: PlannerPeer, now_ms: float) -> list[RampShareRow]:
         """Ramp shares to report to a planner whose previous incarnation granted them.
 
-        They stay valid, so the new incarnation must know of them before it grants anything.
+        These shares stay valid, so the new incarnation must count them before it grants any.
         """
         was_lessee = self._selection.last_lessee == peer.name
         if not (peer.learning and was_lessee and now_ms < self._ramp_shares_until_ms):
             return []
-        shares = self._ramp_shares.get(pool, ())
+        shares = self._last_ramp_shares.get(pool, ())
         return [RampShareRow(share.server, share.rate, share.burst) for share in shares]
 
     # ------------------------------------------------ for operators
 
     def status(self, now_ms: float) -> dict[str, Any]:
-        """The link, as values for JSON; the keys are part of the interface of `sandhatch status`."""
+        """Status of the links as JSON values; the keys are part of the interface of `sandhatch status`."""
         own_shares_in_ms = None
         if self.leased_to is None:
             own_shares_in_ms = max(0, round(self.leased_until_ms - now_ms))
@@ -296,8 +300,8 @@
         }
 
 
-def _server_weights(rows: Iterable[WeightRow], reporter: PoolReporter) -> list[ServerWeight]:
-    """Weights by the balancer's numbers; servers that the session has not named are left out."""
+def _to_server_weights(rows: Iterable[WeightRow], reporter: PoolReporter) -> list[ServerWeight]:
+    """Convert weights to the balancer's server numbers; servers not named in the session are omitted."""
     weights = []
     for row in rows:
         server = reporter.server_of(row.server)
@@ -306,8 +310,8 @@
     return weights
 
 
-def _ramp_shares(rows: Iterable[RampShareRow], reporter: PoolReporter) -> list[RampShare]:
-    """Ramp shares by the balancer's numbers; servers that the session has not named are left out."""
+def _to_ramp_shares(rows: Iterable[RampShareRow], reporter: PoolReporter) -> list[RampShare]:
+    """Convert ramp shares to the balancer's server numbers; servers not named in the session are omitted."""
     ramp_shares = []
     for row in rows:
         server = reporter.server_of(row.server)
--- a/sandhatch/planning/keys.py
+++ b/sandhatch/planning/keys.py
@@ -1,6 +1,6 @@
 """Authentication on the planning link: one shared key, or an Ed25519 key for each peer.
 
-Reads key files; proofs are computed without I/O. Sources: HMAC (RFC 2104), Ed25519 (RFC 8032),
+Key files are read here; proofs are computed without I/O. Sources: HMAC (RFC 2104), Ed25519 (RFC 8032),
 docs/planning-link.md.
 """
 
@@ -21,34 +21,34 @@
 
 MIN_SHARED_KEY_BYTES = 16
 MAX_KEY_FILE_BYTES = 4_096
-OTHERS_PERMISSIONS = 0o077  # mode bits of a key file that must not be set
+FORBIDDEN_MODE_BITS = 0o077  # mode bits of group and others, which a key file must not have
 
-# Context string of a proof. It is on the wire, named by docs/planning-link.md: it keeps the project's former
-# name, since peers of both names must accept each other.
+# Context string of a proof, part of the wire protocol (docs/planning-link.md). It contains the project's
+# former name, since peers of both names must accept each other.
 PROOF_CONTEXT = b"larkweir "
 
 
 class Identity(Protocol):
-    """Proves this peer's name to others, and verifies theirs."""
+    """Proves this peer's identity to other peers, and verifies theirs."""
 
     @property
     def method(self) -> str:
-        """Name of the method, which both peers must use."""
+        """Name of the authentication method, which must be the same at both peers."""
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
-        """A proof of this peer's key over a handshake's transcript."""
+        """Compute a proof of this peer's key over a handshake's transcript."""
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:
-        """Whether a proof is that of the peer of this name."""
+        """Whether a proof was made by the peer with this name."""
 
 
 def _covered_bytes(role: bytes, transcript: bytes) -> bytes:
-    """What a proof covers."""
+    """The bytes that a proof covers."""
     return PROOF_CONTEXT + role + b"\0" + transcript
 
 
 class SharedKey:
-    """HMAC-SHA256 with a key that all peers have; any of them can pass for any other."""
+    """HMAC-SHA256 with a key that all peers share; any of them can impersonate any other."""
 
     method = "shared"
 
@@ -59,20 +59,22 @@
             BadKeyError: The key is too short.
         """
         if len(key) < MIN_SHARED_KEY_BYTES:
-            raise BadKeyError(f"a shared key of {len(key)} bytes; {MIN_SHARED_KEY_BYTES} are the least")
+            raise BadKeyError(
+                f"shared key has {len(key)} bytes; at least {MIN_SHARED_KEY_BYTES} are required"
+            )
         self._key = key
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
-        """A proof of the key over a handshake's transcript."""
+        """Compute a proof of the key over a handshake's transcript."""
         return hmac.digest(self._key, _covered_bytes(role, transcript), sha256)
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:  # noqa: ARG002 - part of the protocol
-        """Whether a proof was made with the key; the name is not covered by it."""
+        """Whether a proof was made with the shared key; the proof does not cover the name."""
         return hmac.compare_digest(self.prove(role, transcript), proof)
 
 
 class OwnKey:
-    """Ed25519 with this peer's private key and the public keys of the others."""
+    """Ed25519 with this peer's private key and the public keys of the other peers."""
 
     method = "ed25519"
 
@@ -84,20 +86,20 @@
             peers: Public keys of the other peers, by name.
 
         Raises:
-            BadKeyError: One of them is not an Ed25519 key.
+            BadKeyError: One of the keys is not an Ed25519 key.
         """
         try:
             self._private = Ed25519PrivateKey.from_private_bytes(private)
             self._peers = {name: Ed25519PublicKey.from_public_bytes(key) for name, key in peers.items()}
-        except ValueError as problem:
-            raise BadKeyError(f"not an Ed25519 key: {problem}") from None
+        except ValueError as error:
+            raise BadKeyError(f"not an Ed25519 key: {error}") from None
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
-        """A signature over a handshake's transcript."""
+        """Compute a signature over a handshake's transcript."""
         return self._private.sign(_covered_bytes(role, transcript))
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:
-        """Whether a proof is a signature of the peer of this name."""
+        """Whether a proof is a valid signature of the peer with this name."""
         key = self._peers.get(name)
         if key is None:
             return False
@@ -118,19 +120,19 @@
         with Path(path).open("rb") as file:
             mode = os.fstat(file.fileno()).st_mode
             text = file.read(MAX_KEY_FILE_BYTES)
-    except OSError as problem:
-        raise BadKeyError(f"{path}: {problem.strerror}") from None
-    if stat.S_IMODE(mode) & OTHERS_PERMISSIONS:
-        raise BadKeyError(f"{path}: others may read it; its mode must be 0600")
+    except OSError as error:
+        raise BadKeyError(f"{path}: {error.strerror}") from None
+    if stat.S_IMODE(mode) & FORBIDDEN_MODE_BITS:
+        raise BadKeyError(f"{path}: readable by other users; the mode of a key file must be 0600")
     return parse_key(text.decode("latin-1"), path)
 
 
-def parse_key(text: str, where: str) -> bytes:
-    """A key from hexadecimal digits.
+def parse_key(text: str, source: str) -> bytes:
+    """Parse a key from hexadecimal digits.
 
     Args:
         text: The digits; white space around them is ignored.
-        where: Where they are from, for the error.
+        source: Origin of the text, for the error message.
 
     Raises:
         BadKeyError: The text is not hexadecimal.
@@ -138,11 +140,11 @@
     try:
         return bytes.fromhex(text.strip())
     except ValueError:
-        raise BadKeyError(f"{where}: not hexadecimal") from None
+        raise BadKeyError(f"{source}: key is not hexadecimal") from None
 
 
 def new_private_key() -> bytes:
-    """A new Ed25519 private key."""
+    """Generate an Ed25519 private key."""
     return Ed25519PrivateKey.generate().private_bytes_raw()
 
 
@@ -154,16 +156,16 @@
     """
     try:
         return Ed25519PrivateKey.from_private_bytes(private).public_key().public_bytes_raw()
-    except ValueError as problem:
-        raise BadKeyError(f"not an Ed25519 key: {problem}") from None
+    except ValueError as error:
+        raise BadKeyError(f"not an Ed25519 key: {error}") from None
 
 
 def identity(shared_file: str | None, private_file: str | None, peers: Mapping[str, str]) -> Identity:
-    """This peer's identity, from key files.
+    """Load this peer's identity from key files.
 
     Args:
-        shared_file: File of a shared key; used if it is given.
-        private_file: File of an Ed25519 private key.
+        shared_file: Path of a shared key; takes precedence over the private key.
+        private_file: Path of an Ed25519 private key.
         peers: Public keys of the other peers in hexadecimal digits, by name.
 
     Raises:
@@ -172,6 +174,6 @@
     if shared_file is not None:
         return SharedKey(read_key(shared_file))
     if private_file is None:
-        raise BadKeyError("no key file is named")
-    keys = {name: parse_key(text, f"the public key of {name}") for name, text in peers.items()}
+        raise BadKeyError("no key file is configured: expected a shared key or a private key")
+    keys = {name: parse_key(text, f"public key of {name}") for name, text in peers.items()}
     return OwnKey(read_key(private_file), keys)
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -1,7 +1,8 @@
 """The forwarder's connections to its planners: timers and sockets around `Forwarder`.
 
-Nothing here may delay a request, whatever a planner does: what it sends is bounded in size and rate, what is
-sent to it in bytes per second, and one that does not read is disconnected. Source: docs/design/planning.md.
+Planners cannot delay a request: the messages of a planner are bounded in size and rate, reports to it are
+bounded in bytes per second, and a planner that does not read is disconnected. Source:
+docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from sandhatch.balancing.actions import Action as Decision
+from sandhatch.balancing.actions import Action as BalancerAction
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Event, Guidance, ListUpdate, OwnSharesLeased
 from sandhatch.balancing.settings import Settings
@@ -35,38 +36,38 @@
 
 
 class BalancerObserver(Protocol):
-    """Receives what a dispatcher's balancer does; see `observer.Observer`."""
+    """Receives the events and actions of a dispatcher's balancer; see `observer.Observer`."""
 
-    def on_event(self, event: Event, actions: Sequence[Decision]) -> None:
-        """The balancer received an event and answered with these actions."""
+    def on_event(self, event: Event, actions: Sequence[BalancerAction]) -> None:
+        """The balancer received an event and returned these actions."""
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
         """The balancer received an endpoint list."""
 
 
 class GuidedDispatcher(Protocol):
-    """A pool's dispatcher, as far as the link needs it."""
+    """The interface of a pool's dispatcher that the link uses."""
 
     observer: BalancerObserver | None
 
     def on_guidance_rejected(self, callback: Callable[[GuidanceRejected], None], /) -> None:
-        """Call back whenever the balancer rejects guidance."""
+        """Register a callback for guidance that the balancer rejects."""
 
     def apply_guidance(self, event: Guidance | OwnSharesLeased, /) -> None:
-        """Hand an event to the balancer."""
+        """Pass an event to the balancer."""
 
     def observe(self, observer: BalancerObserver, /) -> None:
-        """Notify this observer from now on, beginning with the present endpoint list."""
+        """Notify this observer from now on, beginning with the current endpoint list."""
 
 
-class _RemainingAttempts:
-    """Observes the attempts that a replaced dispatcher still has in flight, and not its endpoint list."""
+class _ReplacedDispatcherObserver:
+    """Observes the attempts that a replaced dispatcher still has in flight, but not its endpoint list."""
 
     def __init__(self, observer: Observer) -> None:
         self.on_event = observer.on_event
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
-        """Ignore it: the list belongs to the dispatcher that replaced this one."""
+        """Ignore the list: the dispatcher that replaced this one reports its own."""
 
 
 class ForwarderLink:
@@ -74,7 +75,7 @@
 
     Attributes:
         clock: The process's clock.
-        forwarder: The state machine that decides.
+        forwarder: The state machine that makes the decisions.
     """
 
     def __init__(
@@ -92,12 +93,12 @@
 
         Args:
             name: The forwarder's name.
-            planners: Addresses by name, in the order in which the planners are preferred.
+            planners: Addresses by name, in order of preference.
             identity: The forwarder's key.
             clock: The process's clock.
             log: Writes a line to the log.
-            terms: The settings.
-            seed: Seed of the jitter of reconnects.
+            terms: The forwarder's settings.
+            seed: Seed of the reconnect jitter.
             quiet_ms: See `Forwarder`.
         """
         self.clock = clock
@@ -112,11 +113,11 @@
         rng = Random(f"{seed} {name}")
         self._backoff = {planner: Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS, rng) for planner in planners}
         self._reconnect_ms = dict.fromkeys(planners, 0.0)
-        self._logged_reasons: dict[str, str] = {}  # the last reason logged, by planner
+        self._last_logged_reasons: dict[str, str] = {}  # keyed by planner name
         self._stopped = False
 
     def start(self) -> None:
-        """Begin to connect and to report."""
+        """Start connecting and reporting."""
         self._tick()
 
     def stop(self) -> None:
@@ -126,26 +127,26 @@
             task.cancel()
         for connection in list(self._connections.values()):
             if connection.established:
-                connection.session.bye("the forwarder stops")
+                connection.session.send_bye("the forwarder stops")
             connection.close("the forwarder stops")
 
     # ------------------------------------------------ pools
 
     def attach(self, pool: str, dispatcher: GuidedDispatcher, settings: Settings) -> None:
-        """Add a pool's dispatcher, or replace it; attempts of the one before are still observed."""
+        """Add a pool's dispatcher, or replace it; attempts of the replaced one are still observed."""
         observer = self._observers.get(pool)
         names = [request_class.name for request_class in settings.classes]
-        if observer is None or not observer.fits(names, settings.warm_up_ms):
+        if observer is None or not observer.is_compatible(names, settings.warm_up_ms):
             observer = self._observers[pool] = Observer(names, settings.warm_up_ms)
-        before = self._dispatchers.get(pool)
-        if before is dispatcher:
+        previous = self._dispatchers.get(pool)
+        if previous is dispatcher:
             return
-        if before is not None:
-            before.observer = _RemainingAttempts(observer)
+        if previous is not None:
+            previous.observer = _ReplacedDispatcherObserver(observer)
         self._dispatchers[pool] = dispatcher
         dispatcher.on_guidance_rejected(self._on_guidance_rejected)
         dispatcher.observe(observer)
-        self._carry_out(self.forwarder.add_pool(pool, settings, observer))
+        self._execute(self.forwarder.add_pool(pool, settings, observer))
 
     def detach(self, pool: str) -> None:
         """Remove a pool."""
@@ -159,7 +160,7 @@
         return list(self._dispatchers)
 
     def _on_guidance_rejected(self, rejected: GuidanceRejected) -> None:
-        self._carry_out(self.forwarder.guidance_rejected(rejected.planner, rejected.why, self.clock.now_ms()))
+        self._execute(self.forwarder.guidance_rejected(rejected.planner, rejected.why, self.clock.now_ms()))
 
     # ------------------------------------------------ timers and actions
 
@@ -168,14 +169,14 @@
             return
         now_ms = self.clock.now_ms()
         for planner in self._addresses:
-            is_idle = planner not in self._connections and planner not in self._connecting
+            is_unconnected = planner not in self._connections and planner not in self._connecting
             is_due = now_ms >= self._reconnect_ms[planner]
-            if is_idle and is_due and self.forwarder.may_connect(planner, now_ms):
+            if is_unconnected and is_due and self.forwarder.may_connect(planner, now_ms):
                 self._connect(planner)
-        self._carry_out(self.forwarder.tick(now_ms))
+        self._execute(self.forwarder.tick(now_ms))
         self.clock.call_after(TICK_MS, self._tick)
 
-    def _carry_out(self, actions: Sequence[Action]) -> None:
+    def _execute(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
                 case SendReport():
@@ -197,7 +198,7 @@
     def _end_session(self, action: EndSession) -> None:
         connection = self._connections.get(action.planner)
         if connection is not None:
-            connection.session.bye(action.why)
+            connection.session.send_bye(action.why)
             connection.close(action.why)
 
     # ------------------------------------------------ connections
@@ -215,51 +216,51 @@
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_MS / 1000.0):
                 host, port = self._addresses[planner]
                 await asyncio.get_running_loop().create_connection(create_protocol, host, port)
-        except OSError as problem:
-            self._reconnect_later(planner, problem.strerror or str(problem) or "no connection in time")
+        except OSError as error:
+            self._schedule_reconnect(planner, error.strerror or str(error) or "connect timed out")
 
-    def _reconnect_later(self, planner: str, why: str) -> None:
+    def _schedule_reconnect(self, planner: str, reason: str) -> None:
         self._reconnect_ms[planner] = self.clock.now_ms() + self._backoff[planner].next_ms()
-        if self._logged_reasons.get(planner) != why:
-            self._logged_reasons[planner] = why
-            self._log(f"planner {planner}: {why}")
+        if self._last_logged_reasons.get(planner) != reason:
+            self._last_logged_reasons[planner] = reason
+            self._log(f"planner {planner}: {reason}")
 
-    def opened(self, connection: PlannerConnection) -> None:
-        """Keep an open connection.
+    def on_opened(self, connection: PlannerConnection) -> None:
+        """Register an open connection.
 
-        Called by the connection itself, not when `create_connection` returns: by then it may have ended, and
-        would be kept for ever.
+        Called by the connection itself, not after `create_connection` returns: by then the connection may
+        have ended, and would stay registered for ever.
         """
         self._connections[connection.planner] = connection
 
-    def connected(self, connection: PlannerConnection, event: Established) -> None:
-        """A connection's handshake is complete."""
-        self._logged_reasons.pop(connection.planner, None)
+    def on_established(self, connection: PlannerConnection, event: Established) -> None:
+        """Start the session of a connection whose handshake is complete."""
+        self._last_logged_reasons.pop(connection.planner, None)
         now_ms = self.clock.now_ms()
-        self._carry_out(self.forwarder.connected(connection.planner, event.epoch, now_ms))
+        self._execute(self.forwarder.connected(connection.planner, event.epoch, now_ms))
 
-    def advised(self, connection: PlannerConnection, advice: Advice) -> None:
-        """A connection received advice."""
+    def on_advice(self, connection: PlannerConnection, advice: Advice) -> None:
+        """Apply advice that a connection received."""
         self._backoff[connection.planner].reset()
-        self._carry_out(self.forwarder.advice(connection.planner, advice, self.clock.now_ms()))
+        self._execute(self.forwarder.advice(connection.planner, advice, self.clock.now_ms()))
 
-    def broken(self, connection: PlannerConnection, why: str) -> None:
-        """A connection's planner violated the protocol; before its key is proven, that is no fault of its."""
+    def on_protocol_violated(self, connection: PlannerConnection, reason: str) -> None:
+        """Record a violation of the protocol; it is the planner's fault only once its key is proven."""
         if connection.established:
-            self._carry_out(self.forwarder.protocol_violated(connection.planner, why, self.clock.now_ms()))
+            self._execute(self.forwarder.protocol_violated(connection.planner, reason, self.clock.now_ms()))
 
-    def closed(self, connection: PlannerConnection, why: str) -> None:
-        """A connection has ended."""
+    def on_closed(self, connection: PlannerConnection, reason: str) -> None:
+        """Remove a connection that has ended, and schedule the next one."""
         if self._connections.get(connection.planner) is connection:
             del self._connections[connection.planner]
         if connection.established:
             connection.established = False
             self.forwarder.disconnected(connection.planner)
         if not self._stopped:
-            self._reconnect_later(connection.planner, why)
+            self._schedule_reconnect(connection.planner, reason)
 
     # ------------------------------------------------ for operators
 
     def status(self) -> dict[str, Any]:
-        """The links, as values for JSON; see `Forwarder.status`."""
+        """Status of the links as JSON values; see `Forwarder.status`."""
         return self.forwarder.status(self.clock.now_ms())
--- a/sandhatch/planning/link_connection.py
+++ b/sandhatch/planning/link_connection.py
@@ -1,7 +1,7 @@
 """One connection of a forwarder to a planner.
 
-It decides nothing: it hands events to its owner and ends when the planner exceeds a bound. Source:
-docs/planning-link.md.
+A connection makes no decisions: it passes events to its owner and closes when the planner exceeds a bound.
+Source: docs/planning-link.md.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from sandhatch.planning.session import Established, Event, ForwarderSession
 from sandhatch.runtime.clock import Clock
 
-PLANNER_BYTES_PER_S = 2.0e6
+MAX_PLANNER_BYTES_PER_S = 2.0e6
 
 
 class ConnectionOwner(Protocol):
-    """What a connection reports to; see `link.ForwarderLink`."""
+    """Receives the events of a connection; see `link.ForwarderLink`."""
 
     clock: Clock
 
-    def opened(self, connection: PlannerConnection) -> None:
+    def on_opened(self, connection: PlannerConnection) -> None:
         """The connection is open; the handshake has not begun."""
 
-    def connected(self, connection: PlannerConnection, event: Established) -> None:
+    def on_established(self, connection: PlannerConnection, event: Established) -> None:
         """The handshake is complete."""
 
-    def advised(self, connection: PlannerConnection, advice: Advice) -> None:
+    def on_advice(self, connection: PlannerConnection, advice: Advice) -> None:
         """Advice was received."""
 
-    def broken(self, connection: PlannerConnection, why: str) -> None:
+    def on_protocol_violated(self, connection: PlannerConnection, reason: str) -> None:
         """The planner violated the protocol."""
 
-    def closed(self, connection: PlannerConnection, why: str) -> None:
+    def on_closed(self, connection: PlannerConnection, reason: str) -> None:
         """The connection has ended."""
 
 
@@ -52,7 +52,7 @@
 
     def __init__(self, owner: ConnectionOwner, planner: str, session: ForwarderSession) -> None:
         """Prepare a connection; asyncio opens it."""
-        super().__init__(session, owner.clock, PLANNER_BYTES_PER_S)
+        super().__init__(session, owner.clock, MAX_PLANNER_BYTES_PER_S)
         self._owner = owner
         self.planner = planner
         self.established = False
@@ -60,38 +60,38 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the first frame of the handshake."""
         super().connection_made(transport)
-        self._owner.opened(self)
+        self._owner.on_opened(self)
         self.flush()
 
-    def _handle(self, event: Event, now_ms: float) -> None:  # noqa: ARG002 - the planner's end needs it
+    def _handle(self, event: Event, now_ms: float) -> None:  # noqa: ARG002 - used by the planner's side
         match event:
             case Established():
                 self.established = True
                 self._deadline.cancel()
-                self._owner.connected(self, event)
+                self._owner.on_established(self, event)
             case Advice():
-                self._owner.advised(self, event)
+                self._owner.on_advice(self, event)
             case Bye():
-                self.close(f"it leaves: {event.why}")
+                self.close(f"session ended by the planner: {event.why}")
             case _:
                 raise SessionError(f"a {type(event).__name__} from a planner")
 
-    def _session_failed(self, problem: SessionError) -> None:
-        self._owner.broken(self, str(problem))
-        self.close(str(problem))
+    def _session_failed(self, error: SessionError) -> None:
+        self._owner.on_protocol_violated(self, str(error))
+        self.close(str(error))
 
     def send(self, report: SendReport) -> None:
-        """Send a report; a planner that leaves too much unread is disconnected instead."""
+        """Send a report; a planner with too many unread bytes is disconnected instead."""
         if self._transport is None:
             return
-        if self._peer_does_not_read:
-            self.close("it does not read")
+        if self._is_send_buffer_full:
+            self.close("disconnected: the planner does not read its reports")
             return
         self.session.send(report.report)
         self.flush()
 
-    def close(self, why: str) -> None:
-        """Write what the session has to send, and close at once."""
+    def close(self, reason: str) -> None:
+        """Write the session's pending output, and close at once."""
         self._deadline.cancel()
         transport = self._transport
         self._transport = None
@@ -100,11 +100,11 @@
             if data:
                 transport.write(data)
             transport.abort()
-        self._owner.closed(self, why)
+        self._owner.on_closed(self, reason)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The planner or the network closed the connection."""
+        """Handle a connection closed by the planner or the network."""
         self._deadline.cancel()
         if self._transport is not None:
             self._transport = None
-            self._owner.closed(self, str(exc) if exc is not None else "closed")
+            self._owner.on_closed(self, str(exc) if exc is not None else "connection closed by the planner")
--- a/sandhatch/planning/messages.py
+++ b/sandhatch/planning/messages.py
@@ -1,10 +1,10 @@
 """Messages between forwarders and planners, encoded as MessagePack. The schema is docs/planning-link.md.
 
 Unknown fields are ignored, so that a newer peer can send more; a known field of a wrong type makes the whole
-message invalid. Where an attribute has another name than its field on the wire, `field(name=...)` gives the
-name that docs/planning-link.md states. Servers are identified by numbers, assigned in each session and pool
-in the order in which their addresses are first sent. Times are durations in milliseconds: clocks of two
-machines are never compared. No I/O.
+message invalid. Where an attribute and its field on the wire have different names, `field(name=...)` gives
+the name from docs/planning-link.md. Servers are identified by numbers, assigned per session and pool in the
+order in which their addresses are first sent. Times are durations in milliseconds: the clocks of two machines
+are never compared. No I/O.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from sandhatch.planning.errors import BadMessageError
 
-VERSION = 1  # of the protocol
+VERSION = 1  # protocol version
 
 T = TypeVar("T")
 
@@ -31,16 +31,17 @@
 
 
 class Row(Struct, array_like=True):
-    """What a forwarder observed of one server since its previous row of that server.
+    """A forwarder's observations of one server since its previous row for that server.
 
     Attributes:
-        server: The session's number of the server.
-        outstanding: Attempts in flight now.
-        ok: Attempts that succeeded.
-        failed: Attempts answered with an error, timed out, or whose connection was lost.
-        rejected: Attempts proven never to have been executed.
+        server: Number of the server in the session.
+        outstanding: Number of attempts in flight now.
+        ok: Number of attempts that succeeded.
+        failed: Number of attempts that got an error response, timed out, or lost their connection.
+        rejected: Number of attempts proven never to have been executed.
         spent_ms: Sum of the response times of the successful attempts.
-        sketch: Response times, as pairs of a bucket and its count; see `quantile_sketch`.
+        sketch: Response times of the successful attempts, as alternating buckets and counts; see
+            `quantile_sketch`.
     """
 
     server: Count
@@ -56,9 +57,9 @@
     """A share in a server's warm-up ramp.
 
     Attributes:
-        server: The session's number of the server.
+        server: Number of the server in the session.
         rate: Fraction of the ramp's rate.
-        burst: Attempts that may be sent at once.
+        burst: Number of attempts that may be sent at once.
     """
 
     server: Count
@@ -73,16 +74,16 @@
         pool: Name of the pool.
         instances: Number of forwarders configured for the pool.
         instance_index: Index of this forwarder among them, from 0.
-        burst: Burst of a warm-up ramp, in attempts of all instances together.
+        burst: Burst of a warm-up ramp, in attempts, summed over all instances.
         names: Addresses of servers, numbered in this session in the order in which they are sent.
-        rows: Observations of servers.
+        rows: Observations by server.
         warming_up: Servers that started warming up since the last report.
         warm: Servers that became warm since the last report.
         not_ready: Servers that were removed from the endpoint list or started draining.
-        demand: Requests that arrived, by request class.
+        demand: Number of requests that arrived since the last report, by request class.
         previous_grants: Ramp shares granted by the planner's previous incarnation that are still valid; sent
             in the first reports of a session.
-        anew: The numbering of servers and all totals start again.
+        anew: Whether the numbering of servers and all totals start again.
     """
 
     pool: Name
@@ -104,12 +105,12 @@
 
     Attributes:
         serial: Number of the report in its session, from 1.
-        span_ms: Time that the report covers.
+        span_ms: Duration that the report covers.
         epoch: Epoch of the last advice that was applied; 0 for none.
         version: Version of the last advice that was applied; 0 for none.
-        leases_shares: The planner may grant the forwarder's own shares, for the lease time that started when
-            it sent that advice.
-        pools: One report for each pool.
+        leases_shares: Whether the planner may grant the forwarder's own shares; their lease started when the
+            planner sent the advice of this version.
+        pools: Reports, one per pool.
     """
 
     serial: Serial
@@ -121,14 +122,14 @@
 
 
 class WeightRow(Struct, array_like=True, frozen=True):
-    """Advised weight of one server, and the evidence.
+    """Advised weight of one server, with the evidence for it.
 
     Attributes:
-        server: The session's number of the server.
-        weight: Fraction of its draws that the server should keep.
-        reason: What speaks against the server.
-        ratio: How many times the tier's baseline the measure is.
-        reports: Reports that mentioned the server since the previous update.
+        server: Number of the server in the session.
+        weight: Advised fraction of the server's usual draws.
+        reason: Reason for a weight below 1.
+        ratio: The measure behind the reason, as a multiple of the tier's baseline.
+        reports: Number of reports that mentioned the server since the previous update.
     """
 
     server: Count
@@ -143,9 +144,9 @@
 
     Attributes:
         pool: Name of the pool.
-        weights: Servers whose weight is not 1; None keeps the weights advised before.
-        ramp_shares: All ramp shares that are granted.
-        own_share: The forwarder's share of the tier's capacity; None keeps the share advised before.
+        weights: Weights of the servers whose weight is not 1; None retains the previous weights.
+        ramp_shares: All ramp shares granted to the forwarder.
+        own_share: The forwarder's share of the tier's capacity; None retains the previous share.
     """
 
     pool: Name
@@ -155,17 +156,18 @@
 
 
 class Advice(Struct, tag="advice"):
-    """A planner's answer to one report.
+    """A planner's response to one report.
 
     Attributes:
-        epoch: The planner's incarnation; a later one is higher.
+        epoch: Number of the planner's incarnation; later incarnations have higher numbers.
         version: Number of this advice, above all earlier ones of the epoch.
-        answered_serial: Serial of the report; the lease starts when that report was sent.
-        lease_ms: How long the advice is valid.
-        share_lease_ms: How long the forwarder's own shares are leased, from each advice on.
-        has_lease: The planner counts the forwarder's own shares as leased to it; `ramp_shares` and
+        answered_serial: Serial of the report that led to this advice; the lease starts when that report was
+            sent.
+        lease_ms: Validity of the advice.
+        share_lease_ms: Duration of the lease of the forwarder's own shares, renewed by each advice.
+        has_lease: Whether the planner counts the forwarder's own shares as leased to it; `ramp_shares` and
             `own_share` apply only then.
-        learning: The planner has not received enough reports to grant anything new.
+        learning: Whether the planner has not yet received enough reports to grant new shares.
         note: Text for the forwarder's operator.
         pools: Advice by pool.
     """
@@ -182,7 +184,7 @@
 
 
 class Bye(Struct, tag="bye"):
-    """The sender ends the session, and says why."""
+    """The sender ends the session; `why` is the reason."""
 
     why: Annotated[str, Meta(max_length=MAX_NOTE_CHARACTERS)] = ""
 
@@ -202,7 +204,7 @@
     """Decode a message of an established session.
 
     Raises:
-        BadMessageError: The payload is not such a message.
+        BadMessageError: The payload is not a valid message.
     """
     return _decode(_decoder, payload)
 
@@ -210,8 +212,8 @@
 def _decode(decoder: msgspec.msgpack.Decoder[T], payload: bytes | memoryview) -> T:
     try:
         return decoder.decode(payload)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise BadMessageError(str(problem)) from None
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        raise BadMessageError(str(error)) from None
 
 
 # ---------------------------------------------------------------- handshake, before the peer is authenticated
@@ -227,11 +229,11 @@
     Attributes:
         versions: Protocol versions that the forwarder supports.
         name: The forwarder's name.
-        planner: Name of the planner that it wants to connect to.
-        method: Authentication method of its key.
+        planner: Name of the planner that the forwarder wants to connect to.
+        method: Authentication method of the forwarder's key.
         ephemeral: X25519 public key of this session.
-        known_epoch: The highest epoch of this planner that it has seen. A planner whose epoch is lower was
-            started with an earlier time, and takes the next one.
+        known_epoch: The highest epoch of this planner that the forwarder has seen. A planner with a lower
+            epoch was started after its system's time was set back, and continues with `known_epoch` + 1.
     """
 
     versions: Annotated[list[Count], Meta(min_length=1, max_length=16)]
@@ -248,7 +250,7 @@
     Attributes:
         version: Protocol version that the planner chose.
         name: The planner's name.
-        epoch: The planner's incarnation.
+        epoch: Number of the planner's incarnation.
         ephemeral: X25519 public key of this session.
     """
 
@@ -259,10 +261,10 @@
 
 
 class Welcome(Struct, tag="welcome"):
-    """The planner's answer to a hello.
+    """The planner's response to a `Hello`.
 
     Attributes:
-        body: A `WelcomeBody`, as the bytes that `proof` covers.
+        body: An encoded `WelcomeBody`; these bytes are covered by `proof`.
         proof: The planner's proof of its key over the transcript.
     """
 
@@ -291,7 +293,7 @@
     """Decode a message of the handshake.
 
     Raises:
-        BadMessageError: The payload is not such a message.
+        BadMessageError: The payload is not a valid handshake message.
     """
     return _decode(_handshake_decoder, payload)
 
@@ -300,6 +302,6 @@
     """Decode the body of a `Welcome`.
 
     Raises:
-        BadMessageError: The payload is not such a body.
+        BadMessageError: The payload is not a valid body.
     """
     return _decode(_body_decoder, payload)
--- a/sandhatch/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -1,7 +1,7 @@
-"""What a forwarder observes of one pool: totals by server, the endpoint list and the demand.
+"""A forwarder's observations of one pool: totals by server, the endpoint list and the demand.
 
-Any number of `PoolReporter`s report from it, each what changed since its own last report. No I/O, no clock.
-Source: docs/design/planning.md.
+Any number of `PoolReporter`s read an observer, and each reports the changes since its own last report.
+No I/O, no clock. Source: docs/design/planning.md.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 
     Attributes:
         address: The server's address as `host:port`.
-        ready: Whether it is ready, and not draining.
-        started_ms: When its process started; 0 if unknown.
+        ready: Whether the server is ready, and not draining.
+        started_ms: Start time of the server's process; 0 if unknown.
     """
 
     address: str
@@ -43,12 +43,12 @@
 
 
 class Observer:
-    """Receives each event of one pool's balancer, and what was decided on it.
+    """Receives each event of one pool's balancer, and the actions that the balancer returned.
 
     Attributes:
-        totals: What happened at each server, by the balancer's number of it.
-        listed: The endpoint list, by the balancer's numbers.
-        reporters: One for each session with a planner.
+        totals: Totals of each server, by the balancer's server number.
+        listed: The endpoint list, by the balancer's server number.
+        reporters: Reporters, one for each session with a planner.
     """
 
     def __init__(self, classes: Sequence[str], warm_up_ms: float) -> None:
@@ -56,23 +56,23 @@
 
         Args:
             classes: Names of the request classes, by their index.
-            warm_up_ms: How long a server warms up after its start.
+            warm_up_ms: Duration of a server's warm-up after its start.
         """
         self._classes = classes
         self._warm_up_ms = warm_up_ms
         self._request_counts = [0] * len(classes)
-        self._warming_up: set[int] = set()  # listed servers, as of the last look
+        self._warming_up: set[int] = set()  # listed servers, as of the last `collect_warmed_up`
         self.totals: dict[int, ServerTotals] = {}
         self.listed: dict[int, ListedServer] = {}
         self.reporters: set[PoolReporter] = set()
 
-    def fits(self, classes: Sequence[str], warm_up_ms: float) -> bool:
-        """Whether this observer can continue under other settings of its pool."""
+    def is_compatible(self, classes: Sequence[str], warm_up_ms: float) -> bool:
+        """Whether this observer can continue with these settings of its pool."""
         return list(self._classes) == list(classes) and self._warm_up_ms == warm_up_ms
 
     @property
     def demand(self) -> dict[str, int]:
-        """Requests that arrived, by class; without zeros."""
+        """Number of requests that arrived, by class; classes without requests are omitted."""
         counts = zip(self._classes, self._request_counts, strict=True)
         return {name: count for name, count in counts if count}
 
@@ -85,11 +85,11 @@
     # ------------------------------------------------ events
 
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
-        """Record an event that the balancer received, and its answer."""
+        """Record an event that the balancer received, and the actions that it returned."""
         if isinstance(event, RequestArrived):
             self._request_counts[event.class_index] += 1
         elif isinstance(event, AttemptEnded):
-            self._attempt_ended(event)
+            self._record_attempt_end(event)
         for action in actions:
             if isinstance(action, Send):
                 server = action.server
@@ -98,12 +98,12 @@
                     totals = self.totals[server] = ServerTotals()
                 totals.outstanding += 1
                 for reporter in self.reporters:
-                    reporter.changed.add(server)
+                    reporter.changed_totals.add(server)
 
-    def _attempt_ended(self, event: AttemptEnded) -> None:
+    def _record_attempt_end(self, event: AttemptEnded) -> None:
         totals = self.totals.get(event.server)
         if totals is None:
-            return  # it began before this observer did
+            return  # the attempt began before this observer was created
         totals.outstanding = max(0, totals.outstanding - 1)
         if event.outcome is Outcome.OK:
             totals.ok += 1
@@ -115,15 +115,15 @@
         elif event.outcome not in NEUTRAL_OUTCOMES:
             totals.failed += 1
         if not totals.outstanding and event.server not in self.listed:
-            self._forget(event.server)  # the last attempt at a server that was removed
+            self._discard_totals(event.server)  # this was the last attempt at a server that was removed
             return
         for reporter in self.reporters:
-            reporter.changed.add(event.server)
+            reporter.changed_totals.add(event.server)
 
-    def _forget(self, server: int) -> None:
+    def _discard_totals(self, server: int) -> None:
         self.totals.pop(server, None)
         for reporter in self.reporters:
-            reporter.forget(server)
+            reporter.discard_totals(server)
 
     # ------------------------------------------------ endpoint list
 
@@ -132,12 +132,12 @@
 
         Args:
             update: The list, or its changes.
-            addresses: Addresses of its entries, in their order.
-            why: Where the list came from; not used.
+            addresses: Addresses of the list's entries, in the same order.
+            why: Origin of the list; not used.
         """
         if update.kind in (ListKind.FULL, ListKind.CACHED):
-            named = {entry.server for entry in update.entries}
-            for server in [server for server in self.listed if server not in named]:
+            listed_servers = {entry.server for entry in update.entries}
+            for server in [server for server in self.listed if server not in listed_servers]:
                 self._remove(server)
         for entry, address in zip(update.entries, addresses, strict=True):
             if entry.state is ServerState.GONE:
@@ -148,22 +148,22 @@
             self.listed[entry.server] = ListedServer(address, is_ready, entry.started_ms)
             if entry.started_ms > 0.0:
                 self._warming_up.add(entry.server)
-            self._list_changed(entry.server)
+            self._mark_list_change(entry.server)
 
     def _remove(self, server: int) -> None:
         del self.listed[server]
         self._warming_up.discard(server)
         totals = self.totals.get(server)
         if totals is None or not totals.outstanding:
-            self._forget(server)
-        self._list_changed(server)
+            self._discard_totals(server)
+        self._mark_list_change(server)
 
-    def _list_changed(self, server: int) -> None:
+    def _mark_list_change(self, server: int) -> None:
         for reporter in self.reporters:
-            reporter.relisted.add(server)
+            reporter.changed_entries.add(server)
 
     def readiness(self, server: int, now_ms: float) -> Readiness:
-        """What the endpoint list says of a server."""
+        """Readiness of a server according to the endpoint list."""
         listed = self.listed.get(server)
         if listed is None or not listed.ready:
             return Readiness.NOT_READY
@@ -172,10 +172,10 @@
     def _is_warming_up(self, listed: ListedServer, now_ms: float) -> bool:
         return listed.started_ms > 0.0 and now_ms - listed.started_ms < self._warm_up_ms
 
-    def warmed_up(self, now_ms: float) -> list[int]:
-        """Servers that became warm since the last call; each is marked for all reporters."""
+    def collect_warmed_up(self, now_ms: float) -> list[int]:
+        """Return the servers that became warm since the last call, and mark them for all reporters."""
         warm = [server for server in self._warming_up if not self._is_warming_up(self.listed[server], now_ms)]
         for server in warm:
             self._warming_up.discard(server)
-            self._list_changed(server)
+            self._mark_list_change(server)
         return warm
--- a/sandhatch/planning/peer_connection.py
+++ b/sandhatch/planning/peer_connection.py
@@ -1,7 +1,8 @@
-"""What both ends of a planning connection have in common: the asyncio protocol around a `Session`.
+"""Common part of both ends of a planning connection: the asyncio protocol around a `Session`.
 
-Bounds the time of the handshake, the frames and bytes per second of the peer, and the bytes that it leaves
-unread. It interprets no message: each end does. Source: the bounds of docs/planning-link.md.
+Limits the duration of the handshake, the peer's frames and bytes per second, and the bytes that the peer
+leaves unread. Messages are interpreted by the subclass of each end. Source: the bounds of
+docs/planning-link.md.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from sandhatch.runtime.clock import Clock
 
 HANDSHAKE_TIMEOUT_MS = 5_000.0
-MAX_UNSENT_BYTES = 1 << 20  # beyond which a peer that does not read is disconnected
+MAX_UNSENT_BYTES = 1 << 20  # size of the write buffer above which a peer that does not read is disconnected
 PEER_FRAMES_PER_S = 20.0
 PEER_BURST_S = 5.0
 
@@ -28,40 +29,40 @@
         session: The session on this connection.
     """
 
-    PEER_ROLE: ClassVar[str]  # what the peer is, for the errors
+    PEER_ROLE: ClassVar[str]  # role of the peer, for error messages
 
     def __init__(self, session: Session, clock: Clock, bytes_per_s: float) -> None:
         """Prepare a connection; asyncio opens it.
 
         Args:
-            session: Its session, before the handshake.
+            session: The connection's session, before the handshake.
             clock: The process's clock.
             bytes_per_s: Maximum rate of bytes from the peer.
         """
         self.session = session
         self._clock = clock
-        self._limit = ReceiveLimit(PEER_FRAMES_PER_S, bytes_per_s, PEER_BURST_S, clock.now_ms())
+        self._receive_limit = ReceiveLimit(PEER_FRAMES_PER_S, bytes_per_s, PEER_BURST_S, clock.now_ms())
         self._transport: asyncio.Transport | None = None
         self._deadline = clock.call_after(HANDSHAKE_TIMEOUT_MS, self._handshake_timed_out)
 
     @abstractmethod
-    def close(self, why: str) -> None:
-        """Write what the session has to send, and end the connection for this reason."""
+    def close(self, reason: str) -> None:
+        """Write the session's pending output, and end the connection for this reason."""
 
     @abstractmethod
     def _handle(self, event: Event, now_ms: float) -> None:
         """Handle an event of the session.
 
         Raises:
-            SessionError: The peer may not send this message.
+            SessionError: The peer's role does not permit this message.
         """
 
     @abstractmethod
-    def _session_failed(self, problem: SessionError) -> None:
-        """The peer violated the protocol or is not authenticated."""
+    def _session_failed(self, error: SessionError) -> None:
+        """Handle a peer that violated the protocol or is not authenticated."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
@@ -69,22 +70,22 @@
         now_ms = self._clock.now_ms()
         try:
             for event, frame_bytes in self.session.feed(data):
-                if not self._limit.take(frame_bytes, now_ms):
+                if not self._receive_limit.take(frame_bytes, now_ms):
                     raise SessionError(f"more messages than a {self.PEER_ROLE} may send")
                 self._handle(event, now_ms)
                 if self._transport is None:
                     return
-        except SessionError as problem:
-            self._session_failed(problem)
+        except SessionError as error:
+            self._session_failed(error)
         self.flush()
 
     def flush(self) -> None:
-        """Write what the session has to send."""
+        """Write the session's pending output."""
         if self._transport is not None and self.session.has_output:
             self._transport.write(self.session.take_out())
 
     @property
-    def _peer_does_not_read(self) -> bool:
+    def _is_send_buffer_full(self) -> bool:
         return self._transport is not None and self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES
 
     def _handshake_timed_out(self) -> None:
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -1,7 +1,7 @@
-"""Reports to one planner on one pool: what changed since the last report, within a budget of bytes.
+"""Reports to one planner on one pool: the changes since the last report, within a byte budget.
 
-What does not fit stays for the next report and is not lost, since a row carries everything since the last row
-of its server. No I/O, no clock. Source: docs/planning-link.md.
+Changes that do not fit are deferred to a later report and not lost, since a row covers everything since the
+previous row of its server. No I/O, no clock. Source: docs/planning-link.md.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from sandhatch.planning.readiness import Readiness
 from sandhatch.planning.server_totals import ServerTotals
 
-# Upper bounds of encoded sizes.
+# Upper bounds of encoded sizes in bytes.
 ROW_BYTES = 32
 SKETCH_PAIR_BYTES = 4
 NUMBER_BYTES = 4
 NAME_OVERHEAD_BYTES = 4
 RAMP_SHARE_BYTES = 24
 
-_NO_TOTALS = ServerTotals()
+_ZERO_TOTALS = ServerTotals()
 
 
 class NamedServer(Protocol):
-    """An entry of an endpoint list, as far as reports need it."""
+    """The part of an endpoint list's entry that reports use."""
 
     @property
     def address(self) -> str:
         """The server's address."""
 
 
-class Observed(Protocol):
-    """What a reporter reads from the pool's observer; see `observer.Observer`."""
+class ReporterSource(Protocol):
+    """The interface of the pool's observer that a reporter uses; see `observer.Observer`."""
 
     reporters: set[PoolReporter]
 
@@ -47,24 +47,24 @@
 
     @property
     def demand(self) -> dict[str, int]:
-        """Requests that arrived, by class."""
+        """Number of requests that arrived, by class."""
 
     def readiness(self, server: int, now_ms: float) -> Readiness:
-        """What the endpoint list says of a server."""
+        """Readiness of a server according to the endpoint list."""
 
-    def warmed_up(self, now_ms: float) -> list[int]:
-        """Servers that became warm since the last call."""
+    def collect_warmed_up(self, now_ms: float) -> list[int]:
+        """Return the servers that became warm since the last call."""
 
 
 class BudgetedReport(NamedTuple):
-    """A report, and the bytes of its budget that are left."""
+    """A report, and the remaining bytes of its budget."""
 
     report: PoolReport
     remaining_bytes: int
 
 
 class _BudgetedRow(NamedTuple):
-    """A row, or None if it did not fit, and the bytes of the budget that are left."""
+    """A row, or None if it did not fit, and the remaining bytes of the budget."""
 
     row: Row | None
     remaining_bytes: int
@@ -78,41 +78,42 @@
         relisted: Servers whose entry in the endpoint list changed since it was reported.
     """
 
-    def __init__(self, observer: Observed) -> None:
-        """Start with a report on everything that the observer knows."""
+    def __init__(self, observer: ReporterSource) -> None:
+        """Mark all of the observer's state for the first report."""
         self._observer = observer
         self._is_first = True
-        self._numbers: dict[int, int] = {}  # the session's number of a server
-        self._servers: list[int] = []  # and the server of a number
+        self._numbers: dict[int, int] = {}  # session's number, by the balancer's number
+        self._servers: list[int] = []  # balancer's number, by the session's number
         self._reported_totals: dict[int, ServerTotals] = {}
         self._reported_demand = dict(observer.demand)
         self._reported_readiness: dict[int, Readiness] = {}
-        self.changed: set[int] = set(observer.totals)
-        self.relisted: set[int] = set(observer.listed)
+        self.changed_totals: set[int] = set(observer.totals)
+        self.changed_entries: set[int] = set(observer.listed)
 
     def close(self) -> None:
-        """End the session: the observer stops marking changes for it."""
+        """Detach from the observer, which then marks no more changes for this reporter."""
         self._observer.reporters.discard(self)
 
     def server_of(self, number: int) -> int | None:
-        """The balancer's number of a server that was named in this session."""
+        """The balancer's number for the session's number of a server; None if it was not named."""
         return self._servers[number] if number < len(self._servers) else None
 
-    def forget(self, server: int) -> None:
-        """Forget the totals of a server that was removed."""
-        self.changed.discard(server)
+    def discard_totals(self, server: int) -> None:
+        """Discard the totals of a server that was removed."""
+        self.changed_totals.discard(server)
         self._reported_totals.pop(server, None)
 
     def report(
         self, pool: str, now_ms: float, budget_bytes: int, previous_grants: Iterable[RampShareRow] = ()
     ) -> BudgetedReport:
-        """Report what changed, as much of it as fits.
+        """Report the changes since the last report, as far as they fit into the budget.
 
-        First names of servers, then changes of their readiness, then rows of the servers that changed most.
+        Names of servers come first, then changes of their readiness, then rows of the servers that changed
+        most.
 
         Args:
             pool: Name of the pool.
-            now_ms: The time.
+            now_ms: Current time.
             budget_bytes: Maximum encoded size of the names, numbers, shares and rows.
             previous_grants: Ramp shares that the planner's previous incarnation granted, by the balancer's
                 numbers of the servers.
@@ -132,7 +133,9 @@
     def _add_names(self, report: PoolReport, remaining_bytes: int) -> int:
         """Number new servers in the order of their addresses, so that forwarders number them alike."""
         listed = self._observer.listed
-        unnamed = [server for server in self.relisted if server not in self._numbers and server in listed]
+        unnamed = [
+            server for server in self.changed_entries if server not in self._numbers and server in listed
+        ]
         for address, server in sorted((listed[server].address, server) for server in unnamed):
             cost_bytes = len(address) + NAME_OVERHEAD_BYTES
             if cost_bytes > remaining_bytes:
@@ -144,19 +147,19 @@
         return remaining_bytes
 
     def _add_readiness(self, report: PoolReport, now_ms: float, remaining_bytes: int) -> int:
-        self.relisted.update(self._observer.warmed_up(now_ms))
-        for server in list(self.relisted):
+        self.changed_entries.update(self._observer.collect_warmed_up(now_ms))
+        for server in list(self.changed_entries):
             number = self._numbers.get(server)
             if number is None:
                 if server not in self._observer.listed:
-                    self.relisted.discard(server)  # it was removed before it was named
+                    self.changed_entries.discard(server)  # the server was removed before it was named
                 continue
             if remaining_bytes < NUMBER_BYTES:
                 break
-            self.relisted.discard(server)
+            self.changed_entries.discard(server)
             readiness = self._observer.readiness(server, now_ms)
             reported = self._reported_readiness.get(server, Readiness.NOT_READY)
-            # A removed server is reported even if it drained before: its rows end with that.
+            # A removed server is reported even if its draining was reported: no rows for it will follow.
             if readiness != reported or server not in self._observer.listed:
                 self._reported_readiness[server] = readiness
                 self._add_number(report, number, readiness)
@@ -183,50 +186,50 @@
 
     def _add_rows(self, report: PoolReport, remaining_bytes: int) -> int:
         listed = self._observer.listed
-        servers = [server for server in self.changed if server in self._numbers and server in listed]
+        servers = [server for server in self.changed_totals if server in self._numbers and server in listed]
         max_rows = max(0, remaining_bytes // ROW_BYTES)
         if len(servers) > max_rows:
-            servers = nlargest(max_rows, servers, key=self._change)
+            servers = nlargest(max_rows, servers, key=self._change_magnitude)
         for server in servers:
-            row, remaining_bytes = self._row(server, remaining_bytes)
+            row, remaining_bytes = self._create_row(server, remaining_bytes)
             if row is None:
                 break
             report.rows.append(row)
-            self.changed.discard(server)
+            self.changed_totals.discard(server)
         return remaining_bytes
 
-    def _change(self, server: int) -> int:
-        """How much a server changed since its last row."""
-        now = self._observer.totals[server]
-        before = self._reported_totals.get(server, _NO_TOTALS)
-        ended = now.ok + now.failed - before.ok - before.failed
-        return ended + 2 * abs(now.outstanding - before.outstanding)
-
-    def _row(self, server: int, remaining_bytes: int) -> _BudgetedRow:
-        now = self._observer.totals[server]
-        before = self._reported_totals.get(server, _NO_TOTALS)
-        sketch_pairs = _added_pairs(before.sketch, now.sketch)
+    def _change_magnitude(self, server: int) -> int:
+        """Magnitude of a server's change since its last row."""
+        current = self._observer.totals[server]
+        previous = self._reported_totals.get(server, _ZERO_TOTALS)
+        ended = current.ok + current.failed - previous.ok - previous.failed
+        return ended + 2 * abs(current.outstanding - previous.outstanding)
+
+    def _create_row(self, server: int, remaining_bytes: int) -> _BudgetedRow:
+        current = self._observer.totals[server]
+        previous = self._reported_totals.get(server, _ZERO_TOTALS)
+        sketch_pairs = _added_pairs(previous.sketch, current.sketch)
         cost_bytes = ROW_BYTES + SKETCH_PAIR_BYTES * len(sketch_pairs) // 2
         if cost_bytes > remaining_bytes:
             return _BudgetedRow(None, remaining_bytes)
         row = Row(
             self._numbers[server],
-            now.outstanding,
-            now.ok - before.ok,
-            now.failed - before.failed,
-            now.rejected - before.rejected,
-            now.spent_ms - before.spent_ms,
+            current.outstanding,
+            current.ok - previous.ok,
+            current.failed - previous.failed,
+            current.rejected - previous.rejected,
+            current.spent_ms - previous.spent_ms,
             sketch_pairs,
         )
-        self._reported_totals[server] = now.copy()
+        self._reported_totals[server] = current.copy()
         return _BudgetedRow(row, remaining_bytes - cost_bytes)
 
 
-def _added_pairs(before: Mapping[int, int], now: Mapping[int, int]) -> list[int]:
-    """What was added to a sketch's counts, as pairs of a bucket and its count."""
+def _added_pairs(previous: Mapping[int, int], current: Mapping[int, int]) -> list[int]:
+    """Increments of a sketch's counts, as alternating buckets and increments."""
     pairs: list[int] = []
-    for bucket, count in now.items():
-        added = count - before.get(bucket, 0)
+    for bucket, count in current.items():
+        added = count - previous.get(bucket, 0)
         if added:
             pairs += (bucket, added)
     return pairs
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -1,7 +1,7 @@
-"""The planner's process: connections of forwarders around the state machine `Planner`.
+"""The planner's server: connections of forwarders around the state machine `Planner`.
 
-Bounded in connections, in the time of a handshake, in frames and bytes per second of each forwarder, and in
-bytes that a forwarder leaves unread. Source: docs/planning-link.md.
+Limits the number of connections, the duration of a handshake, the frames and bytes per second of each
+forwarder, and the bytes that a forwarder leaves unread. Source: docs/planning-link.md.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any, ClassVar
 
-from sandhatch.planning.errors import EpochOverError, InvalidReportError, SessionError
+from sandhatch.planning.errors import InvalidReportError, SessionError, SupersededEpochError
 from sandhatch.planning.keys import Identity
 from sandhatch.planning.messages import Bye, Hello, Report
 from sandhatch.planning.peer_connection import PeerConnection
@@ -22,8 +22,8 @@
 from sandhatch.runtime.clock import Clock
 
 TICK_MS = 100.0
-CLOSE_TIMEOUT_MS = 2_000.0  # for a forwarder to read what is left
-SILENCE_TIMEOUT_MS = 30_000.0  # without a report
+CLOSE_TIMEOUT_MS = 2_000.0  # time for a forwarder to read the pending output before the abort
+SILENCE_TIMEOUT_MS = 30_000.0  # time without a report after which a session is closed
 LISTEN_BACKLOG = 1_024
 MAX_FORWARDER_BYTES_PER_S = 262_144.0
 MAX_CONNECTIONS = 10_000
@@ -34,7 +34,7 @@
 
     Attributes:
         name: The forwarder's name; empty before the handshake is complete.
-        last_report_ms: When it reported last, or completed the handshake.
+        last_report_ms: Time of the last report, or of the end of the handshake if there was none.
     """
 
     PEER_ROLE: ClassVar[str] = "forwarder"
@@ -64,43 +64,43 @@
                 self._deadline.cancel()
                 self.name = event.peer
                 self.last_report_ms = now_ms
-                self._server.authenticated(self)
+                self._server.register(self)
             case Report():
                 self.last_report_ms = now_ms
                 self._respond(event, now_ms)
             case Bye():
                 self._close_transport()
             case Hello():
-                pass  # the session has answered it
+                pass  # the session has already responded
             case _:
                 raise SessionError(f"a {type(event).__name__} from a forwarder")
 
     def _respond(self, report: Report, now_ms: float) -> None:
-        """Send the advice that a report leads to."""
+        """Send the planner's advice on a report."""
         try:
             advice = self._server.planner.report(self.name, report, now_ms)
-        except InvalidReportError as problem:
-            raise SessionError(str(problem)) from None
-        if self._peer_does_not_read:
+        except InvalidReportError as error:
+            raise SessionError(str(error)) from None
+        if self._is_send_buffer_full:
             raise SessionError("it does not read")
         self._server.bytes_out += self.session.send(advice)
 
-    def _session_failed(self, problem: SessionError) -> None:
-        if isinstance(problem, EpochOverError):
+    def _session_failed(self, error: SessionError) -> None:
+        if isinstance(error, SupersededEpochError):
             self.flush()
-            self._server.start_new_incarnation(problem.known_epoch + 1)
+            self._server.start_new_incarnation(error.known_epoch + 1)
             return
-        self._server.rejected(self, str(problem))
-        self.close(str(problem))
+        self._server.record_rejection(self, str(error))
+        self.close(str(error))
 
-    def close(self, why: str) -> None:
-        """Tell the forwarder why, and close."""
-        self.session.bye(why)
+    def close(self, reason: str) -> None:
+        """Send the forwarder the reason, and close."""
+        self.session.send_bye(reason)
         self.flush()
         self._close_transport()
 
     def _close_transport(self) -> None:
-        """Close once the forwarder has read what was sent, or after a time."""
+        """Close once the pending output is sent, or after `CLOSE_TIMEOUT_MS`."""
         self._deadline.cancel()
         transport = self._transport
         self._transport = None
@@ -110,24 +110,24 @@
             self._clock.call_after(CLOSE_TIMEOUT_MS, transport.abort)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of asyncio's protocol
-        """The forwarder or the network closed the connection."""
+        """Handle a connection closed by the forwarder or the network."""
         self._transport = None
         self._deadline.cancel()
         self._server.remove(self)
 
 
 class PlannerServer:
-    """Listens for forwarders and answers their reports.
+    """Listens for forwarders and responds to their reports with advice.
 
     Attributes:
         identity: The planner's key.
         clock: The process's clock.
         max_connections: Maximum number of connections.
         bytes_per_s: Maximum rate of bytes from each forwarder.
-        planner: The state machine of the present incarnation.
-        rejected_sessions: Sessions that ended because of a forwarder's error.
-        bytes_in: Bytes received.
-        bytes_out: Bytes of advice sent.
+        planner: The state machine of the current incarnation.
+        rejected_sessions: Number of sessions that ended because of a forwarder's error.
+        bytes_in: Number of bytes received.
+        bytes_out: Number of bytes of advice sent.
     """
 
     def __init__(
@@ -146,12 +146,12 @@
 
         Args:
             name: The planner's name.
-            address: Where to listen.
+            address: Address to listen on.
             identity: The planner's key.
             clock: The process's clock.
             log: Writes a line to the log.
             terms: The planner's settings.
-            bytes_per_s: Maximum rate from each forwarder.
+            bytes_per_s: Maximum rate of bytes from each forwarder.
             max_connections: Maximum number of connections.
             epoch: Number of this incarnation; by default the system's time in milliseconds.
         """
@@ -162,9 +162,9 @@
         self._log = log
         self._address = address
         self._terms = terms or PlannerTerms()
-        self.planner = self._new_planner(name, _epoch_of_now() if epoch is None else epoch)
+        self.planner = self._new_planner(name, _epoch_from_system_time() if epoch is None else epoch)
         self._connections: dict[_ForwarderConnection, None] = {}
-        self._by_name: dict[str, _ForwarderConnection] = {}
+        self._connections_by_forwarder: dict[str, _ForwarderConnection] = {}
         self._server: asyncio.Server | None = None
         self._stopped = False
         self.rejected_sessions = 0
@@ -172,7 +172,7 @@
         self.bytes_out = 0
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
             OSError: The address cannot be used.
@@ -199,8 +199,10 @@
             connection.close("the planner stops")
 
     def start_new_incarnation(self, epoch: int) -> None:
-        """Replace the state machine by an empty one with an epoch above one that a forwarder knows of."""
-        self._log(f"epoch {epoch}: a forwarder knows of one after {self.planner.epoch}; starting empty")
+        """Replace the state machine by an empty one, whose epoch is above the highest seen by a forwarder."""
+        self._log(
+            f"starting epoch {epoch} with empty state: a forwarder has seen one above {self.planner.epoch}"
+        )
         self.planner = self._new_planner(self.planner.name, epoch)
         for connection in list(self._connections):
             connection.close("the planner begins anew")
@@ -211,30 +213,30 @@
     # ------------------------------------------------ connections
 
     def admit(self, connection: _ForwarderConnection) -> bool:
-        """Keep a new connection; False if there are too many."""
+        """Register a new connection; False if the connection limit is reached."""
         if len(self._connections) >= self.max_connections:
             return False
         self._connections[connection] = None
         return True
 
-    def authenticated(self, connection: _ForwarderConnection) -> None:
-        """A connection's forwarder has proven its name; it replaces that forwarder's earlier connection."""
-        before = self._by_name.get(connection.name)
-        self._by_name[connection.name] = connection
-        if before is not None:
-            before.close("another connection has come in its place")
+    def register(self, connection: _ForwarderConnection) -> None:
+        """Register an authenticated connection; it replaces the forwarder's earlier connection."""
+        previous = self._connections_by_forwarder.get(connection.name)
+        self._connections_by_forwarder[connection.name] = connection
+        if previous is not None:
+            previous.close("another connection has come in its place")
         self.planner.joined(connection.name, self.clock.now_ms())
 
     def remove(self, connection: _ForwarderConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self._connections.pop(connection, None)
-        if self._by_name.get(connection.name) is connection:
-            del self._by_name[connection.name]
+        if self._connections_by_forwarder.get(connection.name) is connection:
+            del self._connections_by_forwarder[connection.name]
 
-    def rejected(self, connection: _ForwarderConnection, why: str) -> None:
+    def record_rejection(self, connection: _ForwarderConnection, reason: str) -> None:
         """Count and log a session that ends because of the forwarder's error."""
         self.rejected_sessions += 1
-        self._log(f"forwarder {connection.name or '-'}: {why}")
+        self._log(f"forwarder {connection.name or '-'}: {reason}")
 
     def _tick(self) -> None:
         if self._stopped:
@@ -253,7 +255,7 @@
     # ------------------------------------------------ for operators
 
     def status(self) -> dict[str, Any]:
-        """The planner's status, as values for JSON; docs/operators/planning.md describes them."""
+        """The planner's status as JSON values; docs/operators/planning.md describes them."""
         status = self.planner.status(self.clock.now_ms())
         status["connections"] = len(self._connections)
         status["turned_away"] = self.rejected_sessions
@@ -262,9 +264,9 @@
         return status
 
 
-def _epoch_of_now() -> int:
+def _epoch_from_system_time() -> int:
     """An epoch above those of earlier processes, unless the system's time was set back.
 
-    In that case, forwarders report the epoch that they know, and the planner takes the next one.
+    In that case, forwarders report the highest epoch that they have seen, and the planner takes the next one.
     """
     return int(time.time() * 1000.0)
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -1,4 +1,4 @@
-"""Links on loopback: dispatchers that record guidance, and planners that are scripted or real."""
+"""Links on loopback connections: dispatchers that record guidance, and scripted or real planners."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeDispatcher:
-    """A real balancer with four servers; no attempt is sent anywhere."""
+    """Contains a real balancer with four servers, and sends no attempts."""
 
     def __init__(self, clock: Clock, settings: Settings = SETTINGS) -> None:
         self.clock = clock
@@ -59,12 +59,12 @@
 
 
 class ConnectedForwarder:
-    """A forwarder with its link, its only pool's dispatcher and its log lines."""
+    """A forwarder: its link, the dispatcher of its only pool and its log lines."""
 
-    def __init__(self, link: ForwarderLink, dispatcher: FakeDispatcher, lines: list[str]) -> None:
+    def __init__(self, link: ForwarderLink, dispatcher: FakeDispatcher, log_lines: list[str]) -> None:
         self.link = link
         self.dispatcher = dispatcher
-        self.lines = lines
+        self.log_lines = log_lines
 
     def planner_status(self, planner: str) -> dict[str, Any]:
         rows: Sequence[dict[str, Any]] = self.link.status()["planners"]
@@ -72,27 +72,27 @@
 
     @property
     def has_lease_guidance(self) -> bool:
-        """Whether guidance of a planner that holds the lease has arrived."""
+        """Whether guidance of a planner that holds the lease was received."""
         return any(guidance.leased for guidance in self.dispatcher.guidances)
 
-    def logged(self, text: str) -> bool:
-        return any(text in line for line in self.lines)
+    def has_logged(self, text: str) -> bool:
+        return any(text in line for line in self.log_lines)
 
 
 @asynccontextmanager
 async def connected_forwarder(
     ports: dict[str, int], terms: ForwarderTerms = TERMS, quiet_ms: float = 0.0
 ) -> AsyncIterator[ConnectedForwarder]:
-    """A forwarder of these planners, by their names and ports."""
+    """A forwarder that connects to planners at these ports, by planner name."""
     clock = Clock(asyncio.get_running_loop())
-    lines: list[str] = []
+    log_lines: list[str] = []
     addresses = {name: ("127.0.0.1", port) for name, port in ports.items()}
-    link = ForwarderLink("f0", addresses, KEY, clock, lines.append, terms, 1, quiet_ms)
+    link = ForwarderLink("f0", addresses, KEY, clock, log_lines.append, terms, 1, quiet_ms)
     dispatcher = FakeDispatcher(clock)
     link.attach("core", dispatcher, SETTINGS)
     link.start()
     try:
-        yield ConnectedForwarder(link, dispatcher, lines)
+        yield ConnectedForwarder(link, dispatcher, log_lines)
     finally:
         link.stop()
 
@@ -110,12 +110,12 @@
 
 @asynccontextmanager
 async def planner_server(
-    name: str = "p0", terms: PlannerTerms | None = None, **more: Any
+    name: str = "p0", terms: PlannerTerms | None = None, **options: Any
 ) -> AsyncIterator[PlannerServer]:
-    """A real planner that started long ago: it is not learning."""
+    """A real planner that started 60 s ago, and so is not learning."""
     clock = Clock(asyncio.get_running_loop())
-    lines: list[str] = []
-    server = PlannerServer(name, ("127.0.0.1", 0), KEY, clock, lines.append, terms, **more)
+    log_lines: list[str] = []
+    server = PlannerServer(name, ("127.0.0.1", 0), KEY, clock, log_lines.append, terms, **options)
     server.planner.started_ms -= 60_000.0
     await server.start()
     try:
--- a/tests/planning/test_backoff.py
+++ b/tests/planning/test_backoff.py
@@ -1,4 +1,4 @@
-"""Delays between attempts to connect."""
+"""Bounds of the backoff delays."""
 
 from __future__ import annotations
 
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -1,4 +1,4 @@
-"""A planner and a forwarder as processes, and the planner's verbs on the command line."""
+"""A planner and a forwarder as processes, and the planner's subcommands on the command line."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class CommandResult(NamedTuple):
-    """A verb's exit code and what it printed."""
+    """A subcommand's exit code and output."""
 
     code: int
     out: str
@@ -39,7 +39,7 @@
 
 
 async def query(*arguments: str) -> dict[str, Any]:
-    """The answer as JSON; on a thread, since the command blocks."""
+    """Run a command and return its JSON output; uses a thread, since the command blocks."""
     _, out, err = await asyncio.to_thread(run_command, *arguments, "--json")
     assert not err, err
     response: dict[str, Any] = json.loads(out)
@@ -47,7 +47,7 @@
 
 
 def new_key(path: Path) -> str:
-    """Make a key file; returns the public key."""
+    """Create a key file; returns the public key."""
     code, out, _ = run_command("planner", "key", str(path))
     assert code == 0
     public_key = out.split()[-1]
@@ -67,7 +67,7 @@
 
 
 def write_forwarder_file(
-    tmp_path: Path, farm: FakeServers, listen_port: int, planner_port: int, planner_public_key: str
+    tmp_path: Path, fake_servers: FakeServers, listen_port: int, planner_port: int, planner_public_key: str
 ) -> Path:
     planning = {
         "name": "web-1",
@@ -76,8 +76,8 @@
         "most_lease_ms": 3_100,
         "planners": {"p0": {"address": f"127.0.0.1:{planner_port}", "public_key": planner_public_key}},
     }
-    pool = farm.pool("w1", "w2", copies=2, ramp_per_s=50)
-    data = farm.config(pool, farm.pool("o1", planned=False), planning=planning)
+    pool = fake_servers.pool("w1", "w2", copies=2, ramp_per_s=50)
+    data = fake_servers.config(pool, fake_servers.pool("o1", planned=False), planning=planning)
     data["listeners"] = {"front": {"address": f"127.0.0.1:{listen_port}"}}
     file = tmp_path / "forwarder.json"
     file.write_text(json.dumps(data))
@@ -85,25 +85,25 @@
 
 
 async def check_status(planner_control: str, forwarder_control: str, address: str) -> None:
-    """Check what the verbs on both control sockets say of the server at this address."""
-    planner_status = ("planner", "status", "--control", planner_control)
+    """Check the output of the status commands on both control sockets for the server at this address."""
+    status_command = ("planner", "status", "--control", planner_control)
     status = await query("status", "--control", forwarder_control)
     assert status["planning"]["lends_to"] == "p0"
-    known = await query(*planner_status)
-    assert [row["name"] for row in known["forwarders"]] == ["web-1"]
-    assert [(row["pool"], row["of"]) for row in known["pools"]] == [("web", 2)]
-    (explained,) = (await query(*planner_status, "--explain", address))["servers"]
-    assert (explained["listed_by"], explained["weight"]) == (1, 1.0)
+    planner_status = await query(*status_command)
+    assert [row["name"] for row in planner_status["forwarders"]] == ["web-1"]
+    assert [(row["pool"], row["of"]) for row in planner_status["pools"]] == [("web", 2)]
+    (server_row,) = (await query(*status_command, "--explain", address))["servers"]
+    assert (server_row["listed_by"], server_row["weight"]) == (1, 1.0)
     for arguments in (
         ("status", "--control", forwarder_control),
-        planner_status,
-        (*planner_status, "--explain", address),
+        status_command,
+        (*status_command, "--explain", address),
     ):
         code, out, err = await asyncio.to_thread(run_command, *arguments)
         assert code == 0
         assert out
         assert not err
-    code, _, err = await asyncio.to_thread(run_command, *planner_status, "--explain", "10.9.9.9:1")
+    code, _, err = await asyncio.to_thread(run_command, *status_command, "--explain", "10.9.9.9:1")
     assert code == 1
     assert "no forwarder has named server 10.9.9.9:1" in err
 
@@ -121,8 +121,10 @@
     forwarder_control = str(tmp_path / "f.sock")
 
     async def work() -> None:
-        farm = await FakeServers().start("w1", "w2", "o1")
-        forwarder_file = write_forwarder_file(tmp_path, farm, listen_port, planner_port, planner_public_key)
+        fake_servers = await FakeServers().start("w1", "w2", "o1")
+        forwarder_file = write_forwarder_file(
+            tmp_path, fake_servers, listen_port, planner_port, planner_public_key
+        )
         planner = await spawn("planner", "run", str(planner_file), "--control", planner_control)
         forwarder = await spawn("serve", str(forwarder_file), "--control", forwarder_control)
         assert planner.stderr is not None
@@ -136,14 +138,14 @@
                 for _ in range(4):
                     client.send_request()
                     assert (await client.read_response()).status == 200
-            await check_status(planner_control, forwarder_control, farm.address("w1"))
+            await check_status(planner_control, forwarder_control, fake_servers.address("w1"))
         finally:
             for process in (planner, forwarder):
                 process.send_signal(signal.SIGTERM)
             for process in (planner, forwarder):
                 await process.communicate()
         assert (planner.returncode, forwarder.returncode) == (0, 0)
-        farm.close()
+        fake_servers.close()
 
     run(work())
 
@@ -185,5 +187,5 @@
     assert "none: No such file or directory" in err
 
 
-def test_a_status_query_without_a_running_planner_has_its_own_exit_code(tmp_path: Path) -> None:
+def test_a_status_query_without_a_running_planner_returns_exit_code_3(tmp_path: Path) -> None:
     assert run_command("planner", "status", "--control", str(tmp_path / "none")).code == 3
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -1,4 +1,4 @@
-"""Planners in a configuration that changes while requests are served."""
+"""Changes of the configured planners while requests are served."""
 
 from __future__ import annotations
 
@@ -13,14 +13,16 @@
 from tests.service.harness import FakeServers, RunningService, run, serving
 
 
-def with_planner(farm: FakeServers, key: Path, port: int, **more: Any) -> dict[str, Any]:
-    spec = {
+def with_planner(fake_servers: FakeServers, key: Path, port: int, **overrides: Any) -> dict[str, Any]:
+    planning_settings = {
         "shared_key_file": str(key),
         "planners": {"p0": {"address": f"127.0.0.1:{port}"}},
         "most_lease_ms": 3_100,
         "report_ms": 50,
     }
-    return farm.config(farm.pool("w1", "w2"), farm.pool("o1"), planning=spec | more)
+    return fake_servers.config(
+        fake_servers.pool("w1", "w2"), fake_servers.pool("o1"), planning=planning_settings | overrides
+    )
 
 
 def key_file(tmp_path: Path) -> Path:
@@ -30,18 +32,18 @@
     return key
 
 
-def test_a_version_whose_key_file_cannot_be_read_is_not_applied_and_states_the_reason(tmp_path: Path) -> None:
+def test_a_version_with_an_unreadable_key_file_is_not_applied_and_states_the_reason(tmp_path: Path) -> None:
     async def work() -> None:
-        farm = await FakeServers().start("w1", "w2", "o1")
-        plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
+        fake_servers = await FakeServers().start("w1", "w2", "o1")
+        plain = fake_servers.config(fake_servers.pool("w1", "w2"), fake_servers.pool("o1"))
         async with serving(plain) as running, HttpClient(running.port) as client:
-            version = await running.commit(with_planner(farm, tmp_path / "none", 1))
+            version = await running.commit(with_planner(fake_servers, tmp_path / "none", 1))
             assert version.state is State.FAILED
             assert "planning: " in version.why
             assert "No such file or directory" in version.why
             client.send_request()
             assert (await client.read_response()).status == 200
-        farm.close()
+        fake_servers.close()
 
     run(work())
 
@@ -52,11 +54,11 @@
 
 
 async def change_a_pool(
-    farm: FakeServers, key: Path, planner: PlannerServer, running: RunningService, client: HttpClient
+    fake_servers: FakeServers, key: Path, planner: PlannerServer, running: RunningService, client: HttpClient
 ) -> None:
-    """Check that the link stays and still observes the pool, and that the other pool leaves it."""
+    """Check that the link is retained and still observes the pool, and that the other pool is detached."""
     link = running.service.forwarding.link
-    data = with_planner(farm, key, planner.port)
+    data = with_planner(fake_servers, key, planner.port)
     data["pools"]["web"]["max_attempts"] = 3
     data["pools"]["orders"]["planned"] = False
     await running.confirmed(data)
@@ -70,14 +72,14 @@
 
 
 async def replace_the_link(
-    farm: FakeServers, key: Path, planner: PlannerServer, running: RunningService
+    fake_servers: FakeServers, key: Path, planner: PlannerServer, running: RunningService
 ) -> None:
-    """Check that the new link knows until when the shares are leased."""
+    """Check that the new link takes over the end of the shares' lease."""
     link = running.service.forwarding.link
     assert link is not None
     await wait_until(lambda: link.forwarder.leased_to == "p0")
     lease_end_ms = link.forwarder.leased_until_ms
-    await running.confirmed(with_planner(farm, key, planner.port, name="other"))
+    await running.confirmed(with_planner(fake_servers, key, planner.port, name="other"))
     replacement = running.service.forwarding.link
     assert replacement is not None
     assert replacement is not link
@@ -89,13 +91,13 @@
     key = key_file(tmp_path)
 
     async def work() -> None:
-        farm = await FakeServers().start("w1", "w2", "o1")
-        plain = farm.config(farm.pool("w1", "w2"), farm.pool("o1"))
+        fake_servers = await FakeServers().start("w1", "w2", "o1")
+        plain = fake_servers.config(fake_servers.pool("w1", "w2"), fake_servers.pool("o1"))
         async with planner_server() as planner, serving(plain) as running, HttpClient(running.port) as client:
             forwarding = running.service.forwarding
             await check_request_is_served(client)
             assert forwarding.status() is None
-            await running.confirmed(with_planner(farm, key, planner.port))
+            await running.confirmed(with_planner(fake_servers, key, planner.port))
             assert forwarding.link is not None
             assert set(forwarding.link.pools) == {"web", "orders"}
             await wait_until(lambda: "web" in planner.planner.pools)
@@ -103,11 +105,11 @@
             await check_request_is_served(client)
             load = planner.planner.pools["web"].load
             await wait_until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
-            await change_a_pool(farm, key, planner, running, client)
-            await replace_the_link(farm, key, planner, running)
+            await change_a_pool(fake_servers, key, planner, running, client)
+            await replace_the_link(fake_servers, key, planner, running)
             await running.confirmed(plain)
             assert forwarding.link is None
             await check_request_is_served(client)
-        farm.close()
+        fake_servers.close()
 
     run(work())
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -1,4 +1,4 @@
-"""The forwarder's state machine: validity of advice and leases, reports, and what it rejects."""
+"""The forwarder's state machine: validity of advice and leases, reports, and rejected advice."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from tests.planning.machines import POOL, ForwarderDriver
 
 
-def test_advice_is_valid_from_when_the_report_it_answers_was_sent() -> None:
+def test_advice_validity_starts_when_the_report_it_responds_to_was_sent() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
-    sent = driver.now
+    sent_ms = driver.now
     driver.respond("p0", 900.0, pools=[PoolAdvice(POOL, [WeightRow(0, 0.5)])])
-    assert driver.guidances[0].report_sent_ms == sent
-    assert driver.guidances[0].until_ms == sent + 1_980.0
+    assert driver.guidances[0].report_sent_ms == sent_ms
+    assert driver.guidances[0].until_ms == sent_ms + 1_980.0
 
 
 def test_shares_are_leased_only_after_advice_and_the_balancer_is_notified_before_they_are_used() -> None:
@@ -22,11 +22,11 @@
     driver.connect("p0")
     assert not driver.reports["p0"].leases_shares
     driver.respond("p0", has_lease=False)
-    received = driver.now
+    received_ms = driver.now
     driver.tick(0.0)
     assert driver.reports["p0"].leases_shares
     assert driver.reports["p0"].version == 1
-    assert driver.lease_ends_ms[-1] == received + 3_030.0
+    assert driver.lease_ends_ms[-1] == received_ms + 3_030.0
     assert not driver.guidances[0].leased
     driver.respond("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
     assert driver.guidances[-1].leased
@@ -44,7 +44,7 @@
     assert driver.guidances[-1].own_part is None
 
 
-def test_a_new_incarnation_of_the_lessee_continues_with_the_previous_grants() -> None:
+def test_a_new_incarnation_of_the_lease_holder_receives_the_previous_grants() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(4, "p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
@@ -79,7 +79,7 @@
     assert reason(lease_ms=5_000.0) == "a lease of 5000 ms within 3000 ms; 10000 ms is the most"
 
 
-def test_expired_advice_is_ignored_and_is_no_fault() -> None:
+def test_expired_advice_is_ignored_and_not_counted_as_a_fault() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.respond("p0", 5_000.0)
@@ -108,7 +108,7 @@
 
 
 def test_advice_rejected_by_the_balancer_is_not_acknowledged() -> None:
-    """The planner would count the grants before it as superseded, which they are not."""
+    """An acknowledgement would make the planner count valid earlier grants as superseded."""
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.respond("p0")
@@ -119,7 +119,7 @@
     assert driver.reports["p0"].version == 1
 
 
-def test_a_session_of_an_earlier_epoch_is_rejected_and_dropped() -> None:
+def test_a_session_of_an_earlier_epoch_is_rejected_and_ended() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0", 5)
     driver.machine.disconnected("p0")
@@ -128,14 +128,14 @@
     assert driver.ended_sessions[0].why == "epoch 4 is before 5"
 
 
-def test_a_planners_note_is_logged_once() -> None:
+def test_a_planners_repeated_note_is_logged_once() -> None:
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.rounds(3, "p0", note="place 2 is f7's")
     assert [note for note in driver.notes if "place 2" in note] == ["planner p0: place 2 is f7's"]
 
 
-def test_reports_stay_within_their_bytes_per_second() -> None:
+def test_reports_stay_within_the_configured_bytes_per_second() -> None:
     driver = ForwarderDriver("p0", bytes_per_s=2_000.0)
     driver.connect("p0")
     total_bytes = 0
--- a/tests/planning/test_keys.py
+++ b/tests/planning/test_keys.py
@@ -1,4 +1,4 @@
-"""Key files and the context of proofs."""
+"""Key files and the context string of proofs."""
 
 from __future__ import annotations
 
@@ -34,33 +34,33 @@
     assert read_key(str(key_file)) == b"\xab" * 32
 
 
-def test_a_key_file_that_others_may_read_is_rejected(key_file: Path) -> None:
+def test_a_key_file_readable_by_other_users_is_rejected(key_file: Path) -> None:
     key_file.chmod(0o640)
-    with pytest.raises(BadKeyError, match="others may read it; its mode must be 0600"):
+    with pytest.raises(BadKeyError, match="readable by other users; the mode of a key file must be 0600"):
         read_key(str(key_file))
 
 
-def test_a_key_file_that_does_not_exist_is_named_with_the_reason(key_file: Path) -> None:
+def test_a_missing_key_file_is_rejected_with_the_reason(key_file: Path) -> None:
     with pytest.raises(BadKeyError, match="No such file"):
         read_key(str(key_file) + "2")
 
 
-def test_the_method_follows_from_the_files_that_are_given(key_file: Path) -> None:
+def test_the_authentication_method_follows_from_which_key_file_is_given(key_file: Path) -> None:
     peers = {"p": public_key(new_private_key()).hex()}
     assert identity(str(key_file), None, {}).method == "shared"
     assert identity(None, str(key_file), peers).method == "ed25519"
 
 
-def test_keys_of_a_wrong_form_are_rejected_with_the_reason() -> None:
-    with pytest.raises(BadKeyError, match="not hexadecimal"):
-        parse_key("zz", "it")
-    with pytest.raises(BadKeyError, match="16 are the least"):
+def test_malformed_keys_are_rejected_with_the_reason() -> None:
+    with pytest.raises(BadKeyError, match="key is not hexadecimal"):
+        parse_key("zz", "source")
+    with pytest.raises(BadKeyError, match="at least 16 are required"):
         SharedKey(b"short")
     with pytest.raises(BadKeyError, match="not an Ed25519 key"):
         OwnKey(b"short", {})
 
 
-def test_proofs_cover_the_context_string_that_is_on_the_wire() -> None:
+def test_proofs_cover_the_context_string_of_the_wire_protocol() -> None:
     covered = b"larkweir planner\0transcript"
     key = b"k" * 32
     assert SharedKey(key).prove(b"planner", b"transcript") == hmac.digest(key, covered, sha256)
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -1,4 +1,4 @@
-"""A forwarder's links on real connections: planners that are slow, wrong, hostile or lost."""
+"""A forwarder's links on real connections, with planners that are slow, faulty, hostile or unreachable."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 def responds_to_each_report(
     *pools: PoolAdvice, **fields: object
 ) -> Callable[[ForwarderConnection], Awaitable[None]]:
-    """A planner that gives each report the same answer."""
+    """A planner's script that responds to each report with the same advice."""
 
     async def script(connection: ForwarderConnection) -> None:
         await connection.wait_established()
@@ -71,7 +71,7 @@
     run(work())
 
 
-def test_a_forwarder_leases_its_shares_to_a_planner_and_uses_what_that_grants() -> None:
+def test_a_forwarder_leases_its_shares_to_a_planner_and_receives_its_grants() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
@@ -83,7 +83,7 @@
     run(work())
 
 
-def test_garbage_opens_the_circuit_and_does_not_reach_the_balancer() -> None:
+def test_unauthenticated_frames_open_the_circuit_and_do_not_reach_the_balancer() -> None:
     async def script(connection: ForwarderConnection) -> None:
         await connection.wait_established()
         await connection.send_raw(b"\0\0\0\x20" + b"garbage!" * 4)
@@ -102,16 +102,16 @@
     run(work())
 
 
-def test_a_planner_sending_100_mb_is_disconnected_at_the_first_bytes() -> None:
-    sent = 0
+def test_a_planner_sending_a_100_mb_frame_is_disconnected_on_its_length_prefix() -> None:
+    sent_bytes = 0
 
     async def script(connection: ForwarderConnection) -> None:
-        nonlocal sent
+        nonlocal sent_bytes
         await connection.wait_established()
         await connection.send_raw((100_000_000).to_bytes(4, "big"))
         while True:
             await connection.send_raw(b"x" * 65536)
-            sent += 65536
+            sent_bytes += 65536
 
     async def work() -> None:
         async with (
@@ -122,12 +122,12 @@
             await wait_until(lambda: planner.ended_scripts == TERMS.fault_limit)
             reason = forwarder.planner_status("p0")["last"]
             assert "a frame of 100000000 bytes; 1048576 are the most" in reason
-            assert sent < 50_000_000
+            assert sent_bytes < 50_000_000
 
     run(work())
 
 
-def test_a_planner_that_floods_is_disconnected() -> None:
+def test_a_planner_that_exceeds_the_message_rate_is_disconnected() -> None:
     async def script(connection: ForwarderConnection) -> None:
         await connection.wait_established()
         report = await connection.next_report()
@@ -145,7 +145,7 @@
     run(work())
 
 
-def test_repeated_old_advice_is_rejected_and_opens_the_circuit() -> None:
+def test_replayed_advice_is_rejected_and_opens_the_circuit() -> None:
     async def script(connection: ForwarderConnection) -> None:
         await connection.wait_established()
         first = connection.advice(await connection.next_report(), weights_advice(1.0, 0.5))
@@ -179,7 +179,7 @@
     run(work())
 
 
-def test_a_planner_back_with_an_earlier_epoch_is_rejected() -> None:
+def test_a_planner_that_reconnects_with_an_earlier_epoch_is_rejected() -> None:
     async def work() -> None:
         async with (
             scripted_planner(responds_to_each_report(weights_advice(1.0, 0.5)), epoch=5) as planner,
@@ -199,8 +199,8 @@
     run(work())
 
 
-def test_late_advice_changes_nothing_and_its_planner_does_not_get_the_lease() -> None:
-    """Advice five seconds late, with the lease and the delay shorter in proportion."""
+def test_late_advice_is_not_applied_and_its_planner_does_not_get_the_lease() -> None:
+    """Models advice that is five seconds late, with the lease and the delay scaled down in proportion."""
 
     async def script(connection: ForwarderConnection) -> None:
         await connection.wait_established()
@@ -218,7 +218,7 @@
             await wait_until(lambda: forwarder.planner_status("p0")["late"] >= 3)
             assert forwarder.dispatcher.guidances == []
             assert forwarder.link.status()["lends_to"] is None
-            assert forwarder.planner_status("p0")["refused"] == 0  # late is no fault
+            assert forwarder.planner_status("p0")["refused"] == 0  # late advice is not a fault
 
     run(work())
 
@@ -231,8 +231,8 @@
         ):
             dispatcher = forwarder.dispatcher
             await wait_until(lambda: len(dispatcher.guidances) > 3)
-            now = dispatcher.clock.now_ms() + 60_000.0
-            assert [dispatcher.balancer.guidance_state.weight(n, now) for n in range(4)] == [1.0] * 4
+            now_ms = dispatcher.clock.now_ms() + 60_000.0
+            assert [dispatcher.balancer.guidance_state.weight(n, now_ms) for n in range(4)] == [1.0] * 4
             assert dispatcher.rejected == []
 
     run(work())
@@ -248,7 +248,7 @@
             status = forwarder.planner_status("p0")
             assert status["refused"] == TERMS.fault_limit
             assert status["last"] == "only 1 of 4 ready servers keep half of the most weight"
-            assert forwarder.logged("circuit open for")
+            assert forwarder.has_logged("circuit open for")
             dispatcher = forwarder.dispatcher
             until_ms = dispatcher.clock.now_ms() + 5_000.0
             assert dispatcher.balancer.guidance_state.weight(0, until_ms) == 1.0
@@ -256,7 +256,7 @@
     run(work())
 
 
-def test_advice_on_servers_that_were_not_named_is_ignored() -> None:
+def test_advice_on_servers_not_named_in_the_session_is_ignored() -> None:
     rows = [WeightRow(n, 0.5) for n in (0, 17, 2**40)]
     advice = PoolAdvice("core", rows, [RampShareRow(99, 1.0, 4.0)])
 
@@ -290,7 +290,8 @@
     run(work())
 
 
-# More than the system takes of a connection that nobody reads: it may go on taking for a moment.
+# More than the operating system buffers for a connection that the peer does not read; it may go on accepting
+# bytes for a moment.
 SYSTEM_BUFFER_BYTES = 64 * 1024 * 1024
 
 
@@ -312,32 +313,32 @@
             assert transport is not None
             while transport.get_write_buffer_size() <= MAX_UNSENT_BYTES + SYSTEM_BUFFER_BYTES:
                 transport.write(b"\0" * 65536)
-            await wait_until(lambda: forwarder.logged("does not read"))
+            await wait_until(lambda: forwarder.has_logged("does not read"))
 
     run(work())
 
 
-def test_without_any_planner_the_forwarder_has_its_own_shares() -> None:
+def test_without_a_reachable_planner_the_forwarder_uses_its_own_shares() -> None:
     async def work() -> None:
         async with scripted_planner(responds_to_each_report()) as planner:
             port = planner.port
         async with connected_forwarder({"p0": port}) as forwarder:
-            await wait_until(lambda: forwarder.lines)
-            assert "planner p0:" in forwarder.lines[0]
+            await wait_until(lambda: forwarder.log_lines)
+            assert "planner p0:" in forwarder.log_lines[0]
             assert forwarder.link.status()["lends_to"] is None
             assert forwarder.link.status()["own_parts_in_ms"] == 0
 
     run(work())
 
 
-def test_a_pool_in_a_new_version_continues_in_the_same_session() -> None:
+def test_a_pool_with_a_replaced_dispatcher_continues_in_the_same_session() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             clock = forwarder.dispatcher.clock
             successor = FakeDispatcher(clock)
             forwarder.link.attach("core", successor, SETTINGS)
-            assert successor.events  # it is notified at once of what is leased
+            assert successor.events  # the new balancer is notified at once of the current lease
             await wait_until(lambda: len(successor.guidances) > 2)
             other_settings = replace(SETTINGS, warm_up_ms=1_000.0)
             last = FakeDispatcher(clock, other_settings)
@@ -352,8 +353,8 @@
     run(work())
 
 
-def test_a_connection_that_ends_at_once_is_retried() -> None:
-    """It may end before `create_connection` returns, and must not be taken for an open one."""
+def test_a_connection_that_ends_immediately_is_retried() -> None:
+    """The connection may end before `create_connection` returns, and must not stay registered as open."""
 
     async def script(connection: ForwarderConnection) -> None:
         await connection.send_raw(b"\0\0\0\5hello")
@@ -369,7 +370,7 @@
     run(work())
 
 
-def test_a_message_that_is_too_long_is_not_sent() -> None:
+def test_a_message_above_the_maximum_frame_size_is_not_sent() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.link._connections)
--- a/tests/planning/test_messages.py
+++ b/tests/planning/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages on the wire: their field names, what is ignored and what is invalid."""
+"""Messages on the wire: field names, ignored fields and invalid values."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def raw(payload: bytes) -> Any:
-    """A payload as docs/planning-link.md describes it."""
+    """Decode a payload to the plain values that docs/planning-link.md describes."""
     return msgspec.msgpack.decode(payload)
 
 
@@ -132,8 +132,8 @@
 
 def test_unknown_fields_are_ignored_and_invalid_values_are_not() -> None:
     wire = raw(encode(Report(1, 250.0)))
-    assert decode(msgspec.msgpack.encode(wire | {"mood": "fine", "pools": []})) == Report(1, 250.0)
-    for key, value in (("serial", -1), ("serial", "one"), ("span_ms", 1e12), ("type", "poem")):
+    assert decode(msgspec.msgpack.encode(wire | {"unknown_field": "value", "pools": []})) == Report(1, 250.0)
+    for key, value in (("serial", -1), ("serial", "one"), ("span_ms", 1e12), ("type", "unknown")):
         with pytest.raises(BadMessageError):
             decode(msgspec.msgpack.encode(wire | {key: value}))
     with pytest.raises(BadMessageError):
@@ -142,6 +142,6 @@
 
 @given(st.binary(max_size=300))
 @settings(deadline=None, max_examples=200)
-def test_any_bytes_are_a_message_or_a_bad_message_error(data: bytes) -> None:
+def test_arbitrary_bytes_decode_to_a_message_or_raise_bad_message_error(data: bytes) -> None:
     with suppress(BadMessageError):
         decode(data)
--- a/tests/planning/test_observer.py
+++ b/tests/planning/test_observer.py
@@ -1,4 +1,4 @@
-"""What a forwarder observes of a pool."""
+"""A forwarder's observations of a pool."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     assert observer.totals == {}
 
 
-def test_an_observer_fits_only_the_same_classes_and_warm_up_time() -> None:
+def test_an_observer_is_compatible_only_with_the_same_classes_and_warm_up_time() -> None:
     observer = Observer(["view"], 10_000.0)
-    assert observer.fits(["view"], 10_000.0)
-    assert not observer.fits(["view", "order"], 10_000.0)
-    assert not observer.fits(["view"], 1_000.0)
+    assert observer.is_compatible(["view"], 10_000.0)
+    assert not observer.is_compatible(["view", "order"], 10_000.0)
+    assert not observer.is_compatible(["view"], 1_000.0)
 
 
-def test_an_attempt_at_a_server_is_marked_for_every_reporter() -> None:
+def test_a_sent_attempt_marks_its_server_as_changed_for_every_reporter() -> None:
     observer = Observer(["view"], 10_000.0)
     first = observer.new_reporter()
     second = observer.new_reporter()
     observer.on_event(AttemptEnded(1, 0, 0, Outcome.OK, True, 10.0), [Send(2, 4, 100.0)])
-    assert first.changed == second.changed == {4}
+    assert first.changed_totals == second.changed_totals == {4}
--- a/tests/planning/test_receive_limit.py
+++ b/tests/planning/test_receive_limit.py
@@ -1,4 +1,4 @@
-"""The limit on a peer's frames and bytes per second."""
+"""Limit on a peer's frames and bytes per second."""
 
 from __future__ import annotations
 
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -1,4 +1,4 @@
-"""The planner's server on real connections: forwarders that are honest, wrong or hostile."""
+"""The planner's server on real connections, with forwarders that are correct, faulty or hostile."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.service.harness import run
 
 
-def test_what_a_forwarder_observes_reaches_the_planner() -> None:
+def test_a_forwarders_observations_reach_the_planner() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: "core" in planner.planner.pools)
@@ -28,14 +28,14 @@
     run(work())
 
 
-def test_a_forwarder_that_violates_the_protocol_is_notified_of_the_reason_and_may_come_back() -> None:
+def test_a_forwarder_that_violates_the_protocol_receives_the_reason_and_may_reconnect() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             connection = forwarder.link._connections["p0"]
             connection.session.send(Report(99, 0.0, planner.planner.epoch, 10**9))
             connection.flush()
-            await wait_until(lambda: forwarder.logged("which was not given"))
+            await wait_until(lambda: forwarder.has_logged("which was not given"))
             assert planner.status()["turned_away"] == 1
             count = len(forwarder.dispatcher.guidances)
             await wait_until(lambda: len(forwarder.dispatcher.guidances) > count)
@@ -43,7 +43,7 @@
     run(work())
 
 
-def test_garbage_on_a_planners_port_does_not_affect_its_forwarders() -> None:
+def test_invalid_data_on_a_planners_port_does_not_affect_its_forwarders() -> None:
     async def work() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
@@ -61,14 +61,14 @@
     run(work())
 
 
-def test_a_planner_with_too_many_connections_states_the_reason() -> None:
+def test_a_planner_at_its_connection_limit_rejects_a_forwarder_with_the_reason() -> None:
     async def work() -> None:
         async with (
             planner_server(max_connections=0) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await wait_until(lambda: forwarder.lines)
-            assert "0 connections are there already" in forwarder.lines[0]
+            await wait_until(lambda: forwarder.log_lines)
+            assert "0 connections are there already" in forwarder.log_lines[0]
 
     run(work())
 
@@ -79,13 +79,13 @@
             await wait_until(lambda: first.has_lease_guidance)
             async with connected_forwarder({"p0": planner.port}) as second:
                 await wait_until(lambda: second.has_lease_guidance)
-                assert first.logged("another connection")
+                assert first.has_logged("another connection")
 
     run(work())
 
 
 def test_a_planner_whose_clock_was_set_back_starts_above_its_earlier_epoch() -> None:
-    """Nothing but the epoch comes from the system's time; a forwarder that knows a later one says so."""
+    """Only the epoch is taken from the system's time; a forwarder that has seen a higher epoch reports it."""
 
     async def work() -> None:
         async with (
@@ -112,6 +112,6 @@
             connection = forwarder.link._connections["p0"]
             connection.session.send(Report(10**6, 10.0, pools=[report]))
             connection.flush()
-            await wait_until(lambda: forwarder.logged("server 77 has no name"))
+            await wait_until(lambda: forwarder.has_logged("server 77 has no name"))
 
     run(work())
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sandhatch.planning.errors import EpochOverError, SessionError
+from sandhatch.planning.errors import SessionError, SupersededEpochError
 from sandhatch.planning.keys import Identity, OwnKey, SharedKey, new_private_key, public_key
 from sandhatch.planning.messages import (
     Advice,
@@ -33,17 +33,17 @@
 
 
 class SessionPair(NamedTuple):
-    """The two ends of a session."""
+    """Both ends of a session."""
 
     forwarder: ForwarderSession
     planner: PlannerSession
 
 
 class HandshakeEvents(NamedTuple):
-    """Both peers' events from the welcome on."""
+    """Events of both peers, from the `Welcome` on."""
 
-    of_forwarder: list[Event]
-    of_planner: list[Event]
+    forwarder_events: list[Event]
+    planner_events: list[Event]
 
 
 def session_pair(
@@ -57,14 +57,14 @@
     return len(payload).to_bytes(4, "big") + payload
 
 
-def events(session: Session, data: bytes) -> list[Event]:
+def receive(session: Session, data: bytes) -> list[Event]:
     return [received.event for received in session.feed(data)]
 
 
 def handshake(forwarder: ForwarderSession, planner: PlannerSession) -> HandshakeEvents:
-    events(planner, forwarder.take_out())
-    forwarder_events = events(forwarder, planner.take_out())
-    planner_events = events(planner, forwarder.take_out())
+    receive(planner, forwarder.take_out())
+    forwarder_events = receive(forwarder, planner.take_out())
+    planner_events = receive(planner, forwarder.take_out())
     return HandshakeEvents(forwarder_events, planner_events)
 
 
@@ -79,18 +79,18 @@
         planner_key = OwnKey(planner_private, {"f1": public_key(forwarder_private)})
     forwarder, planner = session_pair(forwarder_key, planner_key)
     handshake_events = handshake(forwarder, planner)
-    assert handshake_events.of_forwarder == [Established("p1", 5)]
-    assert handshake_events.of_planner == [Established("f1", 5)]
+    assert handshake_events.forwarder_events == [Established("p1", 5)]
+    assert handshake_events.planner_events == [Established("f1", 5)]
     report = Report(1, 250.0, pools=[PoolReport("core", rows=[Row(3, 2, 1)])])
     forwarder.send(report)
-    assert events(planner, forwarder.take_out()) == [report]
+    assert receive(planner, forwarder.take_out()) == [report]
     planner.send(Advice(5, 1, 1, 2_000.0, 3_000.0))
-    assert events(forwarder, planner.take_out()) == [Advice(5, 1, 1, 2_000.0, 3_000.0)]
+    assert receive(forwarder, planner.take_out()) == [Advice(5, 1, 1, 2_000.0, 3_000.0)]
 
 
 @given(st.lists(st.integers(1, 40), max_size=60))
 @settings(deadline=None, max_examples=30)
-def test_frames_are_the_same_however_the_bytes_are_split(sizes: list[int]) -> None:
+def test_messages_are_received_identically_however_the_bytes_are_split(sizes: list[int]) -> None:
     forwarder, planner = session_pair()
     handshake(forwarder, planner)
     sent = [Report(n, 250.0) for n in range(5)]
@@ -99,19 +99,21 @@
     data = forwarder.take_out()
     received = []
     for size in [*sizes, len(data)]:
-        received += events(planner, data[:size])
+        received += receive(planner, data[:size])
         data = data[size:]
     assert received == sent
 
 
-@pytest.mark.parametrize("wrong", ["forwarder", "planner"])
-def test_a_peer_without_the_key_is_rejected(wrong: str) -> None:
-    bad = SharedKey(b"x" * 32)
-    keys = (bad, SHARED) if wrong == "forwarder" else (SHARED, bad)
+@pytest.mark.parametrize("peer_with_other_key", ["forwarder", "planner"])
+def test_a_peer_without_the_key_is_rejected(peer_with_other_key: str) -> None:
+    other_key = SharedKey(b"x" * 32)
+    keys = (other_key, SHARED) if peer_with_other_key == "forwarder" else (SHARED, other_key)
     forwarder, planner = session_pair(*keys)
-    events(planner, forwarder.take_out())
-    with pytest.raises(SessionError, match="planner p1 has not the key that it should have"):
-        events(forwarder, planner.take_out())
+    receive(planner, forwarder.take_out())
+    with pytest.raises(
+        SessionError, match="planner p1 failed authentication: its proof does not match its configured key"
+    ):
+        receive(forwarder, planner.take_out())
 
 
 def test_a_planner_rejects_a_forwarder_that_does_not_have_its_key() -> None:
@@ -122,23 +124,23 @@
     )
     with pytest.raises(SessionError, match="forwarder f1 has not the key"):
         handshake(forwarder, planner)
-    forwarder._decryptor = None  # the reason is not encrypted, since no keys have been agreed on
+    forwarder._decryptor = None  # the reason is not encrypted, since no session keys exist yet
     rejection = planner.take_out()
     with pytest.raises(SessionError, match="rejected by the planner: forwarder f1 has not the key"):
-        events(forwarder, rejection)
+        receive(forwarder, rejection)
 
 
 def test_a_proof_replayed_from_another_session_is_rejected() -> None:
-    """A whole handshake, recorded and sent to the planner again."""
+    """A recorded handshake is sent to the planner again."""
     forwarder, planner = session_pair()
     hello = forwarder.take_out()
-    events(planner, hello)
-    events(forwarder, planner.take_out())
+    receive(planner, hello)
+    receive(forwarder, planner.take_out())
     proof = forwarder.take_out()
     second = PlannerSession(SHARED, "p1", 5)
-    events(second, hello)
+    receive(second, hello)
     with pytest.raises(SessionError, match="forwarder f1 has not the key"):
-        events(second, proof)
+        receive(second, proof)
 
 
 def test_a_repeated_altered_or_dropped_frame_ends_the_session() -> None:
@@ -150,21 +152,21 @@
         forwarder.send(Report(2, 250.0))
         second = forwarder.take_out()
         if fault != "drop":
-            assert events(planner, first) == [Report(1, 250.0)]
+            assert receive(planner, first) == [Report(1, 250.0)]
         altered = second[:-1] + bytes([second[-1] ^ 1])
         data = {"repeat": first, "alter": altered, "drop": second}[fault]
         with pytest.raises(SessionError, match="can't be opened"):
-            events(planner, data)
+            receive(planner, data)
 
 
-def test_a_frame_that_is_too_long_is_rejected_by_its_length_alone() -> None:
+def test_a_frame_that_is_too_long_is_rejected_on_its_length_prefix() -> None:
     forwarder, planner = session_pair()
     with pytest.raises(SessionError, match=f"a frame of 100000000 bytes; {MAX_HANDSHAKE_BYTES} are the most"):
-        events(planner, (100_000_000).to_bytes(4, "big"))
+        receive(planner, (100_000_000).to_bytes(4, "big"))
     forwarder, planner = session_pair()
     handshake(forwarder, planner)
     with pytest.raises(SessionError, match=f"a frame of 100000000 bytes; {MAX_FRAME_BYTES} are the most"):
-        events(forwarder, (100_000_000).to_bytes(4, "big") + b"x" * 1000)
+        receive(forwarder, (100_000_000).to_bytes(4, "big") + b"x" * 1000)
     assert forwarder.buffered_bytes == 0
 
 
@@ -173,7 +175,7 @@
 
     def rejection(hello: Hello) -> str:
         with pytest.raises(SessionError) as raised:
-            events(PlannerSession(SHARED, "p1", 5), framed(encode_handshake(hello)))
+            receive(PlannerSession(SHARED, "p1", 5), framed(encode_handshake(hello)))
         return str(raised.value)
 
     key = planner.ephemeral
@@ -181,46 +183,46 @@
     assert rejection(Hello([1], "f1", "p2", "shared", key)) == "this is planner p1, not p2"
     assert rejection(Hello([1], "f1", "p1", "ed25519", key)) == "keys here are shared, not ed25519"
     with pytest.raises(SessionError, match=r"Proof in place of a hello|Report|not a message"):
-        events(planner, b"\0\0\0\5nonsense")
+        receive(planner, b"\0\0\0\5nonsense")
     forwarder, _ = session_pair()
-    with pytest.raises(SessionError, match="Hello in place of a welcome"):
-        events(forwarder, framed(encode_handshake(Hello([1], "f1", "p1", "shared", key))))
+    with pytest.raises(SessionError, match="expected a Welcome, got a Hello"):
+        receive(forwarder, framed(encode_handshake(Hello([1], "f1", "p1", "shared", key))))
 
 
 def test_the_highest_version_in_common_with_a_newer_peer_is_chosen() -> None:
     planner = PlannerSession(SHARED, "p1", 5)
     hello = encode_handshake(Hello([1, 2, 9], "f1", "p1", "shared", planner.ephemeral))
-    events(planner, framed(hello))
+    receive(planner, framed(hello))
     assert planner.version == 1
 
 
-def test_a_planner_whose_clock_was_set_back_is_notified_of_its_later_epoch() -> None:
+def test_a_planner_whose_clock_was_set_back_receives_its_higher_known_epoch() -> None:
     forwarder, planner = session_pair(known_epoch=9)
-    events(planner, forwarder.take_out())
-    events(forwarder, planner.take_out())
-    with pytest.raises(EpochOverError) as raised:
-        events(planner, forwarder.take_out())
+    receive(planner, forwarder.take_out())
+    receive(forwarder, planner.take_out())
+    with pytest.raises(SupersededEpochError) as raised:
+        receive(planner, forwarder.take_out())
     assert raised.value.known_epoch == 9
 
 
 def test_a_peer_that_is_not_authenticated_cannot_raise_the_epoch() -> None:
     forwarder, planner = session_pair(SharedKey(b"x" * 32), SHARED, known_epoch=2**60)
-    events(planner, forwarder.take_out())
-    forwarder.identity = SHARED  # so that it sends a proof; then a wrong one
-    events(forwarder, planner.take_out())
+    receive(planner, forwarder.take_out())
+    forwarder.identity = SHARED  # lets the forwarder send a proof, which is altered below
+    receive(forwarder, planner.take_out())
     proof = bytearray(forwarder.take_out())
     proof[-1] ^= 1
     with pytest.raises(SessionError) as raised:
-        events(planner, bytes(proof))
-    assert not isinstance(raised.value, EpochOverError)
+        receive(planner, bytes(proof))
+    assert not isinstance(raised.value, SupersededEpochError)
 
 
-def test_a_bye_is_understood_before_and_after_the_handshake() -> None:
+def test_a_bye_is_received_before_and_after_the_handshake() -> None:
     forwarder, planner = session_pair()
-    planner.bye("full")
+    planner.send_bye("full")
     with pytest.raises(SessionError, match="rejected by the planner: full"):
-        events(forwarder, planner.take_out())
+        receive(forwarder, planner.take_out())
     forwarder, planner = session_pair()
     handshake(forwarder, planner)
-    planner.bye("stops")
-    assert events(forwarder, planner.take_out()) == [Bye("stops")]
+    planner.send_bye("stops")
+    assert receive(forwarder, planner.take_out()) == [Bye("stops")]
