--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -1,7 +1,7 @@
-"""What the lifecycle of versions asks its owner to do.
+"""Actions that the version lifecycle returns to its owner, `sandhatch.service`.
 
-The owner carries the actions out in their order and reports how they ended. Each action is a small frozen
-dataclass; none of them does anything by itself. The owner is `sandhatch.service`.
+The owner carries the actions out in order and reports their results. Each action is a frozen dataclass
+without behaviour.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stage:
-    """Build what the version needs beside what runs; report `staged` or `failed`."""
+    """Build what the version needs alongside the active version; report `staged` or `failed`."""
 
     version: Version
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Save:
-    """Write to disk what `VersionLifecycle.record` returns now.
+    """Write the current result of `VersionLifecycle.record` to disk.
 
     Report `saved` or `save_failed` with `step`.
     """
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Assign every new request to this version from now on. `back`: a rollback to an earlier version."""
+    """Assign every new request to this version from now on; `back` is set for a rollback."""
 
     version: Version
     back: bool = False
@@ -46,21 +46,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Retire:
-    """Release the version once its last request has ended: no new request and no rollback needs it."""
+    """Release the version after its last request: no new request and no rollback needs it."""
 
     version: Version
 
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Compare the goodput from now on with that before; report `fell` if it falls."""
+    """Compare the goodput from now on with that before; report `goodput_dropped` if it drops."""
 
     version: Version
 
 
 @dataclass(slots=True, frozen=True)
 class EndWatch:
-    """End the comparison: the version is confirmed or rolled back."""
+    """End the goodput comparison: the version is being confirmed or rolled back."""
 
     version: Version
 
--- a/sandhatch/config/check.py
+++ b/sandhatch/config/check.py
@@ -1,8 +1,8 @@
-"""A document checked in full: all errors at once, each with file, line, key, value and what would be right.
+"""Complete check of a document: reports all errors at once, with file, line, key, value and expectation.
 
-What passes is a `CheckedConfiguration`, which holds the model and the compiled route table; nothing else may
-be staged. The check does no I/O, except that `check_file` reads its file. Source:
-docs/operators/configuration.md.
+A document that passes becomes a `CheckedConfiguration`, which holds the model and the compiled route table;
+only such a configuration may be staged. The check does no I/O, except that `check_file` reads its file.
+Source: docs/operators/configuration.md.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from sandhatch.config.problems import format_value, model_problems, sorted_problems
 from sandhatch.config.references import ReferenceCheck
 from sandhatch.config.route_compilation import compile_route, compile_target
-from sandhatch.routing.coverage import unreachable
+from sandhatch.routing.coverage import find_unreachable
 from sandhatch.routing.table import RouteTable
 
 
@@ -27,10 +27,10 @@
     """A configuration that may be staged.
 
     Attributes:
-        data: The document as it was written.
-        model: The same with every default filled in.
+        data: The document as written.
+        model: The configuration with every default filled in.
         table: The compiled routes.
-        warnings: What is allowed but probably a mistake.
+        warnings: Settings that are allowed but probably a mistake.
     """
 
     data: dict[str, Any]
@@ -43,7 +43,7 @@
     """Check a document.
 
     Raises:
-        CheckError: It has errors; the exception holds all problems.
+        CheckError: The document has errors; the exception holds all errors and warnings.
     """
     if not isinstance(document.data, dict):
         raise CheckError(
@@ -57,10 +57,10 @@
     if any(not problem.warning for problem in problems):
         raise CheckError(sorted_problems(problems, document))
     routes = [compile_route(route) for route in model.routes]
-    for covered in unreachable(routes):
+    for covered in find_unreachable(routes):
         cover = routes[covered.covered_by]
         text = (
-            f"this route can never match: the earlier route {cover.name!r} takes every request that it would"
+            f"this route can never match: the earlier route {cover.name!r} takes every request it would match"
         )
         problems.append(document.problem(("routes", covered.index), text, warning=True))
     table = RouteTable(routes, compile_target(model.default, b"default"))
@@ -68,15 +68,22 @@
 
 
 def check_text(text: str | bytes, file: str = "configuration") -> CheckedConfiguration:
-    """Check a configuration's text; CheckError also where it can't be parsed.
+    """Check a configuration's text.
 
     Args:
         text: YAML or JSON.
-        file: The name that errors give.
+        file: File name for error messages.
+
+    Raises:
+        CheckError: The text can't be parsed, or has errors.
     """
     return check(parse(text, file))
 
 
 def check_file(path: str) -> CheckedConfiguration:
-    """Check a configuration file; CheckError also where it can't be read."""
+    """Check a configuration file.
+
+    Raises:
+        CheckError: The file can't be read or parsed, or has errors.
+    """
     return check(read(path))
--- a/sandhatch/config/class_model.py
+++ b/sandhatch/config/class_model.py
@@ -1,7 +1,7 @@
 """Request classes and tenants: their keys, units, defaults and bounds.
 
-A field's name is its key in the file, so it keeps its spelling; `terms` and `pool_settings` translate the
-fields into the names of the code. Source: docs/operators/configuration.md and docs/operators/bodies.md.
+Field names are the keys of the file and must not be renamed; `terms` and `pool_settings` map them to the
+names used in the code. Source: docs/operators/configuration.md and docs/operators/bodies.md.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 from sandhatch.streaming.progress import ProgressLimits
 from sandhatch.streaming.terms import BodyTerms, StreamTerms
 
-READ_BYTES = 32 * 1024  # what one read may add to a body that is being held
+MAX_READ_BYTES = 32 * 1024  # maximum number of bytes that one read adds to a buffered body
 
 
 class BodyDirection(Model):
-    """The bodies of requests, or those of responses.
+    """Settings for the bodies of requests or of responses.
 
     Attributes:
-        most_bytes: The longest body that is accepted.
-        hold_bytes: A body up to this length is read completely before it is forwarded; a longer one is
-            forwarded as it arrives from there on.
-        replay_bytes: How much of what was sent is kept for another attempt.
-        ceiling_bytes: The most memory that one body may use.
-        writer_stall_ms: The longest time for which the sender may send nothing.
-        writer_floor_bytes_per_s: The slowest rate at which the sender may send.
-        reader_stall_ms: The longest time for which the receiver may accept nothing.
-        reader_floor_bytes_per_s: The slowest rate at which the receiver may accept.
-        window_ms: The time over which rates are measured.
+        most_bytes: Maximum length of a body.
+        hold_bytes: Length up to which a body is buffered completely before it is forwarded; the rest of a
+            longer body is forwarded as it arrives.
+        replay_bytes: Number of sent bytes that stay buffered for another attempt.
+        ceiling_bytes: Maximum memory that one body may use.
+        writer_stall_ms: Maximum time for which the sender may send nothing.
+        writer_floor_bytes_per_s: Minimum rate at which the sender must send.
+        reader_stall_ms: Maximum time for which the receiver may accept nothing.
+        reader_floor_bytes_per_s: Minimum rate at which the receiver must accept.
+        window_ms: Time over which rates are measured.
     """
 
     most_bytes: Annotated[int, Field(ge=0, le=2**50)] = 2**30
@@ -45,17 +45,18 @@
 
     @model_validator(mode="after")
     def _check_ceiling(self) -> Self:
-        # Bytes kept and not sent yet count twice while another attempt gets them, and a read comes on top.
-        least = 2 * max(self.hold_bytes, self.replay_bytes) + READ_BYTES
-        if self.ceiling_bytes < least:
+        # Bytes that are buffered and not yet sent count twice while another attempt receives them, and one
+        # read adds to them.
+        min_ceiling_bytes = 2 * max(self.hold_bytes, self.replay_bytes) + MAX_READ_BYTES
+        if self.ceiling_bytes < min_ceiling_bytes:
             raise ValueError(
-                f"ceiling_bytes: expected at least {least}, got {self.ceiling_bytes}: it must hold 32 KiB"
-                " and twice the larger of hold_bytes and replay_bytes"
+                f"ceiling_bytes: expected at least {min_ceiling_bytes}, got {self.ceiling_bytes}:"
+                " it must hold 32 KiB and twice the larger of hold_bytes and replay_bytes"
             )
         return self
 
     def terms(self) -> BodyTerms:
-        """Return the same for the code that forwards bodies."""
+        """Return these settings in the form that the streaming code uses."""
         return BodyTerms(
             self.most_bytes,
             self.hold_bytes,
@@ -67,14 +68,15 @@
 
 
 class Bodies(Model):
-    """How the long bodies of a class are forwarded.
+    """Settings for forwarding the long bodies of a class.
 
     Attributes:
-        request: The bodies of its requests.
-        answer: The bodies of its responses.
-        total_ms: The deadline of a request with a long body.
-        room_wait_ms: How long a body waits for memory.
-        answer_hold_ms: How long a response is held before it is forwarded incomplete.
+        request: Settings for request bodies.
+        answer: Settings for response bodies.
+        total_ms: Deadline of a request with a long body.
+        room_wait_ms: Maximum time that a body waits for memory.
+        answer_hold_ms: Time for which a response is buffered before its forwarding starts although it is
+            incomplete.
     """
 
     request: BodyDirection = BodyDirection()
@@ -84,7 +86,7 @@
     answer_hold_ms: Annotated[float, Field(ge=0, le=60_000)] = 100.0
 
     def terms(self) -> StreamTerms:
-        """Return the same for the code that forwards bodies."""
+        """Return these settings in the form that the streaming code uses."""
         return StreamTerms(
             self.request.terms(),
             self.answer.terms(),
@@ -98,13 +100,13 @@
     """A class of requests.
 
     Attributes:
-        effect: What a repeated request does: `safe` is idempotent, `keyed` idempotent with a key, `unsafe`
+        effect: Idempotence of the requests: `safe` is idempotent, `keyed` idempotent with a key, `unsafe`
             not idempotent.
-        aim_ms: The latency objective.
-        deadline_ms: The time after which a response is of no use.
-        worth: The priority weight of a response within the objective.
-        memory_ms: How long servers recognise a repeated key.
-        bodies: How long bodies are forwarded.
+        aim_ms: Latency objective.
+        deadline_ms: Time after which a response is of no use.
+        worth: Priority weight of a response within the latency objective.
+        memory_ms: Time for which servers recognise a repeated idempotency key.
+        bodies: Settings for forwarding long bodies.
     """
 
     effect: Literal["safe", "keyed", "unsafe"]
--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -1,8 +1,9 @@
-"""Two configurations compared key by key, and three merged. No I/O.
+"""Comparison of two configurations key by key, and three-way merge. No I/O.
 
-A configuration is taken as its leaves, such as `("pools", "web", "max_attempts")`, and their values. A list
-of mappings that have a `name` is flattened by the names, with its order as one more leaf, so that a route
-keeps its key when another is put before it. Any other list is one leaf. Never interprets a key.
+A configuration is treated as a set of leaves, such as `("pools", "web", "max_attempts")`, and their values. A
+list of mappings that have a `name` is flattened by the names, with its order as one more leaf, so that a
+route's key does not change when another route is inserted before it. Any other list is one leaf. Keys are
+never interpreted.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from sandhatch.config.errors import MergeError
 
 Key = tuple[str, ...]
-ORDER = "(order)"  # the leaf for the order of a list that is flattened by names
+ORDER_LEAF = "(order)"  # leaf that holds the order of a list that is flattened by names
 
 
 class _Absent:
-    """Stands for a value that is not there."""
+    """Marks a value that does not exist."""
 
     def __repr__(self) -> str:
         return "(absent)"
@@ -33,9 +34,9 @@
     """One leaf that differs.
 
     Attributes:
-        key: Where it stands.
-        before: Its value before; ABSENT if it was not there.
-        after: Its value after; ABSENT if it is not there.
+        key: Path of the leaf.
+        before: Value before the change; ABSENT if the leaf did not exist.
+        after: Value after the change; ABSENT if the leaf does not exist.
     """
 
     key: Key
@@ -44,7 +45,7 @@
 
     @property
     def path(self) -> str:
-        """The key as users write it."""
+        """Dotted form of the key, as users write it."""
         return dotted(self.key)
 
     def __str__(self) -> str:
@@ -60,7 +61,7 @@
 
 
 def diff(before: Any, after: Any) -> list[Change]:
-    """Return the leaves that differ, by key. Parts that are equal cost one comparison."""
+    """Return the leaves that differ, sorted by key. Equal subtrees cost one comparison."""
     changes: list[Change] = []
     _compare((), before, after, changes)
     return sorted(changes, key=lambda change: change.key)
@@ -86,7 +87,7 @@
     names_before = list(before_by_name)
     names_after = list(after_by_name)
     if names_before != names_after:
-        changes.append(Change((*key, ORDER), names_before, names_after))
+        changes.append(Change((*key, ORDER_LEAF), names_before, names_after))
     for name in before_by_name.keys() | after_by_name.keys():
         item_before = _without_name(before_by_name.get(name, ABSENT))
         item_after = _without_name(after_by_name.get(name, ABSENT))
@@ -98,19 +99,19 @@
     leaves_after = dict(_leaves(key, after))
     for leaf in leaves_before.keys() | leaves_after.keys():
         change = Change(leaf, leaves_before.get(leaf, ABSENT), leaves_after.get(leaf, ABSENT))
-        if not _same(change.before, change.after):
+        if not _is_same(change.before, change.after):
             changes.append(change)
 
 
 def _leaves(key: Key, value: Any) -> Iterator[tuple[Key, Any]]:
-    """Yield each leaf of a value and its key; nothing for ABSENT."""
+    """Yield each leaf of a value with its key; nothing for ABSENT."""
     if value is ABSENT:
         return
     if isinstance(value, dict) and (value or not key):
         for name, part in value.items():
             yield from _leaves((*key, name), part)
     elif _is_named_list(value):
-        yield (*key, ORDER), [item["name"] for item in value]
+        yield (*key, ORDER_LEAF), [item["name"] for item in value]
         for item in value:
             yield from _leaves((*key, item["name"]), _without_name(item))
     else:
@@ -118,7 +119,7 @@
 
 
 def _is_named_list(value: Any) -> bool:
-    """Whether it is a list of mappings that each have a name of their own."""
+    """Whether the value is a non-empty list of mappings that each have a unique name."""
     return (
         isinstance(value, list)
         and bool(value)
@@ -135,7 +136,7 @@
     return item if item is ABSENT else {key: value for key, value in item.items() if key != "name"}
 
 
-def _same(value: Any, other: Any) -> bool:
+def _is_same(value: Any, other: Any) -> bool:
     """Whether two values are equal and of one type: 1 is neither 1.0 nor True."""
     return type(value) is type(other) and bool(value == other)
 
@@ -143,52 +144,54 @@
 # ------------------------------------------------ conflicts and merges
 
 
-def overlap(ours: list[Change], theirs: list[Change]) -> list[str]:
-    """Return the keys that two changes of one base both touch, as users write them.
+def find_conflicts(ours: list[Change], theirs: list[Change]) -> list[str]:
+    """Return the keys in which two changes of one base conflict, in dotted form.
 
-    They touch the same leaf, or one a leaf and the other what holds it. A leaf that both change to the same
-    value is no conflict.
+    A conflict is a leaf that both change to different values, or a leaf that one changes while the other
+    changes an ancestor of it. A leaf that both change to the same value is no conflict.
     """
     their_changes = {change.key: change for change in theirs}
-    their_holders = {holder for change in theirs for holder in _holders(change.key)}
+    their_ancestors = {ancestor for change in theirs for ancestor in _ancestors(change.key)}
     conflicts: set[Key] = set()
     for change in ours:
         other = their_changes.get(change.key)
         if other is not None:
-            if not _same(change.after, other.after):
+            if not _is_same(change.after, other.after):
                 conflicts.add(change.key)
-        elif change.key in their_holders:
+        elif change.key in their_ancestors:
             conflicts.add(change.key)
         else:
-            conflicts.update(holder for holder in _holders(change.key) if holder in their_changes)
+            conflicts.update(ancestor for ancestor in _ancestors(change.key) if ancestor in their_changes)
     return [dotted(key) for key in sorted(conflicts)]
 
 
-def _holders(key: Key) -> Iterator[Key]:
-    """Yield the keys of everything that holds a leaf, outermost first."""
+def _ancestors(key: Key) -> Iterator[Key]:
+    """Yield the keys of all ancestors of a leaf, outermost first."""
     for length in range(1, len(key)):
         yield key[:length]
 
 
 def merge(base: Any, ours: Any, theirs: Any) -> Any:
-    """Return `theirs` with what `ours` changed from `base`.
+    """Return `theirs` with the changes that `ours` made to `base`.
 
-    The order of a named list is that of `theirs`; what is new in `ours` stands behind the item that it stood
-    behind there.
+    A named list has the order of `theirs`; an item that is new in `ours` follows the item that it follows in
+    `ours`.
 
     Raises:
-        MergeError: Both changed the same keys.
+        MergeError: Both sides changed the same keys to different values.
     """
-    keys = [key for key in overlap(diff(base, ours), diff(base, theirs)) if not key.endswith(ORDER)]
+    keys = [
+        key for key in find_conflicts(diff(base, ours), diff(base, theirs)) if not key.endswith(ORDER_LEAF)
+    ]
     if keys:
         raise MergeError(keys)
     return _merge(base, ours, theirs)
 
 
 def _merge(base: Any, ours: Any, theirs: Any) -> Any:
-    if _same(ours, base):
+    if _is_same(ours, base):
         return theirs
-    if _same(theirs, base):
+    if _is_same(theirs, base):
         return ours
     if isinstance(ours, dict) and isinstance(theirs, dict):
         return _merge_mappings(base, ours, theirs)
--- a/sandhatch/config/document.py
+++ b/sandhatch/config/document.py
@@ -1,8 +1,8 @@
-"""A configuration's text into plain data, with the line of each key.
+"""Parser from a configuration's text to plain data, with the line of each key.
 
 The text is YAML, read by the core schema of YAML 1.2 (`true`, `null`, numbers; everything else is a string),
-which JSON is a part of. It is read from the parser's events, without recursion: neither depth nor aliases can
-make it cost more than its bytes. Never interprets a key; `model` does.
+of which JSON is a subset. The document is built from the parser's events without recursion, so that neither
+nesting nor aliases make parsing cost more than the text's length. Keys are interpreted in `model`, not here.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 MAX_DEPTH = 32
 TAG_PREFIX = "tag:yaml.org,2002:"
 
-KeyPath = tuple[str | int, ...]  # the names of mappings' keys and the indices of lists' items, from the root
+KeyPath = tuple[str | int, ...]  # keys of mappings and indices of list items, from the root
 
 _INT = re.compile(r"[-+]?[0-9]{1,18}\Z")
 _FLOAT = re.compile(r"[-+]?(\.[0-9]+|[0-9]+(\.[0-9]*)?)([eE][-+]?[0-9]{1,3})?\Z")
@@ -36,9 +36,9 @@
     """A parsed configuration.
 
     Attributes:
-        file: The name that errors give.
-        data: Mappings, lists and scalars.
-        lines: The line of each key and list item, counted from 1.
+        file: File name for error messages.
+        data: Content as mappings, lists and scalars.
+        lines: Line of each key and list item, counted from 1.
     """
 
     file: str
@@ -46,7 +46,7 @@
     lines: dict[KeyPath, int] = field(default_factory=dict)
 
     def line(self, path: KeyPath) -> int:
-        """Return the line of a key, or of the nearest one above it that is there; 0 if there is none."""
+        """Return the line of a key or else of its nearest ancestor that exists; 0 if there is none."""
         while path and path not in self.lines:
             path = path[:-1]
         return self.lines.get(path, 0)
@@ -75,8 +75,8 @@
 
     Attributes:
         value: The collection itself.
-        path: Where it stands.
-        key: Of a mapping, the key whose value comes next; None if a key comes next.
+        path: Path of the collection in the document.
+        key: Key of a mapping whose value comes next; None if a key comes next.
     """
 
     value: dict[str, Any] | list[Any]
@@ -93,7 +93,7 @@
         self._documents = 0
 
     def add(self, event: yaml.Event) -> None:
-        """Take the next event; DocumentError if what it stands for is not accepted."""
+        """Process the next event; DocumentError if it is of an unsupported construct."""
         match event:
             case yaml.AliasEvent():
                 raise self._error(
@@ -115,7 +115,7 @@
         return DocumentError(Problem(self.document.file, _line(event), dotted(path), text))
 
     def _awaiting_key(self) -> _OpenCollection | None:
-        """Return the innermost collection if it is a mapping whose next key is to come."""
+        """Return the innermost collection if it is a mapping that expects a key next."""
         if not self._stack:
             return None
         innermost = self._stack[-1]
@@ -159,19 +159,19 @@
         self._stack.append(_OpenCollection(value, path))
 
     def _add_value(self, event: yaml.Event, value: Any) -> KeyPath:
-        """Put a value into the innermost collection; return its path."""
+        """Add a value to the innermost collection; return the value's path."""
         if not self._stack:
             self.document.data = value
             return ()
-        holder = self._stack[-1]
-        if isinstance(holder.value, dict):
-            key = holder.key
+        collection = self._stack[-1]
+        if isinstance(collection.value, dict):
+            key = collection.key
             assert key is not None
-            holder.value[key] = value
-            holder.key = None
-            return (*holder.path, key)
-        holder.value.append(value)
-        path = (*holder.path, len(holder.value) - 1)
+            collection.value[key] = value
+            collection.key = None
+            return (*collection.path, key)
+        collection.value.append(value)
+        path = (*collection.path, len(collection.value) - 1)
         self.document.lines[path] = _line(event)
         return path
 
@@ -195,11 +195,11 @@
     """Parse a configuration's text.
 
     Args:
-        text: YAML or JSON, MAX_BYTES at most.
-        file: The name that errors give.
+        text: YAML or JSON, at most MAX_BYTES.
+        file: File name for error messages.
 
     Raises:
-        DocumentError: With the line of what is not YAML, or is not accepted here.
+        DocumentError: The text is too large, not YAML, or uses an unsupported construct; names the line.
     """
     if len(text) > MAX_BYTES:
         raise _too_large(file, len(text))
@@ -218,10 +218,10 @@
 
 
 def read_bytes(path: str) -> bytes:
-    """Read a file's bytes for `parse`.
+    """Return a file's bytes for `parse`.
 
     Raises:
-        DocumentError: It can't be read, or is too large; nothing of it is read then.
+        DocumentError: The file can't be read, or it is too large, in which case none of it is read.
     """
     file = Path(path)
     try:
@@ -239,5 +239,5 @@
 
 
 def read(path: str) -> Document:
-    """Read and parse a file; DocumentError as of `read_bytes` and `parse`."""
+    """Read and parse a file; raises the DocumentErrors of `read_bytes` and `parse`."""
     return parse(read_bytes(path), path)
--- a/sandhatch/config/errors.py
+++ b/sandhatch/config/errors.py
@@ -1,7 +1,7 @@
-"""What can be wrong with a configuration, a change to it, or the directory that stores its versions.
+"""Errors of a configuration, of a change to it, and of the directory that stores its versions.
 
-Every error names what it is about: file, line and key, or the version and the keys in conflict.
-Nothing here decides; the modules of this package raise these errors.
+Every error names its subject: file, line and key, or the version and the keys in conflict. The modules of
+this package raise these errors; this one contains no checks.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
     """One error in a configuration, or one warning.
 
     Attributes:
-        file: The file's name as the user gave it.
-        line: Counted from 1; 0 where it is not known.
-        key: The path of the key, such as `pools.web.servers[2]`; empty for the whole file.
-        text: What is wrong and what would be right.
-        warning: True where the configuration may be used all the same.
+        file: File name as the user gave it.
+        line: Line number, counted from 1; 0 if it is not known.
+        key: Path of the key, such as `pools.web.servers[2]`; empty for the whole file.
+        text: Description of the problem, with the expected value.
+        warning: Whether the configuration may be used in spite of the problem.
     """
 
     file: str
@@ -43,26 +43,26 @@
     """The configuration has errors; `problems` holds all of them and the warnings, in the file's order."""
 
     def __init__(self, problems: list[Problem]) -> None:
-        """Take every problem that was found."""
+        """Store all problems; the message shows the first ones."""
         super().__init__("; ".join(map(str, problems[:MAX_PROBLEMS_IN_MESSAGE])))
         self.problems = problems
 
 
 class DocumentError(CheckError):
-    """The text can't be parsed as a document; `problem` says where and why."""
+    """The text can't be read or parsed as a document; `problem` gives the place and the reason."""
 
     def __init__(self, problem: Problem) -> None:
-        """Take the one problem that ended parsing."""
+        """Store the problem that ended parsing."""
         super().__init__([problem])
         self.problem = problem
 
 
 class MergeError(ValueError):
-    """Two changes of one base conflict; `keys` are those that both change."""
+    """Two changes of one base conflict; `keys` holds the keys that both change."""
 
     def __init__(self, keys: list[str]) -> None:
-        """Take the dotted paths of all keys in conflict."""
-        super().__init__(f"both changes touch {', '.join(keys[:MAX_KEYS_IN_MESSAGE])}")
+        """Store the dotted paths of all keys in conflict."""
+        super().__init__(f"both changes modify {', '.join(keys[:MAX_KEYS_IN_MESSAGE])}")
         self.keys = keys
 
 
@@ -71,13 +71,13 @@
 
 
 class RejectionReason(Enum):
-    """Why a call on the transactions was rejected.
+    """The reason for which a call on the transactions was rejected.
 
-    The values are part of the control protocol (`why` in an answer) and are shown by the command line.
+    The values are part of the control protocol (`why` in a response) and are shown by the command line.
     """
 
     INVALID = "invalid"  # the configuration has errors
-    CONFLICT = "conflict"  # its base is not the active version any more
+    CONFLICT = "conflict"  # the active version is no longer the proposal's base
     BUSY = "busy"  # another change is in progress
     UNKNOWN = "unknown"  # no such proposal or version
     NOTHING = "nothing to do"
@@ -86,13 +86,13 @@
 
 
 class RejectedError(Exception):
-    """A call on the transactions that changed nothing.
+    """A call on the transactions was rejected and changed nothing.
 
     Attributes:
-        reason: The kind of rejection.
-        text: One line for the user.
-        keys: The dotted paths of the keys in conflict.
-        problems: The errors of the configuration, one line each.
+        reason: Kind of rejection.
+        text: Explanation for the user, in one line.
+        keys: Dotted paths of the keys in conflict.
+        problems: Errors of the configuration, one line each.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         keys: list[str] | None = None,
         problems: list[str] | None = None,
     ) -> None:
-        """Take the kind of rejection, its one line of text and its details."""
+        """Store the kind of rejection, its explanation and its details."""
         super().__init__(text)
         self.reason = reason
         self.text = text
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -1,14 +1,14 @@
-"""The state directory: versions that outlast the process.
+"""The state directory: durable storage of the versions.
 
-A file is complete or not there, and is checked when it is read. The directory holds `state.json`, the state
-before it (`state.json.old`) and one `NUMBER.json` a version. Each file starts with a checksum of its content;
-it is written beside its final name, flushed to the disk and renamed. A version's content is there before a
-state names it. So a kill at any byte leaves an intact state and the versions that it needs, and a truncated
-or damaged file is recognised and never used.
+The directory holds `state.json`, the previous state (`state.json.old`) and one `NUMBER.json` per version.
+Each file starts with a checksum of its content, which is verified on reading. A file is written under a
+temporary name, flushed to the disk and renamed, so it is complete or absent. A version's content is written
+before the state that references it. A process that is killed at any byte therefore leaves an intact state and
+the versions that it needs, and a truncated or damaged file is recognised and never used.
 
 A version that was pending when the process ended was never confirmed: it is reported as lost, and the
-confirmed one is used. This module decides nothing else. The keys and the layout are those of stored data and
-must not change; `tests/config/fixtures` holds a directory that an earlier version of the program wrote.
+confirmed version is used. No other decision is taken here. The keys and the layout are those of stored data
+and must not change; `tests/config/fixtures` holds a directory that an earlier version of the program wrote.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 FORMAT = 1
 STATE_FILE = "state.json"
 PREVIOUS_STATE_FILE = "state.json.old"
-SPARE_FILE = "state.json.spare"  # a second link to the state, before it becomes the previous one
+SPARE_STATE_FILE = "state.json.spare"  # second hard link to the state, before it replaces the previous state
 LOCK_FILE = "lock"
 DIRECTORY_MODE = 0o700
 FILE_MODE = 0o600
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Saved:
-    """What the directory holds.
+    """The content of the state directory.
 
     Attributes:
-        confirmed: The number of the last confirmed version, which is to be used.
-        data: Its content.
-        next_number: The number of the next version.
-        lost_version: The number of the version that was never confirmed; 0 for none.
-        rows: The rows of the history, oldest first.
+        confirmed: Number of the last confirmed version, which is to be used.
+        data: Content of the confirmed version.
+        next_number: Number of the next version.
+        lost_version: Number of the version that was pending when the process ended; 0 for none.
+        rows: Rows of the history, oldest first.
         notes: Warnings about damaged files that were not used.
     """
 
@@ -58,43 +58,44 @@
 
 
 def seal(content: Any) -> bytes:
-    """Return a file's bytes: the checksum in one line, the content as JSON in the next."""
+    """Return the bytes of a file: the checksum in one line, the content as JSON in the next."""
     body = json.dumps(content, sort_keys=True, separators=(",", ":")).encode()
     return sha256(body).hexdigest().encode() + b"\n" + body + b"\n"
 
 
 def unseal(data: bytes) -> Any:
-    """Return the content of a file's bytes; ValueError if they are truncated or damaged."""
+    """Verify a file's bytes and return the content; ValueError if they are truncated or damaged."""
     digest, _, body = data.partition(b"\n")
     if not body.endswith(b"\n") or sha256(body[:-1]).hexdigest().encode() != digest:
-        raise ValueError("the checksum does not fit")
+        raise ValueError("checksum mismatch: the file is truncated or damaged")
     return json.loads(body)
 
 
-def _lost(row: HistoryRow) -> HistoryRow:
+def _mark_lost(row: HistoryRow) -> HistoryRow:
     """Return the row of a version that was in progress when the process ended."""
     return replace(row, state=State.LOST, why=LOST_REASON)
 
 
-def _no_step(name: str) -> None:
-    """Do nothing before a step."""
+def _ignore_step(name: str) -> None:
+    """Do nothing; the default of `before_step`."""
 
 
 class History:
-    """The state directory of one process, locked against a second one."""
+    """The state directory of one process, locked against other processes."""
 
-    def __init__(self, directory: str | Path, step: Callable[[str], None] = _no_step) -> None:
-        """Create the directory if it isn't there, and lock it.
+    def __init__(self, directory: str | Path, before_step: Callable[[str], None] = _ignore_step) -> None:
+        """Create the directory if it does not exist, and lock it.
 
         Args:
-            directory: Its path.
-            step: Called with a name before each write, rename and flush; tests end the process there.
+            directory: Path of the directory.
+            before_step: Callback that receives the name of each write, rename and flush before it happens;
+                tests simulate the end of the process in it.
 
         Raises:
             HistoryError: The directory can't be used, or another process uses it.
         """
         self._directory = Path(directory)
-        self._step = step
+        self._before_step = before_step
         try:
             self._directory.mkdir(mode=DIRECTORY_MODE, parents=True, exist_ok=True)
             flags = os.O_CREAT | os.O_RDWR | os.O_CLOEXEC
@@ -113,10 +114,10 @@
     # -------------------------------------------- reading
 
     def load(self) -> Saved | None:
-        """Return what is to be used at this start; None where nothing was saved yet.
+        """Return the state to start from; None if nothing has been saved yet.
 
         Raises:
-            HistoryError: There are states, but none of them is intact.
+            HistoryError: State files exist, but none of them is intact.
         """
         notes: list[str] = []
         for name in (STATE_FILE, PREVIOUS_STATE_FILE):
@@ -135,14 +136,14 @@
         """Read a state and the content of its confirmed version."""
         state = unseal(path.read_bytes())
         if state["format"] != FORMAT:
-            raise ValueError(f"format {state['format']!r} is not {FORMAT}")
+            raise ValueError(f"format {state['format']!r} is not the supported format {FORMAT}")
         number = int(state["confirmed"])
         data = self._read_content(number)
         if not isinstance(data, dict):
-            raise ValueError(f"version {number} holds no mapping")
+            raise ValueError(f"the content of version {number} is not a mapping")
         pending = int(state["pending"])
         stored_rows = [HistoryRow.from_data(row) for row in state["versions"]]
-        rows = tuple(_lost(row) if row.number == pending else row for row in stored_rows)
+        rows = tuple(_mark_lost(row) if row.number == pending else row for row in stored_rows)
         return Saved(number, data, int(state["next"]), pending, rows)
 
     def _read_content(self, number: int) -> Any:
@@ -152,7 +153,7 @@
         return self._directory / f"{number}.json"
 
     def content(self, number: int) -> dict[str, Any] | None:
-        """Return a version's content; None if it is not there or damaged."""
+        """Return a version's content; None if it is missing or damaged."""
         try:
             data = self._read_content(number)
         except (OSError, ValueError):
@@ -162,14 +163,14 @@
     # -------------------------------------------- writing
 
     def save(self, record: Record, contents: Mapping[int, dict[str, Any]]) -> None:
-        """Write contents first, then the state that names them; then remove what no state names any more.
+        """Write the contents, then the state that references them; then remove unreferenced contents.
 
         Args:
-            record: The state.
-            contents: The content of versions by number; those already there are not written a second time.
+            record: State to write.
+            contents: Contents of versions by number; those that are stored already are not written again.
 
         Raises:
-            OSError: The disk can't be written.
+            OSError: Writing to the disk failed.
         """
         for number, data in contents.items():
             path = self._content_path(number)
@@ -183,44 +184,44 @@
             "versions": [row.to_data() for row in record.rows],
         }
         path = self._directory / STATE_FILE
-        needed_before = self._named_versions(path)
-        self._keep_previous(path)
+        referenced_before = self._referenced_versions(path)
+        self._retain_previous(path)
         self._write(path, seal(state))
-        self._remove_contents_except(needed_before | self._named_versions(path))
+        self._remove_contents_except(referenced_before | self._referenced_versions(path))
 
     @staticmethod
-    def _named_versions(path: Path) -> set[int]:
-        """Return the versions whose content a state may need."""
+    def _referenced_versions(path: Path) -> set[int]:
+        """Return the numbers of the versions whose content a state file references."""
         try:
             state = unseal(path.read_bytes())
         except (OSError, ValueError):
             return set()
         return {int(row["version"]) for row in state["versions"]} | {state["confirmed"], state["pending"]}
 
-    def _keep_previous(self, path: Path) -> None:
-        """Make the state the previous one as well, without a moment at which neither is there."""
+    def _retain_previous(self, path: Path) -> None:
+        """Link the state as the previous state too, so that one of both names exists at any moment."""
         if path.exists():
-            self._step("link")
-            spare = path.with_name(SPARE_FILE)
+            self._before_step("link")
+            spare = path.with_name(SPARE_STATE_FILE)
             spare.unlink(missing_ok=True)
             spare.hardlink_to(path)
             spare.replace(path.with_name(PREVIOUS_STATE_FILE))
 
     def _write(self, path: Path, data: bytes) -> None:
-        """Write beside the final name, flush to the disk, rename, and flush the directory."""
+        """Write under a temporary name, flush to the disk, rename, and flush the directory."""
         part = path.with_name(path.name + ".part")
-        self._step(f"write {path.name}")
+        self._before_step(f"write {path.name}")
         with os.fdopen(os.open(part, os.O_CREAT | os.O_WRONLY | os.O_TRUNC, FILE_MODE), "wb") as file:
-            middle = len(data) // 2  # in two halves, so that tests can end the process between them
+            middle = len(data) // 2  # writing in two halves lets tests end the process in between
             file.write(data[:middle])
             file.flush()
-            self._step(f"half {path.name}")
+            self._before_step(f"half {path.name}")
             file.write(data[middle:])
             file.flush()
             os.fsync(file.fileno())
-        self._step(f"rename {path.name}")
+        self._before_step(f"rename {path.name}")
         part.replace(path)
-        self._step(f"flush {path.name}")
+        self._before_step(f"flush {path.name}")
         directory = os.open(self._directory, os.O_RDONLY)
         try:
             os.fsync(directory)
--- a/sandhatch/config/history_record.py
+++ b/sandhatch/config/history_record.py
@@ -1,7 +1,7 @@
-"""What is stored of the versions of one process, as typed values.
+"""Stored information about the versions of one process, as typed values.
 
-A row says what became of one version; a record is the state of all of them at one moment. Never does I/O:
-`history` writes records and reads them. Source: the state files; their keys must not change.
+A row describes one version; a record is the state of all versions at one moment. No I/O: `history` reads and
+writes records. The keys are those of the state files and must not change.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 @dataclass(slots=True, frozen=True)
 class HistoryRow:
-    """What the history keeps and shows of one version.
+    """Information about one version that the history stores and shows.
 
     Attributes:
-        number: Of the version.
-        base: The version that was active when it was committed; 0 for the first.
-        state: Where it stood.
-        author: Who proposed it.
+        number: Number of the version.
+        base: Number of the version that was active at the commit; 0 for the first.
+        state: State of the version when the row was made.
+        author: Author of the change.
         comment: Free text of the author.
-        made_ms: When it was committed.
-        changes: How many keys differed from its base.
-        why: The reason for its failure or rollback; empty otherwise.
+        made_ms: Time of the commit.
+        changes: Number of keys that differed from the base.
+        why: Reason for the failure or rollback; empty otherwise.
     """
 
     number: int
@@ -38,7 +38,7 @@
 
     @classmethod
     def of(cls, version: Version) -> HistoryRow:
-        """Return the row of a version as it is now."""
+        """Return the row of a version in its current state."""
         return cls(
             number=version.number,
             base=version.base,
@@ -52,7 +52,7 @@
 
     @classmethod
     def from_data(cls, data: dict[str, Any]) -> HistoryRow:
-        """Return the row that `to_data` made; KeyError or ValueError if it is none."""
+        """Return the row that `to_data` encoded; KeyError or ValueError if the data is no row."""
         return cls(
             number=data["version"],
             base=data["base"],
@@ -65,7 +65,7 @@
         )
 
     def to_data(self) -> dict[str, Any]:
-        """Return it as plain data; the keys are those of stored data and of the control protocol."""
+        """Return the row as plain data, with the keys of stored data and of the control protocol."""
         return {
             "version": self.number,
             "base": self.base,
@@ -80,13 +80,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Record:
-    """What must be on disk of all versions at one moment.
+    """State of all versions that must be on disk at one moment.
 
     Attributes:
-        confirmed: The number of the version to use at the next start.
-        pending: The number of the version that is not confirmed yet; 0 for none.
-        next_number: The number of the next version.
-        rows: One for each version, oldest first.
+        confirmed: Number of the version to use at the next start.
+        pending: Number of the version that is not confirmed yet; 0 for none.
+        next_number: Number of the next version.
+        rows: One row per version, oldest first.
     """
 
     confirmed: int
--- a/sandhatch/config/model.py
+++ b/sandhatch/config/model.py
@@ -1,7 +1,7 @@
-"""The project's own configuration as a whole: what its keys are, their units, defaults and bounds.
+"""The project's own configuration as a whole: its keys with their units, defaults and bounds.
 
-A field's name is its key in the file. Every model rejects keys that it does not know. What one key says of
-another, such as a route of its pool, is checked in `references`. Source: docs/operators/configuration.md.
+A field's name is its key in the file. Every model rejects unknown keys. References between keys, such as
+from a route to its pool, are checked in `references`. Source: docs/operators/configuration.md.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
     """A listening socket.
 
     Attributes:
-        address: An IPv4 address and port; port 0 picks a free one.
-        half_close: Whether a client that has closed its sending side after a complete request still gets its
-            response; else it counts as disconnected.
+        address: An IPv4 address and port; port 0 selects a free port.
+        half_close: Whether a client that closes its sending side after a complete request still receives
+            the response; if not, it counts as disconnected.
     """
 
     address: AddressText
@@ -37,13 +37,13 @@
 
 
 class Limits(Model):
-    """The limits of the process.
+    """Resource limits of the process.
 
     Attributes:
-        memory_mb: The memory budget.
-        sockets: Descriptors for clients and servers together.
-        drain_ms: The time after SIGTERM for requests to end; the longest deadline of the classes where that
-            is longer.
+        memory_mb: Memory budget.
+        sockets: Maximum number of descriptors for clients and servers together.
+        drain_ms: Time that requests have to end after SIGTERM, unless the longest deadline of a class is
+            longer: then that deadline.
     """
 
     memory_mb: Annotated[float, Field(ge=16, le=1e6)] = 64.0
@@ -52,16 +52,15 @@
 
 
 class Watch(Model):
-    """How the goodput is compared after a commit, to roll it back automatically; see `goodput_watch`.
+    """Settings of the goodput comparison that rolls back a commit automatically; see `goodput_watch`.
 
     Attributes:
-        window_ms: How long after the commit.
-        before_ms: How long before it.
-        block_ms: The length of a block, in which requests are counted.
-        significance: The probability, over the whole window, of rolling back a change that made nothing
-            worse.
-        least_fall: The least fall of goodput that counts, as a part of the priority weight received.
-        enabled: Whether it is done at all.
+        window_ms: Time after the commit for which the goodput is watched.
+        before_ms: Time before the commit that the goodput is compared with.
+        block_ms: Length of a block, the interval over which requests are counted.
+        significance: Probability, over the whole window, of rolling back a change that made nothing worse.
+        least_fall: Smallest drop of the goodput that counts, as a fraction of the priority weight received.
+        enabled: Whether commits are watched.
     """
 
     window_ms: Annotated[float, Field(ge=1_000, le=3_600_000)] = 30_000.0
@@ -76,19 +75,19 @@
     """One complete configuration.
 
     Attributes:
-        format: That of the file.
-        name: Of the process, in its log.
-        seed: Of all random draws.
-        limits: Of the process.
-        watch: After a commit.
-        planning: As one of several forwarders; None without planners.
-        listeners: By name.
-        classes: Of requests, by name.
-        default_class: The class of a request that names none.
-        tenants: By name.
-        pools: By name.
-        routes: The first that matches counts.
-        default: What requests go to that no route matches.
+        format: Version of the file format.
+        name: Name of the process in its log.
+        seed: Seed of all random draws.
+        limits: Resource limits of the process.
+        watch: Goodput watch after a commit.
+        planning: Settings of this process as one of several forwarders; None without planners.
+        listeners: Listening sockets by name.
+        classes: Request classes by name.
+        default_class: Class of a request that names none.
+        tenants: Tenants by name.
+        pools: Pools by name.
+        routes: Routes in order; the first that matches applies.
+        default: Target of requests that no route matches.
     """
 
     format: Literal[1]
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -1,6 +1,6 @@
 """A planner's configuration: its keys, units, defaults and bounds.
 
-A field's name is its key in the file, so it keeps its spelling. The forwarder's side of planning is
+Field names are the keys of the file and must not be renamed. The planning settings of forwarders are in
 `planning_model`. Source: docs/operators/planning.md.
 """
 
@@ -15,27 +15,29 @@
 from sandhatch.config.problems import format_value, model_problems, sorted_problems
 from sandhatch.config.value_types import AddressText, KeyText, Model, Name, require_exactly_one
 
-LEAST_LEASES_PER_LOAN = 1.25  # a part must be leased to the planner for longer than a grant out of it
+MIN_LEND_TO_LEASE_RATIO = (
+    1.25  # a share must be leased to the planner for longer than a grant from it is valid
+)
 
 
 class PlannerConfig(Model):
-    """One planner.
+    """Configuration of one planner.
 
     Attributes:
-        format: That of the file.
-        name: Of the planner, in its log and at the forwarders.
-        listen: An IPv4 address and port.
-        shared_key_file: The key of all planners and forwarders, in place of Ed25519.
-        private_key_file: Its own Ed25519 key.
-        forwarders: Their public keys, by name; only with `private_key_file`.
-        lease_ms: How long a grant is valid.
-        lend_ms: How long a forwarder leases its parts to the planner after the last advice that it used;
-            also how long a planner learns after its start.
-        look_ms: The time between two computations of the weights.
-        enough: The part of a pool's forwarders that must have reported before weights are advised.
-        most_holders: The most forwarders with a part in one server's warm-up.
-        most_forwarders: The most connections.
-        bytes_per_s: What each forwarder may send.
+        format: Version of the file format.
+        name: Name of the planner in its log and at the forwarders.
+        listen: IPv4 address and port.
+        shared_key_file: File with the key that all planners and forwarders share, in place of Ed25519 keys.
+        private_key_file: File with this planner's Ed25519 key.
+        forwarders: Public keys of the forwarders by name; only with `private_key_file`.
+        lease_ms: Time for which a grant is valid.
+        lend_ms: Time for which a forwarder leases its shares to the planner after the last advice that it
+            used; also the length of a planner's learning phase after its start.
+        look_ms: Interval between two computations of the weights.
+        enough: Fraction of a pool's forwarders that must have reported before weights are advised.
+        most_holders: Maximum number of forwarders with a share in one server's warm-up.
+        most_forwarders: Maximum number of connections from forwarders.
+        bytes_per_s: Maximum rate at which each forwarder may send.
     """
 
     format: Literal[1]
@@ -59,17 +61,17 @@
             raise ValueError("forwarders: expected their public keys, since there is a private_key_file")
         if self.private_key_file is None and self.forwarders:
             raise ValueError("forwarders: expected no public keys, since there is no private_key_file")
-        least_ms = LEAST_LEASES_PER_LOAN * self.lease_ms
-        if self.lend_ms < least_ms:
+        min_lend_ms = MIN_LEND_TO_LEASE_RATIO * self.lease_ms
+        if self.lend_ms < min_lend_ms:
             raise ValueError(
-                f"lend_ms: expected at least {least_ms:g}, {LEAST_LEASES_PER_LOAN} times lease_ms, got"
+                f"lend_ms: expected at least {min_lend_ms:g}, {MIN_LEND_TO_LEASE_RATIO} times lease_ms, got"
                 f" {self.lend_ms:g}: a share must be leased for longer than a grant out of it is valid"
             )
         return self
 
 
 def check_planner(document: Document) -> PlannerConfig:
-    """Check a document; CheckError holds every problem."""
+    """Check a document; raises CheckError with every problem."""
     if not isinstance(document.data, dict):
         raise CheckError(
             [document.problem((), f"expected a mapping of keys, got {format_value(document.data)}")]
@@ -81,5 +83,5 @@
 
 
 def check_planner_file(path: str) -> PlannerConfig:
-    """Check a planner's configuration file; CheckError also where it can't be read."""
+    """Check a planner's configuration file; raises CheckError also if the file can't be read."""
     return check_planner(read(path))
--- a/sandhatch/config/planning_model.py
+++ b/sandhatch/config/planning_model.py
@@ -1,6 +1,6 @@
-"""The forwarder's side of planning: its keys, units, defaults and bounds.
+"""Planning settings of a forwarder: their keys, units, defaults and bounds.
 
-A field's name is its key in the file. The planner's own configuration is `planner`. Source:
+A field's name is its key in the file. The planner's own configuration is in `planner`. Source:
 docs/operators/planning.md.
 """
 
@@ -16,26 +16,26 @@
 
 
 class PlannerPeer(Model):
-    """A planner, and its public key where keys are Ed25519."""
+    """A planner's address, and its public key if Ed25519 keys are used."""
 
     address: AddressText
     public_key: KeyText | None = None
 
 
 class Planning(Model):
-    """This process as one of several forwarders.
+    """Settings of this process as one of several forwarders.
 
     Attributes:
-        name: At the planners; `forwarder-PLACE` if none is given.
-        place: Which of the forwarders it is, from 0 on; no two may have the same.
-        planners: Those that it connects to, in the order in which its parts are leased to them.
-        shared_key_file: The key of all planners and forwarders, in place of Ed25519.
-        private_key_file: Its own Ed25519 key.
-        report_ms: The time between two reports.
-        bytes_per_s: What it sends to each planner, at most.
-        most_lease_ms: The longest lease that it accepts.
-        hold_ms: How long a planner higher in the list must be well before it is used again.
-        shun_ms: How long a planner is avoided that has given wrong advice.
+        name: Name of this forwarder at the planners; `forwarder-PLACE` if none is given.
+        place: Index of this forwarder, from 0 on; unique among the forwarders.
+        planners: Planners to connect to, in the order in which this forwarder's shares are leased to them.
+        shared_key_file: File with the key that all planners and forwarders share, in place of Ed25519 keys.
+        private_key_file: File with this forwarder's Ed25519 key.
+        report_ms: Interval between two reports.
+        bytes_per_s: Maximum rate at which data is sent to each planner.
+        most_lease_ms: Longest lease that is accepted.
+        hold_ms: Time for which a planner higher in the list must be healthy before it is used again.
+        shun_ms: Time for which a planner that has given wrong advice is avoided.
     """
 
     name: Name | None = None
@@ -67,5 +67,5 @@
 
     @property
     def forwarder(self) -> str:
-        """Its name at the planners."""
+        """Name of this forwarder at the planners."""
         return self.name or f"forwarder-{self.place}"
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -1,6 +1,7 @@
-"""What the platform configures: the file that GW_CONFIG names and the environment, as one typed object.
+"""The platform's configuration: the file that GW_CONFIG names and the environment, as one typed object.
 
-Needs none of the extras. Errors name the key and the value; the keys and variables are the platform's.
+This module needs no optional dependency. Errors name the key and the value; the platform defines the keys and
+the variables.
 Source: docs PROTOCOL and DEPLOY of the platform.
 """
 
@@ -22,9 +23,9 @@
 from sandhatch.simulator.settings_decoder import decode_settings
 
 DEFAULT_MEMORY_MB = 64.0
-LEAST_MEMORY_MB = 16
-LEAST_SOCKETS = 32
-MAX_NUMBER = 1e9  # above any limit or time that makes sense
+MIN_MEMORY_MB = 16
+MIN_SOCKETS = 32
+MAX_NUMBER = 1e9  # exclusive upper bound, above any meaningful limit or time
 
 
 @dataclass(slots=True, frozen=True)
@@ -32,19 +33,20 @@
     """The configuration of the platform's program.
 
     Attributes:
-        name: Of this instance.
-        listen: Where clients connect to.
-        discovery: Where endpoint lists come from.
-        seed: Of all random draws.
-        sockets: The descriptors that this process may hold.
-        memory_mb: The memory budget.
-        settings: Those of the balancer.
-        zones: The names of the zones, by their number.
-        machine_types: The names of the machine types, by their number.
-        report_names: The names of a load report's values, in the order of the settings.
-        drain_grace_ms: From the notice that a server is draining to the last attempt that may be sent to it.
-        known_endpoints: The endpoint list as this instance last had it, in the form of discovery; empty for
-            none.
+        name: Name of this instance.
+        listen: Address that clients connect to.
+        discovery: Address of the discovery service.
+        seed: Seed of all random draws.
+        sockets: Maximum number of descriptors of this process.
+        memory_mb: Memory budget.
+        settings: Settings of the balancer.
+        zones: Names of the zones, by zone number.
+        machine_types: Names of the machine types, by type number.
+        report_names: Names of a load report's values, in the order of the settings.
+        drain_grace_ms: Time from the notification that a server is draining to the last attempt that may
+            still be sent to it.
+        known_endpoints: Endpoint list that this instance last used, in the form of the discovery service;
+            empty for none.
     """
 
     name: str
@@ -62,23 +64,23 @@
 
 
 def decode(text: str, env: Mapping[str, str], is_reload: bool = False) -> PlatformConfig:
-    """Decode the file's text and the environment, which goes first where both give the same.
+    """Decode the file's text and the environment, which takes precedence over the file.
 
     Args:
-        text: A JSON object.
-        env: The environment.
-        is_reload: Whether the file is reloaded: its discovery goes first then, since the environment still
-            gives the address of the start.
+        text: JSON object.
+        env: Environment variables.
+        is_reload: Whether the file is reloaded. The discovery address of a reloaded file takes precedence,
+            since the environment still holds the address from the start of the process.
 
     Raises:
-        ConfigError: Names the key and the value that can't be used.
+        ConfigError: A value can't be used; the message names its key and the value.
     """
     try:
         parsed = json.loads(text)
     except (ValueError, RecursionError) as problem:
         raise ConfigError(f"GW_CONFIG: not JSON: {problem}") from None
-    data = _object(parsed, "GW_CONFIG")
-    settings_data = _object(data.get("settings"), "settings")
+    data = _require_object(parsed, "GW_CONFIG")
+    settings_data = _require_object(data.get("settings"), "settings")
     settings = _settings(settings_data)
     drain_grace_ms = _drain_grace_ms(settings_data)
     return PlatformConfig(
@@ -89,11 +91,13 @@
         sockets=_sockets(_limits(data)),
         memory_mb=_memory_mb(_limits(data)),
         settings=settings,
-        zones=_names(settings_data, "Zones"),
-        machine_types=_names(settings_data, "MachineTypes"),
-        report_names=_names(_object(settings_data.get("Stats", {}), "settings.Stats"), "Fields"),
+        zones=_require_names(settings_data, "Zones"),
+        machine_types=_require_names(settings_data, "MachineTypes"),
+        report_names=_require_names(
+            _require_object(settings_data.get("Stats", {}), "settings.Stats"), "Fields"
+        ),
         drain_grace_ms=drain_grace_ms,
-        known_endpoints=_object(data.get("known") or {}, "known"),
+        known_endpoints=_require_object(data.get("known") or {}, "known"),
     )
 
 
@@ -109,13 +113,13 @@
     return decode(text, env, is_reload)
 
 
-def _object(data: Any, key: str) -> dict[str, Any]:
+def _require_object(data: Any, key: str) -> dict[str, Any]:
     if not isinstance(data, dict):
         raise ConfigError(f"{key}: {data!r:.200} is not an object")
     return data
 
 
-def _names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
+def _require_names(data: Mapping[str, Any], key: str) -> tuple[str, ...]:
     names = data.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ConfigError(f"settings.{key}: {names!r:.200} is not a list of names")
@@ -131,7 +135,7 @@
 
 
 def _drain_grace_ms(settings: dict[str, Any]) -> float:
-    guarantees = _object(settings.get("Guarantees", {}), "settings.Guarantees")
+    guarantees = _require_object(settings.get("Guarantees", {}), "settings.Guarantees")
     grace_ms = guarantees.get("DrainGraceMs", 0.0)
     if isinstance(grace_ms, bool) or not isinstance(grace_ms, int | float) or not 0 <= grace_ms < MAX_NUMBER:
         raise ConfigError(f"settings.Guarantees.DrainGraceMs: {grace_ms!r} is not a time in milliseconds")
@@ -153,15 +157,15 @@
 
 
 def _limits(data: dict[str, Any]) -> dict[str, Any]:
-    return _object(data.get("limits", {}), "limits")
+    return _require_object(data.get("limits", {}), "limits")
 
 
 def _sockets(limits: dict[str, Any]) -> int:
-    """Return the descriptors that this process may hold: the configured limit or the system's, if lower."""
+    """Return the maximum number of descriptors: the configured limit or the system's, if lower."""
     soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     configured: Any = limits.get("sockets", soft_limit)
-    if isinstance(configured, bool) or not isinstance(configured, int) or configured < LEAST_SOCKETS:
-        raise ConfigError(f"limits.sockets: {configured!r} is not a whole number of at least {LEAST_SOCKETS}")
+    if isinstance(configured, bool) or not isinstance(configured, int) or configured < MIN_SOCKETS:
+        raise ConfigError(f"limits.sockets: {configured!r} is not a whole number of at least {MIN_SOCKETS}")
     return raise_descriptor_limit(configured)
 
 
@@ -170,7 +174,7 @@
     if (
         isinstance(configured, bool)
         or not isinstance(configured, int | float)
-        or not LEAST_MEMORY_MB <= configured < MAX_NUMBER
+        or not MIN_MEMORY_MB <= configured < MAX_NUMBER
     ):
-        raise ConfigError(f"limits.memory_mb: {configured!r} is not a number of at least {LEAST_MEMORY_MB}")
+        raise ConfigError(f"limits.memory_mb: {configured!r} is not a number of at least {MIN_MEMORY_MB}")
     return float(configured)
--- a/sandhatch/config/pool_model.py
+++ b/sandhatch/config/pool_model.py
@@ -1,7 +1,7 @@
 """Pools and their servers: their keys, units, defaults and bounds.
 
-A field's name is its key in the file, so it keeps its spelling; `pool_settings` translates the fields into
-the names of the code. Source: docs/operators/configuration.md and docs/operators/planning.md.
+Field names are the keys of the file and must not be renamed; `pool_settings` maps them to the names used in
+the code. Source: docs/operators/configuration.md and docs/operators/planning.md.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
     Attributes:
         address: An IPv4 address and port.
-        state: `draining`: it gets no new attempts.
-        weight: Its part of the attempts, relative to those of the other servers.
+        state: `ready`, or `draining` for a server that receives no new attempts.
+        weight: Share of the attempts, relative to the weights of the other servers.
     """
 
     address: AddressText
@@ -30,11 +30,11 @@
 
 
 class DiscoverySource(Model):
-    """The platform's discovery as the source of a pool's endpoint list.
+    """The platform's discovery service as the source of a pool's endpoint list.
 
     Attributes:
         discovery: An IPv4 address and port.
-        ask: Whether lists come only when polled.
+        ask: Whether the discovery service sends endpoint lists only when polled.
     """
 
     discovery: AddressText
@@ -45,28 +45,28 @@
     """Servers that do the same work, and how requests are sent to them. Either `servers` or `source`.
 
     Attributes:
-        servers: By name.
-        source: Where the endpoint list comes from.
-        max_attempts: For one request.
+        servers: Configured servers by name.
+        source: Source of the endpoint list.
+        max_attempts: Maximum number of attempts for one request.
         may_cancel: Whether an attempt may be cancelled by closing its connection.
         second_copies: Whether requests may be hedged.
-        max_connections: To all its servers.
-        connect_timeout_ms: For opening a connection.
-        idle_ms: How long an unused connection is pooled.
-        drain_grace_ms: From the notice that a server is draining or removed to the last attempt that may
-            still be sent to it.
-        cold_share: The part of its capacity with which a server starts that a change adds.
-        cold_ms: How long such a server is warming up.
-        new_servers: Whether servers that a change adds warm up.
-        copies: The number of balancer instances that send to these servers.
-        ramp_per_s: What all instances together may send to a server that is warming up: attempts a second
-            once it is warm. 0: each instance goes by its own traffic.
-        ramp_burst: Attempts at once beyond that; 0: one an instance.
-        planned: Whether it is reported to planners, where there are any.
-        tier: Its place in the chain of calls. Only the first, 0, rejects requests before work is spent on
-            them above it.
-        require_reachable: Whether a change that adds this pool is rejected while none of its servers can be
-            connected to.
+        max_connections: Maximum number of connections to all servers of the pool.
+        connect_timeout_ms: Time limit for opening a connection.
+        idle_ms: Time for which an unused connection stays in the connection pool.
+        drain_grace_ms: Time from the notification that a server is draining or removed to the last attempt
+            that may still be sent to it.
+        cold_share: Initial fraction of its capacity that a server added by a change receives.
+        cold_ms: Time for which a server added by a change is warming up.
+        new_servers: Whether servers that a change adds warm up (`cold`) or not (`warm`).
+        copies: Number of balancer instances that send to these servers.
+        ramp_per_s: Attempts per second that all instances together may send to a server at the end of its
+            warm-up; 0 lets each instance go by its own traffic.
+        ramp_burst: Attempts that may be sent at once beyond `ramp_per_s`; 0 for one per instance.
+        planned: Whether the pool is reported to planners, if there are any.
+        tier: Position in the chain of calls. Only the first tier, 0, rejects requests before work has been
+            spent on them upstream of it.
+        require_reachable: Whether a change that adds this pool is rejected while no connection can be opened
+            to any of its servers.
     """
 
     servers: Annotated[dict[Name, Server], Field(max_length=MAX_SERVERS)] | None = None
--- a/sandhatch/config/pool_settings.py
+++ b/sandhatch/config/pool_settings.py
@@ -1,7 +1,7 @@
-"""The settings of a pool's balancer, out of the configuration.
+"""Conversion of a pool's configuration into the settings of its balancer.
 
-The one place where keys of the configuration meet the names of `balancing.settings`; the keys are those of
-docs/operators/configuration.md. Never checks: the model is checked before.
+This is the only module that maps configuration keys to the names of `balancing.settings`; the keys are
+documented in docs/operators/configuration.md. It checks nothing, since the model has been checked already.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def pool_settings(model: Configuration, pool: Pool) -> Settings:
-    """Return the settings of one pool's balancer; classes and tenants are the same in every pool."""
+    """Return the settings of one pool's balancer; all pools share the classes and tenants."""
     return Settings(
         classes=[_request_class(name, request_class) for name, request_class in model.classes.items()],
         tenants=[Tenant(tenant.quota_per_s, tenant.fraction, name) for name, tenant in model.tenants.items()],
--- a/sandhatch/config/problems.py
+++ b/sandhatch/config/problems.py
@@ -1,7 +1,7 @@
-"""Problems put into the form in which users see them: pydantic's errors translated, sorted by line, bounded.
+"""Problems in the form shown to users: translated from pydantic's errors, sorted by line, limited in number.
 
-Never checks anything itself. A value is shown in short, and mappings and lists are not shown at all. Source:
-the error types of pydantic.
+Nothing is checked here. Long values are shortened, and mappings and lists are not shown. Source: the error
+types of pydantic.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from sandhatch.config.document import Document, KeyPath
 from sandhatch.config.errors import Problem
 
-MAX_PROBLEMS = 200  # reported; the rest are counted
+MAX_PROBLEMS = 200  # problems that are listed; the others are only counted
 MAX_VALUE_CHARACTERS = 60
 
-# What would be right, by pydantic's type of error. Names in braces are those of the error's context.
-EXPECTED = {
+# Expected values by pydantic's error type. Names in braces are keys of the error's context.
+EXPECTATIONS = {
     "string_type": "a text",
     "string_pattern_mismatch": "a text that matches {pattern}",
     "string_too_short": "at least {min_length} characters",
@@ -40,33 +40,33 @@
 
 
 def model_problems(document: Document, failure: ValidationError) -> Iterator[Problem]:
-    """Yield a problem for each error that pydantic has found in the document."""
+    """Yield a problem for each validation error that pydantic found in the document."""
     for error in failure.errors(include_url=False, include_input=False):
         path = tuple(part for part in error["loc"] if part != "[key]")
-        concerns_key = error["loc"][-1:] == ("[key]",)
-        value = path[-1] if concerns_key else _value_of(document.data, path)
+        is_key_error = error["loc"][-1:] == ("[key]",)
+        value = path[-1] if is_key_error else _value_at(document.data, path)
         yield document.problem(path, _message(error, value))
 
 
 def sorted_problems(problems: Iterable[Problem], document: Document) -> list[Problem]:
-    """Return the problems by line, MAX_PROBLEMS at most, and how many more there are."""
-    in_order = sorted(problems, key=lambda problem: problem.line)
-    if len(in_order) > MAX_PROBLEMS:
-        more = document.problem((), f"{len(in_order) - MAX_PROBLEMS} more problems are not shown")
-        del in_order[MAX_PROBLEMS:]
-        in_order.append(more)
-    return in_order
+    """Return at most MAX_PROBLEMS problems, sorted by line, and the number of further ones."""
+    by_line = sorted(problems, key=lambda problem: problem.line)
+    if len(by_line) > MAX_PROBLEMS:
+        summary = document.problem((), f"{len(by_line) - MAX_PROBLEMS} more problems are not shown")
+        del by_line[MAX_PROBLEMS:]
+        by_line.append(summary)
+    return by_line
 
 
 class _Missing:
-    """Stands for a value that is not there."""
+    """Marks a value that does not exist."""
 
 
 _MISSING: Any = _Missing()
 
 
-def _value_of(data: Any, path: KeyPath) -> Any:
-    """Return the value of a key; `_MISSING` where the path does not lead to one."""
+def _value_at(data: Any, path: KeyPath) -> Any:
+    """Return the value at a path; `_MISSING` if there is none."""
     for part in path:
         try:
             data = data[part]
@@ -76,7 +76,7 @@
 
 
 def format_value(value: Any) -> str:
-    """Return a value in short; only the kind of a mapping or a list."""
+    """Return a short text for a value; for a mapping or a list, only its kind."""
     if value is None:
         return "null"
     if isinstance(value, dict):
@@ -101,11 +101,11 @@
         case "too_long":
             return f"expected at most {context['max_length']} items, got {len(value)}"
         case "value_error" if isinstance(value, dict):
-            return str(context["error"])  # names the keys and the values that it is about
+            return str(context["error"])  # the text names the keys and values itself
         case "value_error":
             expectation = str(context["error"])
-        case kind if kind in EXPECTED:
-            expectation = f"expected {EXPECTED[kind].format(**context)}"
+        case kind if kind in EXPECTATIONS:
+            expectation = f"expected {EXPECTATIONS[kind].format(**context)}"
         case _:
             expectation = error["msg"].replace("Input should be", "expected")
     return f"{expectation}, got {format_value(value)}"
--- a/sandhatch/config/proposals.py
+++ b/sandhatch/config/proposals.py
@@ -1,7 +1,7 @@
-"""Checked changes that wait to be committed.
+"""Checked changes that are waiting to be committed.
 
-Their number, their bytes and their age are bounded. This module never compares a proposal with the active
-version; `transactions` does.
+The number, total size and age of proposals are bounded. `transactions` compares proposals with the active
+version; this module does not.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 MAX_PROPOSALS = 256
 MAX_PROPOSED_BYTES = 64 * 1024 * 1024
-PROPOSAL_MS = 3_600_000.0  # a proposal not committed by then is dropped
+PROPOSAL_TTL_MS = 3_600_000.0  # a proposal that is not committed within this time is dropped
 
 
 @dataclass(slots=True)
@@ -22,15 +22,15 @@
     """A change that may be committed.
 
     Attributes:
-        number: Counted from 1, never used twice.
-        base: The version that it was made from.
-        checked: The configuration as it would be.
-        author: Who proposed it.
+        number: Number of the proposal, counted from 1 and never reused.
+        base: Number of the version that the change is based on.
+        checked: Configuration after the change.
+        author: Author of the change.
         comment: Free text of the author.
-        merge: Whether it may be merged with what became active since its base.
-        made_ms: When it was proposed.
-        size: The length of its text, in bytes.
-        restores: The version whose content it brings back; 0 for none.
+        merge: Whether the change may be merged with changes that became active since its base.
+        made_ms: Time of the proposal.
+        size_bytes: Length of the configuration's text.
+        restores: Number of the version whose content the proposal restores; 0 for none.
     """
 
     number: int
@@ -40,7 +40,7 @@
     comment: str
     merge: bool
     made_ms: float
-    size: int
+    size_bytes: int
     restores: int = 0
 
 
@@ -54,25 +54,28 @@
         self._next_number = 1
 
     def check_capacity(self, now_ms: float, size_bytes: int) -> None:
-        """Drop expired proposals and make sure that another one of `size_bytes` fits.
+        """Drop expired proposals and check that another one of `size_bytes` fits.
 
         Raises:
-            RejectedError: FULL, if there are too many or they are too large.
+            RejectedError: FULL, if there are too many proposals or their total size is too large.
         """
         self._expire(now_ms)
         count = len(self.by_number)
         if count >= MAX_PROPOSALS or self._total_bytes + size_bytes > MAX_PROPOSED_BYTES:
-            raise RejectedError(RejectionReason.FULL, f"{count} proposals wait; abort some")
+            raise RejectedError(
+                RejectionReason.FULL,
+                f"{count} proposals are waiting and leave no capacity for another; abort some",
+            )
 
     @property
     def next_number(self) -> int:
-        """The number of the next proposal that is added."""
+        """Number of the next proposal that is added."""
         return self._next_number
 
     def add(self, proposal: Proposal) -> None:
-        """Store a proposal that has the next number and fits."""
+        """Store a proposal, which must have the next number and fit."""
         self._next_number += 1
-        self._total_bytes += proposal.size
+        self._total_bytes += proposal.size_bytes
         self.by_number[proposal.number] = proposal
 
     def get(self, number: int) -> Proposal:
@@ -87,17 +90,17 @@
         return proposal
 
     def remove(self, number: int) -> None:
-        """Forget a proposal.
+        """Remove a proposal.
 
         Raises:
             RejectedError: UNKNOWN, if there is none of that number.
         """
         proposal = self.get(number)
         del self.by_number[number]
-        self._total_bytes -= proposal.size
+        self._total_bytes -= proposal.size_bytes
 
     def _expire(self, now_ms: float) -> None:
-        oldest_ms = now_ms - PROPOSAL_MS
+        oldest_ms = now_ms - PROPOSAL_TTL_MS
         expired = [number for number, proposal in self.by_number.items() if proposal.made_ms < oldest_ms]
         for number in expired:
             self.remove(number)
--- a/sandhatch/config/rank_statistics.py
+++ b/sandhatch/config/rank_statistics.py
@@ -1,6 +1,6 @@
-"""Statistics of the goodput watch: a one-sided rank test, and how long samples are correlated.
+"""Statistics of the goodput watch: a one-sided rank test and the correlation length of samples.
 
-Pure functions of their arguments. Source: Mann and Whitney, "On a test of whether one of two random
+All functions are pure. Source: Mann and Whitney, "On a test of whether one of two random
 variables is stochastically larger than the other" (1947), and Bartlett (1946) on autocorrelations.
 """
 
@@ -9,16 +9,17 @@
 import math
 from collections.abc import Sequence
 
-MAX_EXACT_AFTER = 6  # samples after the change, up to which the test counts every choice
-MAX_EXACT_TOTAL = 150  # and of both sides together
-MAX_CORRELATED_PART = 10  # samples are taken as correlated over at most one tenth of them
+MAX_EXACT_AFTER_SAMPLES = 6  # number of samples after the change up to which the test is exact
+MAX_EXACT_TOTAL_SAMPLES = 150  # number of samples of both sides together up to which the test is exact
+MAX_LENGTH_DIVISOR = 10  # the correlation length is at most one tenth of the number of samples
 
 
 def rank_test(before: Sequence[float], after: Sequence[float]) -> float:
-    """Return the probability that equal distributions put `after` as low as it is, or lower.
+    """Return the one-sided p-value: the probability of ranks this low for `after` if nothing changed.
 
-    Exact over all choices of which samples are `after` where these are few; else by the normal approximation
-    with its correction for ties. Ties get mid-ranks. 1.0 where there is nothing to compare.
+    For few samples the test is exact over all choices of the samples that are `after`; otherwise it uses the
+    normal approximation with its correction for ties. Ties get mid-ranks. The result is 1.0 if a side is
+    empty.
     """
     after_count = len(after)
     before_count = len(before)
@@ -26,7 +27,7 @@
         return 1.0
     ranks = doubled_midranks([*after, *before])
     observed = sum(ranks[:after_count])
-    if after_count <= MAX_EXACT_AFTER and after_count + before_count <= MAX_EXACT_TOTAL:
+    if after_count <= MAX_EXACT_AFTER_SAMPLES and after_count + before_count <= MAX_EXACT_TOTAL_SAMPLES:
         return exact_probability(ranks, after_count, observed)
     return normal_probability(ranks, after_count, before_count, observed)
 
@@ -47,9 +48,9 @@
 
 
 def exact_probability(ranks: Sequence[int], after_count: int, observed: int) -> float:
-    """Return the part of all choices of `after_count` ranks whose sum is at most `observed`.
+    """Return the fraction of all choices of `after_count` ranks whose sum is at most `observed`.
 
-    Counts the choices by their size and their sum, one rank after the other.
+    Dynamic programming over the ranks counts the choices by their size and their sum.
     """
     choices: list[dict[int, int]] = [{} for _ in range(after_count + 1)]
     choices[0][0] = 1
@@ -63,7 +64,7 @@
 
 
 def normal_probability(ranks: Sequence[int], after_count: int, before_count: int, observed: int) -> float:
-    """Return the same probability by the normal approximation with its correction for ties."""
+    """Return the probability of `exact_probability` by the normal approximation, corrected for ties."""
     total = after_count + before_count
     mean = after_count * (total + 1)
     tie_sizes: dict[int, int] = {}
@@ -78,23 +79,23 @@
 
 
 def correlation_length(samples: Sequence[float]) -> int:
-    """Return how many consecutive samples must be put together to get independent ones.
+    """Return how many consecutive samples must be grouped to obtain independent groups.
 
-    One and twice the sum of the autocorrelations, up to the lag at which they are lost in the noise (twice
-    their standard error); at most a tenth of the samples.
+    The length is 1 plus twice the sum of the autocorrelations, up to the lag at which they are within the
+    noise (twice their standard error), and at most a tenth of the number of samples.
     """
     count = len(samples)
     mean = sum(samples) / count if count else 0.0
     variation = sum((sample - mean) ** 2 for sample in samples)
-    longest = max(1, count // MAX_CORRELATED_PART)
+    max_length = max(1, count // MAX_LENGTH_DIVISOR)
     if variation <= 0.0:
         return 1
     length = 1.0
-    for lag in range(1, longest):
+    for lag in range(1, max_length):
         covariation = sum(
             (samples[index] - mean) * (samples[index + lag] - mean) for index in range(count - lag)
         )
         if covariation / variation < 2.0 / math.sqrt(count):
             break
         length += 2.0 * covariation / variation
-    return min(longest, math.ceil(length))
+    return min(max_length, math.ceil(length))
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -1,7 +1,7 @@
-"""A proposal brought onto the version that is active now.
+"""Rebase of a proposal onto the active version.
 
-If its base is the active version, it stands as it is; else it is merged with what became active since, and
-the result is checked in full. It decides nothing on the state of a version. Source: `transactions`.
+A proposal whose base is active is left as it is; any other is merged with the changes since its base, and the
+result is checked in full. The states of versions are not changed here. Used by `transactions`.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
     """Return the configuration that the proposal would activate now.
 
     Args:
-        proposal: The change.
-        base: The version that it was made from.
-        active: The version that is active now.
-        check: Checks merged data in full; raises CheckError.
+        proposal: Change to rebase.
+        base: Version that the change is based on.
+        active: Version that is active now.
+        check: Function that checks merged data in full; raises CheckError.
 
     Raises:
-        RejectedError: CONFLICT, if both change the same keys, if the proposal does not ask to be merged, or
-            if the result of the merge has errors.
+        RejectedError: CONFLICT, if the proposal and the versions since its base change the same keys, if the
+            proposal does not allow a merge, or if the result of the merge has errors.
     """
     if base is active:
         return proposal.checked
@@ -46,13 +46,13 @@
     except CheckError as failure:
         lines = [str(problem) for problem in failure.problems]
         raise RejectedError(
-            RejectionReason.CONFLICT, f"merged with version {active.number} it has errors", problems=lines
+            RejectionReason.CONFLICT, f"the merge with version {active.number} has errors", problems=lines
         ) from None
 
 
 def conflict(proposal: Proposal, other: Version, keys: list[str]) -> RejectedError:
-    """Return the error for a proposal that conflicts with another version in these keys, if in any."""
+    """Return the error for a proposal that conflicts with another version; `keys` may be empty."""
     shown = ", ".join(keys[:MAX_KEYS_IN_TEXT])
-    advice = f"both touch {shown}" if keys else "it can be merged"
-    text = f"made from version {proposal.base}, but version {other.number} is {other.state.value}; {advice}"
+    advice = f"both change {shown}" if keys else "the proposal can be merged"
+    text = f"based on version {proposal.base}, but version {other.number} is {other.state.value}; {advice}"
     return RejectedError(RejectionReason.CONFLICT, text, keys)
--- a/sandhatch/config/references.py
+++ b/sandhatch/config/references.py
@@ -1,6 +1,6 @@
-"""The references between keys of one configuration: every name must exist, and addresses must differ.
+"""Check of references between keys of one configuration: names must exist, and addresses must be unique.
 
-Works on a model whose keys are valid one by one. Finds errors and warnings and changes nothing. Source:
+The check takes a model whose values are valid one by one, and reports errors and warnings. Source:
 docs/operators/configuration.md.
 """
 
@@ -18,17 +18,17 @@
 
 
 class ReferenceCheck:
-    """One check of one model. `problems` collects what it finds."""
+    """One check of one model; `problems` collects the errors and warnings."""
 
     def __init__(self, document: Document, model: Configuration) -> None:
-        """Take the document, for its lines, and the model made of it."""
+        """Store the document, which gives the line numbers, and the model made from it."""
         self._document = document
         self._model = model
         self._used_pools: set[str] = set()
         self.problems: list[Problem] = []
 
     def run(self) -> list[Problem]:
-        """Check everything; return the errors and warnings in the order in which they were found."""
+        """Run all checks; return the errors and warnings in the order in which they were found."""
         self._check_route_names()
         if self._model.default_class is not None:
             self._check_name(("default_class",), self._model.default_class, "class", self._model.classes)
@@ -91,7 +91,7 @@
         for name, listener in self._model.listeners.items():
             address = listener.address
             first = first_by_address.setdefault(address, name)
-            if first != name and not address.endswith(":0"):  # port 0: the system picks a free one
+            if first != name and not address.endswith(":0"):  # with port 0 the system selects a free port
                 text = f"expected an address of its own, got {address!r}, which listener {first!r} has"
                 self._error(("listeners", name, "address"), text)
 
@@ -103,7 +103,7 @@
             self._check_servers(name, pool.servers)
 
     def _check_instances(self, name: str, pool: Pool) -> None:
-        """Check that this instance is one of those that the pool's balancers are counted as."""
+        """Check that this instance's index is below the number of instances that the pool declares."""
         planning = self._model.planning
         has_planners = planning is not None and bool(planning.planners)
         instance_index = planning.place if planning is not None else 0
--- a/sandhatch/config/route_compilation.py
+++ b/sandhatch/config/route_compilation.py
@@ -1,7 +1,7 @@
-"""The routes of a checked model, compiled into those of the route table.
+"""Compilation of the routes of a checked model for the route table.
 
-Names become bytes, patterns become compiled regular expressions. Never finds errors: the model is checked
-before. Source: `route_model` and `routing.route`.
+Names become bytes, and patterns become compiled regular expressions. No errors are reported, since the model
+has been checked already. Source: `route_model` and `routing.route`.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import re2
 
 from sandhatch.config.route_model import HeaderMatch, RouteModel, TargetModel
-from sandhatch.routing.route import HeaderTest, Route, Test
+from sandhatch.routing.route import HeaderCondition, Predicate, Route
 from sandhatch.routing.targets import FixedResponse, Split, Target, WeightedPool
 
 
@@ -35,8 +35,8 @@
     """Compile the target of a route.
 
     Args:
-        target: A pool, a split over pools or a fixed answer.
-        salt: Makes the hashes of a split differ from those of other routes.
+        target: Pool, split over pools or fixed response.
+        salt: Key of a split's hashes, which makes them differ from those of other routes.
     """
     if target.pool is not None:
         return target.pool
@@ -44,16 +44,18 @@
         weighted_pools = [WeightedPool(part.pool, part.weight) for part in target.weighted.pools]
         return Split.of(weighted_pools, (target.weighted.by or "").encode(), salt)
     response = target.answer
-    assert response is not None  # the model demands exactly one of the three
+    assert response is not None  # the model requires exactly one of the three
     return FixedResponse(response.status, response.body.encode(), response.content_type.encode())
 
 
-def _compile_header(header: HeaderMatch) -> HeaderTest:
-    return HeaderTest(header.name.lower().encode(), _compile_value_test(header), header.present is not False)
+def _compile_header(header: HeaderMatch) -> HeaderCondition:
+    return HeaderCondition(
+        header.name.lower().encode(), _compile_value_predicate(header), header.present is not False
+    )
 
 
-def _compile_value_test(header: HeaderMatch) -> Test | None:
-    """Return the test of a header's value; None if it only has to be there, or absent."""
+def _compile_value_predicate(header: HeaderMatch) -> Predicate | None:
+    """Return the predicate for a header's value; None if only the header's presence matters."""
     if header.exact is not None:
         return header.exact.encode().__eq__
     if header.prefix is not None:
@@ -62,11 +64,11 @@
     return _compile_pattern(header.regex) if header.regex is not None else None
 
 
-def _compile_pattern(pattern: str) -> Test:
-    """Return a test for values that the regular expression matches from the first byte to the last."""
+def _compile_pattern(pattern: str) -> Predicate:
+    """Return a predicate for values that the regular expression matches completely."""
     options = re2.Options()
     options.log_errors = False
-    # Bytes that are no UTF-8 must not make a match fail with an error.
+    # Latin-1 accepts every byte; as UTF-8, invalid bytes would make a match fail with an error.
     options.encoding = re2.Options.Encoding.LATIN1
     compiled = re2.compile(pattern.encode(), options)
     return lambda value: compiled.fullmatch(value) is not None
--- a/sandhatch/config/route_model.py
+++ b/sandhatch/config/route_model.py
@@ -1,7 +1,8 @@
 """Routes: their keys, defaults and bounds.
 
-A field's name is its key in the file; `route_compilation` translates routes into those of the route table.
-Names of other keys are checked in `references`. Source: docs/operators/configuration.md.
+A field's name is its key in the file; `route_compilation` compiles the models for the route table.
+References to pools, classes and listeners are checked in `references`. Source:
+docs/operators/configuration.md.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 
 
 class PathMatch(Model):
-    """A condition on the path, which is matched without its query. Exactly one key.
+    """A condition on the path without its query. Exactly one key is given.
 
     Attributes:
-        exact: The path.
-        prefix: Complete segments that it starts with: /a matches /a and /a/b, not /ab.
-        regex: A regular expression for the complete path.
+        exact: Complete path.
+        prefix: Complete segments that the path starts with: /a matches /a and /a/b, not /ab.
+        regex: Regular expression that matches the complete path.
     """
 
     exact: PathText | None = None
@@ -40,14 +41,14 @@
 
 
 class HeaderMatch(Model):
-    """A condition on a header. Exactly one key besides `name`.
+    """A condition on a header. Exactly one key besides `name` is given.
 
     Attributes:
-        name: In any case.
-        exact: The value.
-        prefix: What the value starts with.
-        regex: A regular expression for the complete value.
-        present: Whether the header must be there, or must not.
+        name: Name of the header, case-insensitive.
+        exact: Complete value.
+        prefix: Start of the value.
+        regex: Regular expression that matches the complete value.
+        present: Whether the header must be present or absent.
     """
 
     name: HeaderName
@@ -63,15 +64,15 @@
 
 
 class Match(Model):
-    """The conditions of a route: all that are given must hold; of a list, one must.
+    """The conditions of a route, all of which must hold. A list holds if one of its items matches.
 
     Attributes:
-        listeners: The listener that the request came in on.
-        hosts: Without port, in any case; *.example.org stands for any name below it.
-        path: The path, without its query.
-        methods: The method.
-        headers: All of them must hold.
-        classes: The request's class.
+        listeners: Names of listeners that the request may arrive on.
+        hosts: Host names without port, case-insensitive; *.example.org stands for any name below it.
+        path: Condition on the path without its query.
+        methods: Request methods.
+        headers: Conditions on headers, all of which must hold.
+        classes: Names of request classes.
     """
 
     listeners: Annotated[list[Name], Field(min_length=1)] | None = None
@@ -83,18 +84,19 @@
 
 
 class SplitPart(Model):
-    """One pool of a split; `weight` is relative to those of the others."""
+    """One pool of a split; `weight` is relative to the weights of the other pools."""
 
     pool: Name
     weight: Annotated[int, Field(ge=0, le=1_000_000)]
 
 
 class Weighted(Model):
-    """A split over pools.
+    """A weighted split over pools.
 
     Attributes:
-        pools: With their weights, not all 0.
-        by: The header whose value keeps a client with one pool; without it each request is drawn.
+        pools: Pools with their weights, not all of which are 0.
+        by: Header whose value assigns a client to one pool; without the header, the pool of each request is
+            drawn at random.
     """
 
     pools: Annotated[list[SplitPart], Field(min_length=1, max_length=MAX_SPLIT_POOLS)]
@@ -108,7 +110,7 @@
 
 
 class FixedResponse(Model):
-    """A response that is given without a server."""
+    """A response that the balancer sends itself, without a server."""
 
     status: Annotated[int, Field(ge=200, le=599)]
     body: Annotated[str, StringConstraints(max_length=MAX_BODY_CHARACTERS)] = ""
@@ -118,7 +120,7 @@
 
 
 class TargetModel(Model):
-    """What a route leads to. Exactly one key."""
+    """The target of a route. Exactly one key is given."""
 
     pool: Name | None = None
     weighted: Weighted | None = None
@@ -131,7 +133,7 @@
 
 
 class RouteModel(Model):
-    """One route: requests that match go to its target, unless an earlier route matches."""
+    """One route: requests that match it go to its target, unless an earlier route matches."""
 
     name: Name
     match: Match = Match()
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -1,15 +1,15 @@
 """The transactions of one process: proposals, their conflicts, and which of them becomes a version.
 
-Decides without I/O or clock. What becomes of a version is decided in `version_lifecycle`; how a proposal is
-brought onto a newer version, in `rebase`. The rules:
+This module has no I/O and no clock. A version's further states are decided in `version_lifecycle`; `rebase`
+applies a proposal to a newer version. The rules:
 
-- A proposal names its base. If another version is active by then, the proposal is rejected with the keys
-  that both change; or it is merged, if it asks for that and no key is in conflict. The result of a merge is
-  checked in full.
+- A proposal names its base. If another version is active when the proposal is made or committed, the
+  proposal is rejected with the keys that both change; or it is merged, if it allows that and no key is in
+  conflict. The result of a merge is checked in full.
 - A commit while another change is in progress is rejected, with the keys in conflict if there are any.
 
 Source: NETCONF's candidate configuration (RFC 6241, section 8.3), and HAProxy's transactions, which name the
-version that they start from.
+version that they are based on.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from collections import OrderedDict
 
 from sandhatch.config.check import CheckedConfiguration
-from sandhatch.config.diff import diff, overlap
+from sandhatch.config.diff import diff, find_conflicts
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal, ProposalStore
 from sandhatch.config.rebase import CheckFunction, conflict, rebase
@@ -26,14 +26,14 @@
 
 
 class Transactions:
-    """The proposals of one process and what may be done with them."""
+    """The proposals of one process and the operations on them."""
 
     def __init__(self, lifecycle: VersionLifecycle, check: CheckFunction) -> None:
         """Start without proposals.
 
         Args:
-            lifecycle: The versions that proposals start from, and that they become.
-            check: Checks merged data in full; raises CheckError.
+            lifecycle: Versions that proposals are based on and that they become.
+            check: Function that checks merged data in full; raises CheckError.
         """
         self._lifecycle = lifecycle
         self._check = check
@@ -41,7 +41,7 @@
 
     @property
     def active(self) -> Version:
-        """The active version, which a commit would change."""
+        """The active version, which a commit replaces."""
         return self._lifecycle.active
 
     @property
@@ -64,17 +64,17 @@
         """Store a checked change of version `base`.
 
         Args:
-            now_ms: The time.
-            base: The version that the change was made from.
-            checked: The configuration as it would be.
-            author: Who proposes it.
+            now_ms: Current time.
+            base: Number of the version that the change is based on.
+            checked: Configuration after the change.
+            author: Author of the change.
             comment: Free text of the author.
-            merged: Whether it may be merged with what became active since `base`.
-            size_bytes: The length of its text.
+            merged: Whether the change may be merged with changes that became active since `base`.
+            size_bytes: Length of the configuration's text.
 
         Raises:
-            RejectedError: The base is not active and the change can't be merged, there are too many
-                proposals, or the process is stopping.
+            RejectedError: The base is unknown, or is not active and the change can't be merged, there are
+                too many proposals, or the process is stopping.
         """
         self._reject_if_stopping()
         self._proposals.check_capacity(now_ms, size_bytes)
@@ -85,21 +85,21 @@
         return proposal
 
     def discard(self, number: int) -> None:
-        """Forget a proposal; RejectedError if there is none of that number."""
+        """Discard a proposal; RejectedError if there is none of that number."""
         self._proposals.remove(number)
 
     def _reject_if_stopping(self) -> None:
         if self._lifecycle.stopping:
-            raise RejectedError(RejectionReason.STOPPING, "the process is ending")
+            raise RejectedError(RejectionReason.STOPPING, "the process is stopping")
 
     def _base(self, number: int) -> Version:
         version = self._lifecycle.versions.get(number)
         if version is None or version.state is State.FAILED or version.state in NOT_APPLIED:
-            raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number} to start from")
+            raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number} to base a change on")
         return version
 
     def _rebase(self, proposal: Proposal) -> CheckedConfiguration:
-        """Return what the proposal would activate now: itself, or merged with what came since its base."""
+        """Return the configuration that the proposal would activate now, merged if its base is old."""
         return rebase(proposal, self._base(proposal.base), self.active, self._check)
 
     # -------------------------------------------- committing
@@ -107,13 +107,14 @@
     def commit(
         self, now_ms: float, number: int, confirm_within_ms: float | None = None, watched: bool = True
     ) -> Version:
-        """Turn a proposal into a version and start to stage it; its state shows what becomes of it.
+        """Turn a proposal into a version and start staging it; the version's state shows the result.
 
         Args:
-            now_ms: The time.
-            number: The proposal's number.
-            confirm_within_ms: If given, it must be confirmed by hand within that time of its activation.
-            watched: Whether its goodput is watched, where its own configuration allows that.
+            now_ms: Current time.
+            number: Number of the proposal.
+            confirm_within_ms: Time after the activation within which the version must be confirmed manually;
+                None if that is not required.
+            watched: Whether the goodput is watched, provided that the new configuration enables the watch.
 
         Raises:
             RejectedError: There is no such proposal, another change is in progress, keys are in conflict,
@@ -127,7 +128,7 @@
         self.discard(number)
         if not changes:
             raise RejectedError(
-                RejectionReason.NOTHING, f"version {self.active.number} says the same already"
+                RejectionReason.NOTHING, f"version {self.active.number} already has the same content"
             )
         watch = checked.model.watch
         version = Version(
@@ -150,11 +151,13 @@
         if pending is None:
             return
         base = self._base(proposal.base)
-        keys = overlap(diff(base.data, proposal.checked.data), diff(base.data, pending.data))
+        keys = find_conflicts(diff(base.data, proposal.checked.data), diff(base.data, pending.data))
         if keys:
             raise conflict(proposal, pending, keys)
-        waits = " and is watched or waits to be confirmed" if pending.awaits_confirmation else ""
-        raise RejectedError(RejectionReason.BUSY, f"version {pending.number} is {pending.state.value}{waits}")
+        waiting = " and is watched or waiting to be confirmed" if pending.awaits_confirmation else ""
+        raise RejectedError(
+            RejectionReason.BUSY, f"version {pending.number} is {pending.state.value}{waiting}"
+        )
 
     # -------------------------------------------- rolling back
 
@@ -162,14 +165,14 @@
         """Roll back the change in progress at once, or propose to return to an earlier version.
 
         Args:
-            now_ms: The time.
-            author: Who asks for it.
-            to: The version to go back to; by default the one that a rollback of the change in progress
-                leads to, or else the last one confirmed before the active one.
+            now_ms: Current time.
+            author: Author of the rollback.
+            to: Number of the version to return to; by default the version that a rollback of the change in
+                progress leads to, or else the last one confirmed before the active version.
 
         Returns:
-            The version that was rolled back; or, with no change in progress or with `to` naming another
-            version, a proposal with that version's content.
+            The version that was rolled back; or, if no change is in progress or `to` names another version,
+            a proposal with the earlier version's content.
 
         Raises:
             RejectedError: There is no such confirmed version, or the process is stopping.
--- a/sandhatch/config/value_types.py
+++ b/sandhatch/config/value_types.py
@@ -1,7 +1,7 @@
-"""The types of single values in a configuration: names, addresses, patterns, paths, times.
+"""Types of single configuration values: names, addresses, patterns, paths and times.
 
-Each checks its value by itself and says what would be right. None knows of another key. The base class of all
-models is here too.
+The module also holds the base class of all models. Each type checks its value independently of other keys,
+and its error names the expected value.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 
 class Model(BaseModel):
-    """The base of all models: unknown keys are errors, values keep their type, nothing changes later."""
+    """Base of all models: rejects unknown keys, converts no types, and is immutable."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True, hide_input_in_errors=True)
 
 
 def require_exactly_one(model: Model, *keys: str) -> None:
-    """Check that exactly one of the model's keys is given; ValueError says which are."""
+    """Check that exactly one of the keys is given; the ValueError names those that are."""
     given = [key for key in keys if getattr(model, key) is not None]
     if len(given) != 1:
         *others, last = keys
@@ -40,7 +40,7 @@
 
 
 def _check_pattern(text: str) -> str:
-    # RE2's dialect: its matching takes linear time, so no pattern can occupy the one core.
+    # RE2 matches in linear time, so no pattern can block the process, which runs on a single core.
     options = re2.Options()
     options.log_errors = False
     options.max_mem = MAX_PATTERN_MEMORY_BYTES
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -1,7 +1,7 @@
-"""One version of the configuration and the states that it passes through.
+"""One version of the configuration and its states.
 
-The transitions are a table; a transition that the table does not allow is a fault of the program. No I/O
-and no clock. Source: docs/operators/configuration.md, the part on changes under traffic.
+A table holds the allowed transitions; any other transition is a programming error. No I/O and no clock.
+Source: docs/operators/configuration.md, the part on changes under traffic.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
     STAGING = "staging"
     SAVING = "saving"
-    ACTIVE = "in force"  # active, and may still be rolled back
+    ACTIVE = "in force"  # active, but not confirmed yet: may still be rolled back
     CONFIRMING = "confirming"
     CONFIRMED = "confirmed"
     FAILED = "failed"
-    ROLLED_BACK = "taken back"  # rolled back
-    LOST = "lost"  # the process ended before it was confirmed
+    ROLLED_BACK = "taken back"  # the version was rolled back
+    LOST = "lost"  # the process ended before the version was confirmed
 
 
 TRANSITIONS: Mapping[State, frozenset[State]] = {
@@ -47,19 +47,20 @@
     """One version of the configuration.
 
     Attributes:
-        number: Counted from 1, never used twice.
-        base: The version that was active when this one was committed; 0 for the first.
-        checked: Its content, checked in full.
-        state: Where it stands.
-        author: Who proposed it.
+        number: Number of the version, counted from 1 and never reused.
+        base: Number of the version that was active when this one was committed; 0 for the first.
+        checked: Content, checked in full.
+        state: Current state.
+        author: Author of the change.
         comment: Free text of the author.
-        made_ms: When it was committed.
-        changes: How many keys differ from its base.
-        why: The reason for its failure or rollback; empty otherwise.
-        confirm_within_ms: How long after its activation it must be confirmed by hand; None for no such limit.
-        watch_window_ms: How long its goodput is watched after its activation; None for no watch.
-        confirm_by_ms: When active: the time at which it is rolled back unless confirmed by hand.
-        watch_until_ms: When active: the time at which it is confirmed if no fall of goodput was seen.
+        made_ms: Time of the commit.
+        changes: Number of keys that differ from the base.
+        why: Reason for the failure or rollback; empty otherwise.
+        confirm_within_ms: Time after the activation within which the version must be confirmed manually; None
+            for no such limit.
+        watch_window_ms: Time after the activation for which the goodput is watched; None for no watch.
+        confirm_by_ms: Time at which the active version is rolled back unless it is confirmed manually.
+        watch_until_ms: Time at which the active version is confirmed if no goodput drop is detected.
     """
 
     number: int
@@ -78,19 +79,19 @@
 
     @property
     def data(self) -> dict[str, Any]:
-        """Its content as plain data."""
+        """Content as plain data."""
         return self.checked.data
 
     @property
     def awaits_confirmation(self) -> bool:
-        """Whether it is not confirmed as soon as it is active, but by hand or by a watch."""
+        """Whether the version is confirmed manually or by a watch, and not upon activation."""
         return any((self.confirm_within_ms, self.watch_window_ms, self.confirm_by_ms))
 
     def transition(self, target: State, reason: str = "") -> None:
-        """Move to another state.
+        """Change to another state.
 
         Raises:
-            AssertionError: The table of transitions does not allow it.
+            AssertionError: The table of transitions does not allow the change.
         """
         if target not in TRANSITIONS[self.state]:
             raise AssertionError(f"version {self.number}: {self.state.value} -> {target.value}")
--- a/sandhatch/config/version_lifecycle.py
+++ b/sandhatch/config/version_lifecycle.py
@@ -1,7 +1,7 @@
-"""The lifecycle of the versions of one process: the one in progress, its confirmation and its rollback.
+"""The lifecycle of one process's versions: staging, activation, confirmation and rollback.
 
-A state machine without I/O or clock: calls and times go in, actions come out. The owner carries the actions
-out in their order and reports how they ended. What may become a version is decided in `transactions`.
+A state machine without I/O or clock: its inputs are calls and times, its outputs are actions. The owner
+carries the actions out in order and reports their results. `transactions` decides what becomes a version.
 
     state       call                                            next state   actions
     ----------  ----------------------------------------------  -----------  --------------------------------
@@ -18,17 +18,18 @@
     CONFIRMING  save_failed, roll_back_pending                  ROLLED_BACK  Apply of the confirmed version,
                                                                              Retire, Save
 
-CONFIRMED, FAILED and ROLLED_BACK are final. LOST is what `history` makes of a version that was in progress
-when the process ended. Each change of state is checked against `version.TRANSITIONS`. A call that does not
-fit the state is a late report and changes nothing, or is rejected where a person has made it. The rules:
+CONFIRMED, FAILED and ROLLED_BACK are final. `history` sets LOST for a version that was in progress when the
+process ended. Each change of state is checked against `version.TRANSITIONS`. A call that does not fit the
+state changes nothing if it is a late report, and is rejected if an operator made it. The rules:
 
-- One change is in progress at a time.
-- On activation the disk changes first, on rollback last. A process that ends at any step finds one complete
-  version at its next start: the last confirmed one.
-- Until a version is confirmed the one before it stays built, so that a rollback needs no staging.
+- At most one change is in progress.
+- An activation is saved before it is applied, a rollback is saved after it has been applied. A process that
+  ends at any step therefore finds one complete version at its next start: the last confirmed one.
+- The predecessor of a version stays built until that version is confirmed, so that a rollback needs no
+  staging.
 
-Source: NETCONF's confirmed commit (RFC 6241, section 8.4), and Envoy's versions that are acknowledged or
-rejected.
+Source: NETCONF's confirmed commit (RFC 6241, section 8.4), and Envoy's configuration versions, which are
+acknowledged or rejected.
 """
 
 from __future__ import annotations
@@ -50,26 +51,26 @@
 from sandhatch.config.history_record import HistoryRow, Record
 from sandhatch.config.version import NOT_APPLIED, RUNNING, State, Version
 
-MAX_RECORDS = 100  # versions that the history shows and that may be a base
+MAX_RECORDS = 100  # versions that the history shows and that a proposal may be based on
 
 
 class VersionLifecycle:
-    """The versions of one process and the states that they pass through.
+    """The versions of one process and their states.
 
     Attributes:
-        versions: The last versions by number, oldest first.
-        active: The active version; every new request belongs to it.
-        confirmed: The version that a rollback or a restart goes back to.
-        pending: The version in progress, from STAGING to its final state; None if there is none.
-        stopping: Whether the process ends and takes no further change.
+        versions: Most recent versions by number, oldest first.
+        active: Version that every new request is assigned to.
+        confirmed: Version that a rollback or a restart returns to.
+        pending: Version in progress, from STAGING to its final state; None if there is none.
+        stopping: Whether the process is stopping and accepts no further change.
     """
 
     def __init__(self, first: Version, next_number: int = 0) -> None:
         """Start with a confirmed version.
 
         Args:
-            first: The version that is active from the start.
-            next_number: The number of the next version, as far as the history knows; 0 where it doesn't.
+            first: Version that is active from the start.
+            next_number: Number of the next version according to the history; 0 if there is no history.
         """
         first.state = State.CONFIRMED
         self.versions: OrderedDict[int, Version] = OrderedDict({first.number: first})
@@ -87,13 +88,13 @@
         return self._next_number
 
     def take_actions(self) -> list[Action]:
-        """Return the actions since the last call, to be carried out in their order."""
+        """Return the actions since the last call, to be carried out in order."""
         actions = self._actions
         self._actions = []
         return actions
 
     def record(self) -> Record:
-        """Return what must be on disk now."""
+        """Return the state that must be on disk now."""
         rows = tuple(HistoryRow.of(version) for version in self.versions.values())
         confirmed = self.confirmed.number
         pending = 0
@@ -102,12 +103,12 @@
                 case State.SAVING | State.ACTIVE:
                     pending = self.pending.number
                 case State.CONFIRMING:
-                    # Counts as confirmed on disk first: once that is written it is final.
+                    # The disk records the confirmation first: once that is written, the version is final.
                     confirmed = self.pending.number
         return Record(confirmed, pending, self._next_number, rows)
 
     def previous_confirmed(self) -> Version | None:
-        """Return the last version that was confirmed before the confirmed one; None if there is none."""
+        """Return the last version that was confirmed before `confirmed`; None if there is none."""
         earlier = [
             version
             for version in self.versions.values()
@@ -118,17 +119,17 @@
     # -------------------------------------------- staging and saving
 
     def begin(self, version: Version) -> None:
-        """Start to stage a version, which has the next number, while no other one is in progress."""
+        """Start staging a version. It must have the next number, and no other may be in progress."""
         assert self.pending is None
         assert version.number == self._next_number
         self._next_number += 1
         self.versions[version.number] = version
         self.pending = version
-        self._forget_oldest()
+        self._evict_oldest()
         self._actions.append(Stage(version))
 
-    def _forget_oldest(self) -> None:
-        """Forget the oldest versions beyond MAX_RECORDS, except those still needed."""
+    def _evict_oldest(self) -> None:
+        """Evict the oldest versions beyond MAX_RECORDS, except those still needed."""
         needed = {self.active.number, self.confirmed.number}
         for number in list(self.versions):
             if len(self.versions) <= MAX_RECORDS:
@@ -139,13 +140,13 @@
     def staged(self, version: Version) -> None:
         """Report that `Stage` succeeded."""
         if version is not self.pending or version.state is not State.STAGING:
-            self._actions.append(DiscardStaged(version))  # rolled back meanwhile
+            self._actions.append(DiscardStaged(version))  # rolled back while it was being staged
             return
         version.transition(State.SAVING)
         self._save(version)
 
     def failed(self, version: Version, why: str) -> None:
-        """Report that a version could not be staged; nothing has changed."""
+        """Report that a version could not be staged or saved; the active version stays."""
         if version is self.pending and version.state in NOT_APPLIED:
             version.transition(State.FAILED, why)
             self.pending = None
@@ -159,7 +160,7 @@
         self._actions.append(Save(self._last_save, version))
 
     def saved(self, now_ms: float, step: int) -> None:
-        """Report that `Save` number `step` is on disk; any but the last one changes nothing."""
+        """Report that `Save` number `step` is on disk; ignored unless that is the last `Save`."""
         version = self.pending
         if step != self._last_save or version is None:
             return
@@ -169,7 +170,7 @@
             self._finish_confirmation(version)
 
     def save_failed(self, step: int, why: str) -> None:
-        """Report that `Save` number `step` failed; any but the last one changes nothing."""
+        """Report that `Save` number `step` failed; ignored unless that is the last `Save`."""
         version = self.pending
         if step != self._last_save or version is None:
             return
@@ -181,7 +182,7 @@
     def _activate(self, now_ms: float, version: Version) -> None:
         version.transition(State.ACTIVE)
         self.active = version
-        self._actions += [Apply(version), LogMessage(f"version {version.number} is in force")]
+        self._actions += [Apply(version), LogMessage(f"version {version.number} is active")]
         if version.confirm_within_ms is not None:
             version.confirm_by_ms = version.confirm_within_ms + now_ms
         if version.watch_window_ms is not None:
@@ -193,7 +194,7 @@
     # -------------------------------------------- confirming
 
     def tick(self, now_ms: float) -> None:
-        """Confirm or roll back the active version if its watch or its time to be confirmed is over."""
+        """Confirm or roll back the pending version if its watch or its confirmation time is over."""
         version = self.pending
         if version is None or version.state is not State.ACTIVE:
             return
@@ -204,30 +205,30 @@
             self._begin_confirmation(version)
 
     def confirm(self, number: int | None = None) -> Version:
-        """Confirm the pending version by hand; a watch that still runs ends with it.
+        """Confirm the pending version manually, which also ends its watch.
 
         Raises:
-            RejectedError: No such version waits to be confirmed, or it is not active.
+            RejectedError: No such version is waiting to be confirmed, or it is not active.
         """
-        version = self._unconfirmed(number)
+        version = self._require_active_pending(number)
         self._begin_confirmation(version)
         return version
 
     def extend(self, now_ms: float, within_ms: float, number: int | None = None) -> Version:
-        """Move the time by which to confirm by hand, or require it where there was only a watch.
+        """Set a new time limit for manual confirmation, also for a version that was only watched.
 
         Raises:
-            RejectedError: No such version waits to be confirmed, or it is not active.
+            RejectedError: No such version is waiting to be confirmed, or it is not active.
         """
-        version = self._unconfirmed(number)
+        version = self._require_active_pending(number)
         version.confirm_by_ms = now_ms + within_ms
         return version
 
-    def _unconfirmed(self, number: int | None) -> Version:
-        """Return the pending version, which must be active and have that number if one is given."""
+    def _require_active_pending(self, number: int | None) -> Version:
+        """Return the pending version, which must be active and have `number` if one is given."""
         version = self.pending
         if version is None or (number is not None and version.number != number):
-            raise RejectedError(RejectionReason.NOTHING, "no such version waits to be confirmed")
+            raise RejectedError(RejectionReason.NOTHING, "no such version is waiting to be confirmed")
         if version.state is not State.ACTIVE:
             raise RejectedError(RejectionReason.BUSY, f"version {version.number} is {version.state.value}")
         return version
@@ -244,24 +245,24 @@
         self.confirmed = version
         self.pending = None
         self._actions += [Retire(predecessor), LogMessage(f"version {version.number} is confirmed")]
-        self._forget_oldest()
+        self._evict_oldest()
 
     # -------------------------------------------- rolling back
 
     def goodput_dropped(self, version: Version, why: str) -> None:
-        """Report that the watch has seen the goodput fall."""
+        """Report that the goodput watch has detected a drop."""
         if version is self.pending and version.state is State.ACTIVE:
             self._roll_back(version, why)
 
     def roll_back_pending(self, author: str = "") -> Version:
-        """Roll back the pending version by hand, or give it up if it is not active yet; return it."""
+        """Roll back the pending version manually, or fail it if it is not active yet; return it."""
         version = self.pending
         assert version is not None
-        signature = f", {author}" if author else ""
+        author_suffix = f", {author}" if author else ""
         if version.state in RUNNING:
-            self._roll_back(version, f"by hand{signature}")
+            self._roll_back(version, f"by hand{author_suffix}")
         else:
-            self.failed(version, f"given up by hand{signature}")
+            self.failed(version, f"given up by hand{author_suffix}")
         return version
 
     def _roll_back(self, version: Version, why: str) -> None:
@@ -274,13 +275,13 @@
             Apply(self.confirmed, back=True),
             Retire(version),
             LogMessage(
-                f"version {version.number} taken back: {why}; version {self.confirmed.number} is in force"
+                f"version {version.number} rolled back: {why}; version {self.confirmed.number} is active"
             ),
         ]
         self._save(None)
 
     def stop(self) -> None:
-        """Take no further change; a version that is not active yet fails."""
+        """Accept no further change; a pending version that is not active yet fails."""
         self.stopping = True
         pending = self.pending
         if pending is not None and pending.state in NOT_APPLIED:
--- a/sandhatch/routing/__init__.py
+++ b/sandhatch/routing/__init__.py
@@ -1,5 +1,5 @@
-"""Which route a request takes, and which pool or answer that route leads to.
+"""Routing: selection of a request's route and of the pool or fixed response that the route leads to.
 
-Pure functions and immutable tables: no I/O, no clock, no random draws of its own. The routes come from
-`sandhatch.config`.
+The package consists of pure functions and immutable tables, without I/O, clock or random draws. The routes
+come from `sandhatch.config`.
 """
--- a/sandhatch/routing/coverage.py
+++ b/sandhatch/routing/coverage.py
@@ -1,7 +1,7 @@
-"""Routes that can never match, since an earlier one takes every request that they would.
+"""Detection of routes that can never match, since an earlier route takes every request they would match.
 
-Claims only what is certain: nothing that a regular expression or a header decides, and nothing of routes
-behind more routes for the same paths than are compared. Used for warnings; no decision depends on it.
+Only certain cases are reported: none that depends on a regular expression or a header, and none that would
+need a comparison with more than MAX_COMPARED routes for the same paths. The result is used for warnings only.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from sandhatch.routing.route import Route, normalized_prefix, prefixes
+from sandhatch.routing.route import Route, normalize_prefix, prefixes
 
-MAX_COMPARED = 200  # earlier routes that a route is compared with
+MAX_COMPARED = 200  # maximum number of earlier routes that a route is compared with
 
 
 @dataclass(slots=True, frozen=True)
 class CoveredRoute:
-    """A route that can never match, and the earlier one that covers it; both by their index."""
+    """The index of a route that can never match, and of the earlier route that covers it."""
 
     index: int
     covered_by: int
 
 
 class _PathIndex:
-    """Routes by their path, as indices, for finding those whose path covers another's."""
+    """Indices of routes by path, to find the routes whose path covers that of another route."""
 
     def __init__(self) -> None:
         self._by_exact: dict[bytes, list[int]] = {}
@@ -35,32 +35,32 @@
         if route.exact is not None:
             self._by_exact.setdefault(route.exact, []).append(index)
         elif route.prefix is not None:
-            self._by_prefix.setdefault(normalized_prefix(route.prefix), []).append(index)
+            self._by_prefix.setdefault(normalize_prefix(route.prefix), []).append(index)
         else:
             self._any_path.append(index)
 
-    def covering(self, route: Route) -> list[int]:
+    def find_covering(self, route: Route) -> list[int]:
         """Return the first MAX_COMPARED added routes whose path covers that of `route`."""
         found = list(self._any_path)
         if route.exact is not None:
             found += self._by_exact.get(route.exact, [])
         path = route.exact if route.exact is not None else route.prefix
         if path is not None:
-            for prefix in prefixes(normalized_prefix(path)):
+            for prefix in prefixes(normalize_prefix(path)):
                 found += self._by_prefix.get(prefix, [])
         return sorted(found)[:MAX_COMPARED]
 
 
-def unreachable(routes: Sequence[Route]) -> list[CoveredRoute]:
-    """Return the routes that can never match, in their order."""
+def find_unreachable(routes: Sequence[Route]) -> list[CoveredRoute]:
+    """Return the routes that can never match, in the order of the file."""
     earlier = _PathIndex()
     found = []
     for index, route in enumerate(routes):
-        cover = next((other for other in earlier.covering(route) if routes[other].covers(route)), None)
+        cover = next((other for other in earlier.find_covering(route) if routes[other].covers(route)), None)
         if cover is not None:
             found.append(CoveredRoute(index, cover))
-            continue  # what it covers, its cover covers too
+            continue  # the covering route also covers every route that this one covers
         if route.regex is not None or route.headers:
-            continue  # covers nothing for certain
+            continue  # whether such a route covers another one is not certain
         earlier.add(index, route)
     return found
--- a/sandhatch/routing/route.py
+++ b/sandhatch/routing/route.py
@@ -1,6 +1,7 @@
-"""One compiled route: its conditions and its target; and what is asked of it.
+"""One compiled route with its conditions and target, and the query that routes are matched against.
 
-A route tests everything but path and host, which the table looks up. Never changes once made. Source:
+A route tests every condition except exact path, prefix and host, which the table looks up. Routes are
+immutable. Source:
 docs/operators/configuration.md.
 """
 
@@ -11,20 +12,20 @@
 
 from sandhatch.routing.targets import Headers, Target
 
-Test = Callable[[bytes], bool]  # of a header's value or of a path
+Predicate = Callable[[bytes], bool]  # tests a header's value or a path
 
 
 @dataclass(slots=True, frozen=True)
 class Query:
-    """What routes are matched against.
+    """The properties of a request that routes are matched against.
 
     Attributes:
-        listener: The name of the listener that the request came in on.
-        host: In lower case, without its port.
-        path: Without its query.
-        method: In upper case.
-        headers: All of them, as they were received.
-        request_class: The name of its class.
+        listener: Name of the listener that the request arrived on.
+        host: Host in lower case, without its port.
+        path: Path without its query.
+        method: Method in upper case.
+        headers: All headers, as received.
+        request_class: Name of the request's class.
     """
 
     listener: str
@@ -36,57 +37,57 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HeaderTest:
+class HeaderCondition:
     """A condition on a header.
 
     Attributes:
-        name: In lower case.
-        test: Holds if any of the header's values passes it; None if only its presence counts.
-        present: Without a test: whether the header must be present, or absent.
+        name: Header name in lower case.
+        predicate: Test that one of the header's values must pass; None if only the presence counts.
+        present: Whether the header must be present or absent; only used without a predicate.
     """
 
     name: bytes
-    test: Test | None = None
+    predicate: Predicate | None = None
     present: bool = True
 
-    def holds(self, headers: Headers) -> bool:
+    def matches(self, headers: Headers) -> bool:
         """Whether a request with these headers meets the condition."""
         values = [value for name, value in headers if name.lower() == self.name]
-        if self.test is None:
+        if self.predicate is None:
             return bool(values) is self.present
-        return any(map(self.test, values))
+        return any(map(self.predicate, values))
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """One route. Empty collections and None stand for no condition.
+    """One route. An empty collection or None stands for no condition.
 
     Attributes:
-        name: Unique in the table.
-        target: What it leads to.
-        exact: The path.
+        name: Name, unique in the table.
+        target: Pool, split or fixed response that the route leads to.
+        exact: Complete path.
         prefix: Complete segments that the path starts with: /a matches /a and /a/b, not /ab.
-        regex: A test of the complete path.
-        hosts: In lower case; `*.x` for any name below x. One must match.
-        methods: One must match.
-        listeners: Names; one must match.
-        classes: Names; one must match.
-        headers: All must hold.
+        regex: Predicate for the complete path.
+        hosts: Hosts in lower case, one of which must match; `*.x` stands for any name below x.
+        methods: Methods, one of which must match.
+        listeners: Names of listeners, one of which must match.
+        classes: Names of request classes, one of which must match.
+        headers: Conditions on headers, all of which must hold.
     """
 
     name: str
     target: Target
     exact: bytes | None = None
     prefix: bytes | None = None
-    regex: Test | None = None
+    regex: Predicate | None = None
     hosts: frozenset[bytes] = frozenset()
     methods: frozenset[bytes] = frozenset()
     listeners: frozenset[str] = frozenset()
     classes: frozenset[str] = frozenset()
-    headers: tuple[HeaderTest, ...] = ()
+    headers: tuple[HeaderCondition, ...] = ()
 
-    def holds(self, query: Query) -> bool:
-        """Whether all conditions hold but exact path, prefix and host, which the table has looked up."""
+    def matches(self, query: Query) -> bool:
+        """Whether all conditions hold, except exact path, prefix and host, which the table looks up."""
         if self.methods and query.method not in self.methods:
             return False
         if self.listeners and query.listener not in self.listeners:
@@ -95,10 +96,10 @@
             return False
         if self.regex is not None and not self.regex(query.path):
             return False
-        return all(test.holds(query.headers) for test in self.headers)
+        return all(condition.matches(query.headers) for condition in self.headers)
 
     def covers(self, other: Route) -> bool:
-        """Whether this one certainly holds whenever `other` does, exact path and prefix aside."""
+        """Whether this route certainly matches whenever `other` does, exact path and prefix aside."""
         if self.regex is not None or self.headers:
             return False
         if self.hosts and not (other.hosts and all(self._covers_host(host) for host in other.hosts)):
@@ -110,7 +111,7 @@
         )
 
     def _covers_host(self, host: bytes) -> bool:
-        return host in self.hosts or any(wildcard in self.hosts for wildcard in wildcards(host))
+        return host in self.hosts or any(wildcard in self.hosts for wildcard in matching_wildcards(host))
 
 
 def _covers_names(names: Set[object], others: Set[object]) -> bool:
@@ -128,15 +129,16 @@
     return found
 
 
-def normalized_prefix(prefix: bytes) -> bytes:
-    """Return a prefix without its last slash; `/` stays."""
+def normalize_prefix(prefix: bytes) -> bytes:
+    """Return a prefix without trailing slashes; `/` stays."""
     return prefix.rstrip(b"/") or b"/"
 
 
-def wildcards(host: bytes) -> list[bytes]:
+def matching_wildcards(host: bytes) -> list[bytes]:
     """Return the wildcards that match a host: `a.b.c` gives *.b.c and *.c.
 
-    A wildcard stands for one label or more; of a wildcard, the wider ones are returned.
+    A wildcard stands for one or more labels. For a host that is a wildcard itself, only wider wildcards are
+    returned: `*.b.c` gives *.c.
     """
     found = []
     if host.startswith(b"*."):
--- a/sandhatch/routing/targets.py
+++ b/sandhatch/routing/targets.py
@@ -1,6 +1,6 @@
-"""What a route leads to: a pool, a split over pools, or a fixed answer.
+"""Targets of routes: a pool, a split over pools, or a fixed response.
 
-Never draws a random number itself: `Split.choose` takes the function from its caller. Source:
+This module draws no random numbers: the caller passes the function to `Split.choose`. Source:
 docs/operators/configuration.md.
 """
 
@@ -16,12 +16,12 @@
 
 HASH_BYTES = 8
 HASH_RANGE = 2 ** (8 * HASH_BYTES)
-MAX_SALT_BYTES = 64  # the longest key that blake2b takes
+MAX_SALT_BYTES = 64  # maximum length of a blake2b key
 
 
 @dataclass(slots=True, frozen=True)
 class FixedResponse:
-    """A fixed answer."""
+    """A response that the balancer sends itself, without a server."""
 
     status: int
     body: bytes
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WeightedPool:
-    """A pool of a split. Its share is its weight over the sum of all weights."""
+    """A pool of a split; its share is its weight divided by the sum of all weights."""
 
     pool: str
     weight: int
@@ -38,13 +38,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Split:
-    """Weighted pools.
+    """A weighted split over pools.
 
     Attributes:
-        pools: Their names; those with weight 0 are left out.
-        cumulative_weights: The running sums of their weights.
-        by: The header whose value keeps a client with one pool, in lower case; empty for none.
-        salt: Makes the hashes differ from those of other splits.
+        pools: Names of the pools, without those of weight 0.
+        cumulative_weights: Running sums of the weights.
+        by: Name, in lower case, of the header whose value assigns a client to one pool; empty for none.
+        salt: Key of the hash function, which makes the hashes differ from those of other splits.
     """
 
     pools: tuple[str, ...]
@@ -54,17 +54,17 @@
 
     @staticmethod
     def of(weighted_pools: Iterable[WeightedPool], by: bytes = b"", salt: bytes = b"") -> Split:
-        """Return the split over these pools; the other arguments are those of the class."""
+        """Return the split over these pools; `by` and `salt` are those of the class."""
         used = [part for part in weighted_pools if part.weight > 0]
         sums = tuple(accumulate(part.weight for part in used))
         return Split(tuple(part.pool for part in used), sums, by.lower(), salt)
 
     def choose(self, headers: Headers, draw: Callable[[], float]) -> str:
-        """Return the pool of a request: by the hash of its header if it has that header, else by `draw`.
+        """Return the pool of a request: by the hash of the header `by` if the request has it, else by `draw`.
 
         Args:
-            headers: The request's headers.
-            draw: Returns a random number in [0, 1).
+            headers: Headers of the request.
+            draw: Function that returns a random number in [0, 1).
         """
         point: float | None = None
         if self.by:
@@ -78,4 +78,4 @@
         return self.pools[min(index, len(self.pools) - 1)]
 
 
-Target = str | Split | FixedResponse  # a pool's name, a split over pools, or a fixed answer
+Target = str | Split | FixedResponse  # a pool's name, a split over pools, or a fixed response
--- a/tests/config/fake_owner.py
+++ b/tests/config/fake_owner.py
@@ -1,4 +1,4 @@
-"""A fake owner of the versions, which carries out their actions one step at a time."""
+"""A fake owner of the version lifecycle that carries out its actions one step at a time."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 
 class FakeOwner:
-    """Carries out actions as a service would, one step at a time, and records what is active and on disk."""
+    """Carries out actions as a service would, step by step; records the active version and the disk state."""
 
     def __init__(self) -> None:
         self.lifecycle = VersionLifecycle(Version(1, 0, checked(), State.STAGING))
         self.transactions = Transactions(self.lifecycle, check_data)
-        self.now = 1_000.0
-        self.in_force = self.lifecycle.active
+        self.now_ms = 1_000.0
+        self.active_version = self.lifecycle.active
         self.staging: list[Version] = []
         self.saves: list[int] = []
         self.retired: list[int] = []
-        self.unstaged: list[int] = []
+        self.discarded: list[int] = []
         self.watched: list[int] = []
         self.disk = (1, 0)
         self.log_lines: list[str] = []
@@ -52,22 +52,22 @@
                     self.saves.append(action.step)
                     self.disk = (record.confirmed, record.pending)
                 case Apply():
-                    self.in_force = action.version
+                    self.active_version = action.version
                 case Retire():
                     self.retired.append(action.version.number)
                 case DiscardStaged():
-                    self.unstaged.append(action.version.number)
+                    self.discarded.append(action.version.number)
                 case Watch():
                     self.watched.append(action.version.number)
                 case LogMessage():
                     self.log_lines.append(action.text)
-        assert self.in_force is self.lifecycle.active
+        assert self.active_version is self.lifecycle.active
 
     def propose(self, data: dict[str, Any], base: int = 1, merged: bool = False) -> int:
-        return self.transactions.propose(self.now, base, checked(data), merged=merged).number
+        return self.transactions.propose(self.now_ms, base, checked(data), merged=merged).number
 
     def commit(self, data: dict[str, Any], base: int = 1, **options: Any) -> Version:
-        version = self.transactions.commit(self.now, self.propose(data, base), **options)
+        version = self.transactions.commit(self.now_ms, self.propose(data, base), **options)
         self.carry_out()
         return version
 
@@ -76,7 +76,7 @@
         self.carry_out()
 
     def finish_save(self) -> None:
-        self.lifecycle.saved(self.now, self.saves.pop(0))
+        self.lifecycle.saved(self.now_ms, self.saves.pop(0))
         self.carry_out()
 
     def activate(self, data: dict[str, Any], base: int = 1, **options: Any) -> Version:
@@ -92,8 +92,8 @@
 
 
 @contextmanager
-def rejected(why: RejectionReason) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
-    """Expects a call to be rejected for this reason."""
+def expect_rejection(reason: RejectionReason) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
+    """Expect a call to be rejected for this reason."""
     with pytest.raises(RejectedError) as info:
         yield info
-    assert info.value.reason is why, info.value
+    assert info.value.reason is reason, info.value
--- a/tests/config/samples.py
+++ b/tests/config/samples.py
@@ -1,4 +1,4 @@
-"""A small configuration as data, to be changed by tests."""
+"""A small configuration as plain data, and variants of it for tests."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
 
 
 def sample(**changes: Any) -> dict[str, Any]:
-    """BASE with changes: `pools__web__max_attempts=3` sets a key inside; a value of None removes it."""
+    """Return BASE with changes: `pools__web__max_attempts=3` sets a nested key, None removes it."""
     data = deepcopy(BASE)
     for path, value in changes.items():
-        *holders, last = path.split("__")
-        holder: Any = data
-        for name in holders:
-            holder = holder[int(name)] if isinstance(holder, list) else holder.setdefault(name, {})
+        *parents, last = path.split("__")
+        parent: Any = data
+        for name in parents:
+            parent = parent[int(name)] if isinstance(parent, list) else parent.setdefault(name, {})
         if value is None:
-            del holder[last]
+            del parent[last]
         else:
-            holder[last] = value
+            parent[last] = value
     return data
 
 
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -1,4 +1,4 @@
-"""The complete check: every error at once, each with line, key, value and what would be right."""
+"""The complete check: reports every error at once, with line, key, value and expectation."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
     return [str(problem) for problem in caught.value.problems]
 
 
-def test_the_example_is_valid_and_has_no_warnings() -> None:
+def test_the_example_configuration_is_valid_and_has_no_warnings() -> None:
     found = check(read(str(ROOT / "deploy" / "own-example.yaml")))
     assert found.warnings == ()
     settings = pool_settings(found.model, found.model.pools["price-store"])
     assert [request_class.name for request_class in settings.classes][3] == "place-order"
-    assert settings.tier == 2  # below the first tier nothing is rejected before work is spent
+    assert settings.tier == 2  # only the first tier rejects requests before work is spent on them
 
 
 def test_every_error_is_reported_at_once_with_its_line() -> None:
@@ -157,7 +157,7 @@
         ({"format": None}, "format: required key is missing"),
     ],
 )
-def test_errors_between_keys_name_the_key_and_the_value(change: dict[str, Any], words: str) -> None:
+def test_an_error_names_the_key_the_expectation_and_the_value(change: dict[str, Any], words: str) -> None:
     with pytest.raises(CheckError) as caught:
         checked(sample(**change))
     assert words in "\n".join(map(str, caught.value.problems))
@@ -171,7 +171,7 @@
         (b"\xff\xfe\xff", "not YAML"),
     ],
 )
-def test_a_file_that_is_no_mapping_is_rejected(data: bytes, words: str) -> None:
+def test_a_file_without_a_mapping_is_rejected(data: bytes, words: str) -> None:
     with pytest.raises(CheckError) as caught:
         check_text(data)
     assert words in str(caught.value)
@@ -209,11 +209,11 @@
     assert found.warnings[0].key == "pools.orders"
 
 
-def test_of_thousands_of_errors_a_bounded_number_is_reported() -> None:
+def test_at_most_200_of_thousands_of_errors_are_reported() -> None:
     data = sample()
     data["routes"] = [{"name": f"r{n}", "to": {"pool": "none"}} for n in range(5_000)]
     with pytest.raises(CheckError) as caught:
         checked(data)
     assert len(caught.value.problems) == 201
-    # 5,000 errors and the warning of a pool that no route leads to.
+    # There are 5,000 errors and one warning about a pool that no route leads to; 200 of them are shown.
     assert "4801 more problems" in caught.value.problems[-1].text
--- a/tests/config/test_diff.py
+++ b/tests/config/test_diff.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from sandhatch.config.diff import diff, merge, overlap
+from sandhatch.config.diff import diff, find_conflicts, merge
 from sandhatch.config.errors import MergeError
 from tests.config.samples import BASE, sample
 
@@ -17,7 +17,7 @@
     return [change.path for change in diff(before, after)]
 
 
-def test_a_change_is_named_by_its_keys() -> None:
+def test_a_diff_lists_the_paths_of_the_changed_leaves() -> None:
     after = sample(pools__web__max_attempts=3, pools__orders__servers__o1=None)
     assert keys(BASE, after) == [
         "pools.orders.servers",
@@ -29,13 +29,13 @@
     assert keys({"a": [1, 2]}, {"a": [1]}) == ["a"]
 
 
-def test_a_route_keeps_its_keys_when_another_is_put_before_it() -> None:
+def test_a_route_inserted_first_does_not_change_the_keys_of_later_routes() -> None:
     after = sample()
     after["routes"].insert(0, {"name": "first", "to": {"pool": "web"}})
     assert keys(BASE, after) == ["routes.(order)", "routes.first.to.pool"]
 
 
-def test_changes_of_different_keys_merge() -> None:
+def test_changes_of_different_keys_are_merged() -> None:
     ours = sample(pools__web__max_attempts=3)
     ours["routes"].append({"name": "ours", "to": {"pool": "web"}})
     theirs = sample(pools__orders__max_attempts=4)
@@ -46,7 +46,7 @@
     assert [route["name"] for route in merged["routes"]] == ["theirs", "orders", "ours"]
 
 
-def test_the_same_key_changed_twice_is_a_conflict_unless_to_the_same_value() -> None:
+def test_two_changes_of_one_key_conflict_unless_the_values_are_equal() -> None:
     ours = sample(pools__web__max_attempts=3)
     theirs = sample(pools__web__max_attempts=4)
     with pytest.raises(MergeError) as caught:
@@ -55,13 +55,13 @@
     assert merge(BASE, ours, deepcopy(ours)) == ours
 
 
-def test_removing_what_another_change_modifies_inside_is_a_conflict() -> None:
+def test_removing_a_mapping_conflicts_with_a_change_inside_it() -> None:
     without = sample(pools__orders=None)
     inside = sample(pools__orders__servers__o1__address="127.0.0.1:9999")
-    assert overlap(diff(BASE, without), diff(BASE, inside)) == ["pools.orders.servers.o1.address"]
+    assert find_conflicts(diff(BASE, without), diff(BASE, inside)) == ["pools.orders.servers.o1.address"]
     emptied = sample(pools__orders__servers={})
     added = sample(pools__orders__servers__o2={"address": "127.0.0.1:1"})
-    assert overlap(diff(BASE, emptied), diff(BASE, added)) == ["pools.orders.servers"]
+    assert find_conflicts(diff(BASE, emptied), diff(BASE, added)) == ["pools.orders.servers"]
 
 
 def _mutate(data: dict[str, Any], rng: Random, names: list[str]) -> dict[str, Any]:
@@ -75,8 +75,8 @@
     return data
 
 
-def test_a_merge_contains_both_changes() -> None:
-    """Over many seeds: a merge that succeeds contains each leaf that either side changed."""
+def test_a_successful_merge_contains_the_changes_of_both_sides() -> None:
+    """Random changes from many seeds: a successful merge contains each leaf that either side changed."""
     merge_count = 0
     for seed in range(300):
         rng = Random(seed)
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -1,4 +1,4 @@
-"""YAML into data with lines: what is accepted, and what is rejected with its line."""
+"""Parsing of YAML into data with line numbers, and errors that name the line."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def test_scalars_follow_the_core_schema() -> None:
-    """Guards names like `no` and times like 22:30, which older YAML turns into something else."""
+    """Guards names like `no` and times like 22:30, which YAML 1.1 converts to booleans and numbers."""
     data = parse("a: no\nb: 22:30\nc: 1.5\nd: true\ne: ~\nf: '1'\ng: 0x1f\nh: 1_000\ni: -3\n").data
     assert data == {
         "a": "no",
@@ -27,7 +27,7 @@
     }
 
 
-def test_lines_are_known_for_keys_and_items() -> None:
+def test_keys_and_list_items_have_their_line_numbers() -> None:
     document = parse("pools:\n  web:\n    servers: {}\nroutes:\n  - name: a\n  - name: b\n")
     assert document.line(("pools", "web", "servers")) == 3
     assert document.line(("routes", 1, "name")) == 6
@@ -58,7 +58,7 @@
         ("\0", 0, "not YAML"),
     ],
 )
-def test_what_is_rejected_names_its_line(text: str, line: int, words: str) -> None:
+def test_unsupported_or_invalid_yaml_is_rejected_with_its_line(text: str, line: int, words: str) -> None:
     with pytest.raises(DocumentError) as caught:
         parse(text, "f.yaml")
     assert caught.value.problem.line == line
@@ -73,7 +73,7 @@
         read(str(path))
 
 
-def test_nested_aliases_are_rejected_before_they_grow() -> None:
+def test_nested_aliases_are_rejected_before_they_are_expanded() -> None:
     lines = ["a0: &a0 [x, x]"] + [f"a{n}: &a{n} [*a{n - 1}, *a{n - 1}]" for n in range(1, 60)]
     with pytest.raises(DocumentError, match="aliases"):
         parse("\n".join(lines))
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -1,177 +1,183 @@
-"""The goodput watch after a change: what it reports as a fall and what it must not report."""
+"""The goodput watch after a change: drops that it must report, and cases that it must not report."""
 
 from __future__ import annotations
 
 from random import Random
 
-from sandhatch.config.goodput_watch import ALL, GoodputDrop, GoodputWatch
+from sandhatch.config.goodput_watch import ALL_CLASSES, GoodputDrop, GoodputWatch
 
 BLOCK_MS = 500.0
 
 
-class Run:
-    """Feeds a watch block by block; the goodput and the load of each block are the test's."""
+class WatchDriver:
+    """Feeds a watch block by block; the test sets the goodput and the load of each block."""
 
     def __init__(self, seed: int = 1, before_ms: float = 30_000.0) -> None:
         self.watch = GoodputWatch(BLOCK_MS, before_ms)
         self.rng = Random(seed)
-        self.now = 0.0
+        self.now_ms = 0.0
 
-    def block(
-        self, in_time: float, requests: int = 20, pool: str = "web", name: str = "order"
+    def add_block(
+        self, goodput: float, requests: int = 20, pool: str = "web", class_name: str = "order"
     ) -> GoodputDrop | None:
         for n in range(requests):
-            arrived = self.now + BLOCK_MS * (n + 0.5) / requests
-            self.watch.request_arrived(arrived, name, pool, 5.0)
-            good = self.rng.random() < in_time
-            self.watch.request_ended(arrived, name, pool, 5.0, good, not good)
-        self.now += BLOCK_MS
-        return self.watch.close(self.now, 2_000.0)
+            arrived_ms = self.now_ms + BLOCK_MS * (n + 0.5) / requests
+            self.watch.request_arrived(arrived_ms, class_name, pool, 5.0)
+            served_in_time = self.rng.random() < goodput
+            self.watch.request_ended(arrived_ms, class_name, pool, 5.0, served_in_time, not served_in_time)
+        self.now_ms += BLOCK_MS
+        return self.watch.close(self.now_ms, 2_000.0)
 
-    def begin(self, **more: frozenset[str]) -> None:
-        self.watch.begin(self.now, 30_000.0, 0.001, 0.05, **more)
+    def begin(self, **options: frozenset[str]) -> None:
+        self.watch.begin(self.now_ms, 30_000.0, 0.001, 0.05, **options)
 
 
-def noisy(rng: Random) -> float:
-    """A goodput that is mostly high, and in one block of six much lower: one burst fails many requests."""
+def noisy_goodput(rng: Random) -> float:
+    """Return a goodput that is mostly high, but much lower in one of six blocks: a burst fails requests."""
     return rng.uniform(0.3, 0.8) if rng.random() < 0.16 else rng.uniform(0.93, 1.0)
 
 
-def test_a_fall_is_found_within_half_of_the_window_and_described() -> None:
-    run = Run(1, 60_000.0)
+def test_a_goodput_drop_is_detected_within_half_of_the_window_and_described() -> None:
+    driver = WatchDriver(1, 60_000.0)
     for _ in range(120):
-        assert run.block(noisy(run.rng)) is None
-    run.begin()
-    drops = [run.block(0.4) for _ in range(30)]
-    at = next(n for n, drop in enumerate(drops) if drop)
-    drop = drops[at]
+        assert driver.add_block(noisy_goodput(driver.rng)) is None
+    driver.begin()
+    drops = [driver.add_block(0.4) for _ in range(30)]
+    first_drop_index = next(n for n, drop in enumerate(drops) if drop)
+    drop = drops[first_drop_index]
     assert drop is not None
-    assert drop.name == ALL
+    assert drop.name == ALL_CLASSES
     assert drop.before > 0.85
     assert drop.after < 0.6
     assert drop.rejected_after > 0.3
     assert "the goodput of all classes fell from 0." in str(drop)
 
 
-def test_a_fall_of_one_class_is_found_though_the_other_classes_are_well() -> None:
-    run = Run()
+def test_a_drop_of_one_class_is_detected_while_the_other_classes_are_healthy() -> None:
+    driver = WatchDriver()
     for after in range(100):
         if after == 60:
-            run.begin()
+            driver.begin()
         for n in range(30):
-            arrived = run.now + BLOCK_MS * (n + 0.5) / 30
-            name = "order" if n % 30 == 0 else "look"
-            run.watch.request_arrived(arrived, name, "web", 1.0)
-            run.watch.request_ended(arrived, name, "web", 1.0, name == "look" or after < 60, False)
-        run.now += BLOCK_MS
-        drop = run.watch.close(run.now, 2_000.0)
+            arrived_ms = driver.now_ms + BLOCK_MS * (n + 0.5) / 30
+            class_name = "order" if n % 30 == 0 else "look"
+            driver.watch.request_arrived(arrived_ms, class_name, "web", 1.0)
+            driver.watch.request_ended(
+                arrived_ms, class_name, "web", 1.0, class_name == "look" or after < 60, False
+            )
+        driver.now_ms += BLOCK_MS
+        drop = driver.watch.close(driver.now_ms, 2_000.0)
         if drop:
             break
     assert drop is not None
     assert drop.name == "order"
 
 
-def test_two_hundred_good_changes_under_noise_raise_no_alarm() -> None:
-    """False alarms over whole watches, with bursts that affect blocks before and after alike."""
-    alarms = 0
+def test_two_hundred_harmless_changes_under_noise_raise_no_false_alarm() -> None:
+    """False alarms over whole watches, with bursts both before and after the change."""
+    false_alarms = 0
     for seed in range(200):
-        run = Run(seed)
+        driver = WatchDriver(seed)
         for _ in range(60):
-            run.block(noisy(run.rng), run.rng.randrange(5, 30))
-        run.begin()
-        alarms += any(run.block(noisy(run.rng), run.rng.randrange(5, 30)) for _ in range(60))
-    assert alarms == 0
+            driver.add_block(noisy_goodput(driver.rng), driver.rng.randrange(5, 30))
+        driver.begin()
+        false_alarms += any(
+            driver.add_block(noisy_goodput(driver.rng), driver.rng.randrange(5, 30)) for _ in range(60)
+        )
+    assert false_alarms == 0
 
 
-def test_two_hundred_good_changes_under_bursts_longer_than_a_block_raise_no_alarm() -> None:
-    """A burst affects up to eight blocks in a row, before and after alike: one sample, and not eight. The
-    watch knows of them only if it has seen one, so it looks back a minute, as it does by default.
+def test_bursts_longer_than_a_block_raise_no_false_alarm_over_two_hundred_changes() -> None:
+    """A burst affects up to eight consecutive blocks, before and after the change: one sample, not eight. The
+    watch must have seen bursts to allow for them, so it compares with a minute before, as by default.
     """
-    alarms = 0
+    false_alarms = 0
     for seed in range(200):
-        run = Run(seed, 60_000.0)
-        left = 0
+        driver = WatchDriver(seed, 60_000.0)
+        burst_blocks_left = 0
 
-        def bursty(run: Run = run) -> float:
-            nonlocal left
-            if left == 0 and run.rng.random() < 0.06:
-                left = run.rng.randrange(1, 9)
-            left = max(0, left - 1)
-            return 0.4 if left else 0.98
+        def bursty_goodput(driver: WatchDriver = driver) -> float:
+            nonlocal burst_blocks_left
+            if burst_blocks_left == 0 and driver.rng.random() < 0.06:
+                burst_blocks_left = driver.rng.randrange(1, 9)
+            burst_blocks_left = max(0, burst_blocks_left - 1)
+            return 0.4 if burst_blocks_left else 0.98
 
         for _ in range(120):
-            run.block(bursty(), run.rng.randrange(5, 30))
-        run.begin()
-        alarms += any([run.block(bursty(), run.rng.randrange(5, 30)) for _ in range(60)])  # noqa: C419
-    # Blocks ranked one by one, without the worst stretch seen, give 10.
-    assert alarms == 0
+            driver.add_block(bursty_goodput(), driver.rng.randrange(5, 30))
+        driver.begin()
+        false_alarms += any(
+            [driver.add_block(bursty_goodput(), driver.rng.randrange(5, 30)) for _ in range(60)]  # noqa: C419
+        )
+    # Ranking single blocks, without the comparison with the worst window before, gives 10 alarms.
+    assert false_alarms == 0
 
 
-def test_a_collapse_is_found_at_once_even_under_bursts() -> None:
-    run = Run()
+def test_a_collapse_is_detected_within_ten_blocks_even_under_bursts() -> None:
+    driver = WatchDriver()
     for n in range(60):
-        run.block(0.5 if n % 12 < 3 else 0.98)
-    run.begin()
-    drops = [run.block(0.0) for _ in range(12)]
-    at = next(n for n, drop in enumerate(drops) if drop)
-    assert at <= 9
-    assert "a collapse over" in str(drops[at])
+        driver.add_block(0.5 if n % 12 < 3 else 0.98)
+    driver.begin()
+    drops = [driver.add_block(0.0) for _ in range(12)]
+    first_drop_index = next(n for n, drop in enumerate(drops) if drop)
+    assert first_drop_index <= 9
+    assert "a collapse over" in str(drops[first_drop_index])
 
 
-def test_a_rise_of_load_that_fills_the_pool_is_no_fall() -> None:
-    """Three times the requests, of which as many as before are served: the change made nothing worse."""
-    run = Run()
+def test_a_load_increase_that_fills_the_pool_is_not_reported() -> None:
+    """Three times the requests arrive and as many as before are served: the change made nothing worse."""
+    driver = WatchDriver()
     for _ in range(60):
-        run.block(0.98, 20)
-    run.begin()
-    assert not any(run.block(0.34, 60) for _ in range(40))
-    worse = Run()
+        driver.add_block(0.98, 20)
+    driver.begin()
+    assert not any(driver.add_block(0.34, 60) for _ in range(40))
+    worse = WatchDriver()
     for _ in range(60):
-        worse.block(0.98, 20)
+        worse.add_block(0.98, 20)
     worse.begin()
-    assert any(worse.block(0.1, 60) for _ in range(40))  # more load, and less served than before
+    assert any(worse.add_block(0.1, 60) for _ in range(40))  # more load, but less served than before
 
 
-def test_only_the_pools_that_a_change_touches_are_compared() -> None:
-    run = Run()
+def test_only_the_pools_that_a_change_affects_are_compared() -> None:
+    driver = WatchDriver()
     for _ in range(60):
-        run.block(0.98, 20, "other")
-    run.begin(only_pools=frozenset(["web"]))
-    assert not any(run.block(0.2, 20, "other") for _ in range(40))
+        driver.add_block(0.98, 20, "other")
+    driver.begin(only_pools=frozenset(["web"]))
+    assert not any(driver.add_block(0.2, 20, "other") for _ in range(40))
 
 
-def test_too_few_blocks_before_a_change_report_nothing() -> None:
-    run = Run()
+def test_no_drop_is_reported_with_too_few_blocks_before_a_change() -> None:
+    driver = WatchDriver()
     for _ in range(5):
-        run.block(1.0)
-    run.begin()
-    assert not any(run.block(0.0) for _ in range(20))
+        driver.add_block(1.0)
+    driver.begin()
+    assert not any(driver.add_block(0.0) for _ in range(20))
 
 
-def test_blocks_wait_for_slow_requests_but_not_beyond_the_longest_objective() -> None:
+def test_a_block_waits_for_slow_requests_at_most_for_the_longest_objective() -> None:
     watch = GoodputWatch(BLOCK_MS, 30_000.0)
     for n in range(40):
         watch.request_arrived(n * BLOCK_MS, "order", "web", 1.0)
         watch.request_ended(n * BLOCK_MS, "order", "web", 1.0, True, False)
     watch.close(40 * BLOCK_MS, 2_000.0)
     watch.begin(40 * BLOCK_MS, 30_000.0, 0.01, 0.05)
-    for n in range(41, 52):  # answers never come
+    for n in range(41, 52):  # these requests never end
         for _ in range(20):
             watch.request_arrived(n * BLOCK_MS + 1.0, "order", "web", 1.0)
     assert watch.close(52 * BLOCK_MS, 10_000_000.0) is None
     drop = watch.close(52 * BLOCK_MS + 2_000.0, 2_000.0)
     assert drop is not None
     assert drop.after == 0.0
-    watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # too late to count
+    watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # ends too late to count
 
 
-def test_after_a_confirmation_the_blocks_since_are_those_before_the_next_change() -> None:
-    run = Run()
+def test_blocks_of_a_confirmed_change_become_the_baseline_of_the_next_change() -> None:
+    driver = WatchDriver()
     for _ in range(60):
-        run.block(1.0)
-    run.begin()
+        driver.add_block(1.0)
+    driver.begin()
     for _ in range(60):
-        run.block(0.97)
-    run.watch.end()
-    run.begin()
-    assert not any(run.block(0.97) for _ in range(30))
+        driver.add_block(0.97)
+    driver.watch.end()
+    driver.begin()
+    assert not any(driver.add_block(0.97) for _ in range(30))
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -1,4 +1,4 @@
-"""The state directory: what earlier versions stored can be opened, and a kill at any step loses nothing."""
+"""The state directory: compatibility with stored directories, and durability if the process is killed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def history_before_rename(tmp_path: Path) -> Iterator[History]:
-    """A copy of the directory that the version before the rename of the package stored, opened."""
+    """An opened copy of the state directory that the program stored before the package was renamed."""
     directory = tmp_path / "state"
     shutil.copytree(STATE_BEFORE_RENAME, directory)
     history = History(str(directory))
@@ -28,7 +28,7 @@
     history.close()
 
 
-def test_a_state_directory_of_the_version_before_the_rename_is_opened(history_before_rename: History) -> None:
+def test_a_state_directory_from_before_the_rename_can_be_loaded(history_before_rename: History) -> None:
     saved = history_before_rename.load()
     assert saved is not None
     assert (saved.confirmed, saved.lost_version, saved.next_number, saved.notes) == (2, 4, 5, ())
@@ -42,7 +42,7 @@
     assert check_text(seal(saved.data).partition(b"\n")[2]).data == saved.data
 
 
-def test_the_rows_stored_by_the_version_before_the_rename_are_kept(history_before_rename: History) -> None:
+def test_history_rows_from_before_the_rename_are_loaded_unchanged(history_before_rename: History) -> None:
     saved = history_before_rename.load()
     assert saved is not None
     rows = [row.to_data() for row in saved.rows]
@@ -65,7 +65,7 @@
     ]
 
 
-def test_the_state_stored_before_the_rename_is_written_back_byte_for_byte(tmp_path: Path) -> None:
+def test_a_state_from_before_the_rename_is_written_back_byte_for_byte(tmp_path: Path) -> None:
     stored = (STATE_BEFORE_RENAME / "state.json").read_bytes()
     state = unseal(stored)
     rows = tuple(HistoryRow.from_data(row) for row in state["versions"])
@@ -75,7 +75,7 @@
     assert (tmp_path / "state.json").read_bytes() == stored
 
 
-def test_each_version_stored_before_the_rename_can_be_read_and_written_back_byte_for_byte(
+def test_versions_from_before_the_rename_are_read_and_written_back_byte_for_byte(
     history_before_rename: History,
 ) -> None:
     for number, attempts in ((1, None), (2, 3), (3, 4), (4, 5)):
@@ -86,22 +86,22 @@
     assert history_before_rename.content(5) is None
 
 
-class Killed(BaseException):
-    """Stands for the end of the process."""
+class SimulatedCrash(BaseException):
+    """Simulates the end of the process."""
 
 
-class Killer:
-    """Ends the process, as far as the disk can tell, before its nth step; never for 0."""
+class CrashInjector:
+    """Raises SimulatedCrash before the nth step of writing to the disk; never for 0."""
 
     def __init__(self, at_step: int) -> None:
-        self.left = at_step
+        self.steps_left = at_step
         self.steps: list[str] = []
 
     def __call__(self, name: str) -> None:
         self.steps.append(name)
-        self.left -= 1
-        if self.left == 0:
-            raise Killed
+        self.steps_left -= 1
+        if self.steps_left == 0:
+            raise SimulatedCrash
 
 
 def save(history: History, confirmed: int, pending: int, contents: dict[int, Any]) -> None:
@@ -110,36 +110,36 @@
 
 
 STEPS: list[tuple[int, int, dict[int, Any]]] = [
-    (1, 0, {1: {"v": 1}}),  # the first start
-    (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit: staged, pending
-    (2, 0, {2: {"v": 2}}),  # confirm
-    (2, 3, {2: {"v": 2}, 3: {"v": 3}}),  # the next commit
-    (2, 0, {2: {"v": 2}}),  # rollback
+    (1, 0, {1: {"v": 1}}),  # first start
+    (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit of version 2, pending
+    (2, 0, {2: {"v": 2}}),  # confirmation of version 2
+    (2, 3, {2: {"v": 2}, 3: {"v": 3}}),  # commit of version 3, pending
+    (2, 0, {2: {"v": 2}}),  # rollback of version 3
 ]
 
 
-def test_a_kill_at_every_step_leaves_one_complete_version(tmp_path: Path) -> None:
-    """The process is killed at every write, half a write, rename and flush of a first start, a commit, a
-    confirmation and a rollback. What is loaded afterwards is what was confirmed before that step, or after
-    it, and never anything else.
+def test_a_kill_at_any_step_leaves_one_complete_version(tmp_path: Path) -> None:
+    """The process is killed at every write, in the middle of a write, at every rename and flush of a first
+    start, a commit, a confirmation and a rollback. The state loaded afterwards is that from before or after
+    the interrupted save, never another one.
     """
-    never_killed = Killer(0)
-    history = History(str(tmp_path / "complete"), never_killed)
+    uninterrupted = CrashInjector(0)
+    history = History(str(tmp_path / "complete"), uninterrupted)
     for step in STEPS:
         save(history, *step)
     history.close()
-    assert len(never_killed.steps) > 25
-    for killed_at, step_name in enumerate(never_killed.steps, start=1):
-        directory = tmp_path / str(killed_at)
-        killer = Killer(killed_at)
-        history = History(str(directory), killer)
+    assert len(uninterrupted.steps) > 25
+    for crash_step, step_name in enumerate(uninterrupted.steps, start=1):
+        directory = tmp_path / str(crash_step)
+        crash_injector = CrashInjector(crash_step)
+        history = History(str(directory), crash_injector)
         before = None
         try:
             for step in STEPS:
                 after = step
                 save(history, *step)
                 before = step
-        except Killed:
+        except SimulatedCrash:
             pass
         history.close()
         reopened = History(str(directory))
@@ -150,7 +150,7 @@
             assert saved is not None, step_name
             assert (saved.confirmed, saved.lost_version) in (before[:2], after[:2]), step_name
             assert saved.data == {"v": saved.confirmed}
-            save(reopened, *STEPS[-1])  # and it goes on from there
+            save(reopened, *STEPS[-1])  # the reopened directory can be written
         reopened.close()
 
 
@@ -192,7 +192,7 @@
     history.close()
 
 
-def test_a_second_process_cannot_use_the_directory(tmp_path: Path) -> None:
+def test_a_locked_or_unusable_directory_is_rejected(tmp_path: Path) -> None:
     history = History(str(tmp_path))
     with pytest.raises(HistoryError, match="in use"):
         History(str(tmp_path))
@@ -203,11 +203,11 @@
         History(str(tmp_path / "file"))
 
 
-def test_contents_that_no_state_names_are_removed(tmp_path: Path) -> None:
+def test_contents_that_no_state_references_are_removed(tmp_path: Path) -> None:
     history = History(str(tmp_path))
     for step in STEPS:
         save(history, *step)
-    for _ in range(2):  # the state before still names what came before it
+    for _ in range(2):  # the previous state still references the earlier contents
         save(history, 4, 0, {4: {"v": 4}})
     assert sorted(p.name for p in tmp_path.glob("[0-9]*.json")) == ["4.json"]
     assert history.content(4) == {"v": 4}
@@ -216,7 +216,7 @@
     history.close()
 
 
-def test_a_truncated_or_damaged_file_does_not_pass_its_checksum() -> None:
+def test_a_truncated_or_damaged_file_fails_its_checksum() -> None:
     assert unseal(seal({"a": [1]})) == {"a": [1]}
     for broken in (b"", seal(1)[:-1], b"x" + seal(1)):
         with pytest.raises(ValueError, match="checksum"):
--- a/tests/config/test_planning_model.py
+++ b/tests/config/test_planning_model.py
@@ -1,4 +1,4 @@
-"""The forwarder's part of a configuration: what is rejected, and the settings it leads to."""
+"""Planning settings of a forwarder: rejected values, and the resulting pool settings."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return "\n".join(map(str, found.value.problems))
 
 
-def test_a_shared_warm_up_must_say_which_instance_this_is() -> None:
+def test_a_shared_warm_up_requires_this_instances_index() -> None:
     reported = problems(pools__web__ramp_per_s=50, pools__web__copies=3)
     assert (
         "pools.web.ramp_per_s: expected planning.place to say which of the 3 copies that share it this one is"
@@ -35,7 +35,7 @@
     )
 
 
-def test_planners_need_the_keys_that_go_with_them() -> None:
+def test_planners_require_exactly_one_kind_of_key() -> None:
     assert "planning: expected exactly one of shared_key_file and private_key_file, got none" in problems(
         planning={"planners": {"p": PEER}}
     )
@@ -50,7 +50,7 @@
     )
 
 
-def test_a_planned_pool_must_count_this_forwarder_and_other_pools_need_not() -> None:
+def test_only_a_planned_pool_requires_copies_above_this_forwarders_place() -> None:
     planning = {"place": 2, "planners": {"p": PEER}, "shared_key_file": "k"}
     assert "planning.place: expected a number below 1, the copies of pool 'web', got 2" in problems(
         planning=planning
--- a/tests/config/test_rank_statistics.py
+++ b/tests/config/test_rank_statistics.py
@@ -1,4 +1,4 @@
-"""The rank test against an enumeration, and the correlation length of samples."""
+"""The rank test, compared with an enumeration, and the correlation length of samples."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     return sum(total <= observed + 1e-9 for total in sums) / len(sums)
 
 
-def test_the_rank_test_counts_every_way_to_choose() -> None:
+def test_the_rank_test_equals_an_enumeration_of_all_choices_of_samples() -> None:
     rng = Random(3)
     for _ in range(40):
         before = [rng.choice([0.5, 0.8, 0.9, 1.0]) for _ in range(9)]
@@ -31,7 +31,7 @@
         assert rank_test(before, after) == pytest.approx(probability_by_enumeration(before, after))
 
 
-def test_the_normal_approximation_is_near_the_exact_one() -> None:
+def test_the_normal_approximation_is_close_to_the_exact_probability() -> None:
     rng = Random(4)
     before = [rng.random() for _ in range(60)]
     after = [rng.random() * 0.8 for _ in range(7)]
@@ -42,10 +42,10 @@
     assert rank_test([], [1.0]) == 1.0
 
 
-def test_the_correlation_length_grows_with_the_length_of_bursts() -> None:
+def test_the_correlation_length_grows_with_the_burst_length() -> None:
     rng = Random(1)
-    alone = [rng.random() for _ in range(120)]
-    assert correlation_length(alone) <= 2
+    independent = [rng.random() for _ in range(120)]
+    assert correlation_length(independent) <= 2
     bursts = [float(n % 24 >= 6) for n in range(120)]
     assert 3 <= correlation_length(bursts) <= 12
     assert correlation_length([1.0] * 50) == 1
--- a/tests/routing/test_coverage.py
+++ b/tests/routing/test_coverage.py
@@ -1,12 +1,12 @@
-"""Routes that can never match are found."""
+"""Detection of routes that can never match."""
 
 from __future__ import annotations
 
-from sandhatch.routing.coverage import CoveredRoute, unreachable
+from sandhatch.routing.coverage import CoveredRoute, find_unreachable
 from sandhatch.routing.route import Route
 
 
-def test_routes_that_can_never_match_are_found() -> None:
+def test_routes_covered_by_an_earlier_route_are_unreachable() -> None:
     routes = [
         Route("a", "p", prefix=b"/a"),
         Route("dead", "p", exact=b"/a/b", methods=frozenset([b"GET"])),
@@ -16,4 +16,4 @@
         Route("all", "p"),
         Route("dead-three", "p", hosts=frozenset([b"h"])),
     ]
-    assert unreachable(routes) == [CoveredRoute(1, 0), CoveredRoute(3, 2), CoveredRoute(6, 5)]
+    assert find_unreachable(routes) == [CoveredRoute(1, 0), CoveredRoute(3, 2), CoveredRoute(6, 5)]
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: every way to match, and the order of the file."""
+"""The route table: every kind of condition, and precedence by the order of the file."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 import pytest
 
-from sandhatch.routing.coverage import unreachable
-from sandhatch.routing.route import HeaderTest, Query, Route, prefixes
+from sandhatch.routing.coverage import find_unreachable
+from sandhatch.routing.route import HeaderCondition, Query, Route, prefixes
 from sandhatch.routing.table import RouteTable
 from sandhatch.routing.targets import FixedResponse
 
 
-def query(path: bytes, host: bytes = b"shop.example.org", **more: Any) -> Query:
+def query(path: bytes, host: bytes = b"shop.example.org", **options: Any) -> Query:
     return Query(
-        more.get("listener", "front"),
+        options.get("listener", "front"),
         host,
         path,
-        more.get("method", b"GET"),
-        more.get("headers", []),
-        more.get("request_class", "look"),
+        options.get("method", b"GET"),
+        options.get("headers", []),
+        options.get("request_class", "look"),
     )
 
 
@@ -29,7 +29,7 @@
     return route.name if route else "default"
 
 
-def test_the_first_route_in_the_file_wins_whatever_its_kind() -> None:
+def test_the_first_matching_route_wins_whatever_its_kind_of_condition() -> None:
     routes = [
         Route("regex", "a", regex=lambda path: path.endswith(b".png")),
         Route("exact", "a", exact=b"/logo.png"),
@@ -78,7 +78,7 @@
     assert matched_name(table, query(b"/y", b"")) == "default"
 
 
-def test_every_condition_must_hold() -> None:
+def test_a_route_matches_only_if_every_condition_holds() -> None:
     route = Route(
         "r",
         "p",
@@ -86,11 +86,11 @@
         methods=frozenset([b"POST"]),
         listeners=frozenset(["front"]),
         classes=frozenset(["order"]),
-        headers=(HeaderTest(b"x-a", b"1".__eq__), HeaderTest(b"x-b", present=False)),
+        headers=(HeaderCondition(b"x-a", b"1".__eq__), HeaderCondition(b"x-b", present=False)),
     )
     table = RouteTable([route], "d")
-    good = {"method": b"POST", "request_class": "order", "headers": [(b"X-A", b"2"), (b"X-A", b"1")]}
-    assert matched_name(table, query(b"/x", **good)) == "r"
+    matching = {"method": b"POST", "request_class": "order", "headers": [(b"X-A", b"2"), (b"X-A", b"1")]}
+    assert matched_name(table, query(b"/x", **matching)) == "r"
     for change in (
         {"method": b"GET"},
         {"request_class": "look"},
@@ -98,11 +98,11 @@
         {"headers": [(b"X-A", b"2")]},
         {"headers": [(b"X-A", b"1"), (b"x-b", b"")]},
     ):
-        assert matched_name(table, query(b"/x", **(good | change))) == "default"
+        assert matched_name(table, query(b"/x", **(matching | change))) == "default"
 
 
-def first_match_by_walking(routes: list[Route], request: Query) -> str:
-    """Return what the table must find, by testing one route after the other."""
+def find_first_match_linearly(routes: list[Route], request: Query) -> str:
+    """Return the name of the route that the table must find, by testing the routes one after another."""
     for route in routes:
         if route.exact is not None and route.exact != request.path:
             continue
@@ -115,19 +115,19 @@
             for host in route.hosts
         ):
             continue
-        if route.holds(request):
+        if route.matches(request):
             return route.name
     return "default"
 
 
-def test_the_table_finds_what_a_walk_through_the_file_would() -> None:
+def test_the_table_finds_the_same_route_as_a_linear_search() -> None:
     hosts = [b"a.x", b"b.x", b"a.b.x", b"*.x", b"*.b.x"]
     for seed in range(200):
         rng = Random(seed)
-        words = [b"a", b"b", b"c"]
+        segments = [b"a", b"b", b"c"]
 
-        def path(rng: Random = rng, words: list[bytes] = words) -> bytes:
-            return b"/" + b"/".join(rng.choice(words) for _ in range(rng.randrange(4)))
+        def path(rng: Random = rng, segments: list[bytes] = segments) -> bytes:
+            return b"/" + b"/".join(rng.choice(segments) for _ in range(rng.randrange(4)))
 
         routes = []
         for n in range(rng.randrange(1, 25)):
@@ -143,19 +143,19 @@
                 )
             )
         table = RouteTable(routes, "d")
-        dead = {covered.index for covered in unreachable(routes)}
+        dead = {covered.index for covered in find_unreachable(routes)}
         for _ in range(40):
             request = query(path(), rng.choice(hosts[:3]), method=rng.choice([b"GET", b"POST"]))
             found = matched_name(table, request)
-            assert found == first_match_by_walking(routes, request), (seed, request)
+            assert found == find_first_match_linearly(routes, request), (seed, request)
             assert found == "default" or int(found[1:]) not in dead, (seed, found)
 
 
-def test_the_prefixes_of_a_path_are_its_complete_segments() -> None:
+def test_the_prefixes_of_a_path_consist_of_complete_segments() -> None:
     assert prefixes(b"/a/b") == [b"/a/b", b"/a", b"/"]
     assert prefixes(b"/") == [b"/"]
 
 
-def test_a_fixed_answer_is_a_target() -> None:
+def test_a_fixed_response_can_be_the_default_target() -> None:
     response = FixedResponse(404, b"", b"text/plain")
     assert RouteTable([], response).default is response
--- a/tests/routing/test_targets.py
+++ b/tests/routing/test_targets.py
@@ -1,4 +1,4 @@
-"""Splits over pools: stable by a header, and near their weights."""
+"""Splits over pools: stable for one header value, and close to the configured weights."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sandhatch.routing.targets import Split, WeightedPool
 
 
-def test_a_split_by_header_is_stable_and_near_its_weights() -> None:
+def test_a_split_by_header_is_stable_and_close_to_its_weights() -> None:
     split = Split.of(
         [WeightedPool("a", 90), WeightedPool("none", 0), WeightedPool("b", 10)], b"X-Customer", b"r"
     )
@@ -25,7 +25,7 @@
     assert 0.08 < drawn["b"] / 4000 < 0.12
 
 
-def test_a_small_move_of_weight_moves_few_clients() -> None:
+def test_a_small_change_of_weights_moves_few_clients() -> None:
     before, after = (
         Split.of([WeightedPool("a", weight), WeightedPool("b", 100 - weight)], b"c", b"r")
         for weight in (90, 88)
