--- a/sandhatch/cli/changes.py
+++ b/sandhatch/cli/changes.py
@@ -1,7 +1,7 @@
 """The verbs that change a running service's configuration: propose, diff, commit, confirm, roll back.
 
-Files are checked here before they are sent, so that errors name the file and its lines. What becomes of a
-change is decided in `config.transactions`.
+Files are checked before they are sent, so that errors name the file and its lines. `config.transactions`
+decides whether a change is accepted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def add_verbs(verbs: VerbParsers) -> None:
-    """Add the verbs in the order of their use."""
+    """Add the verbs, in the order in which an operator uses them."""
     _add_propose(verbs)
     _add_diff(verbs)
     _add_commit(verbs)
@@ -29,19 +29,30 @@
 
 
 def _add_propose(verbs: VerbParsers) -> None:
-    handler = partial(call_service, make_arguments=_propose_arguments, show=_show_proposal)
-    propose = verbs.add("propose", "check a change and keep it for a commit", handler)
+    handler = partial(call_service, build_arguments=_propose_arguments, show=_show_proposal)
+    propose = verbs.add("propose", "check a configuration and store it as a proposal", handler)
     propose.add_argument("file")
-    propose.add_argument("--base", type=int, metavar="VERSION", help="the version that it was made from")
+    propose.add_argument(
+        "--base",
+        type=int,
+        metavar="VERSION",
+        help="version that the file was edited from (default: the active version)",
+    )
     propose.add_argument("--comment", default="")
     propose.add_argument(
-        "--merge", action="store_true", help="fit it to what came since, where no key is in common"
+        "--merge",
+        action="store_true",
+        help="merge with changes made since the base, if no key was changed in both",
     )
 
 
 def _add_diff(verbs: VerbParsers) -> None:
-    handler = partial(call_service, make_arguments=_diff_arguments, show=_show_diff)
-    diff = verbs.add("diff", "keys that differ from the version in force", handler)
+    handler = partial(call_service, build_arguments=_diff_arguments, show=_show_diff)
+    diff = verbs.add(
+        "diff",
+        "show the keys that differ between the active version and a file, proposal or version",
+        handler,
+    )
     diff.add_argument("file", nargs="?")
     diff.add_argument("--proposal", type=int)
     diff.add_argument("--before", type=int, metavar="VERSION")
@@ -49,29 +60,36 @@
 
 
 def _add_commit(verbs: VerbParsers) -> None:
-    handler = partial(call_service, make_arguments=_commit_arguments, show=show_version)
+    handler = partial(call_service, build_arguments=_commit_arguments, show=show_version)
     commit = verbs.add("commit", "apply a proposal to all traffic", handler)
     commit.add_argument("proposal", type=int)
-    commit.add_argument("--confirm-within", type=float, metavar="SECONDS", help="else it is taken back")
-    commit.add_argument("--no-watch", action="store_true", help="do not compare the goodput")
-    commit.add_argument("--wait", action="store_true", help="until it is confirmed or taken back")
+    commit.add_argument(
+        "--confirm-within",
+        type=float,
+        metavar="SECONDS",
+        help="roll back unless confirmed within this time (default: confirm automatically)",
+    )
+    commit.add_argument("--no-watch", action="store_true", help="do not roll back if goodput falls")
+    commit.add_argument(
+        "--wait", action="store_true", help="wait until the version is confirmed or rolled back"
+    )
 
 
 def _add_confirmation(verbs: VerbParsers) -> None:
-    handler = partial(call_service, make_arguments=_confirm_arguments, show=show_version)
-    confirm = verbs.add("confirm", "keep the version in force", handler)
+    handler = partial(call_service, build_arguments=_confirm_arguments, show=show_version)
+    confirm = verbs.add("confirm", "confirm the pending version", handler)
     confirm.add_argument("version", type=int, nargs="?")
-    handler = partial(call_service, make_arguments=_extend_arguments, show=show_version)
-    extend = verbs.add("extend", "put off the time to confirm", handler)
+    handler = partial(call_service, build_arguments=_extend_arguments, show=show_version)
+    extend = verbs.add("extend", "set the time to confirm the pending version, from now", handler)
     extend.add_argument("seconds", type=float)
-    handler = partial(call_service, make_arguments=_rollback_arguments, show=show_version)
-    rollback = verbs.add("rollback", "go back to the version before, or to a named one", handler)
+    handler = partial(call_service, build_arguments=_rollback_arguments, show=show_version)
+    rollback = verbs.add("rollback", "roll back to the previous version, or to a given one", handler)
     rollback.add_argument("--to", type=int, metavar="VERSION")
-    handler = partial(call_service, make_arguments=_abort_arguments, show=_show_abort)
-    verbs.add("abort", "forget a proposal", handler).add_argument("proposal", type=int)
+    handler = partial(call_service, build_arguments=_abort_arguments, show=_show_abort)
+    verbs.add("abort", "discard a proposal", handler).add_argument("proposal", type=int)
 
 
-# ------------------------------------------------ arguments of the calls, by the control protocol's names
+# ------------------------------------------------ arguments of the calls, named as in the control protocol
 
 
 def _propose_arguments(args: argparse.Namespace) -> dict[str, Any]:
@@ -111,7 +129,11 @@
 
 
 def _read_checked_text(path: str) -> str:
-    """Return a configuration file's text; CheckError if it has errors or can't be read."""
+    """Return the text of a configuration file.
+
+    Raises:
+        CheckError: The file has errors or can't be read.
+    """
     data = read_bytes(path)
     check_text(data, path)
     try:
@@ -120,7 +142,7 @@
         raise CheckError([Problem(path, 0, "", f"not UTF-8: {problem.reason}")]) from None
 
 
-# ------------------------------------------------ answers
+# ------------------------------------------------ output of responses
 
 
 def _show_proposal(response: Response, console: Console) -> None:
@@ -134,16 +156,16 @@
     console.line("\n".join(response["changes"]) or "no key differs")
 
 
-def _show_abort(response: Response, console: Console) -> None:  # noqa: ARG001 - as every answer is shown
-    console.line("forgotten")
+def _show_abort(response: Response, console: Console) -> None:  # noqa: ARG001 - signature of ShowResponse
+    console.line("proposal discarded")
 
 
 def show_version(response: Response, console: Console) -> None:
-    """Print a version's state, the reason for it, and the times that are left."""
+    """Print a version's state, the reason for it, and the remaining times."""
     console.line(f"version {response['version']}: {response['state']}")
     if response.get("why"):
         console.problems([response["why"]])
     if "confirm_in_ms" in response:
-        console.line(f"taken back unless confirmed in {response['confirm_in_ms'] / MS_PER_S:.1f} s")
+        console.line(f"rolled back unless confirmed in {response['confirm_in_ms'] / MS_PER_S:.1f} s")
     if "watch_ends_in_ms" in response:
-        console.line(f"watched for {response['watch_ends_in_ms'] / MS_PER_S:.1f} s")
+        console.line(f"goodput is compared for another {response['watch_ends_in_ms'] / MS_PER_S:.1f} s")
--- a/sandhatch/cli/commands.py
+++ b/sandhatch/cli/commands.py
@@ -1,6 +1,6 @@
-"""The command line: `sandhatch VERB`. Without a verb the platform's program runs, and none of this is loaded.
+"""The command line: `sandhatch VERB`. Without a verb the platform's program runs instead.
 
-Parses the arguments, runs the verb and returns its exit code; `ExitCode` says what the codes mean.
+Parses the arguments, runs the verb and returns its exit code; see `ExitCode`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 DESCRIPTION = """\
 The command line: `sandhatch VERB`. Without a verb the platform's program runs.
 
-Exit codes: 0 done; 1 the configuration has errors, or the change failed or was taken back; 2 wrong usage; 3
-no service answers at the control socket; 4 the change conflicts with another; 5 another change is in
+Exit codes: 0 done; 1 the configuration has errors, or the change failed or was rolled back; 2 wrong usage; 3
+no service responds at the control socket; 4 the change conflicts with another; 5 another change is in
 progress, try again later.
 """
 
@@ -31,13 +31,13 @@
     """Run one verb and return its exit code.
 
     Args:
-        arguments: Those of the command line, without the program's name.
-        out: In place of standard output.
-        err: In place of standard error.
+        arguments: Arguments of the command line, without the program's name.
+        out: Stream for results; None for standard output.
+        err: Stream for problems; None for standard error.
     """
     console = Console(out or sys.stdout, err or sys.stderr)
     try:
-        args = _parser().parse_args(arguments)
+        args = _build_parser().parse_args(arguments)
     except SystemExit as leaving:
         return int(leaving.code or 0)
     try:
@@ -48,7 +48,7 @@
     return code
 
 
-def _parser() -> argparse.ArgumentParser:
+def _build_parser() -> argparse.ArgumentParser:
     parser = argparse.ArgumentParser(
         prog="sandhatch", description=DESCRIPTION, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/sandhatch/cli/console.py
+++ b/sandhatch/cli/console.py
@@ -1,6 +1,6 @@
-"""What a verb prints: results on standard output, problems on standard error.
+"""Output of verbs: results on standard output, problems on standard error.
 
-Never reads anything. Tests hand in streams of their own.
+Nothing is read from standard input. Tests pass streams of their own.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class ExitCode(IntEnum):
-    """How a verb ended."""
+    """Exit code of a verb."""
 
     OK = 0
     FAILED = 1  # the configuration has errors, or the change failed or was rolled back
     USAGE = 2
-    UNREACHABLE = 3  # no service answers at the control socket
+    UNREACHABLE = 3  # no service responds at the control socket
     CONFLICT = 4  # the change conflicts with another
-    BUSY = 5  # another change is in progress; try later
+    BUSY = 5  # another change is in progress, or too many proposals are stored; try again later
 
 
 @dataclass(slots=True, frozen=True)
@@ -38,7 +38,7 @@
         print(text, file=self.out)
 
     def text(self, text: str) -> None:
-        """Print text of the result that brings its own line ends."""
+        """Print text of the result that has its own line ends."""
         print(text, end="", file=self.out)
 
     def json(self, data: Mapping[str, Any]) -> None:
@@ -54,11 +54,11 @@
         print(f"sandhatch: {problem}", file=self.err)
 
     def problems(self, problems: Iterable[object]) -> None:
-        """Print problems that name their file, or warnings, on standard error, one a line."""
+        """Print problems or warnings on standard error, one per line, without the program's name."""
         for problem in problems:
             print(problem, file=self.err)
 
 
 def warn(text: str) -> None:
-    """Print one warning on standard error, where there is no console yet."""
+    """Print a warning on standard error, before a console exists."""
     Console(sys.stdout, sys.stderr).error(text)
--- a/sandhatch/cli/demo.py
+++ b/sandhatch/cli/demo.py
@@ -1,6 +1,6 @@
-"""The verb `demo`: fake servers, traffic and a change under it, on loopback.
+"""The verb `demo`: runs fake servers, traffic and a configuration change under it, on loopback.
 
-It runs in a process of its own, since the program never imports the fakes.
+The demo runs in a process of its own, since the program never imports the fake servers.
 """
 
 from __future__ import annotations
@@ -15,8 +15,13 @@
 
 def add_verbs(verbs: VerbParsers) -> None:
     """Add `demo`."""
-    verbs.add("demo", "fake servers, traffic and a change under it, on loopback", _run, control=False)
+    verbs.add(
+        "demo",
+        "run fake servers, traffic and a configuration change under it, on loopback",
+        _run,
+        control=False,
+    )
 
 
-def _run(args: argparse.Namespace, console: Console) -> int:  # noqa: ARG001 - as every handler
+def _run(args: argparse.Namespace, console: Console) -> int:  # noqa: ARG001 - signature of Handler
     return subprocess.call([sys.executable, "-m", "testkit.demo"])
--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -1,7 +1,7 @@
-"""The verbs `planner ...`: run a planner, check its configuration, ask a running one, make keys.
+"""The verbs `planner ...`: run a planner, check its configuration, query a running planner, create keys.
 
-Exit codes are those of the other verbs. The planner itself is `sandhatch.planning`, loaded only by the verbs
-that need it. Source: docs/operators/planning.md.
+The exit codes are those of the other verbs (`ExitCode`). The planner itself is in `sandhatch.planning`, which
+is imported only by the verbs that need it. Source: docs/operators/planning.md.
 """
 
 from __future__ import annotations
@@ -29,12 +29,14 @@
 
 def add_verbs(verbs: VerbParsers) -> None:
     """Add `planner` and the verbs below it."""
-    planner = verbs.add("planner", "advise forwarders: run a planner, or ask a running one", control=False)
+    planner = verbs.add(
+        "planner", "run a planner, which advises forwarders, or query a running one", control=False
+    )
     subparsers = planner.add_subparsers(dest="planner_verb", required=True, metavar="VERB")
     default_control = renamed_variable(os.environ, "PLANNER_CONTROL", warn) or DEFAULT_CONTROL
 
     def add(name: str, text: str, handler: Handler) -> argparse.ArgumentParser:
-        """Add one verb below `planner`."""
+        """Add a verb below `planner`."""
         parser = subparsers.add_parser(name, help=text, description=text)
         parser.set_defaults(handler=handler)
         return parser
@@ -42,25 +44,31 @@
     run = add("run", "run a planner", _run)
     add_control_option(run, default_control)
     run.add_argument("file")
-    check = add("check", "check a planner's configuration without starting", _check)
+    check = add("check", "check a planner's configuration without starting the planner", _check)
     check.add_argument("file")
-    status = add("status", "what a running planner knows and advises", _status)
+    status = add("status", "show the state and the guidance of a running planner", _status)
     add_control_option(status, default_control)
-    status.add_argument("--explain", metavar="SERVER", help="why a server gets what it gets: host:port")
-    status.add_argument("--pool", help="the pool of that server, where it is in several")
+    status.add_argument(
+        "--explain", metavar="SERVER", help="explain the guidance for a server, given as host:port"
+    )
+    status.add_argument(
+        "--pool", help="pool of the server given by --explain (default: every pool that has the server)"
+    )
     add_json_option(status)
-    key = add("key", "make an Ed25519 key, or a shared one", _make_key)
+    key = add("key", "create an Ed25519 key, or a shared key", _make_key)
     key.add_argument("file")
-    key.add_argument("--shared", action="store_true", help="one key for all, in place of Ed25519")
-    public = add("public", "the public key to a private one", _show_public_key)
+    key.add_argument(
+        "--shared", action="store_true", help="create a key that all peers share, in place of an Ed25519 key"
+    )
+    public = add("public", "print the public key of a private key", _show_public_key)
     public.add_argument("file")
 
 
 # ------------------------------------------------ configuration
 
 
-def _checked(path: str, console: Console) -> PlannerConfig | None:
-    """Return a planner's configuration; None if it has errors, which are printed then."""
+def _load_config(path: str, console: Console) -> PlannerConfig | None:
+    """Read a planner's configuration; if it has errors, print them and return None."""
     try:
         return check_planner_file(path)
     except CheckError as failure:
@@ -71,18 +79,20 @@
 
 
 def _check(args: argparse.Namespace, console: Console) -> int:
-    if _checked(args.file, console) is None:
+    if _load_config(args.file, console) is None:
         return ExitCode.FAILED
     console.line(f"{args.file}: configuration is valid")
     return ExitCode.OK
 
 
 def _run(args: argparse.Namespace, console: Console) -> int:
-    config = _checked(args.file, console)
+    config = _load_config(args.file, console)
     if config is None:
         return ExitCode.FAILED
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a planner has nothing to reload: it is started anew
-    # Not at the top: the other verbs start faster without the planner and its event loop.
+    signal.signal(
+        signal.SIGHUP, signal.SIG_IGN
+    )  # a planner does not reload its configuration; it has to be restarted
+    # Imported here, since the other verbs start faster without the planner and its event loop.
     import uvloop
 
     from sandhatch.cli.planner_program import serve
@@ -94,8 +104,11 @@
 
 
 def _make_key(args: argparse.Namespace, console: Console) -> int:
-    """Write a key into a new file that only its owner may read; an existing file is left as it is."""
-    from sandhatch.planning.keys import new_private_key, public_key  # loads the cryptography of the extras
+    """Write a key into a new file that only its owner may read; never overwrite an existing file."""
+    from sandhatch.planning.keys import (
+        new_private_key,
+        public_key,
+    )  # imports the optional cryptography package
 
     key = os.urandom(SHARED_KEY_BYTES) if args.shared else new_private_key()
     try:
@@ -144,23 +157,26 @@
 
 
 def _show_status(response: Response, console: Console) -> None:
-    state = "learning: it grants nothing new yet" if response["learning"] else "advising"
+    state = "learning, no new grants yet" if response["learning"] else "advising"
     console.line(f"planner {response['name']}, epoch {response['epoch']}: {state}")
-    console.line(f"{response['reports']} reports, {response['turned_away']} sessions refused")
+    console.line(f"{response['reports']} reports, {response['turned_away']} sessions rejected")
     console.table(response["pools"], POOL_COLUMNS)
     console.table(response["forwarders"], FORWARDER_COLUMNS)
 
 
 def _show_explanation(server: dict[str, Any], console: Console) -> None:
-    """Print why a server gets what it gets; the keys are those of the control protocol."""
+    """Print the explanation of a server's guidance; the keys are those of the control protocol."""
     console.line(f"{server['server']} in {server['pool']}: listed by {server['listed_by']} forwarders")
-    ratio = f", {server['ratio']:g} times the tier's" if server["ratio"] else ""
+    ratio = f", {server['ratio']:g} times the tier's baseline" if server["ratio"] else ""
     console.line(f"  weight {server['weight']:g}: {server['why']}{ratio}")
     console.line(
-        f"  {server['outstanding']} calls out (mean {server['load']:g}), answers {server['slowness']:g} times"
-        f" the usual, {100.0 * server['failing']:.1f} % failing, of {server['calls']:g} calls lately"
+        f"  {server['outstanding']} attempts in flight (mean {server['load']:g}), latency"
+        f" {server['slowness']:g} times the baseline, {100.0 * server['failing']:.1f} % failed, of"
+        f" {server['calls']:g} recent attempts"
     )
     if server["cold"]:
-        console.line(f"  cold: {100.0 * server['ramp_lent']:.1f} % of its ramp is lent to this planner")
+        console.line(
+            f"  warming up: {100.0 * server['ramp_lent']:.1f} % of its ramp is leased to this planner"
+        )
         for name, part in sorted(server["ramp_granted"].items()):
             console.line(f"    {name}: {100.0 * part:.1f} %")
--- a/sandhatch/cli/serve.py
+++ b/sandhatch/cli/serve.py
@@ -1,6 +1,6 @@
-"""The verbs `serve` and `check`: run a service with a configuration of its own, or only check that.
+"""The verbs `serve` and `check`: run a service from a configuration file, or only check the file.
 
-`check` starts nothing. The service itself is `sandhatch.service`, loaded only by `serve`.
+`check` starts nothing. The service itself is in `sandhatch.service`, which only `serve` imports.
 """
 
 from __future__ import annotations
@@ -16,11 +16,13 @@
 
 def add_verbs(verbs: VerbParsers) -> None:
     """Add serve and check."""
-    serve = verbs.add("serve", "run with a configuration of its own", _serve)
-    serve.add_argument("file", help="configuration; where --state holds a version, that goes first")
-    serve.add_argument("--state", metavar="DIR", help="keep versions on a disk that lasts")
-    serve.add_argument("--access-log", metavar="FILE", help="one JSON line a request")
-    check = verbs.add("check", "check a configuration without starting", _check, control=False)
+    serve = verbs.add("serve", "run a service from a configuration file", _serve)
+    serve.add_argument(
+        "file", help="configuration file; a version saved in --state takes precedence at the start"
+    )
+    serve.add_argument("--state", metavar="DIR", help="save versions in this directory, on a persistent disk")
+    serve.add_argument("--access-log", metavar="FILE", help="append one JSON line per request to this file")
+    check = verbs.add("check", "check a configuration without starting the service", _check, control=False)
     check.add_argument("file")
 
 
@@ -57,8 +59,8 @@
         console.problems(failure.problems)
         return ExitCode.FAILED
     console.problems(checked.warnings)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # until there is something to reload
-    # Not at the top: the other verbs start faster without the service and its event loop.
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload
+    # Imported here, since the other verbs start faster without the service and its event loop.
     import uvloop
 
     from sandhatch.cli.service_program import serve
--- a/sandhatch/cli/service_call.py
+++ b/sandhatch/cli/service_call.py
@@ -1,6 +1,6 @@
-"""One call on a running service, and its answer printed.
+"""A call on a running service, and the output of its response.
 
-The names of operations, arguments and answers' keys are those of the control protocol
+Names of operations, arguments and response keys are those of the control protocol
 (docs/operators/configuration.md).
 """
 
@@ -16,34 +16,35 @@
 from sandhatch.control.client import Client
 
 TIMEOUT_S = 60.0
-WAIT_TIMEOUT_S = 86_400.0  # of a call that waits until a change is confirmed or rolled back
+WAIT_TIMEOUT_S = 86_400.0  # limit on a call that waits until a change is confirmed or rolled back
 
 Response = dict[str, Any]  # one JSON object of the control protocol
-MakeArguments = Callable[[argparse.Namespace], dict[str, Any]]
-Show = Callable[[Response, Console], None]
+BuildArguments = Callable[[argparse.Namespace], dict[str, Any]]
+ShowResponse = Callable[[Response, Console], None]
 
 EXIT_CODES = {
     RejectionReason.CONFLICT.value: ExitCode.CONFLICT,
     RejectionReason.BUSY.value: ExitCode.BUSY,
     RejectionReason.FULL.value: ExitCode.BUSY,
-}  # by an answer's `why`
-STATES_OF_FAILURE = (State.FAILED.value, State.ROLLED_BACK.value, State.LOST.value)
-VERBS_THAT_CHANGE = ("commit", "confirm")
+}  # key: `why` of a response
+FAILURE_STATES = (State.FAILED.value, State.ROLLED_BACK.value, State.LOST.value)
+CHANGE_VERBS = ("commit", "confirm")
 
 
 def call_service(
-    args: argparse.Namespace, console: Console, make_arguments: MakeArguments, show: Show
+    args: argparse.Namespace, console: Console, build_arguments: BuildArguments, show: ShowResponse
 ) -> int:
-    """Make the call that the verb is named for.
+    """Make the call of the verb's name, print the response and return the exit code.
 
     Args:
-        args: Those of the command line.
-        console: Where the answer goes.
-        make_arguments: Makes the call's arguments of those of the command line; raises CheckError.
-        show: Prints an answer without error; not used with `--json`.
+        args: Parsed arguments of the command line.
+        console: Output for the response.
+        build_arguments: Function that builds the call's arguments from those of the command line; may raise
+            CheckError.
+        show: Function that prints a successful response; not used with `--json`.
     """
     try:
-        arguments = make_arguments(args)
+        arguments = build_arguments(args)
     except CheckError as failure:
         _show_check_error(failure, args.json, console)
         return ExitCode.FAILED
@@ -75,5 +76,5 @@
 def _exit_code(verb: str, response: Response) -> ExitCode:
     if not response.get("ok"):
         return EXIT_CODES.get(str(response.get("why")), ExitCode.FAILED)
-    failed = verb in VERBS_THAT_CHANGE and response.get("state") in STATES_OF_FAILURE
+    failed = verb in CHANGE_VERBS and response.get("state") in FAILURE_STATES
     return ExitCode.FAILED if failed else ExitCode.OK
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -1,6 +1,6 @@
-"""The process of a service with a configuration of its own: history, control socket, signals, end.
+"""The process of a service: saved versions, control socket, signals and shutdown.
 
-Runs until a signal ends it. What it serves and how is `sandhatch.service`.
+Runs until a signal ends it. The service itself is in `sandhatch.service`.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
     """Run the service until a signal ends the process; return the exit code.
 
     Args:
-        args: Those of the verb `serve`.
-        checked: The configuration of the file.
-        console: Where start and errors are reported.
+        args: Parsed arguments of the verb `serve`.
+        checked: Configuration from the file.
+        console: Output for notes and errors at the start.
     """
     loop = asyncio.get_running_loop()
     stopping = shutdown_event(loop)
     try:
-        service = _service(args, checked, console, loop)
+        service = _build_service(args, checked, console, loop)
         access_log = AccessLog(args.access_log, service) if args.access_log else None
         await service.start()
         control = ControlServer(Calls(service), service.logger, args.control)
@@ -46,7 +46,9 @@
         return ExitCode.FAILED
     loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).trigger)
     freeze_garbage_collector()
-    service.logger.line(f"version {service.lifecycle.active.number} in force; control at {args.control}")
+    service.logger.line(
+        f"version {service.lifecycle.active.number} is active; control socket at {args.control}"
+    )
     await stopping.wait()
     await control.stop()
     await service.drain()
@@ -55,10 +57,10 @@
     return ExitCode.OK
 
 
-def _service(
+def _build_service(
     args: argparse.Namespace, checked: CheckedConfiguration, console: Console, loop: asyncio.AbstractEventLoop
 ) -> Service:
-    """Make the service with the version that the state directory holds, or with the file's."""
+    """Build the service with the version saved in the state directory, if any, or else with the file's."""
     history: History | None = None
     saved: Saved | None = None
     if args.state:
@@ -76,5 +78,7 @@
     for note in saved.notes:
         console.error(note)
     if saved.lost_version:
-        console.error(f"version {saved.lost_version} was not confirmed and is not used")
-    console.error(f"version {saved.confirmed} of {args.state} goes before {args.file}")
+        console.error(
+            f"version {saved.lost_version} was not confirmed before the last process ended; not used"
+        )
+    console.error(f"using saved version {saved.confirmed} of {args.state} instead of {args.file}")
--- a/sandhatch/cli/status.py
+++ b/sandhatch/cli/status.py
@@ -1,6 +1,6 @@
-"""The verbs that show a running service: status, history, show.
+"""The verbs that show a running service's state: status, history and show.
 
-Prints what the control socket answers and computes nothing. The keys are those of the control protocol.
+The control socket's responses are printed unchanged. The keys are those of the control protocol.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 
 def add_verbs(verbs: VerbParsers) -> None:
     """Add status, history and show."""
-    handler = partial(call_service, make_arguments=_no_arguments, show=_show_status)
-    verbs.add("status", "what is in force and on its way", handler)
-    handler = partial(call_service, make_arguments=_no_arguments, show=_show_history)
-    verbs.add("history", "versions and what became of them", handler)
-    handler = partial(call_service, make_arguments=_version_argument, show=_show_text)
-    verbs.add("show", "a version's configuration", handler).add_argument("version", type=int, nargs="?")
+    handler = partial(call_service, build_arguments=_no_arguments, show=_show_status)
+    verbs.add("status", "show the active and the pending version, pools, listeners and proposals", handler)
+    handler = partial(call_service, build_arguments=_no_arguments, show=_show_history)
+    verbs.add("history", "list the versions and their final states", handler)
+    handler = partial(call_service, build_arguments=_version_argument, show=_show_text)
+    verbs.add("show", "print a version's configuration", handler).add_argument("version", type=int, nargs="?")
 
 
-def _no_arguments(args: argparse.Namespace) -> dict[str, Any]:  # noqa: ARG001 - as every verb's
+def _no_arguments(args: argparse.Namespace) -> dict[str, Any]:  # noqa: ARG001 - signature of BuildArguments
     return {}
 
 
@@ -56,8 +56,8 @@
 
 def _show_bodies(bodies: dict[str, Any], memory: dict[str, Any], console: Console) -> None:
     console.line(
-        f"bodies in passing: {bodies['open']}, at most {bodies['most_open']} at once, {bodies['bytes']} bytes"
-        f" so far; one held at most {bodies['peak_bytes']}; {memory['held_bytes']} of"
+        f"streamed bodies: {bodies['open']} open, at most {bodies['most_open']} at once, {bodies['bytes']}"
+        f" bytes so far; at most {bodies['peak_bytes']} bytes buffered for one; {memory['held_bytes']} of"
         f" {memory['most_bytes']} bytes of memory in use"
     )
 
@@ -67,10 +67,10 @@
     if leased_to is None:
         ends_ms = planning["own_parts_in_ms"]
         console.line(
-            f"{planning['forwarder']}: uses its own parts" + (f" in {ends_ms} ms" if ends_ms else "")
+            f"{planning['forwarder']}: uses its own shares" + (f" in {ends_ms} ms" if ends_ms else "")
         )
     else:
-        console.line(f"{planning['forwarder']}: its parts are lent to planner {leased_to}")
+        console.line(f"{planning['forwarder']}: its shares are leased to planner {leased_to}")
     console.table(planning["planners"], PLANNER_COLUMNS)
 
 
--- a/sandhatch/cli/verbs.py
+++ b/sandhatch/cli/verbs.py
@@ -1,6 +1,6 @@
-"""The parsers of verbs, with the options that all verbs share.
+"""The parsers of verbs, with the options that verbs share.
 
-Only builds parsers; the modules of the verbs say what each takes and does.
+The modules of the verbs define the other arguments and the functions that run them.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 Handler = Callable[[argparse.Namespace, Console], int]  # returns the exit code
 
 if TYPE_CHECKING:
-    SubParsers = argparse._SubParsersAction[argparse.ArgumentParser]  # noqa: SLF001 - it has no public name
+    SubParsers = argparse._SubParsersAction[argparse.ArgumentParser]  # noqa: SLF001 - the type has no public name
 
 
 class VerbParsers:
-    """Adds the parsers of verbs to that of the command."""
+    """Adds the parsers of verbs to the command's parser."""
 
     def __init__(self, subparsers: SubParsers, default_control: str) -> None:
-        """Take what the command's parser holds for verbs, and the default path of the control socket."""
+        """Add verbs to `subparsers`; `default_control` is the default path of the control socket."""
         self._subparsers = subparsers
         self._default_control = default_control
 
@@ -31,10 +31,10 @@
         """Add a verb.
 
         Args:
-            name: Of the verb.
-            text: What it does, for the help.
-            handler: Runs it; None if verbs below it do.
-            control: Whether it takes the path of a control socket.
+            name: Name of the verb.
+            text: Description of the verb for the help.
+            handler: Function that runs the verb; None if the verb only has verbs below it.
+            control: Whether the verb takes the path of a control socket.
         """
         parser = self._subparsers.add_parser(name, help=text, description=text)
         if control:
@@ -47,9 +47,11 @@
 
 def add_control_option(parser: argparse.ArgumentParser, default: str) -> None:
     """Add the option for the path of the control socket."""
-    parser.add_argument("--control", default=default, metavar="PATH", help="control socket (%(default)s)")
+    parser.add_argument(
+        "--control", default=default, metavar="PATH", help="path of the control socket (default: %(default)s)"
+    )
 
 
 def add_json_option(parser: argparse.ArgumentParser) -> None:
-    """Add the option for an answer that programs read."""
-    parser.add_argument("--json", action="store_true", help="the answer as one JSON object")
+    """Add the option for output as JSON, to be read by programs."""
+    parser.add_argument("--json", action="store_true", help="print the response as one JSON object")
--- a/sandhatch/control/__init__.py
+++ b/sandhatch/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control socket: calls on a running service, from people and scripts on the same machine.
+"""The control socket: calls on a running service by operators and scripts on the same machine.
 
-It never decides what a call may do. Source: the operators' page of the control protocol.
+`config.transactions` decides which calls are permitted. Source: the operators' page of the control protocol.
 """
--- a/sandhatch/control/call.py
+++ b/sandhatch/control/call.py
@@ -1,4 +1,4 @@
-"""One call on the control socket: its typed arguments and its author. No I/O.
+"""A call on the control socket, with typed access to its arguments. No I/O.
 
 The names of arguments are part of the control protocol.
 """
@@ -10,56 +10,56 @@
 
 from sandhatch.config.errors import RejectedError, RejectionReason
 
-MAX_DURATION_MS = 86_400_000.0  # a day
+MAX_DURATION_MS = 86_400_000.0  # one day
 
-EXPECTED: dict[type, str] = {str: "a text", bool: "true or false", int: "a whole number", float: "a number"}
+EXPECTED: dict[type, str] = {str: "a string", bool: "true or false", int: "an integer", float: "a number"}
 
 T = TypeVar("T", str, int, bool)
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """A call as it was received. Its methods raise `RejectedError` where an argument has no such value.
+    """A received call. Its methods raise `RejectedError` if an argument is missing or of the wrong type.
 
     Attributes:
         author: Name of the user who makes the call.
-        arguments: Its JSON object without "op".
+        arguments: JSON object of the call, without "op".
     """
 
     author: str
     arguments: dict[str, Any]
 
     def reject_unknown_arguments(self, known: frozenset[str]) -> None:
-        """Check that there are no arguments but these.
+        """Check that the call has no arguments other than the known ones.
 
         Raises:
-            RejectedError: There is another one.
+            RejectedError: The call has an unknown argument.
         """
         unknown = sorted(self.arguments.keys() - known)
         if unknown:
             raise RejectedError(
                 RejectionReason.INVALID,
-                f"{unknown[0]}: unknown argument; there are: {', '.join(sorted(known)) or 'none'}",
+                f"{unknown[0]}: unknown argument; known arguments: {', '.join(sorted(known)) or 'none'}",
             )
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string; it must be there unless there is a default."""
+        """Return a string argument, which is required unless there is a default."""
         return self._of_type(key, str, default)
 
     def flag(self, key: str, default: bool) -> bool:
-        """A boolean."""
+        """Return a boolean argument."""
         return self._of_type(key, bool, default)
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A number; it must be there unless there is a default."""
+        """Return an integer argument, which is required unless there is a default."""
         return self._of_type(key, int, default)
 
     def optional_integer(self, key: str) -> int | None:
-        """A number; None if it is missing or null."""
+        """Return an integer argument; None if it is missing or null."""
         return None if self.arguments.get(key) is None else self._of_type(key, int)
 
     def duration_ms(self, key: str) -> float:
-        """A time in milliseconds, of up to a day, that must be there."""
+        """Return a required duration in milliseconds, above 0 and at most one day."""
         value = self._value(key)
         if isinstance(value, int) and not isinstance(value, bool):
             value = float(value)
@@ -73,7 +73,7 @@
         return value
 
     def optional_duration_ms(self, key: str) -> float | None:
-        """As `duration_ms`; None if it is missing or null."""
+        """Return a duration as `duration_ms` does; None if the argument is missing or null."""
         return None if self.arguments.get(key) is None else self.duration_ms(key)
 
     def _value(self, key: str, default: object = None) -> Any:
--- a/sandhatch/control/calls.py
+++ b/sandhatch/control/calls.py
@@ -1,7 +1,7 @@
-"""The operations of a service's control socket: finds a call's operation and answers, or says why not.
+"""Dispatch of calls on a service's control socket to their operations.
 
-The operations are in one module a group. Names of operations, arguments and answers are part of the control
-protocol.
+Each group of operations has a module. Names of operations, arguments and response keys are part of the
+control protocol.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Operation:
-    """What a call of one name does.
+    """An operation of the control protocol.
 
     Attributes:
-        run: Answers the call, or raises RejectedError.
-        arguments: Names of the arguments that it takes.
+        run: Function that returns the response to a call, or raises RejectedError.
+        arguments: Names of the arguments that the operation takes.
     """
 
     run: Callable[[Call], Awaitable[dict[str, Any]]]
@@ -35,7 +35,7 @@
     """The operations of a service by name."""
 
     def __init__(self, service: Service) -> None:
-        """Answer calls on the service."""
+        """Serve calls on the service."""
         proposals = ProposalCalls(service)
         versions = VersionCalls(service)
         status = StatusCalls(service)
@@ -56,7 +56,7 @@
         }
 
     async def run(self, call: dict[str, Any], author: str) -> dict[str, Any]:
-        """The answer to a call, also to one that is rejected."""
+        """Return the response to a call, whether it succeeds or is rejected."""
         try:
             operation = self._operation(call.get("op"))
             arguments = {key: value for key, value in call.items() if key != "op"}
@@ -77,6 +77,6 @@
         if operation is None:
             known = ", ".join(self._operations)
             raise RejectedError(
-                RejectionReason.INVALID, f"op: unknown operation {name!r:.60}; there are: {known}"
+                RejectionReason.INVALID, f"op: unknown operation {name!r:.60}; known operations: {known}"
             )
         return operation
--- a/sandhatch/control/client.py
+++ b/sandhatch/control/client.py
@@ -12,17 +12,17 @@
 
 
 class Client:
-    """One connection; calls are answered in turn. Use it as a context manager."""
+    """A connection to a control socket, used as a context manager. Calls are served in order."""
 
     def __init__(self, path: str, timeout_s: float = 30.0) -> None:
         """Connect.
 
         Args:
-            path: The control socket's path.
-            timeout_s: For the connection and for each answer.
+            path: Path of the control socket.
+            timeout_s: Time limit for connecting and for each response, in seconds.
 
         Raises:
-            UnreachableError: Nothing listens at the path.
+            UnreachableError: No process accepts connections at the path.
         """
         self._socket = socket.socket(socket.AF_UNIX)
         self._socket.settimeout(timeout_s)
@@ -34,7 +34,7 @@
             raise UnreachableError(f"{path}: {problem.strerror or problem}") from None
 
     def __enter__(self) -> Client:
-        """The client itself."""
+        """Return the client itself."""
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -42,10 +42,10 @@
         self._socket.close()
 
     def call(self, op: str, **arguments: Any) -> dict[str, Any]:
-        """Make a call and wait for its answer; arguments that are None are left out.
+        """Make a call and return its response; arguments that are None are left out.
 
         Raises:
-            UnreachableError: There is no answer, or it can't be read.
+            UnreachableError: No response was received, or the response can't be decoded.
         """
         message = {"op": op} | {key: value for key, value in arguments.items() if value is not None}
         try:
@@ -59,7 +59,7 @@
         while True:
             data = self._socket.recv(READ_BYTES)
             if not data:
-                raise UnreachableError(f"{self._path}: closed without an answer")
+                raise UnreachableError(f"{self._path}: connection closed without a response")
             responses = lines.feed(data)
             if responses:
                 return responses[0]
--- a/sandhatch/control/errors.py
+++ b/sandhatch/control/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the control socket, of its server and of its clients."""
+"""Exceptions of the control socket's server and clients, and reasons of failed calls."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class FaultReason(Enum):
-    """Why a call was not carried out, where no configuration is in question.
+    """Why a call failed for reasons other than the configuration.
 
-    The values are part of the control protocol (`why` in an answer).
+    The values are part of the control protocol (`why` in a response).
     """
 
-    INVALID = "invalid"  # it is not a call, or has no such operation or argument
-    UNKNOWN = "unknown"  # what it names is not there
+    INVALID = "invalid"  # malformed call, or unknown operation or argument
+    UNKNOWN = "unknown"  # the call names an object that does not exist
     BUSY = "busy"  # too many peers are connected
-    INTERNAL = "internal"  # an error of the program
+    INTERNAL = "internal"  # unexpected error in the service
 
 
 class CallError(ValueError):
-    """The received bytes are not a call; nothing more is read from such a peer."""
+    """The received bytes are not a call; nothing more is read from the peer that sent them."""
 
 
 class ControlError(Exception):
@@ -26,4 +26,4 @@
 
 
 class UnreachableError(Exception):
-    """There is no service at the path, or it does not answer; the message names the path and the cause."""
+    """No service responds at the path; the message names the path and the cause."""
--- a/sandhatch/control/framing.py
+++ b/sandhatch/control/framing.py
@@ -1,6 +1,6 @@
-"""The control socket's framing: one JSON object a line each way, read incrementally and bounded. No I/O.
+"""The control socket's framing: one JSON object per line, parsed incrementally with a size limit. No I/O.
 
-A call is `{"op": NAME, ...}`; an answer `{"ok": true, ...}` or `{"ok": false, "why": WORD, "text": TEXT,
+A call is `{"op": NAME, ...}`; a response is `{"ok": true, ...}` or `{"ok": false, "why": WORD, "text": TEXT,
 "keys": [...], "problems": [...]}`.
 """
 
@@ -11,24 +11,24 @@
 
 from sandhatch.control.errors import CallError, FaultReason
 
-MAX_LINE_BYTES = 40 * 1024 * 1024  # the largest configuration, written as a JSON string
+MAX_LINE_BYTES = 40 * 1024 * 1024  # fits the largest configuration, encoded as a JSON string
 
 
 class LineReader:
-    """Bytes in, objects out.
+    """Incremental parser of lines that hold one JSON object each.
 
     Attributes:
-        buffered_bytes: Bytes that are buffered for a line that is not complete.
+        buffered_bytes: Number of bytes buffered of an incomplete line.
     """
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
-        """Start without bytes."""
+        """Start with an empty buffer."""
         self._max_line_bytes = max_line_bytes
         self._parts: list[bytes] = []
         self.buffered_bytes = 0
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that these bytes complete.
+        """Add received bytes and return the objects that they complete.
 
         Raises:
             CallError: A line is too long or not a JSON object.
@@ -40,7 +40,7 @@
             self.buffered_bytes += len(part)
             if self.buffered_bytes > self._max_line_bytes:
                 self.clear()
-                raise CallError(f"a call of more than {self._max_line_bytes} bytes")
+                raise CallError(f"line too long: more than {self._max_line_bytes} bytes")
             if not newline:
                 return objects
             line = b"".join(self._parts)
@@ -48,31 +48,31 @@
             objects.append(decode(line))
 
     def clear(self) -> None:
-        """Drop what is buffered."""
+        """Discard the buffered bytes."""
         self._parts = []
         self.buffered_bytes = 0
 
 
 def decode(line: bytes) -> dict[str, Any]:
-    """The object that a line holds.
+    """Return the object that a line holds.
 
     Raises:
-        CallError: It holds none.
+        CallError: The line holds no JSON object.
     """
     try:
         message = json.loads(line)
     except (ValueError, RecursionError):
-        raise CallError(f"not JSON: {line[:40]!r}") from None
+        raise CallError(f"line is not JSON: {line[:40]!r}") from None
     if not isinstance(message, dict):
-        raise CallError(f"not an object: {line[:40]!r}")
+        raise CallError(f"line is not a JSON object: {line[:40]!r}")
     return message
 
 
 def encode(message: dict[str, Any]) -> bytes:
-    """A call or an answer as a line."""
+    """Encode a call or a response as a line."""
     return json.dumps(message, separators=(",", ":"), default=str).encode() + b"\n"
 
 
-def fault(reason: FaultReason, text: str) -> dict[str, Any]:
-    """The answer to a call that is rejected without conflicting keys or problems to list."""
+def fault_response(reason: FaultReason, text: str) -> dict[str, Any]:
+    """Return the response to a failed call that has no conflicting keys or problems to list."""
     return {"ok": False, "why": reason.value, "text": text, "keys": [], "problems": []}
--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -1,6 +1,6 @@
-"""Calls about configurations that are not active yet: check, propose, diff and abort.
+"""Operations on configurations that are not active yet: check, propose, diff and abort.
 
-What a proposal may be is decided in `config.check` and `config.transactions`.
+`config.check` and `config.transactions` decide which proposals are accepted.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.control.call import Call
 from sandhatch.service.service import Service
-from sandhatch.service.validation import checked_text
+from sandhatch.service.validation import check_proposed_text
 
-MAX_SHOWN_CHARS = 500  # of a comment or a changed value
+MAX_SHOWN_CHARS = 500  # maximum length of a comment or a changed value in a response
 
 
 class ProposalCalls:
-    """Each method answers one operation, or raises RejectedError. Keys are part of the control protocol."""
+    """Each method runs one operation, or raises RejectedError; response keys are set by the protocol."""
 
     def __init__(self, service: Service) -> None:
-        """Answer calls on the service."""
+        """Serve calls on the service."""
         self._service = service
 
     async def check(self, call: Call) -> dict[str, Any]:
@@ -31,7 +31,7 @@
         return {"warnings": [str(problem) for problem in checked.warnings]}
 
     async def propose(self, call: Call) -> dict[str, Any]:
-        """Check a configuration's text and keep it as a proposal."""
+        """Check a configuration's text and retain it as a proposal."""
         base = call.optional_integer("base")
         comment = call.text("comment", "")[:MAX_SHOWN_CHARS]
         merge = call.flag("merge", False)
@@ -70,5 +70,5 @@
 
 
 async def _check_text(text: str) -> CheckedConfiguration:
-    """Check on a thread: requests don't wait for a long text to be checked."""
-    return await asyncio.to_thread(checked_text, text.encode())
+    """Check a text on a thread, so that a long text delays no request."""
+    return await asyncio.to_thread(check_proposed_text, text.encode())
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -1,7 +1,7 @@
-"""The control socket of a service or a planner: a Unix-domain socket that only its owner (and root) may use.
+"""The control socket of a service or a planner: a Unix-domain socket that only its owner and root may use.
 
-It is bounded in connections, in bytes buffered for all peers together, and in the time that a call may take
-to arrive. It never decides what a call may do; `calls` and the transactions do.
+There are limits on the number of connections, on the bytes buffered for all peers together, and on the time
+to receive a call. Which calls are permitted is decided by `calls` and the transactions.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 from typing import Any, Protocol
 
 from sandhatch.control.errors import CallError, ControlError, FaultReason
-from sandhatch.control.framing import LineReader, encode, fault
+from sandhatch.control.framing import LineReader, encode, fault_response
 from sandhatch.runtime.logger import Logger
 
 MAX_PEERS = 512
-MAX_BUFFERED_BYTES = 96 * 1024 * 1024  # of incomplete calls, over all peers
-CALL_TIMEOUT_S = 10.0  # for a call to arrive, from its first byte on; and for its answer to be read
-IDLE_TIMEOUT_S = 300.0  # between calls
-PROBE_TIMEOUT_S = 1.0  # for a process that has the socket's path to accept
+MAX_BUFFERED_BYTES = 96 * 1024 * 1024  # limit on the bytes of incomplete calls, over all peers
+CALL_TIMEOUT_S = 10.0  # limit on receiving a call from its first byte on, and on sending its response
+IDLE_TIMEOUT_S = 300.0  # limit on a connection's idle time between calls
+PROBE_TIMEOUT_S = 1.0  # limit on connecting to another process that may own the path
 READ_BYTES = 65536
-PRIVATE_SOCKET_UMASK = 0o177  # only the owner may connect
+PRIVATE_SOCKET_UMASK = 0o177  # permits only the owner to connect
 
 
 class CallRunner(Protocol):
-    """What answers the calls: the operations of a service or of a planner."""
+    """The operations of a service or of a planner."""
 
     async def run(self, call: dict[str, Any], author: str) -> dict[str, Any]:
-        """The answer to a call, also to one that is rejected."""
+        """Return the response to a call, whether it succeeds or is rejected."""
 
 
 class ControlServer:
-    """Listens on the socket and serves each peer's calls in turn."""
+    """Listens on the socket and serves each peer's calls in order."""
 
     def __init__(
         self, calls: CallRunner, logger: Logger, path: str, call_timeout_s: float = CALL_TIMEOUT_S
@@ -44,10 +44,10 @@
         """Prepare to serve; `start` listens.
 
         Args:
-            calls: Answers the calls.
-            logger: For rejected users and failed calls.
-            path: The socket's path.
-            call_timeout_s: For a call to arrive completely, and for its answer to be read.
+            calls: Operations that serve the calls.
+            logger: Log of rejected users and failed calls.
+            path: Path of the socket.
+            call_timeout_s: Time limit in seconds for receiving a call, and for sending its response.
         """
         self._calls = calls
         self._logger = logger
@@ -58,10 +58,10 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen.
+        """Start listening.
 
         Raises:
-            ControlError: The socket can't be created, or another process or file has its path.
+            ControlError: The socket can't be created, or its path belongs to another process or file.
         """
         _remove_abandoned_socket(self._path)
         listening_socket = _bind_private(self._path)
@@ -81,18 +81,23 @@
         task = asyncio.current_task()
         assert task is not None
         self._peers.add(task)
-        uid = peer_user(writer.get_extra_info("socket"))
+        uid = peer_uid(writer.get_extra_info("socket"))
         try:
             if uid not in (0, os.geteuid()):
-                self._logger.line(f"control: user {uid} was rejected")
+                self._logger.line(
+                    f"control: rejected a connection by user id {uid}: only the owner and root are permitted"
+                )
             elif len(self._peers) > MAX_PEERS:
                 await self._respond(
-                    writer, fault(FaultReason.BUSY, f"{MAX_PEERS} peers are connected already")
+                    writer,
+                    fault_response(
+                        FaultReason.BUSY, f"too many connections: the limit of {MAX_PEERS} peers is reached"
+                    ),
                 )
             else:
                 await self._serve_calls(reader, writer, user_name(uid))
         except (OSError, asyncio.CancelledError):
-            pass  # the peer has disconnected or stalled (a time-out is an OSError), or the server stops
+            pass  # the peer has disconnected or timed out (TimeoutError is an OSError), or the server stops
         finally:
             self._peers.discard(task)
             writer.close()
@@ -109,18 +114,18 @@
                 for call in calls:
                     await self._respond(writer, await self._run(call, author))
         except CallError as problem:
-            await self._respond(writer, fault(FaultReason.INVALID, str(problem)))
+            await self._respond(writer, fault_response(FaultReason.INVALID, str(problem)))
         finally:
             self._buffered_bytes -= lines.buffered_bytes
 
     async def _read_calls(
         self, reader: asyncio.StreamReader, lines: LineReader
     ) -> list[dict[str, Any]] | None:
-        """The next calls; None once the peer has disconnected.
+        """Return the next calls; None once the peer has disconnected.
 
         Raises:
-            CallError: What arrives is not a call, or too much.
-            TimeoutError: The peer is idle for too long, or a call does not arrive completely in time.
+            CallError: The received bytes are not a call, or a limit on buffered bytes is exceeded.
+            TimeoutError: The peer was idle for too long, or a call was not received completely in time.
         """
         async with asyncio.timeout(IDLE_TIMEOUT_S):
             data = await reader.read(READ_BYTES)
@@ -128,7 +133,9 @@
             while data:
                 calls = self._feed(lines, data)
                 if self._buffered_bytes > MAX_BUFFERED_BYTES:
-                    raise CallError("too much is being sent by all peers together; try again")
+                    raise CallError(
+                        "the incomplete calls of all peers together exceed the buffer limit; try again"
+                    )
                 if calls and not lines.buffered_bytes:
                     return calls
                 data = await reader.read(READ_BYTES)
@@ -145,9 +152,11 @@
         try:
             return await self._calls.run(call, author)
         except Exception as problem:
-            # Guards the service: an unexpected error of one call must not end it.
-            self._logger.line(f"control: {call.get('op')!r:.40}: {type(problem).__name__}: {problem}")
-            return fault(FaultReason.INTERNAL, f"{type(problem).__name__}: {problem}")
+            # An unexpected error in one call must not stop the service.
+            self._logger.line(
+                f"control: call {call.get('op')!r:.40} failed: {type(problem).__name__}: {problem}"
+            )
+            return fault_response(FaultReason.INTERNAL, f"{type(problem).__name__}: {problem}")
 
     async def _respond(self, writer: asyncio.StreamWriter, response: dict[str, Any]) -> None:
         writer.write(encode(response))
@@ -155,8 +164,8 @@
             await writer.drain()
 
 
-def peer_user(peer_socket: socket.socket) -> int:
-    """The user id of the process at the other end, from the system (SO_PEERCRED, see unix(7))."""
+def peer_uid(peer_socket: socket.socket) -> int:
+    """Return the user id of the peer's process, from the kernel (SO_PEERCRED, see unix(7))."""
     credentials = struct.Struct("3i")  # pid, uid, gid
     data = peer_socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size)
     _, uid, _ = credentials.unpack(data)
@@ -164,7 +173,7 @@
 
 
 def user_name(uid: int) -> str:
-    """The user's name; the number as text if there is none."""
+    """Return the user's name; the user id as text if it has no name."""
     try:
         return pwd.getpwuid(uid).pw_name
     except KeyError:
@@ -172,13 +181,17 @@
 
 
 def _remove_abandoned_socket(path: str) -> None:
-    """Remove a socket that a dead process left; ControlError if a live one or another file has the path."""
+    """Remove the socket of a process that has ended.
+
+    Raises:
+        ControlError: The path belongs to a running process or to another kind of file.
+    """
     try:
         mode = Path(path).stat().st_mode
     except FileNotFoundError:
         return
     if not stat.S_ISSOCK(mode):
-        raise ControlError(f"{path}: there is another file")
+        raise ControlError(f"{path}: another file, not a socket, has this path")
     with socket.socket(socket.AF_UNIX) as probe:
         probe.settimeout(PROBE_TIMEOUT_S)
         try:
@@ -188,11 +201,11 @@
             return
         except OSError as problem:
             raise ControlError(f"{path}: {problem.strerror or problem}") from None
-    raise ControlError(f"{path}: another process listens there")
+    raise ControlError(f"{path}: another process listens at this path")
 
 
 def _bind_private(path: str) -> socket.socket:
-    """A socket at the path to which, from its first moment on, only its owner can connect."""
+    """Bind a socket at the path; from its creation on, only its owner can connect."""
     listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     previous_umask = os.umask(PRIVATE_SOCKET_UMASK)
     try:
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -1,4 +1,4 @@
-"""Calls that only read: status, history and show."""
+"""Operations that only read: status, history and show."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class StatusCalls:
-    """Each method answers one operation, or raises RejectedError. Keys are part of the control protocol."""
+    """Each method runs one operation, or raises RejectedError; response keys are set by the protocol."""
 
     def __init__(self, service: Service) -> None:
-        """Answer calls on the service."""
+        """Serve calls on the service."""
         self._service = service
 
     async def status(self, _call: Call) -> dict[str, Any]:
-        """The state of the process: versions, pools, listeners, proposals, planners and memory."""
+        """Return the state of the process: versions, pools, listeners, proposals, planners and memory."""
         service = self._service
         lifecycle = service.lifecycle
         pending = lifecycle.pending
@@ -44,7 +44,7 @@
         }
 
     def _pool_rows(self) -> dict[str, Any]:
-        """Each pool's row by the first digits of its fingerprint."""
+        """Return each pool's row by the first digits of its fingerprint."""
         return {
             pool.fingerprint[:SHOWN_FINGERPRINT_DIGITS]: {
                 "pool": pool.name,
@@ -75,11 +75,11 @@
         ]
 
     async def history(self, _call: Call) -> dict[str, Any]:
-        """The versions there were, oldest first."""
+        """Return the history of versions, oldest first."""
         return {"versions": [row.to_data() for row in self._service.history_rows()]}
 
     async def show(self, call: Call) -> dict[str, Any]:
-        """A version's configuration as YAML; the active version's if none is named."""
+        """Return a version's configuration as YAML; the active version's if no version is named."""
         number = call.integer("version", self._service.lifecycle.active.number)
         data = self._service.version_data(number)
         return {"version": number, "text": yaml.safe_dump(data, sort_keys=False)}
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -1,6 +1,6 @@
-"""Calls that change the active version: commit, confirm, extend and rollback.
+"""Operations that change the active version: commit, confirm, extend and rollback.
 
-What a change may do is decided in `config.transactions`.
+`config.transactions` decides which changes are permitted.
 """
 
 from __future__ import annotations
@@ -14,26 +14,29 @@
 
 
 class VersionCalls:
-    """Each method answers one operation with the version's row, or raises RejectedError."""
+    """Each method runs one operation and returns the version's row, or raises RejectedError."""
 
     def __init__(self, service: Service) -> None:
-        """Answer calls on the service."""
+        """Serve calls on the service."""
         self._service = service
 
     async def commit(self, call: Call) -> dict[str, Any]:
-        """Change to a proposal; answer once it is active or has failed, with "wait" once it is decided."""
+        """Change to a proposal.
+
+        Responds once the version is active or has failed; with "wait", once it is confirmed or has ended.
+        """
         wait = call.flag("wait", False)
         version = self._service.commit(
             call.integer("proposal"),
             call.optional_duration_ms("confirm_within_ms"),
             call.flag("watch", True),
         )
-        return await self._settled_row(version, wait)
+        return await self._row_when_decided(version, wait)
 
     async def confirm(self, call: Call) -> dict[str, Any]:
         """Confirm the pending version."""
         version = self._service.confirm(call.optional_integer("version"))
-        return await self._settled_row(version, wait=True)
+        return await self._row_when_decided(version, wait=True)
 
     async def extend(self, call: Call) -> dict[str, Any]:
         """Give the pending version more time to be confirmed."""
@@ -44,8 +47,8 @@
     async def rollback(self, call: Call) -> dict[str, Any]:
         """Roll back the pending version, or to an earlier one."""
         version = self._service.rollback(call.author, call.optional_integer("to"))
-        return await self._settled_row(version, call.flag("wait", False))
+        return await self._row_when_decided(version, call.flag("wait", False))
 
-    async def _settled_row(self, version: Version, wait: bool) -> dict[str, Any]:
+    async def _row_when_decided(self, version: Version, wait: bool) -> dict[str, Any]:
         await self._service.wait_until_decided(version, over=wait)
         return version_row(version, self._service.now_ms)
--- a/sandhatch/control/version_row.py
+++ b/sandhatch/control/version_row.py
@@ -1,4 +1,4 @@
-"""A version as the control protocol shows it. No I/O."""
+"""The representation of a version in the control protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def version_row(version: Version, now_ms: float) -> dict[str, Any]:
-    """The version's row; its keys are part of the control protocol. Remaining times are milliseconds."""
+    """Return the version's row; its keys are set by the protocol, remaining times are in milliseconds."""
     row: dict[str, Any] = {
         "version": version.number,
         "base": version.base,
--- a/sandhatch/service/__init__.py
+++ b/sandhatch/service/__init__.py
@@ -1,4 +1,4 @@
-"""The program under a configuration of its own: active versions, their pools and listeners, and changes.
+"""The service that runs a versioned configuration: its versions, their pools and listeners, and changes.
 
-What a change may do is decided in `config.transactions`; where a request goes, in `routing`.
+`config.transactions` decides which changes are permitted; `routing` decides where a request goes.
 """
--- a/sandhatch/service/access_log.py
+++ b/sandhatch/service/access_log.py
@@ -1,7 +1,6 @@
-"""The access log: one JSON line per finished request. Writing it never stops a request.
+"""The access log: one JSON line per finished request. A failed write never affects a request.
 
-The keys of a line are described on the operators' page of the access log; this module maps
-`RequestRecord` to them.
+The operators' page of the access log describes the keys of a line; this module maps `RequestRecord` to them.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 
 class AccessLog:
-    """Appends to a file. Lines that can't be written are dropped and counted in `dropped`."""
+    """Appends lines to a file. Lines that can't be written are dropped and counted in `dropped`."""
 
     def __init__(self, path: str, service: Service) -> None:
         """Open the file for appending and register for the service's finished requests.
@@ -25,14 +24,14 @@
         Raises:
             OSError: The file can't be opened.
         """
-        self._file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - open for as long as the process
+        self._file = Path(path).open("a", encoding="utf-8")  # noqa: SIM115 - the file stays open until `close`
         self._service = service
         self.dropped = 0
         service.on_request_finished = self._write
         self._flush()
 
     def _row(self, record: RequestRecord) -> dict[str, Any]:
-        """The line's keys and values; the keys are part of the log's format."""
+        """Return the line's keys and values; the keys are part of the log's format."""
         server_name = self._service.pools.server_registry.name
         row = {
             "t": round(record.received_at_ms, 3),
@@ -67,7 +66,7 @@
             self._service.clock.call_after(FLUSH_INTERVAL_MS, self._flush)
 
     def close(self) -> None:
-        """Flush what is buffered and close the file."""
+        """Flush buffered lines and close the file."""
         try:
             self._file.close()
         except OSError:
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -1,6 +1,6 @@
-"""This process as a forwarder of the planning protocol: its link to the planners of the active version.
+"""The process's role as a forwarder in the planning protocol: the link to the active version's planners.
 
-Nothing of `sandhatch.planning` is loaded where no planner is configured.
+`sandhatch.planning` is imported only if a planner is configured.
 """
 
 from __future__ import annotations
@@ -25,19 +25,20 @@
     """The link to the planners, if any are configured; replaced when their configuration changes."""
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
-        """Start without a link; `seed` is that of the link's random draws."""
+        """Start without a link; `seed` seeds the link's random draws."""
         self._shared = shared
         self._seed = seed
         self._spec: Planning | None = None
-        # Until then, leases of an earlier link of this process may be in use elsewhere; Unix milliseconds.
+        # End of the last lease granted over an earlier link of this process, in Unix milliseconds; until then
+        # other forwarders may use the leased shares. None if there was no earlier link.
         self._earlier_leases_until_ms: float | None = None
         self.link: ForwarderLink | None = None
 
     def check(self, model: Configuration) -> None:
-        """Check that the keys of a version to come can be read.
+        """Check that the key files of a version that is being staged can be read.
 
         Raises:
-            StageError: They can't; the message says which and why.
+            StageError: A key file can't be read; the message names the key and the cause.
         """
         if model.planning is not None and model.planning.planners:
             self._read_identity(model.planning)
@@ -56,7 +57,7 @@
             raise StageError(f"planning: {problem}") from None
 
     def activate(self, model: Configuration, pools: dict[str, RunningPool]) -> None:
-        """The version is active: connect to its planners, and attach its planned pools."""
+        """Connect to the planners of a version that has become active, and attach its planned pools."""
         spec = model.planning if model.planning is not None and model.planning.planners else None
         if spec != self._spec:
             self._replace_link(spec)
@@ -80,8 +81,8 @@
             return
         try:
             identity = self._read_identity(spec)
-        except StageError as problem:  # its files could be read when the version was staged
-            self._shared.logger.line(f"no planner is connected to: {problem}")
+        except StageError as problem:  # a key file that was readable at staging has changed since
+            self._shared.logger.line(f"planning disabled, no planner will be connected: {problem}")
             self._spec = None
             return
         self.link = self._build_link(spec, identity, now_ms)
@@ -90,8 +91,8 @@
     def _build_link(self, spec: Planning, identity: Identity, now_ms: float) -> ForwarderLink:
         from sandhatch.planning.link import ForwarderLink
 
-        # An earlier process may have leased its parts, which this one can't know (None); an earlier link of
-        # this process surely knows.
+        # None: this process can't know whether an earlier process has leased its shares. An earlier link of
+        # this process, in contrast, knows until when its leases last.
         quiet_ms = None
         if self._earlier_leases_until_ms is not None:
             quiet_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
@@ -102,7 +103,7 @@
             identity,
             self._shared.clock,
             self._shared.logger.line,
-            _link_terms(spec),
+            _build_link_terms(spec),
             self._seed,
             quiet_ms,
         )
@@ -113,11 +114,11 @@
             self.link.stop()
 
     def status(self) -> dict[str, Any] | None:
-        """The link's part of the status; None if no planner is configured."""
+        """Return the status of the link; None if no planner is configured."""
         return self.link.status() if self.link is not None else None
 
 
-def _link_terms(spec: Planning) -> ForwarderTerms:
+def _build_link_terms(spec: Planning) -> ForwarderTerms:
     from sandhatch.planning.terms import ForwarderTerms
 
     return ForwarderTerms(
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -1,6 +1,6 @@
-"""Compares the goodput of a new version with that before it, from the requests of a running service.
+"""Compares the goodput under a new version with the goodput before it, from the service's requests.
 
-What a significant fall is, is decided in `config.goodput_watch`; this module feeds it.
+`config.goodput_watch` decides whether a fall is significant; this module supplies it with requests.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 
 class GoodputMonitor:
-    """Feeds a `GoodputWatch` with requests.
+    """Supplies a `GoodputWatch` with the service's requests.
 
     Attributes:
-        watch: What is compared; its window and block length are those of the first version.
+        watch: Comparison of goodput; its window and block length come from the first version's configuration.
     """
 
     def __init__(self, clock: Clock, first: CheckedConfiguration) -> None:
-        """Begin to count; nothing is compared until `begin`."""
+        """Start counting requests; the comparison starts with `begin`."""
         self._clock = clock
         self.watch = GoodputWatch(first.model.watch.block_ms, first.model.watch.before_ms)
 
     def begin(self, version: Version, confirmed: Version) -> None:
-        """Compare from now on, only in the changed pools if nothing else of the configuration has changed."""
+        """Start the comparison; limited to the changed pools if only pools have changed."""
         spec = version.checked.model.watch
         changes = diff(confirmed.data, version.data)
         changed_pools = frozenset(
@@ -45,17 +45,17 @@
     def request_received(
         self, received_at_ms: float, class_name: str, pool: str, version: RunningVersion
     ) -> None:
-        """Count a request that goes to a pool."""
+        """Count a request that was received and is routed to a pool."""
         self.watch.request_arrived(
             received_at_ms, class_name, pool, version.checked.model.classes[class_name].worth
         )
 
     def request_finished(self, record: RequestRecord, version: RunningVersion) -> None:
-        """Count the end of a request, if it went to a pool."""
+        """Count a finished request, unless a route served it as a fixed response."""
         if not record.pool:
             return
         request_class = version.checked.model.classes[record.request_class]
-        in_time = (
+        within_objective = (
             record.status == 200 and record.responded_at_ms <= record.received_at_ms + request_class.aim_ms
         )
         self.watch.request_ended(
@@ -63,10 +63,10 @@
             record.request_class,
             record.pool,
             request_class.worth,
-            in_time,
+            within_objective,
             record.status in OVERLOAD_STATUSES,
         )
 
     def check(self, now_ms: float, longest_objective_ms: float) -> GoodputDrop | None:
-        """The fall in goodput that is established by now, if any; called regularly."""
+        """Return the fall in goodput that is significant by now, if any; called at regular intervals."""
         return self.watch.close(now_ms, longest_objective_ms)
--- a/sandhatch/service/limits.py
+++ b/sandhatch/service/limits.py
@@ -1,7 +1,7 @@
-"""Limits of the process, from a version's configuration. Source: `limits` and `classes` of the model.
+"""Limits of the process, from `limits` and `classes` of a version's configuration.
 
-A limit that is lower than what is in use counts from the next connection or body on; nothing that runs is
-aborted for it.
+A limit below the present use applies from the next connection or body on; no running request is aborted for
+it.
 """
 
 from __future__ import annotations
@@ -13,24 +13,25 @@
 from sandhatch.runtime.process import raise_descriptor_limit
 from sandhatch.runtime.shared_resources import SharedResources
 
-OWN_DESCRIPTORS = 64  # the process's own: listeners, control, discovery, files
+RESERVED_DESCRIPTORS = 64  # descriptors for listeners, control socket, discovery and files
 MIN_CONNECTION_DESCRIPTORS = 16
 
 
 def connection_descriptors(checked: CheckedConfiguration) -> int:
-    """The descriptors for clients and servers together, within what the system lets this process have."""
+    """Return the descriptors for client and server connections together, within the system's limit."""
     return max(
-        MIN_CONNECTION_DESCRIPTORS, raise_descriptor_limit(checked.model.limits.sockets) - OWN_DESCRIPTORS
+        MIN_CONNECTION_DESCRIPTORS,
+        raise_descriptor_limit(checked.model.limits.sockets) - RESERVED_DESCRIPTORS,
     )
 
 
 def id_retention_ms(checked: CheckedConfiguration) -> float:
-    """How long the id of a finished request is remembered."""
+    """Return how long the id of a finished request is retained."""
     return retention_ms(max(item.deadline_ms for item in checked.model.classes.values()))
 
 
 def build_shared_resources(loop: asyncio.AbstractEventLoop, checked: CheckedConfiguration) -> SharedResources:
-    """The resources of a process that starts with this configuration."""
+    """Build the resources of a process that starts with this configuration."""
     return SharedResources(
         loop,
         checked.model.name,
@@ -41,7 +42,7 @@
 
 
 def apply_limits(shared: SharedResources, checked: CheckedConfiguration) -> None:
-    """Set the limits of a version that becomes active. Ids are remembered no shorter than before."""
+    """Set the limits of a version that becomes active. The retention time of ids is never shortened."""
     shared.share_descriptors(connection_descriptors(checked))
     shared.memory_budget.set_limit(checked.model.limits.memory_mb)
     in_flight_ids = shared.in_flight_ids
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -1,7 +1,7 @@
-"""The listeners of a service across versions: bound before a version is activated, opened when it is.
+"""The listeners of a service across versions: bound at staging, accepting from activation on.
 
-A listener of two versions is the same one if it has the same address. One that the active version no longer
-has stops accepting and ends once its connections have.
+Versions share a listener that has the same address. A listener that the active version no longer has stops
+accepting and is removed once its connections are closed.
 """
 
 from __future__ import annotations
@@ -13,41 +13,41 @@
 from sandhatch.service.errors import StageError
 from sandhatch.service.request_handler import RequestHandler
 
-REOPEN_MS = 50.0
+REOPEN_DELAY_MS = 50.0
 
 
 def listener_key(name: str, address: str) -> str:
-    """What identifies a listener across versions: its address; with port 0, which is any, its name too."""
+    """Return a listener's identity across versions: its address, and with port 0 (any port) also its name."""
     return f"{address} {name}" if address.endswith(":0") else address
 
 
 class ListenerSet:
-    """Listeners that are active, staged for a version to come, or closing.
+    """Listeners that are active, staged for a later version, or closing.
 
     Attributes:
         active: Listeners of the active version, by `listener_key`.
-        stopping: Whether the process ends: addresses that are taken are not tried again.
+        stopping: Whether the process is shutting down; binding is then not retried.
     """
 
     def __init__(self, shared: SharedResources, request_handler: RequestHandler) -> None:
-        """Start without listeners; the handler gets the requests of all of them."""
+        """Start without listeners; `request_handler` receives the requests of all listeners."""
         self._shared = shared
         self._request_handler = request_handler
         self.active: dict[str, Listener] = {}
         self.stopping = False
-        self._staged: dict[int, dict[str, Listener]] = {}  # by version number
+        self._staged: dict[int, dict[str, Listener]] = {}  # key: version number
         self._closing: list[Listener] = []
 
     @property
     def active_and_closing(self) -> list[Listener]:
-        """Active and closing listeners."""
+        """Listeners that may have open connections."""
         return [*self.active.values(), *self._closing]
 
     def stage(self, version: Version) -> None:
-        """Bind the addresses of a version that no active listener has.
+        """Bind those addresses of a version that no active listener has.
 
         Raises:
-            StageError: One can't be bound; none stays bound then.
+            StageError: An address can't be bound; the others have been released again.
         """
         staged: dict[str, Listener] = {}
         for name, spec in version.checked.model.listeners.items():
@@ -68,12 +68,12 @@
         return Listener(parse_address(address, "address"), self._shared, self._request_handler, name)
 
     def unstage(self, version: Version) -> None:
-        """Close what was bound for a version that won't be activated."""
+        """Close the listeners that were bound for a version that won't be activated."""
         for listener in self._staged.pop(version.number, {}).values():
             listener.close()
 
     def activate(self, version: Version) -> None:
-        """Open the version's listeners and stop accepting on the others."""
+        """Start accepting on the version's listeners and stop accepting on the others."""
         staged = self._staged.pop(version.number, {})
         wanted = {
             listener_key(name, spec.address): name for name, spec in version.checked.model.listeners.items()
@@ -100,21 +100,21 @@
         self._closing.append(listener)
 
     def _open(self, listener: Listener, key: str) -> None:
-        """Listen.
+        """Start accepting.
 
-        After a rollback the address is bound anew; if another process has it by now, this is tried again
-        until it succeeds or the active version has no such listener.
+        After a rollback the address is bound anew. If another process has bound it meanwhile, binding is
+        retried until it succeeds or the active version has no such listener.
         """
         if self.active.get(key) is not listener or self.stopping:
             return
         try:
             listener.start()
         except OSError as problem:
-            self._shared.logger.line(f"listener {listener.name}: {problem.strerror}; retrying")
-            self._shared.clock.call_after(REOPEN_MS, lambda: self._open(listener, key))
+            self._shared.logger.line(f"listener {listener.name}: can't listen: {problem.strerror}; retrying")
+            self._shared.clock.call_after(REOPEN_DELAY_MS, lambda: self._open(listener, key))
 
-    def end_idle(self) -> None:
-        """Close idle connections of closing listeners, and forget those without connections."""
+    def close_idle_connections(self) -> None:
+        """Close idle connections of closing listeners, and remove listeners without connections."""
         self._closing = [listener for listener in self._closing if listener.connections]
         for listener in self._closing:
             listener.close_idle()
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -1,9 +1,9 @@
-"""Pools across versions: one dispatcher per fingerprint, shared by the versions with the same content.
+"""Pools across versions: one dispatcher per fingerprint, shared by versions with equal pool configuration.
 
-A pool whose keys have not changed keeps its dispatcher, and with it its balancer, tokens and connections. One
-that has changed gets a new dispatcher, which takes over the state of the old one
-(`sandhatch.balancing.state_transfer`) and its idle connections; requests of older versions stay with the old
-dispatcher until they have ended. Shortly before the drain's grace is over, older versions stop sending to
+A pool whose configuration has not changed retains its dispatcher, and with it its balancer, tokens and
+connections. A changed pool gets a new dispatcher, which inherits its predecessor's state
+(`sandhatch.balancing.state_transfer`) and idle connections; requests of older versions stay with the
+predecessor until they have ended. Shortly before the drain grace period ends, older versions stop sending to
 servers that the newer version does not list.
 """
 
@@ -35,16 +35,16 @@
 
 @dataclass(slots=True, frozen=True)
 class PoolStatus:
-    """What one pool has at the moment.
+    """Present state of one pool.
 
     Attributes:
-        fingerprint: The hash of what it is run by.
-        name: In the configuration.
-        versions: How many versions use it.
-        ready_servers: Servers that requests may be sent to.
-        servers: All servers that it knows.
-        connections: To its servers.
-        requests: Those that have not ended.
+        fingerprint: Hash of the pool's configuration; see `pool_fingerprints`.
+        name: Name of the pool in the configuration.
+        versions: Number of versions that use the pool.
+        ready_servers: Number of servers that may receive new requests.
+        servers: Number of all servers of the pool.
+        connections: Number of connections to the pool's servers.
+        requests: Number of requests that have not ended.
     """
 
     fingerprint: str
@@ -63,10 +63,10 @@
         """Start without any pool."""
         self._shared = shared
         self.server_registry = ServerRegistry()
-        self.alive: dict[str, RunningPool] = {}  # by fingerprint
+        self.alive: dict[str, RunningPool] = {}  # key: fingerprint
 
     def stage(self, checked: CheckedConfiguration) -> dict[str, RunningPool]:
-        """The version's pools by name, existing and new ones, each counted as used once more."""
+        """Return the version's pools by name, reused or newly built, and increment their version counts."""
         pools = {}
         for name, fingerprint in pool_fingerprints(checked).items():
             pool = self.alive.get(fingerprint)
@@ -79,7 +79,7 @@
 
     def _build(self, name: str, fingerprint: str, checked: CheckedConfiguration) -> RunningPool:
         spec = checked.model.pools[name]
-        # Derived from the configured seed too, and different in each pool, so that draws are independent.
+        # The fingerprint covers the configured seed and differs between pools, so that draws are independent.
         seed = int(fingerprint[:15], 16)
         plan = PoolPlan(pool_settings(checked.model, spec), seed, spec.max_connections, spec.drain_grace_ms)
         dispatcher = Dispatcher(plan, self._shared, partial(self._build_source, name, spec))
@@ -102,14 +102,14 @@
     ) -> None:
         """Make the pools the active ones in place of the previous ones.
 
-        A pool that is new takes over the state of the previous one of its name; one that becomes active again
-        after a rollback uses all of its servers again.
+        A new pool inherits the state of the previous pool of its name. A pool that becomes active again after
+        a rollback uses all of its servers again.
 
         Args:
             pools: Pools of the version that becomes active, by name.
             previous_pools: Pools of the version that was active, by name.
-            now_ms: Unix milliseconds.
-            first: Whether this is the first version of the process; its servers don't warm up.
+            now_ms: Time of the activation in Unix milliseconds.
+            first: Whether the version is the first one of the process; its servers don't warm up.
         """
         for name, pool in pools.items():
             pool.superseded_at_ms = None
@@ -153,7 +153,10 @@
             inherit(balancer, previous_balancer, frozenset(migrated_servers))
 
     def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
-        """Stop superseded pools from sending to servers that their successors don't list."""
+        """Stop superseded pools from sending to servers that their successors don't list.
+
+        Applies to a pool from `WITHDRAW_BEFORE_GRACE_END_MS` before the end of its drain grace period on.
+        """
         for pool in self.alive.values():
             superseded_at_ms = pool.superseded_at_ms
             if superseded_at_ms is None:
@@ -166,23 +169,23 @@
             pool.dispatcher.withdraw(listed, superseded_at_ms)
 
     def release(self, pools: dict[str, RunningPool]) -> None:
-        """A version no longer uses these pools; one that no version uses ends."""
+        """Release the pools of a version that no longer uses them; a pool without versions is closed."""
         for pool in pools.values():
             pool.version_count -= 1
             if pool.version_count == 0:
                 del self.alive[pool.fingerprint]
-                _stop(pool)
+                _stop_pool(pool)
         self.server_registry.retain(
             {server.address for pool in self.alive.values() for server in (pool.spec.servers or {}).values()}
         )
 
     def close(self) -> None:
-        """Stop following endpoint lists and close all connections to servers."""
+        """Stop watching endpoint lists and close all connections to servers."""
         for pool in self.alive.values():
-            _stop(pool)
+            _stop_pool(pool)
 
     def status(self) -> list[PoolStatus]:
-        """Each pool's servers, connections and requests."""
+        """Return the present state of each pool."""
         return [
             PoolStatus(
                 fingerprint=pool.fingerprint,
@@ -197,6 +200,6 @@
         ]
 
 
-def _stop(pool: RunningPool) -> None:
+def _stop_pool(pool: RunningPool) -> None:
     pool.dispatcher.source.stop()
     pool.dispatcher.connection_pool.close()
--- a/sandhatch/service/readiness.py
+++ b/sandhatch/service/readiness.py
@@ -1,6 +1,6 @@
-"""Waits until a pool can serve: its endpoint list is there and a server accepts connections.
+"""Waits until a pool can serve: its endpoint list has been received and a server accepts connections.
 
-Sends no request. Every wait is bounded by `STAGE_TIMEOUT_S`.
+No request is sent. The whole wait is bounded by `STAGE_TIMEOUT_S`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from sandhatch.service.errors import StageError
 from sandhatch.service.running_pool import RunningPool
 
-STAGE_TIMEOUT_S = 5.0  # for the endpoint list to arrive and a server to be reached
+STAGE_TIMEOUT_S = 5.0  # limit on receiving the endpoint list and connecting to a server, together
 MAX_PARALLEL_CONNECTS = 8
 LIST_POLL_S = 0.01
 
@@ -20,7 +20,7 @@
     """Wait for the pool's endpoint list, and check that a server accepts a connection.
 
     Raises:
-        StageError: There is no list in time, no server is ready, or none can be connected to.
+        StageError: No list was received in time, no server is ready, or no server can be connected to.
     """
     try:
         async with asyncio.timeout(STAGE_TIMEOUT_S):
@@ -28,7 +28,7 @@
                 await _wait_for_list(pool)
             if not pool.spec.require_reachable:
                 return
-            targets = _targets(pool)
+            targets = _target_addresses(pool)
             if not targets:
                 raise StageError(f"pools.{pool.name}: no server is ready")
             await _connect_to_any(pool.name, targets)
@@ -38,7 +38,7 @@
         ) from None
 
 
-def _targets(pool: RunningPool) -> list[Address]:
+def _target_addresses(pool: RunningPool) -> list[Address]:
     if pool.spec.source is not None:
         return [upstream.address for upstream in pool.dispatcher.connection_pool.table.values()]
     return [
@@ -54,16 +54,16 @@
         pool.dispatcher.source.start()
         if pool.spec.source is not None and pool.spec.source.ask:
             pool.dispatcher.source.fetch()
-    while not pool.dispatcher.ready:  # noqa: ASYNC110 - the dispatcher has no event for this
+    while not pool.dispatcher.ready:  # noqa: ASYNC110 - the dispatcher has no event for readiness
         await asyncio.sleep(LIST_POLL_S)
 
 
 async def _connect_to_any(name: str, targets: list[Address]) -> None:
-    """Open one connection to any of the servers and close it at once; nothing is sent on it."""
+    """Connect to any of the servers and close the connection at once; nothing is sent on it."""
     problem = "no server"
     for start in range(0, len(targets), MAX_PARALLEL_CONNECTS):
         batch = targets[start : start + MAX_PARALLEL_CONNECTS]
-        attempts = [asyncio.create_task(_connection_problem(target)) for target in batch]
+        attempts = [asyncio.create_task(_connect_error(target)) for target in batch]
         try:
             for finished in asyncio.as_completed(attempts):
                 failure = await finished
@@ -76,8 +76,8 @@
     raise StageError(f"pools.{name}: no server can be connected to; {problem}")
 
 
-async def _connection_problem(target: Address) -> str | None:
-    """Why the address can't be connected to; None if it can."""
+async def _connect_error(target: Address) -> str | None:
+    """Return why connecting to the address fails; None if it succeeds."""
     try:
         _, writer = await asyncio.open_connection(*target)
     except OSError as problem:
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -1,7 +1,7 @@
-"""Reload by SIGHUP under a configuration of its own.
+"""Reload of the configuration file by SIGHUP.
 
-The file is read again, proposed against the active version, and committed. A file with errors, or a change
-that is in progress already, leaves everything as it is; the log says so.
+The file is read again, proposed against the active version, and committed. If the file has errors, or another
+change is in progress, the active version stays and the reason is logged.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Reload:
-    """Reads the configuration file again whenever `trigger` is called; calls meanwhile cause one more run."""
+    """Reloads the configuration file when `trigger` is called; calls during a reload cause one more."""
 
     def __init__(self, service: Service, path: str) -> None:
         """Reload the file at `path` into the service."""
@@ -29,7 +29,7 @@
     async def _reload(self) -> None:
         logger = self._service.logger
         try:
-            # On a thread: requests don't wait for a disk or for a long file to be checked.
+            # Reading and checking run on a thread, so that a slow disk or a long file delays no request.
             checked = await asyncio.to_thread(check_file, self._path)
             self._commit(checked)
         except CheckError as failure:
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -1,7 +1,7 @@
 """The request handler of every listener: sends each request to a pool of the active version.
 
-A request belongs to the version that was active when it was received completely, until its answer is sent and
-its last attempt has ended: its route, pool, servers, limits and classes are that version's.
+A request belongs to the version that was active when the request was completely received, until its response
+is sent and its last attempt has ended: its route, pool, servers, limits and classes are that version's.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class RequestHandler:
-    """Routes requests. `current` changes between two requests, never within one.
+    """Routes requests. `current` changes between two requests, never during one.
 
     Attributes:
         current: The active version; None until the first one is activated.
@@ -37,7 +37,7 @@
     """
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
-        """Start without a version; `seed` is that of the draws among the targets of a split."""
+        """Start without a version; `seed` seeds the draws among the targets of a split."""
         self._shared = shared
         self._rng = Random(seed)
         self.current: RunningVersion | None = None
@@ -51,7 +51,7 @@
         return self.current is not None and self.current.ready
 
     def terms(self, client: ClientConnection, message: Message) -> StreamTerms | None:
-        """Limits of the request's body, by its head.
+        """Return the limits of a request's body, from the head of the request.
 
         A body that won't be forwarded is rejected before it arrives. The version that the request belongs to
         is determined later, in `begin`.
@@ -77,14 +77,18 @@
     @staticmethod
     def _read(version: RunningVersion, message: Message) -> ParsedRequest:
         requests = version.requests
-        assert requests is not None  # there is a pool, so there are settings
+        assert requests is not None  # the version has a pool, hence also a parser
         if not message.values(b"x-trace-id"):
-            # Servers and logs tell requests apart by it; a client that sends none can't repeat it either.
+            # Servers and logs identify requests by this id. A client that sends none can't repeat one either,
+            # so a generated id never conflicts with a client's retry.
             message.add(b"X-Trace-Id", uuid4().hex.encode())
         return requests.read(message)
 
     def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
-        """Answer or dispatch a request; what to call if the client disconnects, None if it is answered.
+        """Respond to a request at once, or dispatch it.
+
+        Returns:
+            Callback for a disconnect of the client; None if the response has been sent.
 
         Raises:
             FramingError: The request is rejected; the error has the status.
@@ -118,13 +122,13 @@
     ) -> None:
         now_ms = self._shared.clock.now_ms()
         client.respond(response.status, [(b"Content-Type", response.content_type)], response.body)
-        trace = message.values(b"x-trace-id")
+        trace_ids = message.values(b"x-trace-id")
         record = RequestRecord(
             version=version.number,
             route=route,
             pool="",
             servers=(),
-            trace_id=trace[0] if trace else b"",
+            trace_id=trace_ids[0] if trace_ids else b"",
             request_class=query.request_class,
             status=response.status,
             received_at_ms=now_ms,
@@ -142,13 +146,13 @@
     ) -> DisconnectCallback:
         parsed = self._read(version, message)
         event = parsed.event
-        trace = parsed.trace_id
+        trace_id = parsed.trace_id
         time_left_ms = event.time_left_ms
-        reject_duplicate_id(self._shared.in_flight_ids, trace)
+        reject_duplicate_id(self._shared.in_flight_ids, trace_id)
         terms = version.terms[event.class_index]
         message.terms = terms
         if message.flow is not None:
-            # The class's deadline is for its servers' work; a streamed body has its own.
+            # The class's deadline bounds the servers' work; a streamed body has a time limit of its own.
             expires_in = message.value(b"x-expires-in-ms")
             time_left_ms = terms.total_ms if expires_in is None else min(terms.total_ms, float(expires_in))
             event.time_left_ms = time_left_ms
@@ -157,7 +161,7 @@
         version.open += 1
         self.on_request_received(received_at_ms, class_name, pool.name, version)
         finish = partial(self._finish, version, route, pool.name, class_name, received_at_ms)
-        exchange = pool.dispatcher.start_request(client, message, time_left_ms, trace, event, finish)
+        exchange = pool.dispatcher.start_request(client, message, time_left_ms, trace_id, event, finish)
         return partial(pool.dispatcher.client_disconnected, exchange)
 
     def _finish(
@@ -189,7 +193,10 @@
                 self._free_if_unused(version)
 
     def retire(self, version: RunningVersion) -> None:
-        """Neither new requests nor a rollback need the version; free it once its requests have ended."""
+        """Retire a version that neither new requests nor a rollback need.
+
+        The version is freed once its requests have ended.
+        """
         version.retired = True
         self._free_if_unused(version)
 
--- a/sandhatch/service/request_record.py
+++ b/sandhatch/service/request_record.py
@@ -1,4 +1,4 @@
-"""What is known of a request once it is over, for the access log and for tests. No behaviour of its own."""
+"""The record of a finished request, for the access log and for tests. Plain data."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
     """One finished request. Times are Unix milliseconds.
 
     Attributes:
-        version: Number of the configuration version that the request ran under.
+        version: Number of the configuration version that the request belonged to.
         route: Name of the matched route, "default" if none matched.
-        pool: Name of the pool, empty if the route gave a fixed answer.
-        servers: Numbers of the servers of its attempts, in order.
-        trace_id: Its X-Trace-Id.
-        request_class: Name of its request class.
-        status: Status of the answer; 0 if the client disconnected before one was sent.
-        received_at_ms: When it was received.
-        responded_at_ms: When its answer was sent.
-        truncated_by: Why its body or answer was aborted: "client", "server" or "time"; else empty.
+        pool: Name of the pool; empty if the route has a fixed response.
+        servers: Numbers of the servers of the request's attempts, in order.
+        trace_id: Value of the X-Trace-Id header.
+        request_class: Name of the request class.
+        status: Status of the response; 0 if the client disconnected before a response was sent.
+        received_at_ms: Time when the request was received.
+        responded_at_ms: Time when the response was sent.
+        truncated_by: Why the body or the response was aborted: "client", "server" or "time"; else empty.
     """
 
     version: int
--- a/sandhatch/service/running_pool.py
+++ b/sandhatch/service/running_pool.py
@@ -1,4 +1,4 @@
-"""One pool that runs, and the fingerprint by which versions share it. No I/O."""
+"""A running pool, and the fingerprint by which versions share it. No I/O."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def pool_fingerprints(checked: CheckedConfiguration) -> dict[str, str]:
-    """A hash of everything that each pool is run by, by the pool's name.
+    """Return a hash of the configuration that determines each pool's behaviour, by the pool's name.
 
-    Pools of two versions with the same fingerprint are the same pool. The fingerprint also seeds the pool's
+    Two versions share a pool if its fingerprint is the same in both. The fingerprint also seeds the pool's
     random draws, so the keys of the hashed JSON must not change.
     """
     model = checked.model
@@ -39,12 +39,13 @@
 
     Attributes:
         name: The pool's name in the configuration.
-        fingerprint: Hash of what it is run by; see `pool_fingerprints`.
-        spec: Its part of the configuration.
+        fingerprint: Hash of the pool's configuration; see `pool_fingerprints`.
+        spec: Configuration of the pool.
         dispatcher: Balancer, connections and endpoint list of the pool.
-        version_count: How many versions use it; it ends at 0.
-        started: Whether its endpoint list is being followed.
-        superseded_at_ms: When the active version stopped using it, in Unix milliseconds; None while it does.
+        version_count: Number of versions that use the pool; at 0 the pool is closed.
+        started: Whether the pool's endpoint list is being watched.
+        superseded_at_ms: Time when the active version stopped using the pool, in Unix milliseconds; None as
+            long as the active version uses the pool.
     """
 
     name: str
--- a/sandhatch/service/running_version.py
+++ b/sandhatch/service/running_version.py
@@ -1,4 +1,4 @@
-"""One version of the configuration while it runs: its routes, pools and number of open requests. No I/O.
+"""A version of the configuration while it runs: its routes, pools and number of open requests. No I/O.
 
 A version is freed once neither new requests nor a rollback need it and its last request has ended.
 """
@@ -15,20 +15,20 @@
 
 
 class RunningVersion:
-    """One version's routes and pools, and how many requests it still has.
+    """Routes, pools and number of open requests of one version.
 
     Attributes:
-        number: The version's number.
-        checked: Its configuration.
-        pools: Its pools by name.
-        open: How many of its requests have not ended.
-        retired: Whether neither new requests nor a rollback need it.
+        number: Number of the version.
+        checked: Configuration of the version.
+        pools: Pools of the version by name.
+        open: Number of the version's requests that have not ended.
+        retired: Whether neither new requests nor a rollback need the version.
         requests: Parser of request headers; None if the version has no pool.
         class_names: Names of the request classes, by class index.
         terms: Limits of bodies, by class index.
-        longest_deadline_ms: The longest deadline of its classes.
-        longest_request_ms: The longest that a request may take once no new ones are accepted.
-        longest_objective_ms: The longest latency objective of its classes.
+        longest_deadline_ms: Longest deadline of the version's request classes.
+        longest_request_ms: Longest time that a request may take during a graceful shutdown.
+        longest_objective_ms: Longest latency objective of the version's request classes.
     """
 
     def __init__(self, version: Version, pools: dict[str, RunningPool]) -> None:
@@ -39,9 +39,8 @@
         self.open = 0
         self.retired = False
         model = self.checked.model
-        any_pool = next(
-            iter(model.pools.values()), None
-        )  # the classes and tenants are the same in every pool
+        # Any pool will do: the classes and tenants are the same in every pool.
+        any_pool = next(iter(model.pools.values()), None)
         self.requests = Requests(pool_settings(model, any_pool), model.default_class) if any_pool else None
         self.class_names = list(model.classes)
         self.terms = [item.bodies.terms() for item in model.classes.values()]
@@ -55,7 +54,7 @@
         return all(pool.dispatcher.ready or not pool.spec.require_reachable for pool in self.pools.values())
 
     def query(self, listener: str, message: Message) -> Query:
-        """What the route table needs to know of a request that arrived on the named listener."""
+        """Return the properties by which the route table matches a request received on the named listener."""
         host = (message.value(b"host") or b"").lower()
         host_name, colon, port = host.rpartition(b":")
         if colon and port.isdigit():
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -1,7 +1,7 @@
-"""Numbers of servers, and since when the configuration lists them. No I/O and no clock.
+"""Numbers of servers, and the time since which the configuration lists them. No I/O and no clock.
 
-Both outlast a version, so that a server that moves from one pool to another keeps its number and does not
-warm up again.
+Both are retained across versions, so that a server that moves from one pool to another has the same number as
+before and does not warm up again.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class ServerRegistry:
-    """Servers by address, over all versions and pools of a process."""
+    """Servers by address, across all versions and pools of a process."""
 
     def __init__(self) -> None:
         """Start without any server."""
@@ -19,11 +19,11 @@
         self._name_by_number: dict[int, str] = {}
 
     def number(self, address: str) -> int:
-        """The number of the server at `host:port`; a new one if the address is new."""
+        """Return the number of the server at `host:port`; assign one if the address is new."""
         return self.names.server(address)
 
     def name(self, number: int) -> str:
-        """The server's name in logs: its address, or the id that discovery gave it."""
+        """Return the server's name in logs: its address, or the id that discovery assigned to it."""
         name = self._name_by_number.get(number)
         if name is None:
             self._name_by_number = {number: name for name, number in self.names.known()}
@@ -31,14 +31,14 @@
         return name
 
     def listed_since_ms(self, address: str, now_ms: float) -> float:
-        """When the address was first listed, in Unix milliseconds; `now_ms` if it is new.
+        """Return when the address was first listed, in Unix milliseconds; `now_ms` if it is new.
 
-        0 means that it was listed before the process started.
+        0 means that the address was listed before the process started.
         """
         return self._listed_since_ms.setdefault(address, now_ms)
 
     def retain(self, addresses: set[str]) -> None:
-        """Forget the other addresses: one that returns later may be another process."""
+        """Remove all other addresses: an address that is listed again later may be another process."""
         self._listed_since_ms = {
             address: since_ms for address, since_ms in self._listed_since_ms.items() if address in addresses
         }
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -1,7 +1,7 @@
-"""The running program under its own configuration: assembly, start, shutdown and calls.
+"""The running service: assembly, start, shutdown and operations.
 
-What a call may do is decided in `config.transactions` and `config.version_lifecycle`, and carried out in
-`version_changes`. The disk is written on a thread, one state after the other.
+`config.transactions` and `config.version_lifecycle` decide which operations are permitted; `version_changes`
+carries them out. Disk writes run on a thread, one state after the other.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from sandhatch.service.request_handler import RequestHandler
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_version import RunningVersion
-from sandhatch.service.validation import check_data, checked_text, reject_invalid
+from sandhatch.service.validation import check_data, check_proposed_text, reject_invalid
 from sandhatch.service.version_changes import VersionChanges
 from sandhatch.service.version_store import VersionStore
 
@@ -38,19 +38,19 @@
 
 
 class Service:
-    """One process. `start` before anything else, `drain` at the end.
+    """The service of one process. Call `start` first and `drain` at the end.
 
     Attributes:
         shared: Clock, logger, budgets and in-flight ids.
-        lifecycle: The versions, and what becomes of the one in progress.
-        transactions: The proposals, and what may be done with them.
+        lifecycle: The versions and their states, including the change in progress.
+        transactions: The proposals, and the rules for changes.
         request_handler: Request handler of all listeners.
-        pools: Pools of all versions that run.
+        pools: Pools of all running versions.
         forwarding: The link to the planners.
-        goodput: Comparison of a new version's goodput with that before.
-        changes: Carries out changes of the version.
-        on_request_finished: Called with each finished request.
-        stopping: Whether the process ends.
+        goodput: Comparison of a new version's goodput with the goodput before.
+        changes: Executor of version changes.
+        on_request_finished: Callback that is called with each finished request.
+        stopping: Whether the process is shutting down.
     """
 
     def __init__(
@@ -63,16 +63,16 @@
         """Assemble the service around its first version.
 
         Args:
-            first: The configuration to start with.
-            loop: The event loop that runs everything.
-            history: The state directory; None if versions are not saved.
-            saved: What the state directory held, None if nothing.
+            first: Configuration of the first version.
+            loop: Event loop that runs the service.
+            history: State directory; None if versions are not saved.
+            saved: Versions that the state directory held at the start; None if it was empty.
         """
         seed = first.model.seed
         self.shared = build_shared_resources(loop, first)
         self.clock = self.shared.clock
         self.logger = self.shared.logger
-        self.lifecycle = self._first_lifecycle(first, saved)
+        self.lifecycle = self._build_lifecycle(first, saved)
         self.transactions = Transactions(self.lifecycle, check_data)
         self.request_handler = RequestHandler(self.shared, seed)
         self.pools = Pools(self.shared)
@@ -80,19 +80,19 @@
         self.goodput = GoodputMonitor(self.clock, first)
         self._listener_set = ListenerSet(self.shared, self.request_handler)
         self._store = VersionStore(self.shared, self.lifecycle, history, saved)
-        self.changes = self._version_changes()
+        self.changes = self._build_version_changes()
         self.request_handler.on_request_received = self.goodput.request_received
         self.request_handler.on_request_finished = self._request_finished
         self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
-    def _first_lifecycle(self, first: CheckedConfiguration, saved: Saved | None) -> VersionLifecycle:
-        """The first version has the number of the saved one that it continues, if there is one."""
+    def _build_lifecycle(self, first: CheckedConfiguration, saved: Saved | None) -> VersionLifecycle:
+        """Build the lifecycle. The first version has the number of the saved confirmed version, if any."""
         number = saved.confirmed if saved else 1
         version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
         return VersionLifecycle(version, saved.next_number if saved else 0)
 
-    def _version_changes(self) -> VersionChanges:
+    def _build_version_changes(self) -> VersionChanges:
         return VersionChanges(
             self.shared,
             self.lifecycle,
@@ -119,32 +119,32 @@
         """Unix milliseconds."""
         return self.clock.now_ms()
 
-    # ------------------------------------------------ start and end
+    # ------------------------------------------------ start and shutdown
 
     async def start(self) -> None:
         """Activate the first version.
 
         Raises:
-            StageError: Its listeners can't be bound, or its keys can't be read.
+            StageError: A listener can't be bound, or a planning key can't be read.
         """
         version = self.lifecycle.active
         running = self.changes.build(version)
-        # There is no earlier version to stay with: the first one starts with the servers that there are.
+        # There is no earlier version to stay with: the first version starts even if no server is reachable.
         for pool in running.pools.values():
             try:
                 await wait_until_ready(pool)
             except StageError as problem:
-                self.logger.line(f"warning: {problem}")
+                self.logger.line(f"warning: starting with a pool that is not ready: {problem}")
         self.changes.activate(version, first=True)
         self._store.queue_save(0, None)
         self.clock.call_after(TICK_MS, self._tick)
 
     async def drain(self) -> None:
-        """Shut down gracefully: accept for a while, answer what was received, then close."""
+        """Shut down gracefully: accept for a while, respond to all received requests, then close."""
         self._begin_shutdown()
         self.lifecycle.stop()
         self.changes.carry_out()
-        # Bodies that are streamed have no deadline of a class's, so the longest request counts.
+        # Class deadlines don't apply to streamed bodies, so the longest possible request bounds the drain.
         longest_request_ms = max(
             (version.longest_request_ms for version in self.running.values()), default=0.0
         )
@@ -161,7 +161,7 @@
         self._listener_set.stopping = True
 
     async def close(self) -> None:
-        """Close everything at once; requests that run are aborted."""
+        """Close all listeners and connections at once; running requests are aborted."""
         self._begin_shutdown()
         self.forwarding.close()
         self._listener_set.close()
@@ -169,24 +169,24 @@
         self.changes.cancel_staging()
         await self._store.close()
 
-    # ------------------------------------------------ calls, from the control socket and from signals
+    # ------------------------------------------------ operations, called by the control socket and on signals
 
     def propose(
         self, text: bytes, base: int | None, author: str = "", comment: str = "", merge: bool = False
     ) -> Proposal:
-        """Check text in full and keep it as a proposal.
+        """Check a configuration's text in full and retain it as a proposal.
 
         Args:
-            text: The configuration.
-            base: Number of the version that it was made from; None for the active one.
-            author: Who proposes it.
-            comment: Why.
-            merge: Whether it may be merged with changes since its base.
+            text: YAML or JSON text of the configuration.
+            base: Number of the version that the configuration was edited from; None for the active version.
+            author: Name of the user who proposes the change.
+            comment: Reason for the change.
+            merge: Whether the proposal may be merged with changes made since its base.
 
         Raises:
-            RejectedError: The text has errors, or the proposal can't be taken.
+            RejectedError: The text has errors, or the proposal can't be accepted.
         """
-        return self.propose_checked(checked_text(text), base, author, comment, merge, len(text))
+        return self.propose_checked(check_proposed_text(text), base, author, comment, merge, len(text))
 
     def propose_checked(
         self,
@@ -197,17 +197,21 @@
         merge: bool = False,
         size: int = 0,
     ) -> Proposal:
-        """As `propose`, of a configuration that has been checked; `size` is that of its text in bytes."""
+        """Propose a configuration that has been checked; `size` is the size of its text in bytes."""
         number = self.transactions.active.number if base is None else base
         return self.transactions.propose(self.now_ms, number, checked, author, comment, merge, size)
 
     def commit(self, proposal: int, confirm_within_ms: float | None = None, watched: bool = True) -> Version:
-        """Begin to change to a proposal; RejectedError if that can't be.
+        """Start the change to a proposal.
 
         Args:
-            proposal: Its number.
-            confirm_within_ms: Roll back unless it is confirmed within this time; None to confirm by itself.
-            watched: Whether it is rolled back if goodput falls.
+            proposal: Number of the proposal.
+            confirm_within_ms: Time after which the version is rolled back unless it is confirmed; None to
+                confirm it automatically.
+            watched: Whether the version is rolled back if goodput falls.
+
+        Raises:
+            RejectedError: The proposal can't be committed.
         """
         version = self.transactions.commit(self.now_ms, proposal, confirm_within_ms, watched)
         self.changes.carry_out()
@@ -220,7 +224,7 @@
         return version
 
     def extend(self, within_ms: float, number: int | None = None) -> Version:
-        """Give the pending version this much time from now on to be confirmed."""
+        """Set the time to confirm the pending version to `within_ms` from now."""
         return self.lifecycle.extend(self.now_ms, within_ms, number)
 
     def rollback(self, author: str = "", to: int | None = None) -> Version:
@@ -246,10 +250,10 @@
         self.transactions.discard(proposal)
 
     def version_data(self, number: int) -> dict[str, Any]:
-        """The configuration of a version.
+        """Return the configuration of a version.
 
         Raises:
-            RejectedError: There is no such version in memory.
+            RejectedError: No version with this number is in memory.
         """
         version = self.lifecycle.versions.get(number)
         if version is None:
@@ -257,16 +261,16 @@
         return version.data
 
     def history_rows(self) -> tuple[HistoryRow, ...]:
-        """The history of versions, oldest first."""
+        """Return the history of versions, oldest first."""
         return self._store.rows()
 
     async def wait_until_decided(self, version: Version, over: bool = False) -> Version:
-        """Wait until a version is active or has ended; with `over`, until it has ended."""
+        """Wait until a version is active or in a terminal state; with `over`, until a terminal state."""
         while version.state not in TERMINAL_STATES and (over or version.state not in RUNNING):
             await self.changes.changed.wait()
         return version
 
-    # ------------------------------------------------ while it runs
+    # ------------------------------------------------ callbacks and the regular tick
 
     def _request_finished(self, record: RequestRecord, version: RunningVersion) -> None:
         self.goodput.request_finished(record, version)
@@ -282,6 +286,6 @@
             self.pools.withdraw_unlisted(current.pools, now_ms)
         self.lifecycle.tick(now_ms)
         self.changes.carry_out()
-        self._listener_set.end_idle()
+        self._listener_set.close_idle_connections()
         if not self.stopping:
             self.clock.call_after(TICK_MS, self._tick)
--- a/sandhatch/service/validation.py
+++ b/sandhatch/service/validation.py
@@ -1,4 +1,4 @@
-"""Checks configurations that reach a running service. No I/O; the rules are those of `config.check`."""
+"""Checks configurations sent to a running service, by the rules of `config.check`. No I/O."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 
 
 def check_data(data: dict[str, Any]) -> CheckedConfiguration:
-    """Check data that did not come from a file.
+    """Check a configuration that was not read from a file.
 
     Raises:
-        CheckError: The data has errors.
+        CheckError: The configuration has errors.
     """
     return check(Document("configuration", data))
 
 
 @contextmanager
 def reject_invalid() -> Iterator[None]:
-    """Turn a `CheckError` into a `RejectedError` of the call, with every problem."""
+    """Convert a `CheckError` into a `RejectedError` that lists every problem."""
     try:
         yield
     except CheckError as failure:
         errors = [str(problem) for problem in failure.problems]
-        raise RejectedError(RejectionReason.INVALID, f"{len(errors)} problems", problems=errors) from None
+        raise RejectedError(
+            RejectionReason.INVALID, f"the configuration has {len(errors)} problems", problems=errors
+        ) from None
 
 
-def checked_text(text: bytes) -> CheckedConfiguration:
-    """Check text in full.
+def check_proposed_text(text: bytes) -> CheckedConfiguration:
+    """Check a configuration's text in full.
 
     Raises:
         RejectedError: The text has errors.
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -1,8 +1,8 @@
-"""Carries out what the lifecycle of versions decides: versions are staged, activated, retired and saved.
+"""Executes the actions of the version lifecycle: versions are staged, activated, retired and saved.
 
-Everything here runs on one event loop, so that a version is activated between two requests: there is no
-moment at which some traffic is under one version and some under the next. What may happen, and in which
-order, is decided in `config.version_lifecycle`.
+All of this runs on one event loop, so that a version is activated between two requests: at no time do new
+requests go partly to one version and partly to the next. `config.version_lifecycle` decides which actions
+follow and in which order.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
     Attributes:
         running: Versions that are staged, active or still have requests, by number.
-        changed: Set, and replaced by a new event, whenever a version's state changes.
+        changed: Event that is set, and replaced by a new one, whenever a version's state may have changed.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         store: VersionStore,
         goodput: GoodputMonitor,
     ) -> None:
-        """Connect the parts; nothing is carried out yet."""
+        """Connect the parts of the service; no action is executed yet."""
         self._shared = shared
         self._lifecycle = lifecycle
         self._request_handler = request_handler
@@ -67,23 +67,23 @@
         self._store = store
         self._goodput = goodput
         self._staging_tasks: set[asyncio.Task[None]] = set()
-        self._carrying_out = False
+        self._executing_actions = False
         self.running: dict[int, RunningVersion] = {}
         self.changed = asyncio.Event()
         request_handler.on_version_freed = self._free
         store.on_saved = self.carry_out
 
     def carry_out(self) -> None:
-        """Carry out what has been decided; decisions that result from that come after it."""
-        if self._carrying_out:
+        """Execute the lifecycle's pending actions, then the actions that result from them."""
+        if self._executing_actions:
             return
-        self._carrying_out = True
+        self._executing_actions = True
         try:
             while actions := self._lifecycle.take_actions():
                 for action in actions:
                     self._execute(action)
         finally:
-            self._carrying_out = False
+            self._executing_actions = False
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -112,17 +112,17 @@
         task.add_done_callback(self._staging_tasks.discard)
 
     def cancel_staging(self) -> None:
-        """Stop waiting for pools of versions that are being staged."""
+        """Cancel the staging of versions."""
         for task in list(self._staging_tasks):
             task.cancel()
 
     # ------------------------------------------------ staging
 
     def build(self, version: Version) -> RunningVersion:
-        """Build pools and bind listeners beside what runs.
+        """Build a version's pools and bind its listeners beside the active version's.
 
         Raises:
-            StageError: Something is missing; nothing is left behind then.
+            StageError: A key can't be read or a listener can't be bound; nothing has been built then.
         """
         self._forwarding.check(version.checked.model)
         self._listeners.stage(version)
@@ -137,7 +137,7 @@
         except StageError as problem:
             self._lifecycle.failed(version, str(problem))
         except Exception as problem:
-            # Guards what runs: whatever error a new version meets, it must not stay half built.
+            # An unexpected error must not leave the version half built nor stop the running service.
             self._lifecycle.failed(version, f"{type(problem).__name__}: {problem}")
         else:
             self._lifecycle.staged(version)
@@ -152,11 +152,11 @@
     # ------------------------------------------------ activating
 
     def activate(self, version: Version, first: bool = False) -> None:
-        """From here on every new request is under this version. No step of this waits.
+        """Make a version the one that every new request belongs to. No step waits.
 
         Args:
-            version: A version that has been built.
-            first: Whether it is the first version of the process.
+            version: Version that has been built.
+            first: Whether the version is the first one of the process.
         """
         running = self.running[version.number]
         previous = self._request_handler.current
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -1,7 +1,7 @@
 """Saves versions to the state directory, one state after the other, on a thread.
 
-What a version's record and the files look like is decided in `config.history`; without a state directory
-nothing is written and every save succeeds.
+`config.history` defines the records and files. Without a state directory nothing is written and every save
+succeeds.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 @dataclass(slots=True, frozen=True)
 class _QueuedSave:
-    """One state to be saved.
+    """One queued state of all versions.
 
     Attributes:
-        step: Number by which the lifecycle learns the result.
-        record: The state of all versions.
-        contents: Configurations by version number.
+        step: Number by which the result is reported to the lifecycle.
+        record: State of all versions.
+        contents: Configurations, by version number.
     """
 
     step: int
@@ -35,7 +35,7 @@
 
 
 class VersionStore:
-    """Queue of saves, and the history of versions from before the process started."""
+    """Queue of saves, and the history of versions of earlier processes."""
 
     def __init__(
         self,
@@ -44,24 +44,24 @@
         history: History | None,
         saved: Saved | None,
     ) -> None:
-        """Save into `history`, None for nowhere; `saved` is what it held at the start."""
+        """Save into `history`, or nowhere if None; `saved` is what the state directory held at the start."""
         self._shared = shared
         self._lifecycle = lifecycle
         self._history = history
         self._earlier_rows = saved.rows if saved else ()
         self._queue: deque[_QueuedSave] = deque()
         self._task: asyncio.Task[None] | None = None
-        self.on_saved: Callable[[], None] = lambda: None  # called after each save, also one that failed
+        self.on_saved: Callable[[], None] = lambda: None  # called after each save, successful or failed
 
     def rows(self) -> tuple[HistoryRow, ...]:
-        """The history of versions, oldest first."""
+        """Return the history of versions, oldest first."""
         rows = self._lifecycle.record().rows
         numbers = {row.number for row in rows}
         earlier = [row for row in self._earlier_rows if row.number not in numbers]
         return tuple(sorted([*earlier, *rows], key=lambda row: row.number)[-MAX_RECORDS:])
 
     def confirmed_content(self, number: int) -> dict[str, Any] | None:
-        """The configuration of a confirmed version from before this process, None if there is none."""
+        """Return the configuration of a version that an earlier process confirmed; None if there is none."""
         if self._history is None:
             return None
         if not any(row.number == number and row.state is State.CONFIRMED for row in self._earlier_rows):
@@ -69,7 +69,7 @@
         return self._history.content(number)
 
     def queue_save(self, step: int, version: Version | None) -> None:
-        """Save the state of now, with the content of `version` if one is given."""
+        """Queue a save of the present state, with the configuration of `version` if one is given."""
         record = self._lifecycle.record()
         contents = {record.confirmed: self._lifecycle.versions[record.confirmed].data}
         if version is not None:
@@ -84,7 +84,9 @@
             try:
                 await self._write(save)
             except OSError as problem:
-                self._shared.logger.line(f"versions can't be saved: {problem.strerror}")
+                self._shared.logger.line(
+                    f"versions can't be saved to the state directory: {problem.strerror}"
+                )
                 reason = problem.strerror or str(problem)
                 self._lifecycle.save_failed(save.step, reason)
             else:
@@ -98,7 +100,7 @@
         await asyncio.to_thread(self._history.save, record, save.contents)
 
     async def close(self) -> None:
-        """Wait for the saves in progress, and let go of the state directory."""
+        """Wait for queued saves, and release the state directory."""
         if self._task is not None:
             await self._task
         if self._history is not None:
--- a/tests/cli/test_output.py
+++ b/tests/cli/test_output.py
@@ -1,4 +1,4 @@
-"""What the verbs print of a service's answers, and the exit codes that they lead to."""
+"""Output and exit codes of the verbs for the responses of a service."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class FakeClient:
-    """Answers calls with one answer, in place of a control socket, and records their operations."""
+    """Gives every call the same response, in place of a control socket, and records the operations."""
 
     def __init__(self, response: Response) -> None:
         self.response = response
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("verb", "answer", "code"),
+    ("verb", "response", "code"),
     [
         ("commit", {"ok": True, "state": "in force"}, ExitCode.OK),
         ("commit", {"ok": True, "state": "failed"}, ExitCode.FAILED),
@@ -78,10 +78,10 @@
         ("abort", {"ok": False, "why": "unknown"}, ExitCode.FAILED),
     ],
 )
-def test_an_answer_leads_to_its_exit_code(
-    verb: str, answer: Response, code: ExitCode, monkeypatch: pytest.MonkeyPatch, console: Console
+def test_each_response_leads_to_its_exit_code(
+    verb: str, response: Response, code: ExitCode, monkeypatch: pytest.MonkeyPatch, console: Console
 ) -> None:
-    service = FakeClient(answer)
+    service = FakeClient(response)
     monkeypatch.setattr("sandhatch.cli.service_call.Client", service.connect)
     args = argparse.Namespace(verb=verb, json=False, control="unused.sock")
     assert call_service(args, console, lambda _args: {}, lambda _response, _console: None) == code
@@ -89,7 +89,7 @@
     assert service.path == "unused.sock"
 
 
-def test_the_exit_codes_are_those_of_the_help(capsys: pytest.CaptureFixture[str]) -> None:
+def test_exit_codes_match_the_help_text(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--help"]) == 0
     described = " ".join(capsys.readouterr().out.split())
     assert [int(code) for code in ExitCode] == [0, 1, 2, 3, 4, 5]
@@ -103,30 +103,30 @@
         assert words in described
 
 
-def test_the_status_shows_the_pending_version_and_the_time_left(console: Console) -> None:
+def test_status_shows_pending_version_and_remaining_time(console: Console) -> None:
     status._show_status(STATUS, console)
     lines = printed(console).splitlines()
     assert lines[0] == "edge: version 2 in force, 1 confirmed"
     assert lines[1] == "version 2: in force"
-    assert lines[2] == "taken back unless confirmed in 1.5 s"
-    assert lines[-1].startswith("bodies in passing: 0, at most 3 at once, 4096 bytes so far")
+    assert lines[2] == "rolled back unless confirmed in 1.5 s"
+    assert lines[-1].startswith("streamed bodies: 0 open, at most 3 at once, 4096 bytes so far")
 
 
 @pytest.mark.parametrize(
     ("planning", "line"),
     [
-        ({"lends_to": None, "own_parts_in_ms": 0}, "web-1: uses its own parts"),
-        ({"lends_to": None, "own_parts_in_ms": 250}, "web-1: uses its own parts in 250 ms"),
-        ({"lends_to": "p0", "own_parts_in_ms": 0}, "web-1: its parts are lent to planner p0"),
+        ({"lends_to": None, "own_parts_in_ms": 0}, "web-1: uses its own shares"),
+        ({"lends_to": None, "own_parts_in_ms": 250}, "web-1: uses its own shares in 250 ms"),
+        ({"lends_to": "p0", "own_parts_in_ms": 0}, "web-1: its shares are leased to planner p0"),
     ],
 )
-def test_the_status_shows_who_uses_the_forwarders_parts(
+def test_status_shows_who_uses_the_forwarders_shares(
     planning: dict[str, Any], line: str, console: Console
 ) -> None:
     status._show_status(STATUS | {"planning": planning | {"forwarder": "web-1", "planners": []}}, console)
     assert line in printed(console).splitlines()
 
 
-def test_a_difference_without_changes_says_so(console: Console) -> None:
+def test_diff_without_changes_prints_that_no_key_differs(console: Console) -> None:
     changes._show_diff({"ok": True, "changes": []}, console)
     assert printed(console) == "no key differs\n"
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -1,4 +1,4 @@
-"""The control socket: calls, malformed calls, stalled and many peers, and the command line as its client."""
+"""The control socket: calls, malformed calls, stalled peers, many peers, and the command line as a client."""
 
 from __future__ import annotations
 
@@ -46,14 +46,14 @@
 
     async def read_response(self) -> dict[str, Any]:
         line = await self.reader.readline()
-        assert line, "closed without an answer"
+        assert line, "connection closed without a response"
         response = json.loads(line)
         assert isinstance(response, dict)
         return response
 
 
 @asynccontextmanager
-async def controlled(
+async def service_with_control_socket(
     tmp: Path, call_timeout_s: float = 10.0
 ) -> AsyncIterator[tuple[RunningService, FakeServers, str]]:
     farm = await FakeServers().start("a1", "b1", "o1")
@@ -72,19 +72,19 @@
     return Path(path).stat().st_mode
 
 
-def change(farm: FakeServers, **more: Any) -> str:
+def changed_config(farm: FakeServers, **more: Any) -> str:
     return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
 
 
-def test_a_change_is_proposed_committed_and_rolled_back_by_calls(tmp_path: Path) -> None:
+def test_calls_propose_commit_and_roll_back_a_change(tmp_path: Path) -> None:
     async def work() -> None:
         async with (
-            controlled(tmp_path) as (running, farm, path),
+            service_with_control_socket(tmp_path) as (running, farm, path),
             Peer(path) as peer,
             HttpClient(running.port) as client,
         ):
             assert stat.S_IMODE(file_mode(path)) == 0o600
-            proposed = await peer.call("propose", text=change(farm), base=1, comment="to b")
+            proposed = await peer.call("propose", text=changed_config(farm), base=1, comment="to b")
             assert proposed["ok"]
             assert proposed["changes"] == 2
             diff = await peer.call("diff", proposal=proposed["proposal"])
@@ -134,17 +134,17 @@
         {"op": "check", "text": "x"},
     ],
 )
-def test_a_call_that_cannot_be_carried_out_is_rejected_with_the_reason(
+def test_invalid_call_is_rejected_with_a_reason_and_changes_nothing(
     tmp_path: Path, call: dict[str, Any]
 ) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (running, _, path), Peer(path) as peer:
+        async with service_with_control_socket(tmp_path) as (running, _, path), Peer(path) as peer:
             peer.writer.write(encode(call))
             response = await peer.read_response()
             assert response["ok"] is False
             assert response["text"]
             assert response["why"] != "internal"
-            assert (await peer.call("status"))["ok"]  # the connection goes on
+            assert (await peer.call("status"))["ok"]  # the connection stays usable
             assert running.service.transactions.active.number == 1
 
     run(work())
@@ -153,9 +153,11 @@
 @pytest.mark.parametrize(
     "malformed", [b"GET / HTTP/1.1\r\n\r\n", b"\x00\xff\n", b"[1]\n", b"5\n", b"[" * 9999 + b"\n"]
 )
-def test_malformed_input_is_answered_and_the_connection_closed(tmp_path: Path, malformed: bytes) -> None:
+def test_malformed_input_gets_an_error_response_and_closes_the_connection(
+    tmp_path: Path, malformed: bytes
+) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (_, _, path), Peer(path) as peer:
+        async with service_with_control_socket(tmp_path) as (_, _, path), Peer(path) as peer:
             peer.writer.write(malformed)
             response = await peer.read_response()
             assert response["ok"] is False
@@ -165,10 +167,10 @@
     run(work())
 
 
-def test_a_stalled_peer_is_disconnected_and_delays_no_other(tmp_path: Path) -> None:
+def test_stalled_peer_is_disconnected_and_delays_no_other_peer(tmp_path: Path) -> None:
     async def work() -> None:
         async with (
-            controlled(tmp_path, call_timeout_s=0.2) as (_, _, path),
+            service_with_control_socket(tmp_path, call_timeout_s=0.2) as (_, _, path),
             Peer(path) as stalled,
             Peer(path) as peer,
         ):
@@ -179,7 +181,7 @@
     run(work())
 
 
-def test_a_call_that_is_too_long_is_rejected_and_not_buffered() -> None:
+def test_line_over_the_size_limit_is_rejected_and_not_buffered() -> None:
     reader = LineReader(1000)
     for _ in range(10):
         assert reader.feed(b"x" * 100) == []
@@ -189,15 +191,15 @@
     assert LineReader().feed(b'{"a":1}\n{"b":2}\n{"c"') == [{"a": 1}, {"b": 2}]
 
 
-def test_of_two_hundred_simultaneous_commits_exactly_one_succeeds(tmp_path: Path) -> None:
-    """Each on a connection of its own proposes another value for one key and commits at once."""
+def test_exactly_one_of_two_hundred_concurrent_commits_succeeds(tmp_path: Path) -> None:
+    """Each commit has its own connection and proposes a different value for the same key."""
 
     async def work() -> None:
-        async with controlled(tmp_path) as (running, farm, path):
+        async with service_with_control_socket(tmp_path) as (running, farm, path):
 
             async def propose_and_commit(number: int) -> dict[str, Any]:
                 async with Peer(path) as peer:
-                    text = change(farm, max_connections=50 + number)
+                    text = changed_config(farm, max_connections=50 + number)
                     proposed = await peer.call("propose", text=text, base=1)
                     if not proposed["ok"]:
                         return proposed
@@ -218,12 +220,16 @@
     run(work())
 
 
-def test_other_calls_are_answered_while_ten_thousand_routes_are_checked(tmp_path: Path) -> None:
-    """A long configuration is checked on a thread, and then committed."""
+def test_other_calls_get_responses_while_ten_thousand_routes_are_checked(tmp_path: Path) -> None:
+    """A long configuration is checked on a thread, which leaves the event loop free, and then committed."""
 
     async def work() -> None:
-        async with controlled(tmp_path) as (running, farm, path), Peer(path) as peer, Peer(path) as other:
-            data = json.loads(change(farm))
+        async with (
+            service_with_control_socket(tmp_path) as (running, farm, path),
+            Peer(path) as peer,
+            Peer(path) as other,
+        ):
+            data = json.loads(changed_config(farm))
             data["routes"] += [
                 {"name": f"r{n}", "match": {"path": {"exact": f"/p/{n}"}}, "to": {"pool": "orders"}}
                 for n in range(10_000)
@@ -244,12 +250,12 @@
     run(work())
 
 
-def test_a_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (_, _, path):
-            monkeypatch.setattr("sandhatch.control.server.peer_user", lambda _socket: os.geteuid() + 4711)
+        async with service_with_control_socket(tmp_path) as (_, _, path):
+            monkeypatch.setattr("sandhatch.control.server.peer_uid", lambda _socket: os.geteuid() + 4711)
             async with Peer(path) as peer:
-                assert await peer.reader.read() == b""  # closed without an answer
+                assert await peer.reader.read() == b""  # closed without a response
             monkeypatch.undo()
             async with Peer(path) as peer:
                 assert (await peer.call("status"))["ok"]
@@ -257,9 +263,9 @@
     run(work())
 
 
-def test_a_socket_in_use_or_another_file_is_not_replaced(tmp_path: Path) -> None:
+def test_start_does_not_replace_a_socket_in_use_or_another_file(tmp_path: Path) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (running, _, path):
+        async with service_with_control_socket(tmp_path) as (running, _, path):
             with pytest.raises(ControlError, match="another process listens"):
                 await ControlServer(Calls(running.service), running.service.logger, path).start()
             (tmp_path / "file").write_text("mine")
@@ -277,64 +283,64 @@
 
 
 class CommandResult(NamedTuple):
-    """How one run of the command line ended, and what it printed."""
+    """Exit code and output of one run of the command line."""
 
     code: int
     out: str
     err: str
 
 
-def command(*arguments: str) -> CommandResult:
+def run_command(*arguments: str) -> CommandResult:
     out, err = io.StringIO(), io.StringIO()
     code = cli.main(arguments, out, err)
     return CommandResult(code, out.getvalue(), err.getvalue())
 
 
-def test_check_reports_every_problem_and_its_exit_code(tmp_path: Path) -> None:
+def test_check_reports_every_problem_and_verbs_return_their_error_codes(tmp_path: Path) -> None:
     good = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
-    assert command("check", str(good)).code == 0
+    assert run_command("check", str(good)).code == 0
     bad = tmp_path / "bad.yaml"
     bad.write_text("format: 1\npools: 5\n")
-    code, _, err = command("check", str(bad))
+    code, _, err = run_command("check", str(bad))
     assert code == 1
     assert f"{bad}:2: pools: expected a mapping, got 5" in err
     assert "classes: required key is missing" in err
-    code, out, _ = command("check", "--json", str(bad))
+    code, out, _ = run_command("check", "--json", str(bad))
     assert code == 1
     assert json.loads(out)["problems"][0]["line"] in (0, 2)
-    assert command("check", str(tmp_path / "none")).code == 1
-    assert command("nonsense").code == 2
-    assert command("status", "--control", str(tmp_path / "no.sock")).code == 3
+    assert run_command("check", str(tmp_path / "none")).code == 1
+    assert run_command("nonsense").code == 2
+    assert run_command("status", "--control", str(tmp_path / "no.sock")).code == 3
 
 
-def test_a_file_in_another_encoding_is_rejected_without_a_traceback(tmp_path: Path) -> None:
+def test_file_that_is_not_utf8_is_rejected_with_an_error_message(tmp_path: Path) -> None:
     path = tmp_path / "wide.yaml"
     example = Path(__file__).parent.parent.parent / "deploy" / "own-example.yaml"
     path.write_text(example.read_text(), encoding="utf-16")
-    code, _, err = command("propose", str(path))
+    code, _, err = run_command("propose", str(path))
     assert code == 1
     assert f"{path}: not UTF-8" in err
 
 
-def test_the_verbs_make_their_calls_and_return_their_exit_codes(tmp_path: Path) -> None:
+def test_verbs_make_their_calls_and_return_their_exit_codes(tmp_path: Path) -> None:
     async def work() -> None:
-        async with controlled(tmp_path) as (running, farm, path):
+        async with service_with_control_socket(tmp_path) as (running, farm, path):
 
             async def run_verb(*arguments: str) -> CommandResult:
                 verb, *rest = arguments
-                return await asyncio.to_thread(command, verb, "--control", path, *rest)
+                return await asyncio.to_thread(run_command, verb, "--control", path, *rest)
 
             first = tmp_path / "first.yaml"
             second = tmp_path / "second.yaml"
-            first.write_text(change(farm, max_attempts=3))
-            second.write_text(change(farm, max_attempts=4))
+            first.write_text(changed_config(farm, max_attempts=3))
+            second.write_text(changed_config(farm, max_attempts=4))
             assert (await run_verb("propose", str(first), "--base", "1")).out.startswith("proposal 1: 3 keys")
             assert (await run_verb("propose", str(second), "--base", "1")).code == 0
             assert "max_attempts" in (await run_verb("diff", "--proposal", "1")).out
             code, out, _ = await run_verb("commit", "1", "--confirm-within", "60")
             assert code == 0
             assert "version 2: in force" in out
-            assert "taken back unless confirmed" in out
+            assert "rolled back unless confirmed" in out
             code, _, err = await run_verb("commit", "2")
             assert code == 4
             assert "pools.web.max_attempts" in err
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -1,4 +1,4 @@
-"""A service between fake servers and clients, with a record of what happened to every request."""
+"""A service between fake servers and clients, with a record of every finished request."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from testkit.servers import FakeConnection, FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 
-TEST_LIMIT_S = 300.0  # no test takes a tenth of it on an idle machine
-CONNECT_TIMEOUT_MS = 20_000  # no connection takes that long, however late the test's process is scheduled
+TEST_LIMIT_S = 300.0  # limit per test; on an idle machine, every test takes less than a tenth
+CONNECT_TIMEOUT_MS = 20_000  # longer than any connect takes, even if the test's process is scheduled late
 
 
 class FakeServers:
-    """Fake servers by name; each records the requests that it runs and answers with its name."""
+    """Fake servers by name; each records the requests that it runs and responds with its name."""
 
     def __init__(self) -> None:
         self.books = RequestLog()
@@ -38,22 +38,22 @@
         return self
 
     def _behaviour(self, name: str) -> Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]:
-        async def serve(request: ReceivedRequest, talk: FakeConnection) -> None:
+        async def serve(request: ReceivedRequest, connection: FakeConnection) -> None:
             self.books.add_run(request.headers["x-trace-id"], name)
             behaviour = self.behave.get(name)
             if behaviour is not None:
-                await behaviour(request, talk)
+                await behaviour(request, connection)
             else:
-                await talk.send(ok(name.encode()))
+                await connection.send(ok(name.encode()))
 
         return serve
 
     def address(self, name: str) -> str:
-        """A server's `host:port`."""
+        """Return a server's `host:port`."""
         return f"127.0.0.1:{self.servers[name].port}"
 
     def pool(self, *names: str, **more: Any) -> dict[str, Any]:
-        """Configuration of a pool of the named servers; `more` adds or replaces keys."""
+        """Return the configuration of a pool of the named servers; `more` adds or replaces keys."""
         servers = {name: {"address": self.address(name)} for name in names}
         return {
             "servers": servers,
@@ -63,7 +63,7 @@
         } | more
 
     def config(self, web: Any, orders: Any, **more: Any) -> dict[str, Any]:
-        """Configuration of two pools; `/orders` is routed to one, everything else to the other."""
+        """Return a configuration of two pools: `/orders` is routed to `orders`, all other paths to `web`."""
         return {
             "format": 1,
             "listeners": {"front": {"address": "127.0.0.1:0"}},
@@ -96,53 +96,56 @@
 
     @property
     def port(self) -> int:
-        """The first listener's port."""
+        """Port of the first listener."""
         return next(iter(self.service.listeners.values())).port
 
     def propose(self, data: dict[str, Any], base: int | None = None, **more: Any) -> int:
-        """Propose a configuration; the proposal's number."""
+        """Propose a configuration and return the proposal's number."""
         return self.service.propose(json.dumps(data).encode(), base, **more).number
 
     async def commit(self, data: dict[str, Any], over: bool = True, **more: Any) -> Version:
-        """Commit a change of the active version, and wait until it is decided (with `over`) or active."""
+        """Commit a change and wait for a terminal state; without `over`, only until the version is active."""
         version = self.service.commit(self.propose(data), **more)
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.service.wait_until_decided(version, over=over)
 
     async def confirmed(self, data: dict[str, Any]) -> Version:
-        """Commit a change that must succeed."""
+        """Commit a change, and assert that it is confirmed."""
         version = await self.commit(data)
         assert version.state is State.CONFIRMED, version.why
         return version
 
     async def until(self, holds: Callable[[], bool]) -> None:
-        """Wait until the condition holds; it may be of any state, most of which have no event."""
+        """Wait until the condition holds, by polling: most states have no event."""
         await wait_until(holds)
 
     def server_name(self, farm: FakeServers, number: int) -> str:
-        """The name of the fake server that has this number in the service."""
+        """Return the name of the fake server that has this number in the service."""
         address = self.service.pools.server_registry.name(number)
         return next(name for name in farm.servers if farm.address(name) == address)
 
 
 @asynccontextmanager
 async def serving(data: dict[str, Any], history: History | None = None) -> AsyncIterator[RunningService]:
-    """A service that runs the configuration, or what `history` has saved."""
+    """Run a service with the configuration, or with the version that `history` has saved."""
     saved = history.load() if history else None
     checked = check_text(json.dumps(saved.data if saved else data))
     service = Service(checked, asyncio.get_running_loop(), history, saved)
     running = RunningService(service)
-    rest_ms, ConnectionPool.COOLDOWN_MS = ConnectionPool.COOLDOWN_MS, 0.0  # connections are reused at once
+    cooldown_ms, ConnectionPool.COOLDOWN_MS = (
+        ConnectionPool.COOLDOWN_MS,
+        0.0,
+    )  # connections are reused at once
     try:
         await service.start()
         yield running
     finally:
         await service.close()
-        ConnectionPool.COOLDOWN_MS = rest_ms
+        ConnectionPool.COOLDOWN_MS = cooldown_ms
 
 
 def run(work: Any) -> None:
-    """Run a test's work, bounded in time."""
+    """Run a test's coroutine, and fail it after `TEST_LIMIT_S`."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_LIMIT_S):
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -1,4 +1,4 @@
-"""Pools whose endpoint lists come from the platform's discovery, under a configuration of its own."""
+"""Pools of a versioned configuration whose endpoint lists come from the platform's discovery service."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     return {"source": {"discovery": f"127.0.0.1:{discovery.port}"}, "drain_grace_ms": 500} | more
 
 
-def test_a_pool_that_follows_discovery_is_staged_with_its_list_and_follows_it() -> None:
+def test_discovered_pool_has_its_list_when_activated_and_applies_later_updates() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "b1", "b2", "o1")
         discovery = await FakeDiscovery([farm.servers["b1"].entry("b1")]).start()
@@ -27,7 +27,7 @@
         ):
             version = await running.confirmed(farm.config(discovered_pool(discovery), farm.pool("o1")))
             client.send_request()
-            # The list was there before the version was active.
+            # The pool received the list before the version became active.
             assert (await client.read_response()).body == b"b1"
             discovery.change(
                 farm.servers["b1"].entry("b1", lifecycle="leaving"), farm.servers["b2"].entry("b2")
@@ -38,7 +38,7 @@
             )
             client.send_request()
             assert (await client.read_response()).body == b"b2"
-            # After a change of another key, the pool's new dispatcher follows the same discovery.
+            # After a change of another key, the pool's new dispatcher watches the same endpoint list.
             await running.confirmed(farm.config(discovered_pool(discovery, max_attempts=3), farm.pool("o1")))
             client.send_request()
             assert (await client.read_response()).body == b"b2"
@@ -49,7 +49,7 @@
     run(work())
 
 
-def test_a_pool_whose_discovery_does_not_answer_is_not_applied(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_version_whose_pool_receives_no_endpoint_list_fails_to_stage(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(readiness, "STAGE_TIMEOUT_S", 0.3)
 
     async def work() -> None:
@@ -72,8 +72,8 @@
     run(work())
 
 
-def test_a_rollback_from_discovery_to_listed_servers_uses_all_of_them() -> None:
-    """The earlier version's servers are withdrawn once the grace is over, and used after a rollback."""
+def test_rollback_from_discovery_to_static_servers_uses_all_servers_again() -> None:
+    """The earlier pool withdraws its servers near the end of its drain grace; a rollback restores them."""
 
     async def work() -> None:
         farm = await FakeServers().start("a1", "b1", "o1")
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -15,7 +15,7 @@
 from tests.service.harness import FakeServers, run, serving
 
 
-def test_a_change_with_a_listener_whose_address_is_taken_is_not_applied() -> None:
+def test_version_with_a_listener_whose_address_is_in_use_fails_to_stage() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
@@ -37,7 +37,7 @@
     run(work())
 
 
-def test_listeners_close_with_a_change_and_reopen_with_a_rollback() -> None:
+def test_removed_listener_closes_and_a_rollback_reopens_it() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         port = free_port()
@@ -51,7 +51,7 @@
             await running.commit(second, over=False, confirm_within_ms=60_000.0)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
-            assert await before.read_to_end() == b""  # the closed listener closes idle connections
+            assert await before.read_to_end() == b""  # a removed listener closes its idle connections
             running.service.rollback()
             async with HttpClient(port) as after:
                 after.send_request()
@@ -61,7 +61,7 @@
     run(work())
 
 
-def test_limits_below_what_is_in_use_abort_nothing() -> None:
+def test_limits_below_the_present_use_abort_no_request() -> None:
     async def work() -> None:
         names = ("a1", "a2", "a3", "a4")
         farm = await FakeServers().start(*names, "o1")
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -1,4 +1,4 @@
-"""Pools across versions: what a change of one keeps, what its successor takes over, and slow start."""
+"""Pools across versions: unchanged pools, state that a changed pool inherits, and slow start."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.service.harness import FakeServers, run, serving
 
 
-def test_a_change_of_one_pool_leaves_the_other_its_balancer_tokens_and_connections() -> None:
+def test_change_of_one_pool_retains_the_other_pools_dispatcher_and_connections() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "b1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
@@ -37,14 +37,14 @@
                 assert (await client.read_response()).body == b"o1"
             client.send_request()
             assert (await client.read_response()).body == b"b1"
-            # One of them is the check at the start whether the server can be reached.
+            # One of the two connections is the readiness check at the start.
             assert farm.servers["o1"].connections == 2
         farm.close()
 
     run(work())
 
 
-def test_a_changed_pool_takes_over_connections_and_the_balancer_state() -> None:
+def test_changed_pool_inherits_idle_connections_and_balancer_state() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "a2", "o1")
         async with (
@@ -57,7 +57,7 @@
                 await client.read_response()
             previous = previous_dispatcher.balancer
             assert isinstance(previous, Balancer)
-            await asyncio.sleep(0.05)  # a connection rests a little after an answer
+            await asyncio.sleep(0.05)  # lets the connection become idle after the last response
             before = farm.servers["a1"].connections
             await running.confirmed(farm.config(farm.pool("a1", max_attempts=4), farm.pool("o1")))
             successor = running.service.request_handler.current.pools["web"].dispatcher.balancer  # type: ignore[union-attr]
@@ -67,7 +67,7 @@
             assert successor.latency.responses == previous.latency.responses
             client.send_request()
             assert (await client.read_response()).body == b"a1"
-            # The check whether it can be reached opened one; the request reused the pooled connection.
+            # The readiness check opened at most one connection; the request reused the pooled one.
             assert farm.servers["a1"].connections <= before + 1
             assert previous_dispatcher.connection_pool.sockets == 0
         farm.close()
@@ -75,7 +75,7 @@
     run(work())
 
 
-def test_a_pool_removed_with_requests_running_serves_them_to_the_end() -> None:
+def test_removed_pool_completes_its_requests_in_flight() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         released = asyncio.Event()
@@ -105,12 +105,12 @@
     run(work())
 
 
-def test_a_new_version_whose_pool_is_empty_or_unreachable_is_not_applied() -> None:
+def test_version_whose_pool_has_no_ready_or_reachable_server_fails_to_stage() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         first = farm.config(farm.pool("a1"), farm.pool("o1"))
         with socket.socket() as bound:
-            bound.bind(("127.0.0.1", 0))  # has the port, and does not listen
+            bound.bind(("127.0.0.1", 0))  # occupies the port without listening
             dead = {"servers": {"x": {"address": f"127.0.0.1:{bound.getsockname()[1]}"}}}
             async with serving(first) as running, HttpClient(running.port) as client:
                 for pool, reason in (
@@ -137,8 +137,8 @@
     run(work())
 
 
-def test_a_server_that_is_no_longer_listed_gets_no_new_attempts_from_older_versions() -> None:
-    """A request of the old version, whose retry would come after the grace, finds the server draining."""
+def test_unlisted_server_gets_no_new_attempts_from_older_versions_after_the_grace() -> None:
+    """A request of the old version whose retry falls due after the grace period finds the server draining."""
 
     async def work() -> None:
         farm = await FakeServers().start("a1", "a2", "o1")
@@ -166,7 +166,7 @@
     run(work())
 
 
-def test_a_new_server_warms_up_and_one_from_another_pool_does_not() -> None:
+def test_new_server_warms_up_and_a_server_from_another_pool_does_not() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "a2", "o1", "o2")
         first = farm.config(farm.pool("a1"), farm.pool("o1", "o2"))
@@ -180,7 +180,7 @@
                 for server in balancer.server_list.servers.values()
             }
             assert warming == {"a1": False, "a2": True, "o2": False}
-            # A change of the pool neither restarts the warm-up nor renews the credit.
+            # A further change of the pool neither restarts the warm-up nor resets the slow-start credit.
             slow_start = balancer.slow_start
             assert isinstance(slow_start, SlowStart)
             (warming_up,) = slow_start.credits
@@ -203,10 +203,8 @@
     run(work())
 
 
-def test_servers_that_warm_up_are_not_overloaded_by_a_change() -> None:
-    """Half of a pool's servers are new: under constant load they get a small part at first, where an
-    even draw would give them half.
-    """
+def test_servers_that_warm_up_get_a_small_share_after_a_change() -> None:
+    """Half of the servers are new: under load they get less than a tenth, where an even draw gives half."""
 
     async def work() -> None:
         farm = await FakeServers().start("a1", "a2", "a3", "a4", "o1")
--- a/tests/service/test_request_handling.py
+++ b/tests/service/test_request_handling.py
@@ -1,4 +1,4 @@
-"""Routes, fixed answers and requests with missing headers, under a configuration of its own."""
+"""Routes, fixed responses and requests with missing headers, handled by a service."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from tests.service.harness import FakeServers, run, serving
 
 
-def test_routes_fixed_answers_and_requests_without_class_or_id_are_handled() -> None:
+def test_routes_fixed_responses_and_requests_without_class_or_id_are_handled() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         data = farm.config(farm.pool("a1"), farm.pool("o1"))
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -1,4 +1,4 @@
-"""`sandhatch serve` as a process: killed at every step of a change; SIGHUP, SIGTERM and a commit at once."""
+"""`sandhatch serve` as a process: SIGKILL at every step of a change; SIGHUP, SIGTERM and a commit at once."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class ServeProcess:
-    """One state directory, configuration file and control socket, and the process that uses them."""
+    """A `sandhatch serve` process with its state directory, configuration file and control socket."""
 
     def __init__(self, tmp: Path, port: int) -> None:
         self.tmp = tmp
@@ -92,29 +92,27 @@
         farm.close()
 
 
-def to_b(first: dict[str, Any], farm: FakeServers) -> dict[str, Any]:
+def config_with_b1(first: dict[str, Any], farm: FakeServers) -> dict[str, Any]:
     return first | {"pools": {"web": farm.pool("b1"), "orders": farm.pool("o1")}}
 
 
-async def serving_pool(port: int) -> bytes:
+async def responding_server(port: int) -> bytes:
     async with HttpClient(port) as client:
         client.send_request()
         return (await client.read_response()).body
 
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
-def test_after_a_kill_at_any_step_of_a_change_the_confirmed_version_is_active(
-    tmp_path: Path, step: str
-) -> None:
-    """SIGKILL right after each call; after the restart the version that was confirmed serves."""
+def test_confirmed_version_is_active_after_sigkill_at_any_step_of_a_change(tmp_path: Path, step: str) -> None:
+    """SIGKILL right after each call; after the restart, the confirmed version serves."""
 
     async def work() -> None:
         async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
-            assert await serving_pool(program.port) == b"a1"
-            proposed = await program.call("propose", text=json.dumps(to_b(first, farm)))
+            assert await responding_server(program.port) == b"a1"
+            proposed = await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
             expected = {b"a1"}
-            if step == "commit":  # wherever staging, saving and applying have got to by then
+            if step == "commit":  # interrupts staging, saving or activation at an arbitrary point
                 call = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
                 await asyncio.sleep(0.005)
                 await program.kill()
@@ -122,7 +120,7 @@
             elif step != "propose":
                 done = await program.call("commit", proposal=proposed["proposal"], confirm_within_ms=60_000)
                 assert done["state"] == "in force"
-                assert await serving_pool(program.port) == b"b1"
+                assert await responding_server(program.port) == b"b1"
                 if step == "confirm":
                     assert (await program.call("confirm"))["state"] == "confirmed"
                     expected = {b"b1"}
@@ -130,7 +128,7 @@
                     assert (await program.call("rollback"))["state"] == "taken back"
             await program.kill()
             await program.start()
-            assert {await serving_pool(program.port) for _ in range(5)} == expected
+            assert {await responding_server(program.port) for _ in range(5)} == expected
             history = (await program.call("history"))["versions"]
             if step == "in force":
                 assert history[-1]["state"] == "lost"
@@ -141,11 +139,11 @@
     run(work())
 
 
-def test_a_version_that_crashed_the_process_is_not_used_at_the_next_start(tmp_path: Path) -> None:
+def test_unconfirmed_version_of_a_killed_process_is_not_used_after_restart(tmp_path: Path) -> None:
     async def work() -> None:
         async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
-            await program.call("propose", text=json.dumps(to_b(first, farm)))
+            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
             await program.call("commit", proposal=1, confirm_within_ms=60_000)
             await program.kill()
             history = History(str(program.state))
@@ -154,15 +152,15 @@
             assert saved is not None
             assert (saved.confirmed, saved.lost_version) == (1, 2)
             await program.start()
-            # Its number is not used again.
-            await program.call("propose", text=json.dumps(to_b(first, farm)))
+            # The lost version's number is not reused.
+            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
             assert (await program.call("commit", proposal=1))["version"] == 3
 
     run(work())
 
 
-def test_sighup_sigterm_and_a_commit_at_once_lose_no_request(tmp_path: Path) -> None:
-    """Under load: every request received is answered, and the process ends by itself with 0."""
+def test_concurrent_sighup_sigterm_and_commit_lose_no_request(tmp_path: Path) -> None:
+    """Under load, every received request gets a response, and the process exits with status 0."""
 
     async def work() -> None:
         async with serve_process(tmp_path) as (program, farm, first):
@@ -172,7 +170,7 @@
             )
             assert program.process is not None
             program.file.write_text(json.dumps(first | {"name": "renamed"}))
-            await program.call("propose", text=json.dumps(to_b(first, farm)))
+            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
             commit = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0)
@@ -189,7 +187,7 @@
     run(work())
 
 
-def test_sighup_applies_the_file_and_an_invalid_one_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_applies_a_valid_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
     async def work() -> None:
         async with serve_process(tmp_path) as (program, farm, first):
             await program.start()
@@ -197,10 +195,10 @@
             program.file.write_text("format: [")
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.1)
-            assert await serving_pool(program.port) == b"a1"
-            program.file.write_text(json.dumps(to_b(first, farm)))
+            assert await responding_server(program.port) == b"a1"
+            program.file.write_text(json.dumps(config_with_b1(first, farm)))
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                while await serving_pool(program.port) != b"b1":
+                while await responding_server(program.port) != b"b1":
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.05)
             assert (await program.call("history"))["versions"][-1]["author"] == "SIGHUP"
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -1,4 +1,4 @@
-"""Versions while they run: no request under a mixture of two, and no change applied in part."""
+"""Running versions: no request uses a mixture of two versions, and no change is applied partially."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 @pytest.mark.usefixtures("no_slow_attempts")
-def test_no_request_is_handled_under_a_mixture_of_two_versions() -> None:
-    """Under constant load, each request's route, pool and servers are those of the version it arrived under.
+def test_no_request_uses_a_mixture_of_two_versions() -> None:
+    """Under constant load, each request uses the route, pool and servers of the version it arrived under.
 
-    Each gets one answer; no non-idempotent request runs twice; every version is freed in the end.
+    Each request gets one response, no non-idempotent request runs twice, and every version is freed.
     """
 
     async def work() -> None:
@@ -32,11 +32,11 @@
         choices = variants(farm)
         async with serving(choices[0]) as running:
             load = LoadGenerator(running.port, farm.books, choose, clients=12)
-            data_of = await churn(running, choices, 120, seed=11)
+            config_by_version = await churn(running, choices, 120, seed=11)
             await load.stop()
             service = running.service
             await running.until(lambda: len(running.records) == len(farm.books.entries))
-            check_no_mixture(running, data_of)
+            check_no_mixture(running, config_by_version)
             assert farm.books.faults(NON_IDEMPOTENT) == []
             assert set(farm.books.statuses()) == {200}, farm.books.statuses()
             assert len({record.version for record in running.records}) > 30
@@ -48,9 +48,9 @@
 
 
 class RejectsFirstAttempt:
-    """A server's behaviour: the first attempt waits until it is released, and is rejected before it runs.
+    """A server's behaviour: the first attempt waits for `released`, and is rejected before it runs.
 
-    Later attempts are answered.
+    Later attempts succeed.
     """
 
     def __init__(self, books: RequestLog) -> None:
@@ -59,23 +59,23 @@
         self.first_arrived = asyncio.Event()
         self.trace_ids: list[str] = []
 
-    async def __call__(self, request: ReceivedRequest, talk: FakeConnection) -> None:
+    async def __call__(self, request: ReceivedRequest, connection: FakeConnection) -> None:
         self.trace_ids.append(request.headers["x-trace-id"])
         if len(self.trace_ids) > 1:
-            await talk.send(ok(b"second"))
+            await connection.send(ok(b"second"))
             return
         self.first_arrived.set()
         await self.released.wait()
         entry = self._books.entries.get(self.trace_ids[0])
         if entry is not None:
             entry.ran.clear()  # rejected before it ran
-        await talk.send(status(503, "X-Never-Ran: 1\r\n"))
+        await connection.send(status(503, "X-Never-Ran: 1\r\n"))
 
 
-def test_a_request_between_two_attempts_stays_with_its_version_when_that_is_rolled_back() -> None:
+def test_request_between_two_attempts_stays_with_its_version_after_a_rollback() -> None:
     """A non-idempotent request is between two attempts when its version is rolled back.
 
-    Its first attempt never ran; its retry goes to the same version's servers and not to the active ones.
+    The first attempt never ran; the retry goes to a server of the same version, not of the active version.
     """
 
     async def work() -> None:
@@ -108,7 +108,7 @@
     run(work())
 
 
-def test_a_change_of_a_version_that_was_rolled_back_under_a_request_is_a_conflict() -> None:
+def test_commit_of_a_proposal_whose_base_was_rolled_back_is_a_conflict() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "b1", "b2", "o1")
         behaviour = RejectsFirstAttempt(farm.books)
@@ -135,7 +135,7 @@
     run(work())
 
 
-def test_a_configuration_with_errors_changes_nothing_and_every_error_is_reported() -> None:
+def test_invalid_configuration_is_rejected_with_every_error_and_not_stored() -> None:
     async def work() -> None:
         farm = await FakeServers().start("a1", "o1")
         async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
@@ -149,7 +149,7 @@
     run(work())
 
 
-def test_a_service_is_not_built_from_an_invalid_configuration() -> None:
+def test_service_is_not_built_from_an_invalid_configuration() -> None:
     async def work() -> None:
         with pytest.raises(CheckError):
             async with serving({"format": 1}):
@@ -158,8 +158,8 @@
     run(work())
 
 
-def test_a_change_that_lowers_goodput_is_rolled_back_with_the_reason() -> None:
-    """The new pool's server answers 500; the watch sees goodput fall, and the old pool serves again."""
+def test_change_that_lowers_goodput_is_rolled_back_with_the_reason() -> None:
+    """The new pool's server responds 500; the watch detects the fall in goodput and restores the old pool."""
 
     async def work() -> None:
         farm = await FakeServers().start("a1", "a2", "b1", "o1")
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -1,4 +1,4 @@
-"""Random changes of the configuration, and the check that no request sees a mixture of versions."""
+"""Random changes of the configuration, and the check that no request uses a mixture of versions."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def choose(rng: Random) -> tuple[str, str]:
-    """A request's class and target."""
+    """Draw the class and target of a request."""
     return ("order", "/orders/new") if rng.random() < 0.4 else ("look", "/pages")
 
 
 def variants(farm: FakeServers) -> list[dict[str, Any]]:
-    """Configurations among which a test changes. The servers of each pool tell them apart."""
+    """Return configurations to change between; they differ in the pools' servers, routes or settings."""
     first = farm.config(farm.pool("a1", "a2"), farm.pool("o1", "o2"))
     replaced_pool = farm.config(farm.pool("b1", "b2"), farm.pool("o1", "o2"))
     replaced_server = farm.config(farm.pool("a1", "a2"), farm.pool("o2", "o3"))
@@ -38,10 +38,10 @@
     return [first, replaced_pool, replaced_server, exchanged_servers, exchanged_routes, changed_settings]
 
 
-def check_no_mixture(running: RunningService, data_of: dict[int, dict[str, Any]]) -> None:
-    """Every record's route, pool and servers are those of its version alone."""
+def check_no_mixture(running: RunningService, config_by_version: dict[int, dict[str, Any]]) -> None:
+    """Assert that the route, pool and servers of every record belong to its version."""
     for record in running.records:
-        data = data_of[record.version]
+        data = config_by_version[record.version]
         to = data["default"] if record.route == "default" else data["routes"][0]["to"]
         assert record.pool == to["pool"], record
         allowed = {server["address"] for server in data["pools"][record.pool]["servers"].values()}
@@ -56,21 +56,21 @@
     seed: int,
     pause_s: float = 0.0,
 ) -> dict[int, Any]:
-    """Random commits, confirmations and rollbacks; each version's configuration."""
+    """Run random commits, confirmations and rollbacks; return each version's configuration by its number."""
     rng = Random(seed)
     service = running.service
-    data_of = {1: service.transactions.active.data}
+    config_by_version = {1: service.transactions.active.data}
     for _ in range(commits):
         await asyncio.sleep(pause_s)
-        within = 60_000.0 if rng.random() < 0.4 else None
+        confirm_within_ms = 60_000.0 if rng.random() < 0.4 else None
         choice = rng.choice(choices)
         if choice == service.transactions.active.data:
             with pytest.raises(RejectedError) as rejected:
-                service.commit(running.propose(choice), within)
+                service.commit(running.propose(choice), confirm_within_ms)
             assert rejected.value.reason is RejectionReason.NOTHING
             continue
-        version = service.commit(running.propose(choice), within)
-        data_of[version.number] = version.data
+        version = service.commit(running.propose(choice), confirm_within_ms)
+        config_by_version[version.number] = version.data
         await service.wait_until_decided(version)
         assert version.state is not State.FAILED, version.why
         if rng.random() < 0.5:
@@ -81,4 +81,4 @@
             else:
                 service.confirm()
         await service.wait_until_decided(version, over=True)
-    return data_of
+    return config_by_version
