--- a/sandhatch/platform/__init__.py
+++ b/sandhatch/platform/__init__.py
@@ -1,4 +1,4 @@
 """The platform's program: assembly, request handling, graceful shutdown and reload by signal.
 
-It needs none of the optional packages. Source: the platform's pages PROTOCOL and DEPLOY.
+Requires none of the optional packages. Source: the platform's pages PROTOCOL and DEPLOY.
 """
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -1,6 +1,6 @@
 """Assembly of the platform's program: one listener, one pool, configured by the platform.
 
-It starts nothing; `sandhatch.__main__` does.
+Starts nothing itself: `sandhatch.__main__` does.
 """
 
 from __future__ import annotations
@@ -20,35 +20,35 @@
 from sandhatch.runtime.in_flight_ids import retention_ms
 from sandhatch.runtime.logger import report_loop_errors
 from sandhatch.runtime.shared_resources import SharedResources
-from sandhatch.telemetry.event_recorder import Recorder, requested_record
+from sandhatch.telemetry.event_recorder import Recorder, requested_record_scope
 
-OWN_DESCRIPTORS = 24  # the process's own: listener, discovery, files
+OWN_DESCRIPTORS = 24  # descriptors that the process itself needs: listener, discovery, files
 MIN_CONNECTION_DESCRIPTORS = 8
 
 
 class PlatformProgram:
-    """The parts of the platform's program, put together.
+    """The assembled components of the platform's program.
 
     Attributes:
-        shared: Clock, logger, budgets and in-flight ids.
-        dispatcher: The one pool.
-        discovery: Where its endpoint list comes from.
-        listener: Where clients connect.
+        shared: Clock, logger, budgets and in-flight request ids.
+        dispatcher: Dispatcher of the only pool.
+        discovery: Discovery client that provides the pool's endpoint list.
+        listener: Listener that clients connect to.
     """
 
     def __init__(
         self, config: PlatformConfig, loop: asyncio.AbstractEventLoop, decisions: Decisions | None = None
     ) -> None:
-        """Assemble the program.
+        """Assembles the program.
 
         Args:
-            config: The platform's configuration.
-            loop: The event loop that runs everything.
-            decisions: What decides in place of the balancer, for tests.
+            config: Configuration given by the platform.
+            loop: Event loop that runs the whole program.
+            decisions: Replacement for the balancer, for tests.
         """
         settings = config.settings
         self._longest_deadline_ms = max(item.deadline_ms for item in settings.classes)
-        # Clients and servers share the descriptors that the process does not need itself.
+        # Connections to clients and to servers share the descriptors that the process does not need itself.
         connection_descriptors = max(MIN_CONNECTION_DESCRIPTORS, config.sockets - OWN_DESCRIPTORS)
         self.shared = SharedResources(
             loop,
@@ -76,14 +76,14 @@
         self.listener = Listener(config.listen, self.shared, request_handler)
 
     def _record_events(self, config: PlatformConfig) -> None:
-        record = requested_record(os.environ, self.shared.logger.line)
-        if record is None:
+        scope = requested_record_scope(os.environ, self.shared.logger.line)
+        if scope is None:
             return
         clock = self.shared.clock
-        self.dispatcher.observe(Recorder(config.name, config.settings.tier, clock.now_ms, what=record))
+        self.dispatcher.observe(Recorder(config.name, config.settings.tier, clock.now_ms, scope=scope))
 
     async def drain(self) -> None:
-        """Shut down gracefully: accept for a while, answer what was received, then close."""
+        """Shuts down gracefully: accepts connections for a while, completes pending requests, then closes."""
         self._shutdown_deadline.begin(self._longest_deadline_ms)
         await drain(
             self.shared.clock,
--- a/sandhatch/platform/reload.py
+++ b/sandhatch/platform/reload.py
@@ -1,6 +1,6 @@
-"""Reload by SIGHUP of the platform's program: discovery is followed to the address in the file.
+"""Reload of the platform's program on SIGHUP: the discovery client moves to the address in the file.
 
-The other keys of the file count from the next start. A file with errors changes nothing.
+Other keys of the file take effect at the next start. A file with errors changes nothing.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class DiscoveryReload:
-    """Reads the platform's configuration again whenever `trigger` is called."""
+    """Reloads the platform's configuration whenever `trigger` is called."""
 
     def __init__(self, discovery: Discovery, logger: Logger) -> None:
-        """Move `discovery` to the address that the file names."""
+        """Creates a reload that moves `discovery` to the address in the configuration file."""
         self._discovery = discovery
         self._logger = logger
         self.trigger = CoalescingRunner(self._reload).trigger
 
     async def _reload(self) -> None:
         try:
-            # On a thread: requests don't wait for a disk or for a long file to be checked.
+            # On a thread, so that neither disk reads nor the validation of a long file delay requests.
             config = await asyncio.to_thread(load, is_reload=True)
-        except ConfigError as problem:
-            self._logger.line(f"reload: {problem}; the configuration read before stays in use")
+        except ConfigError as error:
+            self._logger.line(f"reload failed: {error}; the previous configuration stays in use")
             return
-        self._logger.line(f"reload: discovery is {format_address(config.discovery)}")
+        self._logger.line(f"reload: discovery address is {format_address(config.discovery)}")
         self._discovery.relocate(config.discovery)
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -21,7 +21,7 @@
 
 
 class PlatformRequestHandler:
-    """Rejects what is not a request to the pool, and dispatches the rest."""
+    """Rejects requests that are not for the pool, and dispatches the others."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         shared: SharedResources,
         shutdown_deadline: ShutdownDeadline,
     ) -> None:
-        """Handle requests of classes in `settings` with the dispatcher of the pool."""
+        """Creates a handler that dispatches requests of the classes in `settings` to the pool."""
         self._dispatcher = dispatcher
         self._in_flight_ids = shared.in_flight_ids
         self._shutdown_deadline = shutdown_deadline
@@ -38,18 +38,24 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the pool can serve."""
+        """Whether the pool can serve requests."""
         return self._dispatcher.ready
 
     def terms(self, _client: ClientConnection, _message: Message) -> StreamTerms | None:
-        """None: the platform's bodies are small, so a request begins when its last byte is received."""
+        """Returns None, for no streaming: the platform's bodies are small.
+
+        A request therefore begins once its last byte is received.
+        """
         return None
 
     def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
-        """Answer or dispatch a request; what to call if the client disconnects, None if it is answered.
+        """Responds to a request or dispatches it to the pool.
+
+        Returns:
+            The callback for a disconnect of the client; None if the response has been sent already.
 
         Raises:
-            FramingError: The request is rejected; the error has the status.
+            FramingError: The request is rejected; the error carries the status.
         """
         if message.target.partition(b"?")[0] != API_PATH:
             client.respond(404, [], b"")
--- a/sandhatch/runtime/__init__.py
+++ b/sandhatch/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every protocol and every pool shares: time, logging, memory, descriptors, addresses.
+"""Services that every protocol and pool shares: time, logging, memory, descriptors, addresses.
 
-It decides nothing, and knows no protocol, pool or configuration.
+Makes no balancing decisions and depends on no protocol, pool or configuration.
 """
--- a/sandhatch/runtime/address.py
+++ b/sandhatch/runtime/address.py
@@ -1,7 +1,7 @@
-"""Addresses as text and as sockets take them.
+"""Conversion of addresses between text and the form that sockets take.
 
-Numeric only: nothing here resolves a name or opens a socket. Source: the `address:port` of the settings, the
-own configuration and the platform's protocol.
+Numeric addresses only: nothing here resolves a name or opens a socket. Source: the `address:port` format of
+the settings, of sandhatch's own configuration and of the platform's protocol.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def read_address(text: str) -> Address:
-    """Parse `address:port`.
+    """Parses `address:port`.
 
     Raises:
-        ValueError: It is not that; the message says what is expected.
+        ValueError: The text has another form; the message says what is expected.
     """
     host, _, port = text.rpartition(":")
     try:
@@ -34,10 +34,10 @@
 
 
 def parse_address(text: object, key: str) -> Address:
-    """As `read_address`, of the value at a configuration key.
+    """Parses the value of a configuration key, as `read_address` does.
 
     Raises:
-        ConfigError: It is not an address; the message names the key and the value.
+        ConfigError: The value is not an address; the message names the key and the value.
     """
     try:
         return read_address(text if isinstance(text, str) else "")
@@ -46,10 +46,10 @@
 
 
 def format_address(address: Address) -> str:
-    """The address as `host:port`."""
+    """Formats the address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def server_label(address: str) -> int:
-    """A number of the server at `host:port` on which all instances and planners agree."""
+    """Returns a number for the server at `host:port` that is the same in all instances and planners."""
     return crc32(address.encode())
--- a/sandhatch/runtime/clock.py
+++ b/sandhatch/runtime/clock.py
@@ -1,6 +1,6 @@
-"""The process's time and its timers: one clock for all, so that times that are compared have the same source.
+"""The process's clock and timers: one clock for all components, so that their times are comparable.
 
-It never turns back and never reads anything but the system's clocks.
+The clock is monotonic and reads nothing but the system's clocks.
 """
 
 from __future__ import annotations
@@ -11,38 +11,38 @@
 from heapq import heapify, heappop, heappush
 from math import ceil
 
-MIN_COMPACT_SIZE = 1024  # timers in the heap before cancelled ones are looked for
+MIN_COMPACT_SIZE = 1024  # number of timers up to which the heap is not searched for cancelled ones
 
 
 class Timer:
-    """A call at a time.
+    """A function call scheduled for a time.
 
     Attributes:
-        due_ms: When, in Unix milliseconds.
-        call: What is called; None once it has been called or cancelled.
+        due_ms: Time at which the call is due, in Unix milliseconds.
+        call: Function to call; None once it has been called or the timer has been cancelled.
     """
 
     __slots__ = ("call", "due_ms")
 
     def __init__(self, due_ms: float, call: Callable[[], None]) -> None:
-        """A timer that has not fired."""
+        """Creates a timer that has not fired."""
         self.due_ms = due_ms
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Don't call; nothing happens if it has been called."""
+        """Cancels the call; has no effect once the timer has fired."""
         self.call = None
 
 
 class Clock:
-    """Unix milliseconds, read once and carried on by the monotonic clock.
+    """Time in Unix milliseconds, read once from the system and advanced by the monotonic clock.
 
-    A step of the system's time can't turn it back. Timers fire at their time or after, never before, in the
-    order of their times.
+    A step of the system's time does not affect it. Timers fire at or after their due time, never before, in
+    the order of their due times.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Read the time; timers fire on `loop`."""
+        """Reads the system's time; timers fire on `loop`."""
         self._loop = loop
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
         self._heap: list[tuple[float, int, Timer]] = []  # due time, serial number that breaks ties, timer
@@ -52,11 +52,11 @@
         self._compact_at = MIN_COMPACT_SIZE
 
     def now_ms(self) -> float:
-        """Unix milliseconds."""
+        """Returns the current time in Unix milliseconds."""
         return self._offset_ms + time.monotonic() * 1000.0
 
     def call_after(self, delay_ms: float, call: Callable[[], None]) -> Timer:
-        """Call once, `delay_ms` from now."""
+        """Schedules one call, `delay_ms` from now."""
         timer = Timer(self.now_ms() + delay_ms, call)
         self._serial += 1
         heappush(self._heap, (timer.due_ms, self._serial, timer))
@@ -66,7 +66,7 @@
         return timer
 
     def _compact(self) -> None:
-        """Remove cancelled timers: they must not fill the heap."""
+        """Removes cancelled timers, which would otherwise accumulate in the heap."""
         self._heap = [entry for entry in self._heap if entry[2].call is not None]
         heapify(self._heap)
         self._compact_at = max(MIN_COMPACT_SIZE, 2 * len(self._heap))
@@ -80,7 +80,7 @@
                 return
             self._wakeup.cancel()
         self._wakeup_ms = due_ms
-        # The loop counts in whole milliseconds.
+        # Rounded up, because the event loop's timers have a resolution of 1 ms.
         delay_s = max(0, ceil(due_ms - self.now_ms())) / 1000.0
         self._wakeup = self._loop.call_later(delay_s, self._fire_due)
 
--- a/sandhatch/runtime/coalescing_runner.py
+++ b/sandhatch/runtime/coalescing_runner.py
@@ -1,6 +1,6 @@
-"""Runs work that is requested by signals: one run at a time, requests meanwhile coalesced into one more.
+"""Runs work requested by signals, one run at a time; requests during a run are coalesced into one more run.
 
-It knows nothing of the work, never runs it twice at a time, and never drops a request.
+Independent of the work that it runs. Never runs the work twice concurrently and never drops a request.
 """
 
 from __future__ import annotations
@@ -10,19 +10,20 @@
 
 
 class CoalescingRunner:
-    """Runs an asynchronous function; the last run begins no earlier than the last request."""
+    """Runs an asynchronous function on request; the last run begins no earlier than the last request."""
 
     def __init__(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Nothing runs until `trigger` is called."""
+        """Creates a runner; nothing runs until `trigger` is called."""
         self._work = work
         self._requested = False
         self._task: asyncio.Task[None] | None = None
 
     def trigger(self) -> None:
-        """Request a run and return at once.
+        """Requests a run and returns immediately.
 
-        If none is in progress, one is started on the running event loop. If one is, exactly one more follows
-        it, however often this is called meanwhile. A run that follows the last call thus always takes place.
+        If no run is in progress, one is started on the running event loop. Otherwise exactly one more run
+        follows, however often `trigger` is called in the meantime. A run therefore always begins after the
+        last call.
         """
         self._requested = True
         if self._task is None or self._task.done():
--- a/sandhatch/runtime/environment.py
+++ b/sandhatch/runtime/environment.py
@@ -1,6 +1,6 @@
 """Environment variables whose names changed when the package was renamed to sandhatch.
 
-It reads nothing itself: the environment is passed in.
+Does not read the environment itself: it is passed in.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def renamed_variable(env: Mapping[str, str], name: str, warn: Callable[[str], None]) -> str | None:
-    """The value of `SANDHATCH_` + `name`, None if it is not set.
+    """Returns the value of `SANDHATCH_` + `name`, None if it is not set.
 
-    The former name, `LARKWEIR_` + `name`, still counts where the new one is not set; `warn` is then called
-    with one line that names the new one.
+    The former name, `LARKWEIR_` + `name`, is still read if the new one is not set; `warn` is then called with
+    one line that names the new variable.
     """
     current = PREFIX + name
     former = FORMER_PREFIX + name
--- a/sandhatch/runtime/errors.py
+++ b/sandhatch/runtime/errors.py
@@ -1,6 +1,6 @@
-"""Errors of values that come from outside: a settings file, an environment variable, a message.
+"""Errors in values from outside the process: a settings file, an environment variable, a message.
 
-Plain exceptions that log nothing. What only one package raises is in that package's own `errors`.
+Plain exceptions that log nothing. Errors raised by a single package are in that package's own `errors`.
 """
 
 from __future__ import annotations
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -1,6 +1,6 @@
-"""Counts over all flows of a process, for the status and for measurements.
+"""Counters over all flows of a process, for the status and for measurements.
 
-Every flow is counted: nothing is sampled, and no decision is based on a count. Source:
+Every flow is counted without sampling, and no decision depends on a counter. Source:
 docs/operators/bodies.md, "What you see".
 """
 
@@ -12,17 +12,17 @@
 
     Attributes:
         open: Flows that have not ended.
-        most_open: The most that were open at a time.
-        opened: Flows since the start.
+        most_open: Maximum number of flows open at the same time.
+        opened: Flows opened since the start.
         bytes: Bytes forwarded, in both directions.
-        peak_bytes: The most bytes that one flow buffered.
-        over: How often a flow buffered more than its ceiling.
+        peak_bytes: Maximum number of bytes that one flow has buffered.
+        over: Number of times that a flow buffered more than its ceiling.
     """
 
     __slots__ = ("bytes", "most_open", "open", "opened", "over", "peak_bytes")
 
     def __init__(self) -> None:
-        """All counts are 0."""
+        """Creates counters that are all 0."""
         self.open = 0
         self.most_open = 0
         self.opened = 0
@@ -31,13 +31,13 @@
         self.over = 0
 
     def count_opened(self) -> None:
-        """Count a flow that is opened now."""
+        """Counts a flow that has just been opened."""
         self.open += 1
         self.opened += 1
         self.most_open = max(self.most_open, self.open)
 
     def snapshot(self) -> dict[str, int]:
-        """The counts by the keys that they have in the status ("bodies" on the operators' page)."""
+        """Returns the counters by their keys in the status ("bodies" on the operators' page)."""
         return {
             "bytes": self.bytes,
             "most_open": self.most_open,
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -1,57 +1,58 @@
-"""Ids of requests that are in flight in any pool, or have finished lately. It reads no clock.
+"""Ids of requests that are in flight in any pool or have finished recently. Reads no clock.
 
-A request's id is new with every request, so a duplicate that arrives just after the answer must not run
-either, whichever pool it would go to.
+Every request has a new id, so a duplicate that arrives just after the response must not run either, whichever
+pool it would go to.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RETENTION_DEADLINES = 2.0  # how long a finished request's id is remembered, in longest deadlines
+RETENTION_DEADLINES = 2.0  # retention of a finished request's id, as a multiple of the longest deadline
 
 
 def retention_ms(longest_deadline_ms: float) -> float:
-    """How long ids are remembered where no request's deadline is longer than this."""
+    """Returns how long ids of finished requests are retained, given the longest deadline of any request."""
     return RETENTION_DEADLINES * longest_deadline_ms
 
 
 class InFlightIds:
-    """The ids of one process. `id in ids` says whether a request with it must be rejected.
+    """The request ids of one process. `id in ids` tells whether a request with that id must be rejected.
 
     Attributes:
-        open: Ids in flight.
-        finished: Ids of finished requests, and when each finished, in Unix milliseconds.
-        retention_ms: How long an id is remembered after its request has finished.
+        open: Ids of requests in flight.
+        finished: Ids of finished requests, with the time at which each finished in Unix milliseconds.
+        retention_ms: How long an id is retained after its request has finished.
     """
 
-    MAX_FINISHED = 4096  # ids of finished requests
+    MAX_FINISHED = 4096  # maximum number of ids of finished requests that are retained
 
     def __init__(self, retention_ms: float) -> None:
-        """No ids yet."""
+        """Creates an empty set of ids."""
         self.open: set[bytes] = set()
         self.finished: dict[bytes, float] = {}
-        # The same, oldest first: a dict that loses its first keys finds its first key ever more slowly.
-        self._oldest_first: deque[tuple[float, bytes]] = deque()
+        # The entries of `finished`, oldest first. A dict alone would not do: finding its first key takes ever
+        # longer as its first keys are deleted.
+        self._finished_queue: deque[tuple[float, bytes]] = deque()
         self.retention_ms = retention_ms
 
-    def __contains__(self, trace: bytes) -> bool:
-        """Whether a request with this id is in flight or has finished lately."""
-        return trace in self.open or trace in self.finished
-
-    def begin(self, trace: bytes) -> None:
-        """A request with this id is in flight."""
-        self.open.add(trace)
-
-    def end(self, trace: bytes, now_ms: float) -> None:
-        """The request has finished; ids that finished too long ago are forgotten."""
-        self.open.discard(trace)
-        self.finished[trace] = now_ms
-        oldest_first = self._oldest_first
-        oldest_first.append((now_ms, trace))
-        while oldest_first and (
-            len(oldest_first) > self.MAX_FINISHED or oldest_first[0][0] <= now_ms - self.retention_ms
+    def __contains__(self, trace_id: bytes) -> bool:
+        """Whether a request with this id is in flight or has finished recently."""
+        return trace_id in self.open or trace_id in self.finished
+
+    def begin(self, trace_id: bytes) -> None:
+        """Records that a request with this id is in flight."""
+        self.open.add(trace_id)
+
+    def end(self, trace_id: bytes, now_ms: float) -> None:
+        """Records that the request has finished, and removes ids whose retention time has passed."""
+        self.open.discard(trace_id)
+        self.finished[trace_id] = now_ms
+        finished_queue = self._finished_queue
+        finished_queue.append((now_ms, trace_id))
+        while finished_queue and (
+            len(finished_queue) > self.MAX_FINISHED or finished_queue[0][0] <= now_ms - self.retention_ms
         ):
-            ended_ms, oldest = oldest_first.popleft()
-            if self.finished.get(oldest) == ended_ms:  # else it has been in flight again since
-                del self.finished[oldest]
+            ended_ms, oldest_id = finished_queue.popleft()
+            if self.finished.get(oldest_id) == ended_ms:  # otherwise the id was used again and finished later
+                del self.finished[oldest_id]
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -1,6 +1,6 @@
-"""The memory budget that all connections share: buffered bodies, heads and answers are counted here.
+"""The memory budget that all connections share, for buffered bodies, heads and responses.
 
-It allocates nothing and does no I/O: it counts bytes and queues those who wait for some.
+Allocates no memory and does no I/O: it counts bytes and queues the waiters for them.
 """
 
 from __future__ import annotations
@@ -11,67 +11,68 @@
 
 
 class MemoryBudget:
-    """Bytes that connections may buffer together.
+    """Limits the bytes that all connections together may buffer.
 
-    Guards the process's memory limit, which a bound for each connection alone would not: there are hundreds
-    of them.
+    Protects the process's memory limit. A limit for each connection alone would not, as there are hundreds of
+    connections.
 
     Attributes:
-        used_bytes: Bytes that are counted now; may exceed `limit_bytes`, see `update_usage`.
-        limit_bytes: Bytes that may be reserved.
+        used_bytes: Bytes that are counted at present; may exceed `limit_bytes`, see `update_usage`.
+        limit_bytes: Maximum number of bytes that may be reserved.
     """
 
-    SHARE = 0.25  # of the memory limit; the rest is for the program, its tables, and the system's reserves
+    # Fraction of the process's memory limit; the rest is for the program, its tables and system reserves.
+    MEMORY_LIMIT_FRACTION = 0.25
 
     def __init__(self, memory_mb: float) -> None:
-        """An empty budget; `memory_mb` is the memory limit of the process."""
+        """Creates an empty budget; `memory_mb` is the memory limit of the process."""
         self.used_bytes = 0
-        self._waiters: dict[MemoryWaiter, None] = {}  # in the order of their requests
-        self._granting = False
+        self._waiters: dict[MemoryWaiter, None] = {}  # ordered set: first come, first served
+        self._is_granting = False
         self.set_limit(memory_mb)
 
     def set_limit(self, memory_mb: float) -> None:
-        """Change the process's memory limit.
+        """Changes the process's memory limit.
 
-        Bytes counted over a lower limit stay; nothing more is granted until it fits.
+        Bytes that exceed a lowered limit stay counted; nothing is granted until the use fits the new limit.
         """
-        self.limit_bytes = int(memory_mb * BYTES_PER_MB * self.SHARE)
+        self.limit_bytes = int(memory_mb * BYTES_PER_MB * self.MEMORY_LIMIT_FRACTION)
         self._grant_waiters()
 
     @property
     def free(self) -> int:
-        """Bytes that may still be used; 0 while there are waiters."""
+        """Bytes that may still be reserved; 0 while there are waiters."""
         return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
-    def update_usage(self, before: int, now: int) -> bool:
-        """Count a change in the bytes that one holder buffers.
+    def update_usage(self, old_bytes: int, new_bytes: int) -> bool:
+        """Counts a change in the bytes that one holder buffers.
 
         The change is counted in any case, because the bytes are in memory already. Bytes that become free are
         granted to waiters.
 
         Args:
-            before: The holder's bytes that are counted so far.
-            now: Its bytes from now on.
+            old_bytes: Bytes that have been counted for the holder so far.
+            new_bytes: Bytes that the holder buffers from now on.
 
         Returns:
-            Whether the holder may keep that much; False if it has grown and the budget is exceeded.
+            Whether the holder may buffer that much; False if its use has grown and the budget is exceeded.
         """
-        self.used_bytes += now - before
-        if now < before and self._waiters:
+        self.used_bytes += new_bytes - old_bytes
+        if new_bytes < old_bytes and self._waiters:
             self._grant_waiters()
-        return now <= before or self.used_bytes <= self.limit_bytes
+        return new_bytes <= old_bytes or self.used_bytes <= self.limit_bytes
 
     def reserve(self, size: int, granted: Callable[[], None]) -> MemoryWaiter | None:
-        """Count `size` bytes before they are buffered, now or as soon as they are free.
+        """Reserves `size` bytes before they are buffered, at once or as soon as they are free.
 
         Args:
-            size: Bytes.
-            granted: Called once they are counted, if they are not at once. Waiters are granted strictly in
-                the order of their requests: a small one does not overtake a large one.
+            size: Number of bytes.
+            granted: Callback for a reservation that has to wait, called once the bytes are reserved. Waiters
+                are served strictly in order: a small reservation does not overtake a large one.
 
         Returns:
-            None if the bytes were free and are counted now; `granted` is not called then. Otherwise a waiter,
-            which can leave.
+            None if the bytes were free and are reserved now; `granted` is not called then. Otherwise a waiter
+            that can be cancelled.
         """
         if not self._waiters and self.used_bytes + size <= self.limit_bytes:
             self.used_bytes += size
@@ -81,14 +82,14 @@
         return waiter
 
     def remove_waiter(self, waiter: MemoryWaiter) -> None:
-        """Stop waiting; nothing happens if the waiter's bytes have been granted."""
+        """Removes a waiter; has no effect if its bytes have been granted."""
         if self._waiters.pop(waiter, 0) is None:
             self._grant_waiters()
 
     def _grant_waiters(self) -> None:
-        if self._granting:  # a `granted` call that frees bytes: the loop below goes on with them
+        if self._is_granting:  # called from a `granted` callback that freed bytes; the loop below uses them
             return
-        self._granting = True
+        self._is_granting = True
         try:
             while self._waiters:
                 waiter = next(iter(self._waiters))
@@ -98,25 +99,25 @@
                 self.used_bytes += waiter.size
                 waiter.granted()
         finally:
-            self._granting = False
+            self._is_granting = False
 
 
 class MemoryWaiter:
-    """A request for bytes that has not been granted.
+    """A reservation of bytes that has not been granted yet.
 
     Attributes:
-        size: Bytes.
-        granted: Called once they are counted.
+        size: Number of bytes.
+        granted: Callback for when the bytes are reserved.
     """
 
     __slots__ = ("_memory_budget", "granted", "size")
 
     def __init__(self, memory_budget: MemoryBudget, size: int, granted: Callable[[], None]) -> None:
-        """Made by `MemoryBudget.reserve` alone."""
+        """Creates a waiter; called by `MemoryBudget.reserve` alone."""
         self._memory_budget = memory_budget
         self.size = size
         self.granted = granted
 
     def cancel(self) -> None:
-        """Stop waiting; nothing happens if the bytes have been granted."""
+        """Cancels the reservation; has no effect if the bytes have been granted."""
         self._memory_budget.remove_waiter(self)
--- a/sandhatch/runtime/process.py
+++ b/sandhatch/runtime/process.py
@@ -1,6 +1,6 @@
-"""Set-up that every long-running form of the program needs: descriptor limit, signals, garbage collector.
+"""Process set-up for every long-running form of the program: descriptor limit, signals, garbage collector.
 
-It changes the process as a whole and belongs to no pool or listener. Source: getrlimit(2) and Python's `gc`.
+Affects the process as a whole, not one pool or listener. Source: getrlimit(2) and Python's `gc`.
 """
 
 from __future__ import annotations
@@ -10,17 +10,17 @@
 import resource
 import signal
 
-# Net allocations before a collection of the youngest generation, then its collections before one of the next
-# generation, and so on. Well above Python's defaults: objects made after the start are short-lived and form
-# few cycles.
+# Net allocations before a collection of the youngest generation, its collections before one of the second
+# generation, and those of the second before one of the oldest. Well above Python's defaults, because objects
+# created after the start are short-lived and form few cycles.
 GC_THRESHOLDS = (20_000, 20, 100)
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Raise the soft limit of open descriptors to `wanted`, as far as the hard limit allows.
+    """Raises the soft limit of open descriptors to `wanted`, as far as the hard limit allows.
 
     Returns:
-        How many descriptors may be open, at most `wanted`.
+        Number of descriptors that may be open, at most `wanted`.
     """
     soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft_limit != resource.RLIM_INFINITY and soft_limit < wanted:
@@ -30,17 +30,17 @@
 
 
 def shutdown_event(loop: asyncio.AbstractEventLoop) -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set from now on."""
-    stopping = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    return stopping
+    """Returns an event that SIGTERM and SIGINT set from now on."""
+    shutdown = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, shutdown.set)
+    return shutdown
 
 
 def freeze_garbage_collector() -> None:
-    """Keep garbage collections short and rare; called once the program is assembled.
+    """Makes garbage collections short and rare; called once the program is assembled.
 
-    What exists now lives as long as the process and is never looked at again by the collector.
+    Objects that exist now live as long as the process, so the collector ignores them from now on.
     """
     gc.collect()
     gc.freeze()
--- a/sandhatch/runtime/shared_resources.py
+++ b/sandhatch/runtime/shared_resources.py
@@ -1,6 +1,6 @@
-"""What all pools and listeners of one process share: clock, logger, budgets, and in-flight request ids.
+"""Resources that all pools and listeners of one process share: clock, logger, budgets, in-flight request ids.
 
-It decides nothing: it is where each of them finds the others' part.
+Holds the resources and makes no decisions.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class SharedResources:
-    """Passed to every pool and listener of a process.
+    """The shared resources of a process, passed to each of its pools and listeners.
 
     Attributes:
-        loop: The event loop that runs everything.
-        name: The instance's name.
-        clients: Open connections of clients, over all listeners.
-        client_budget: How many connections of clients may be open, over all listeners.
-        clock: The process's time and timers.
-        logger: The process's log.
-        memory_budget: Memory for buffered bodies, heads and answers.
-        flows: Counts of streamed bodies.
-        in_flight_ids: Ids of requests.
-        descriptors: Descriptors for connections to servers.
+        loop: Event loop that runs the whole process.
+        name: Name of the instance.
+        clients: Number of open client connections, over all listeners.
+        client_budget: Maximum number of open client connections, over all listeners.
+        clock: Clock and timers of the process.
+        logger: Log of the process.
+        memory_budget: Memory budget for buffered bodies, heads and responses.
+        flows: Statistics of streamed bodies.
+        in_flight_ids: Ids of requests that are in flight or have finished recently.
+        descriptors: Descriptor budget for connections to servers.
     """
 
     def __init__(
@@ -39,14 +39,14 @@
         id_retention_ms: float,
         connection_descriptors: int,
     ) -> None:
-        """Make the resources of a process.
+        """Creates the resources of a process.
 
         Args:
-            loop: The event loop that runs everything.
-            name: The instance's name, for the log.
+            loop: Event loop that runs the whole process.
+            name: Name of the instance, for the log.
             memory_mb: Memory limit of the process.
-            id_retention_ms: How long the id of a finished request is remembered.
-            connection_descriptors: Descriptors for clients and servers together.
+            id_retention_ms: How long the id of a finished request is retained.
+            connection_descriptors: Descriptors for connections to clients and servers together.
         """
         self.loop = loop
         self.name = name
@@ -60,9 +60,9 @@
         self.share_descriptors(connection_descriptors)
 
     def share_descriptors(self, connection_descriptors: int) -> None:
-        """Divide the descriptors between clients and servers; a tenth less than half goes to clients.
+        """Divides the descriptors: half to servers, and a tenth less than half to clients.
 
-        If more are in use than that, the limits count from the next connection on.
+        If more are in use already, the limits apply to new connections only.
         """
         self.client_budget = connection_descriptors * 9 // 20
         self.descriptors.limit = connection_descriptors // 2
--- a/sandhatch/runtime/text_table.py
+++ b/sandhatch/runtime/text_table.py
@@ -1,6 +1,6 @@
-"""Rows as aligned text columns, for people at a terminal.
+"""Formatting of rows as aligned text columns, for people at a terminal.
 
-Nothing parses them: programs read the JSON form of the same rows.
+Not meant to be parsed: programs read the JSON form of the same rows.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 def table(rows: list[dict[str, Any]], columns: Sequence[str]) -> str:
-    """A header line and one line per row, each column as wide as its widest cell.
+    """Formats a header line and one line per row, each column as wide as its widest cell.
 
     Args:
-        rows: Values by column; a missing one is left empty.
+        rows: Values by column name; a missing value becomes an empty cell.
         columns: Names of the columns to show, in order.
     """
     lines = [list(columns), *([str(row.get(column, "")) for column in columns] for row in rows)]
--- a/sandhatch/telemetry/__init__.py
+++ b/sandhatch/telemetry/__init__.py
@@ -1,5 +1,5 @@
-"""What one instance sees and does, as lines of its log, and the report over a whole fleet's lines.
+"""Event recording: log lines of the events and actions of one instance, and a report over a fleet's lines.
 
-It only observes: nothing here changes a decision or raises into the code that is observed.
-Source: the project's own; the lines are described in `record_format`.
+Observes only: nothing here changes a decision or raises into the observed code. Source: the project's own;
+the lines are described in `record_format`.
 """
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -1,6 +1,6 @@
-"""The event recorder: writes what one instance was notified of and did, one line for each event.
+"""The event recorder: writes each event that one instance receives, with the resulting actions, as a line.
 
-It never changes what it observes and never raises: a line that can't be written is left out.
+Never changes what it observes and never raises: a line that cannot be written is lost.
 Source: the project's own; off unless `SANDHATCH_RECORD` is set (`deploy/record.toml`).
 """
 
@@ -19,24 +19,24 @@
 from sandhatch.runtime.environment import renamed_variable
 from sandhatch.telemetry.record_format import action_fields, event_fields, format_line, sends_fields
 
-VARIABLE = "RECORD"  # of the environment, behind the program's prefix
+RECORD_VARIABLE = "RECORD"  # name of the environment variable, without the program's prefix
 
 
 class RecordScope(Enum):
-    """How much is recorded; the values are what the environment variable may be set to."""
+    """How much is recorded; the values are those of the environment variable."""
 
     ALL = "1"
-    LISTS = "lists"  # polls of discovery, and the sends of each second counted by server
+    LISTS = "lists"  # polls of discovery, and the number of sends per server and second
 
 
-def requested_record(env: Mapping[str, str], warn: Callable[[str], None]) -> RecordScope | None:
-    """The record that the environment requests, None if it requests none.
+def requested_record_scope(env: Mapping[str, str], warn: Callable[[str], None]) -> RecordScope | None:
+    """Returns the scope of the record that the environment requests, None if it requests no record.
 
     Args:
-        env: the environment.
-        warn: given one line where the variable is set under its former name.
+        env: Environment variables.
+        warn: Function that logs one line, called if the variable is set under its former name.
     """
-    value = renamed_variable(env, VARIABLE, warn)
+    value = renamed_variable(env, RECORD_VARIABLE, warn)
     return next((scope for scope in RecordScope if scope.value == value), None)
 
 
@@ -44,17 +44,19 @@
     """An observer of a dispatcher that writes the event record.
 
     Each line has `t` (Unix seconds), `cpu` (processor seconds of the process so far), `in` (the event's name
-    with its fields) and `out` (the actions that answered it). A server's number is the instance's own;
-    `servers` in a list's line gives the addresses, which all instances share. A poll of the endpoint list is
-    recorded when it is made (`watchlist`: number, version, wait, patience) and, under its number, by the
-    line of the list that ends it; one that failed gives its reason as `why`. A send has the age of the list
-    it was chosen from: milliseconds since discovery's last complete answer or, before any, since the start.
-
-    With `RecordScope.LISTS` only lists and polls have lines of their own, and sends are counted by server:
-    enough to see which instance sent by how old a list, in a log that stays short under traffic.
+    with its fields) and `out` (the resulting actions). Server numbers are local to the instance; `servers` in
+    an endpoint list's line maps them to addresses, which are the same for all instances. A poll of the
+    endpoint list is recorded when it is sent (`watchlist`: number, version, wait, response timeout) and,
+    under its number, by the line of the list that completes it; a failed poll gives its reason as `why`. A
+    send has the age of the endpoint list that its server was chosen from: milliseconds since the last
+    complete response of discovery or, before the first one, since the start.
+
+    With `RecordScope.LISTS` only lists and polls have lines of their own, and sends are counted by server.
+    That is enough to see which instance sent on the basis of how old a list, and the log stays short under
+    traffic.
     """
 
-    SPAN_MS = 1_000.0  # over which sends are counted where only lists are recorded
+    SEND_COUNT_INTERVAL_MS = 1_000.0  # interval over which sends are counted if only lists are recorded
 
     def __init__(
         self,
@@ -62,16 +64,16 @@
         tier: int,
         now_ms: Callable[[], float],
         stream: TextIO | None = None,
-        what: RecordScope = RecordScope.ALL,
+        scope: RecordScope = RecordScope.ALL,
     ) -> None:
         """Creates a recorder.
 
         Args:
-            name: the instance's.
-            tier: the instance's tier.
-            now_ms: the clock, in Unix milliseconds.
-            stream: where the lines go; standard error if None.
-            what: how much is recorded.
+            name: Name of the instance.
+            tier: Tier of the instance.
+            now_ms: Clock that returns Unix milliseconds.
+            stream: Stream that the lines are written to; standard error if None.
+            scope: How much is recorded.
         """
         self._name = name
         self._tier = tier
@@ -80,34 +82,34 @@
         self._addresses: Sequence[str] = []
         self._list_failure = ""
         self._list_confirmed_at_ms: float | None = None  # when the list was last known to be current
-        self._lists_only = what is RecordScope.LISTS
-        self._sends_by_server: Counter[int] = Counter()  # since `_span_start_ms`
-        self._span_start_ms = 0.0
+        self._records_lists_only = scope is RecordScope.LISTS
+        self._sends_by_server: Counter[int] = Counter()  # sends since `_interval_start_ms`
+        self._interval_start_ms = 0.0
         self._oldest_list_age_ms = 0.0
 
     def on_endpoint_list(
         self,
-        update: ListUpdate,  # noqa: ARG002 - part of the observer's protocol; `on_event` is given it too
+        update: ListUpdate,  # noqa: ARG002 - part of the observer protocol; `on_event` receives it too
         addresses: Sequence[str],
         why: str = "",
     ) -> None:
-        """Notes the addresses of the list that `on_event` is given next, and why a poll failed."""
+        """Stores the addresses of the list that `on_event` receives next, and the reason of a failed poll."""
         self._addresses = addresses
         self._list_failure = why
 
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
-        """Records an event with the actions that answered it."""
+        """Records an event with the resulting actions."""
         if isinstance(event, ListUpdate):
             self._write_sends()
             if self._list_confirmed_at_ms is None or event.kind in (ListKind.FULL, ListKind.DELTA):
                 self._list_confirmed_at_ms = self._now_ms()
-        if self._lists_only and not self._concerns_lists(event, actions):
+        if self._records_lists_only and not self._concerns_endpoint_list(event, actions):
             self._count_sends(actions)
             return
         self._write_event(event, actions)
 
     @staticmethod
-    def _concerns_lists(event: Event, actions: Sequence[Action]) -> bool:
+    def _concerns_endpoint_list(event: Event, actions: Sequence[Action]) -> bool:
         if isinstance(event, ListUpdate):
             return True
         return any(isinstance(action, WatchList | FetchList) for action in actions)
@@ -119,18 +121,20 @@
 
     def _count_sends(self, actions: Sequence[Action]) -> None:
         servers = [action.server for action in actions if isinstance(action, Send)]
-        if self._sends_by_server and self._now_ms() >= self._span_start_ms + self.SPAN_MS:
+        if self._sends_by_server and self._now_ms() >= self._interval_start_ms + self.SEND_COUNT_INTERVAL_MS:
             self._write_sends()
         if servers:
             if not self._sends_by_server:
-                self._span_start_ms = self._now_ms()
+                self._interval_start_ms = self._now_ms()
             self._sends_by_server.update(servers)
             self._oldest_list_age_ms = max(self._oldest_list_age_ms, self._list_age_ms())
 
     def _write_sends(self) -> None:
-        """Writes the sends counted so far, before a list changes what the servers' numbers mean."""
+        """Writes the sends counted so far; called before a new list changes the meaning of server numbers."""
         if self._sends_by_server:
-            self._write(sends_fields(self._sends_by_server, self._oldest_list_age_ms), self._span_start_ms)
+            self._write(
+                sends_fields(self._sends_by_server, self._oldest_list_age_ms), self._interval_start_ms
+            )
         self._sends_by_server.clear()
         self._oldest_list_age_ms = 0.0
 
@@ -141,7 +145,7 @@
         if recorded:
             fields["out"] = recorded
         elif isinstance(event, TimerFired):
-            return  # a timer that led to nothing
+            return  # the timer led to no recorded action
         self._write(fields, self._now_ms())
 
     def _write(self, fields: Mapping[str, Any], recorded_at_ms: float) -> None:
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -2,8 +2,8 @@
 
     python -m sandhatch.telemetry.fleet_report LOG...
 
-It reads nothing but those lines and passes over all others; only `main` reads files.
-Source: the project's own; `event_recorder` says what the lines hold.
+Reads only those lines and skips all others; only `main` reads files.
+Source: the project's own; `event_recorder` describes the lines.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
     parse_records,
 )
 
-WARM_UP_S = 20.0  # a server counts as warming up for so long after its start, unless set otherwise
+WARM_UP_S = 20.0  # default time after its start for which a server counts as warming up
 EXIT_NO_RECORDS = 1
 EXIT_UNREADABLE = 2
 
 
 class Column(StrEnum):
-    """The report's columns, in their order.
+    """The columns of the report, in order.
 
-    The values are the headings. Scripts and people read them, so they stay; the names are the field's terms.
+    The values are the headings, which are a stable interface for scripts.
     """
 
     REQUESTS = "asked"
-    CLIENT_RETRIES = "again"  # of the requests, those that a client marked as a retry
+    CLIENT_RETRIES = "again"  # requests that a client marked as a retry
     ATTEMPTS = "sent"
-    RETRIES = "repeat"  # attempts beyond a request's first
-    ATTEMPTS_TO_WARMING_UP = "cold"  # to servers that started less than the warm-up time ago
-    ATTEMPTS_TO_REMOVED = "gone"  # to servers that some instance was notified are draining or removed
+    RETRIES = "repeat"  # attempts after the first one of a request
+    ATTEMPTS_TO_WARMING_UP = "cold"  # attempts sent to servers that started less than the warm-up time ago
+    ATTEMPTS_TO_REMOVED = "gone"  # attempts sent to servers that any instance knew to be draining or removed
     OK = "ok"
     FULL = "full"
     CONNECT_FAILED = "connect"
@@ -57,9 +57,9 @@
     FULL_LISTS = "full_list"
     DELTA_LISTS = "delta"
     FAILED_POLLS = "failed"
-    INSTANCES = "copies"  # that wrote a line in this second
+    INSTANCES = "copies"  # instances that wrote a line in this second
     CPU_MS = "cpu_ms"
-    OLDEST_LIST_MS = "oldest_ms"  # the highest age of a list that an attempt was sent by
+    OLDEST_LIST_MS = "oldest_ms"  # maximum age of an endpoint list that an attempt was based on
 
 
 OUTCOME_COLUMNS = {
@@ -82,24 +82,28 @@
 
 
 class Fleet:
-    """Counts of one tier's instances. Records are added in the order of their times, over all instances.
+    """Counts over the instances of one tier. Records of all instances are added in the order of their times.
 
-    `seconds` has the counts of each second, by the seconds since the first record.
+    Attributes:
+        seconds: Counts of each second, by the number of seconds since the first record.
     """
 
     def __init__(self, warm_up_s: float = WARM_UP_S) -> None:
-        """Creates a fleet without records, whose servers warm up for `warm_up_s`."""
+        """Creates a fleet without records; its servers warm up for `warm_up_s`."""
         self.seconds: dict[int, Counter[Column]] = defaultdict(Counter)
         self._warm_up_s = warm_up_s
-        self._addresses: dict[str, dict[int, str]] = defaultdict(dict)  # by instance and its server number
-        self._removed: set[str] = set()  # addresses
-        self._started_at_s: dict[str, float] = {}  # by address
-        self._attempts: Counter[tuple[str, int]] = Counter()  # by instance and its request number
-        self._cpu_s: dict[str, float] = {}  # by instance
-        self._active: set[tuple[int, str]] = set()  # seconds in which an instance wrote
+        # Address of each server, by instance and by the instance's own server number.
+        self._addresses: dict[str, dict[int, str]] = defaultdict(dict)
+        self._removed: set[str] = set()  # addresses of draining and removed servers
+        self._started_at_s: dict[str, float] = {}  # start time of each server, by address
+        # Number of attempts of each request, by instance and request number.
+        self._attempts: Counter[tuple[str, int]] = Counter()
+        self._cpu_s: dict[str, float] = {}  # latest processor time by instance
+        # Pairs of a second and an instance that wrote a line in it.
+        self._active_instances: set[tuple[int, str]] = set()
 
     def add(self, record: EventRecord, second: int) -> None:
-        """Counts a record in this second."""
+        """Adds a record to the counts of its second."""
         count = self.seconds[second]
         self._count_instance(record, second)
         if record.event == REQUEST_EVENT:
@@ -124,11 +128,11 @@
 
     def _count_instance(self, record: EventRecord, second: int) -> None:
         count = self.seconds[second]
-        if (second, record.instance) not in self._active:
-            self._active.add((second, record.instance))
+        if (second, record.instance) not in self._active_instances:
+            self._active_instances.add((second, record.instance))
             count[Column.INSTANCES] += 1
-        before_s = self._cpu_s.get(record.instance, record.cpu_s)
-        count[Column.CPU_MS] += round(1000.0 * max(0.0, record.cpu_s - before_s))
+        previous_cpu_s = self._cpu_s.get(record.instance, record.cpu_s)
+        count[Column.CPU_MS] += round(1000.0 * max(0.0, record.cpu_s - previous_cpu_s))
         self._cpu_s[record.instance] = record.cpu_s
 
     def _apply_list(self, record: EventRecord) -> None:
@@ -136,8 +140,8 @@
             self._addresses[record.instance][server.number] = server.address
             if server.is_ready:
                 self._removed.discard(server.address)
-                known_s = self._started_at_s.get(server.address, 0.0)
-                self._started_at_s[server.address] = max(known_s, server.started_at_s)
+                known_start_s = self._started_at_s.get(server.address, 0.0)
+                self._started_at_s[server.address] = max(known_start_s, server.started_at_s)
             else:
                 self._removed.add(server.address)
 
@@ -164,7 +168,7 @@
 
 
 def count_fleets(logs: Iterable[Iterable[str]], warm_up_s: float = WARM_UP_S) -> dict[int, Fleet]:
-    """The counts of each tier's fleet, by tier and by seconds since the first record of all."""
+    """Returns the fleets of all logs by tier, with seconds counted from the first record of all."""
     records = sorted(
         (record for log in logs for record in parse_records(log)), key=lambda record: record.time_s
     )
@@ -176,7 +180,7 @@
 
 
 def format_counts(fleet: Fleet) -> str:
-    """A table with a row for each second; columns in which nothing was counted are left out."""
+    """Formats a table with a row for each second; columns that are 0 throughout are omitted."""
     used = [column for column in Column if any(count[column] for count in fleet.seconds.values())]
     rows = [
         {"s": second, **{column.value: count[column] for column in used}}
@@ -188,18 +192,24 @@
 def main(paths: Sequence[str]) -> int:
     """Prints the report of the log files at `paths`; returns the exit status."""
     if not paths:
-        print("fleet_report: name the log files of the fleet's instances", file=sys.stderr)
+        print(
+            "fleet_report: no log files given; usage: python -m sandhatch.telemetry.fleet_report LOG...",
+            file=sys.stderr,
+        )
         return EXIT_UNREADABLE
     try:
         logs = [Path(path).read_text(errors="replace").splitlines() for path in paths]
     except OSError as error:
-        print(f"fleet_report: {error.filename}: {error.strerror}", file=sys.stderr)
+        print(f"fleet_report: cannot read {error.filename}: {error.strerror}", file=sys.stderr)
         return EXIT_UNREADABLE
     fleets = count_fleets(logs)
     for tier, fleet in sorted(fleets.items()):
         print(f"tier {tier}\n{format_counts(fleet)}")
     if not fleets:
-        print("fleet_report: no records; instances write them with SANDHATCH_RECORD=1", file=sys.stderr)
+        print(
+            "fleet_report: the logs contain no records; set SANDHATCH_RECORD=1 for the instances",
+            file=sys.stderr,
+        )
         return EXIT_NO_RECORDS
     return 0
 
--- a/sandhatch/telemetry/record_format.py
+++ b/sandhatch/telemetry/record_format.py
@@ -1,7 +1,7 @@
-"""The lines of the event record: how an event becomes one, and how one is parsed.
+"""The line format of the event record: formatting and parsing.
 
-It never reads a clock or a file. The names in the lines (`copy`, `again`, `refuse`, ...) are read by scripts
-and keep their bytes; this module is the one place where they meet the code's names.
+Never reads a clock or a file. The keys and names in the lines (`copy`, `again`, `refuse`, ...) are a stable
+interface for scripts; only this module maps them to the names that the code uses.
 Source: the project's own; `deploy/record.toml` turns the record on.
 """
 
@@ -23,28 +23,28 @@
     ServerState,
 )
 
-LINE_PREFIX = "sandhatch-record "  # what follows on the line is one JSON object
+LINE_PREFIX = "sandhatch-record "  # followed by one JSON object, to the end of the line
 
-# The value of the key `in`: the event's class, or this one where sends are only counted.
+# Values of the key `in`: the name of the event's class, or `Sends` for a line that only counts sends.
 SENDS_EVENT = "Sends"
 REQUEST_EVENT = RequestArrived.__name__
 ATTEMPT_EVENT = AttemptEnded.__name__
 LIST_EVENT = ListUpdate.__name__
 
-SEND_ACTION = "send"  # the first value of a recorded action: its name
+SEND_ACTION = "send"  # name of a recorded send; an action's first value is its name
 
 
 def format_line(
     fields: Mapping[str, Any], instance: str, tier: int, recorded_at_ms: float, cpu_s: float
 ) -> str:
-    """One line of the record, with its newline.
+    """Formats one line of the record, including its newline.
 
     Args:
-        fields: what `event_fields` or `sends_fields` made.
-        instance: the name of the instance that writes.
-        tier: its tier's number.
-        recorded_at_ms: Unix milliseconds.
-        cpu_s: processor seconds that the process has used so far.
+        fields: Result of `event_fields` or `sends_fields`.
+        instance: Name of the instance that writes the line.
+        tier: Number of the instance's tier.
+        recorded_at_ms: Time of the record in Unix milliseconds.
+        cpu_s: Processor time that the process has used so far, in seconds.
     """
     line: dict[str, Any] = {
         "t": round(recorded_at_ms / 1000.0, 4),
@@ -57,12 +57,12 @@
 
 
 def event_fields(event: Event, addresses: Sequence[str], list_failure: str) -> dict[str, Any]:
-    """An event's part of a line.
+    """Returns the fields of a line that describe an event.
 
     Args:
-        event: what the balancer was notified of.
-        addresses: of the servers in the latest endpoint list, in its order.
-        list_failure: why the latest poll of discovery failed; empty if it didn't.
+        event: Event that the balancer received.
+        addresses: Addresses of the servers in the latest endpoint list, in its order.
+        list_failure: Reason why the latest poll of discovery failed; empty if it succeeded.
     """
     fields: dict[str, Any] = {"in": type(event).__name__}
     match event:
@@ -97,7 +97,7 @@
 
 
 def action_fields(action: Action, list_age_ms: float) -> list[Any] | None:
-    """An action as a line lists it under `out`: its name, then its values. None for one not recorded."""
+    """Returns an action's entry under `out`: its name, then its values. None if it is not recorded."""
     match action:
         case Send():
             return [SEND_ACTION, action.request, action.server, round(action.timeout_ms, 1), list_age_ms]
@@ -122,7 +122,7 @@
 
 
 def sends_fields(sends_by_server: Mapping[int, int], oldest_list_age_ms: float) -> dict[str, Any]:
-    """The part of a line that counts a span's sends, for a record of lists alone."""
+    """Returns the fields of a line that counts the sends of an interval, for `RecordScope.LISTS`."""
     return {"in": SENDS_EVENT, "sent": dict(sends_by_server), "age_ms": oldest_list_age_ms}
 
 
@@ -130,10 +130,10 @@
 class RecordedServer:
     """One server of a recorded endpoint list."""
 
-    number: int  # the instance's own for it
-    address: str  # the same in all instances
+    number: int  # number local to the instance
+    address: str  # `host:port`, the same for all instances
     is_ready: bool
-    started_at_s: float  # Unix seconds; 0 means long ago
+    started_at_s: float  # Unix seconds; 0 if the server started long ago
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,42 +141,42 @@
     """An attempt that was sent."""
 
     request: int
-    server: int  # the instance's own number for it
-    list_age_ms: float | None  # of the endpoint list it was chosen from; older records lack it
+    server: int  # number local to the instance
+    list_age_ms: float | None  # age of the endpoint list used; None in older records, which lack it
 
 
 @dataclass(frozen=True, slots=True)
 class ServerSends:
-    """How many attempts were sent to one server."""
+    """Number of attempts sent to one server."""
 
-    server: int  # the instance's own number for it
+    server: int  # number local to the instance
     count: int
 
 
 @dataclass(frozen=True, slots=True)
 class EventRecord:
-    """One line of the record, parsed. Fields that its event lacks have the defaults."""
+    """One parsed line of the record. Fields that do not apply to its event have the defaults."""
 
-    time_s: float  # Unix
+    time_s: float  # Unix seconds
     cpu_s: float
     instance: str
     tier: int
     event: str
     sends: tuple[RecordedSend, ...] = ()
-    other_actions: tuple[str, ...] = ()  # names of the recorded actions that send nothing
-    is_client_retry: bool = False  # of a request
-    outcome: Outcome | None = None  # of an attempt
-    list_kind: str = ""  # of a list update, as `ListKind` spells it
+    other_actions: tuple[str, ...] = ()  # names of the recorded actions other than sends
+    is_client_retry: bool = False  # set for a request that its client marked as a retry
+    outcome: Outcome | None = None  # outcome of an attempt
+    list_kind: str = ""  # value of the list update's `ListKind`
     servers: tuple[RecordedServer, ...] = ()
-    sends_by_server: tuple[ServerSends, ...] = ()  # of a span
-    list_age_ms: float | None = None  # the oldest list's that a span's sends were chosen from
+    sends_by_server: tuple[ServerSends, ...] = ()  # sends counted over an interval
+    list_age_ms: float | None = None  # maximum age of the lists that the counted sends are based on
 
 
 def parse_records(lines: Iterable[str]) -> Iterator[EventRecord]:
-    """The records in a log, in its order; a line that is truncated or is no record is left out.
+    """Yields the records of a log in order, skipping truncated lines and lines that are not records.
 
     Raises:
-        KeyError: a record lacks a field that its event always has.
+        KeyError: A record lacks a field that its event always has.
     """
     for line in lines:
         start = line.find(LINE_PREFIX)
@@ -225,5 +225,5 @@
 
 def _parse_send(action: Sequence[Any]) -> RecordedSend:
     _, request, server, *rest = action
-    list_age_ms = rest[1] if len(rest) > 1 else None  # behind the attempt's timeout
+    list_age_ms = rest[1] if len(rest) > 1 else None  # `rest` is the attempt's timeout, then the list's age
     return RecordedSend(request, server, list_age_ms)
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -1,4 +1,4 @@
-"""The platform's program as a process of its own, for tests of start, signals and exit codes."""
+"""The platform's program as a separate process, for tests of start, signals and exit codes."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 ROOT = Path(__file__).parent.parent.parent
 
 TEST_LIMIT_S = 300.0
-START_TIMEOUT_S = 100.0  # for the program to serve, from its start on
+START_TIMEOUT_S = 100.0  # limit on the time from the program's start until it serves requests
 POLL_S = 0.02
 
 
 def write_config(path: Path, data: dict[str, Any]) -> None:
-    """Write a configuration to its file."""
+    """Writes a configuration to its file."""
     path.write_text(json.dumps(data))
 
 
 async def spawn(path: Path, descriptors: int | None = None, **more: str) -> asyncio.subprocess.Process:
-    """Start the program.
+    """Starts the program.
 
     Args:
-        path: Its configuration file.
-        descriptors: Limit of its open descriptors, None for this process's.
+        path: Path of the configuration file.
+        descriptors: Limit of open descriptors; None for the limit of the test process.
         more: Further environment variables.
     """
 
@@ -60,7 +60,7 @@
 
 
 async def ready(port: int, status: int = 200) -> None:
-    """Wait until `/ready` answers with this status."""
+    """Waits until `/ready` responds with this status."""
     async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             try:
@@ -77,7 +77,7 @@
 async def started(
     path: Path, data: dict[str, Any], descriptors: int | None = None, **more: str
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration that is written to the path; killed at the end if it still runs."""
+    """Runs the program with a configuration written to the path; kills it at the end if it still runs."""
     write_config(path, data)
     process = await spawn(path, descriptors, **more)
     try:
@@ -89,56 +89,56 @@
 
 
 def open_descriptors(process: asyncio.subprocess.Process) -> list[int]:
-    """The descriptors that the program has open."""
+    """Returns the descriptors that the program has open."""
     return [int(path.name) for path in Path(f"/proc/{process.pid}/fd").iterdir()]
 
 
 def descriptors_left(process: asyncio.subprocess.Process, limit: int) -> int:
-    """How many descriptors the program may still open: those below its limit that are free."""
+    """Returns how many descriptors the program may still open: the free ones below its limit."""
     return limit - sum(descriptor < limit for descriptor in open_descriptors(process))
 
 
 async def use_up_descriptors(
-    process: asyncio.subprocess.Process, port: int, limit: int, least_clients: int, first_bytes: bytes = b""
+    process: asyncio.subprocess.Process, port: int, limit: int, min_clients: int, first_bytes: bytes = b""
 ) -> list[HttpClient]:
-    """Connect clients until the program has no descriptor left for another, or the one of an eviction.
+    """Connects clients until the program has no free descriptor, except one that an eviction may have freed.
 
     Args:
-        process: The program.
-        port: Where it listens.
-        limit: Its limit of descriptors.
-        least_clients: How many clients there are at least.
-        first_bytes: What each sends before the next one connects.
+        process: Process of the program.
+        port: Port that the program listens on.
+        limit: Descriptor limit of the program.
+        min_clients: Minimum number of clients to connect.
+        first_bytes: Bytes that each client sends before the next one connects.
     """
     clients: list[HttpClient] = []
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-        while len(clients) < least_clients or descriptors_left(process, limit) > 1:
+        while len(clients) < min_clients or descriptors_left(process, limit) > 1:
             client = await HttpClient(port).__aenter__()
             clients.append(client)
             client.send(first_bytes)
             await client.writer.drain()
-            if len(clients) > least_clients:
+            if len(clients) > min_clients:
                 await asyncio.sleep(POLL_S)  # the program has not accepted all of them yet
     return clients
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run a test to its end on the program's event loop, or fail it after `TEST_LIMIT_S`.
+    """Runs a test to its end on the program's event loop; it fails after `TEST_LIMIT_S`.
 
-    The limit is longer than that of other tests: each starts a program, which takes long beside other work.
+    The limit is longer than that of other tests, because starting a program takes long on a loaded machine.
     """
     uvloop.run(asyncio.wait_for(work, TEST_LIMIT_S))
 
 
 async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
-    """The next line that the program writes to its log."""
+    """Returns the next line that the program writes to its log."""
     assert process.stderr is not None
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         return await process.stderr.readline()
 
 
 async def exit_code(process: asyncio.subprocess.Process) -> int:
-    """Wait until the program has ended by itself."""
+    """Waits until the program has exited by itself; returns its exit code."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         return await process.wait()
 
@@ -147,7 +147,7 @@
 async def running_program(
     directory: Path, upstream: FakeServer, descriptors: int | None = None, sockets: int = 256
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program in front of one server, once it is ready: its process and its port."""
+    """Runs the program in front of one server; yields its process and port once it is ready."""
     discovery = await FakeDiscovery([upstream.entry("a")]).start()
     port = free_port()
     data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -1,4 +1,4 @@
-"""The platform's program as a process: bad configuration, signals under traffic, the descriptor limit."""
+"""The platform's program as a process: invalid configuration, signals under traffic, the descriptor limit."""
 
 from __future__ import annotations
 
@@ -36,33 +36,33 @@
 
 
 async def check_served(port: int) -> None:
-    """A request on a new connection is answered 200."""
+    """Checks that a request on a new connection gets a response with status 200."""
     async with HttpClient(port) as client:
         client.send_request()
         assert (await client.read_response()).status == 200
 
 
 async def wait_until_shutting_down(port: int) -> None:
-    """Wait until the program has received its signal: new connections find it not ready."""
+    """Waits until the program has received its signal: `/ready` responds 503 on new connections."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
-            async with HttpClient(port) as fresh:
-                fresh.send_request(target="/ready")
-                if (await fresh.read_response()).status == 503:
+            async with HttpClient(port) as new_client:
+                new_client.send_request(target="/ready")
+                if (await new_client.read_response()).status == 503:
                     return
 
 
 async def check_served_with_close(client: HttpClient) -> None:
-    """A request is answered 200, and the answer is the last of its connection."""
+    """Checks that a request gets status 200 in the last response of its connection."""
     client.send_request()
     response = await client.read_response()
     assert (response.status, response.headers.get("connection")) == (200, "close")
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_a_shutdown_signal_under_traffic_loses_no_request(tmp_path: Path, number: signal.Signals) -> None:
-    """Guards the planned restart: requests in flight, on reused and on new connections are all answered, each
-    with `Connection: close`, and then the exit code is 0.
+def test_shutdown_signal_under_traffic_loses_no_request(tmp_path: Path, number: signal.Signals) -> None:
+    """Guards against requests lost in a planned restart: requests in flight, on reused and on new connections
+    all get responses, each with `Connection: close`, and then the exit code is 0.
     """
 
     async def work() -> None:
@@ -84,10 +84,10 @@
             process.send_signal(number)
             await wait_until_shutting_down(port)
             await check_served_with_close(reused)
-            async with HttpClient(port) as fresh:
-                await check_served_with_close(fresh)
+            async with HttpClient(port) as new_client:
+                await check_served_with_close(new_client)
             assert await idle.read_to_end() == b""
-            assert process.returncode is None  # a request is unanswered
+            assert process.returncode is None  # a request is still in flight
             released.set()
             assert (await in_flight.read_response()).status == 200
             assert await exit_code(process) == 0
@@ -96,8 +96,8 @@
     run(work())
 
 
-def test_the_descriptor_limit_is_kept_with_more_clients_than_descriptors(tmp_path: Path) -> None:
-    """Guards against EMFILE: it goes on serving, new clients too."""
+def test_descriptor_limit_holds_with_more_clients_than_descriptors(tmp_path: Path) -> None:
+    """Guards against EMFILE: the program continues to serve clients, including new ones."""
 
     async def work() -> None:
         upstream = await FakeServer().start()
@@ -115,25 +115,25 @@
     run(work())
 
 
-def test_the_program_goes_on_serving_after_a_failed_accept(tmp_path: Path) -> None:
-    """Guards against EMFILE itself, where the system allows fewer descriptors than configured: connections of
-    idle clients are closed, and of those with an incomplete request.
+def test_program_continues_to_serve_after_accept_fails(tmp_path: Path) -> None:
+    """Guards against failure on EMFILE, which occurs if the system allows fewer descriptors than configured:
+    connections of idle clients and of clients with an incomplete request are closed.
     """
 
     async def work() -> None:
         upstream = await FakeServer().start()
         async with running_program(tmp_path, upstream) as (process, port):
             await check_served(port)
-            # Descriptors below the highest in use stay usable; new ones fail from here on.
+            # Descriptors that are open stay usable; opening one at or above the limit fails from here on.
             limit = len(open_descriptors(process)) + 8
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (limit, limit))
-            idle = await use_up_descriptors(process, port, limit, least_clients=30)
+            idle = await use_up_descriptors(process, port, limit, min_clients=30)
             await check_served(port)
             for client in idle:
                 client.writer.close()
-            # Each sends before the next one connects, so that none is idle.
+            # Each client sends before the next one connects, so that none is idle.
             incomplete = request_bytes()[:-2]
-            busy = await use_up_descriptors(process, port, limit, least_clients=12, first_bytes=incomplete)
+            busy = await use_up_descriptors(process, port, limit, min_clients=12, first_bytes=incomplete)
             await check_served(port)
             for client in busy:
                 client.writer.close()
@@ -144,7 +144,7 @@
 
 
 class TwoDiscoveries:
-    """Two servers, each listed by a discovery of its own: the program starts at `old` and is moved to `new`.
+    """Two servers, each listed by its own discovery: the program starts with `old`, then moves to `new`.
 
     The environment names `old` throughout. Requests to the first server wait until `released` is set.
     """
@@ -170,7 +170,7 @@
         self.second_server.close()
 
     def started(self) -> AbstractAsyncContextManager[asyncio.subprocess.Process]:
-        """The program, with the old discovery in its file and in its environment."""
+        """Runs the program, with the old discovery in its file and in its environment."""
         environment = {
             "GW_LISTEN": f"127.0.0.1:{self.port}",
             "GW_DISCOVERY": f"127.0.0.1:{self.old.port}",
@@ -178,21 +178,22 @@
         return started(self.path, self.data, **environment)
 
     def write_new_address(self) -> None:
-        """Name the new discovery in the file."""
+        """Writes the address of the new discovery to the file."""
         write_config(self.path, self.data | {"discovery": f"127.0.0.1:{self.new.port}"})
 
-    async def new_is_followed(self) -> None:
-        """Wait until the program has the complete list of the new discovery and asks for changes."""
+    async def wait_until_new_is_followed(self) -> None:
+        """Waits until the program has the new discovery's complete list and polls for changes."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             assert await self.new.calls.get() == "/v1/endpoints"  # the complete list first
             assert "after=" in await self.new.calls.get()
 
 
-def test_sighup_follows_discovery_to_the_address_in_the_file(tmp_path: Path) -> None:
-    """Guards reloads: the file's discovery takes precedence over the environment's, and its list counts.
+def test_sighup_moves_the_discovery_client_to_the_address_in_the_file(tmp_path: Path) -> None:
+    """Guards reloads: the file's discovery address takes precedence over the environment's, and the endpoint
+    list of that discovery replaces the old one.
 
-    A bad file is one line and changes nothing, signals in a row and one during a shutdown do no harm, and the
-    request in flight meanwhile is answered.
+    An invalid file is logged as one line and changes nothing, repeated signals and one during a shutdown do
+    no harm, and a request in flight during the reload gets its response.
     """
 
     async def work() -> None:
@@ -209,7 +210,7 @@
                 setting.write_new_address()
                 for _ in range(5):
                     process.send_signal(signal.SIGHUP)
-                await setting.new_is_followed()
+                await setting.wait_until_new_is_followed()
                 client.send_request()
                 assert (await client.read_response()).body == b"second"
                 setting.released.set()
@@ -223,7 +224,7 @@
     run(work())
 
 
-BAD_VALUES = [
+INVALID_VALUES = [
     ({"listen": "localhost"}, ["listen", "localhost"]),
     ({"listen": "127.0.0.1:99999"}, ["listen", "127.0.0.1:99999"]),
     ({"discovery": 7}, ["discovery", "7"]),
@@ -238,9 +239,9 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"), BAD_VALUES, ids=["-".join(words[:2]) for _, words in BAD_VALUES]
+    ("change", "words"), INVALID_VALUES, ids=["-".join(words[:2]) for _, words in INVALID_VALUES]
 )
-def test_a_bad_value_is_reported_in_one_line_and_exit_code_2(
+def test_invalid_value_is_reported_in_one_line_with_exit_code_2(
     tmp_path: Path, change: dict[str, Any], words: list[str]
 ) -> None:
     """The line names the key and the value."""
@@ -259,10 +260,10 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_a_missing_or_malformed_file_is_reported_in_one_line_and_exit_code_2(
+def test_missing_or_malformed_file_is_reported_in_one_line_with_exit_code_2(
     tmp_path: Path, text: str | None
 ) -> None:
-    """The line names the variable that names the file."""
+    """The line names the environment variable that holds the file's path."""
 
     async def work() -> None:
         path = tmp_path / "config.json"
@@ -277,8 +278,8 @@
     run(work())
 
 
-def test_without_a_verb_no_optional_package_is_imported() -> None:
-    """Guards the platform's start: its program must run where only requirements.txt is installed."""
+def test_program_without_a_verb_imports_no_optional_package() -> None:
+    """Guards against a failed start on the platform, which installs only the packages in requirements.txt."""
 
     async def work() -> None:
         code = (
--- a/tests/runtime/test_address.py
+++ b/tests/runtime/test_address.py
@@ -1,4 +1,4 @@
-"""Addresses as text: what is read, and what the error names."""
+"""Parsing and formatting of addresses, and the errors for invalid ones."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("text", ["127.0.0.1:0", "10.1.2.3:65535"])
-def test_an_address_is_read_and_written_alike(text: str) -> None:
+def test_parsed_address_is_formatted_as_the_same_text(text: str) -> None:
     assert format_address(read_address(text)) == text
 
 
@@ -17,12 +17,12 @@
     "text",
     ["", "localhost:80", "127.0.0.1", "127.0.0.1:", "127.0.0.1:-1", "127.0.0.1:65536", "::1:80", "1.2.3:4"],
 )
-def test_anything_else_is_an_error_that_names_key_and_value(text: str) -> None:
+def test_invalid_address_raises_an_error_naming_key_and_value(text: str) -> None:
     with pytest.raises(ConfigError, match=r"^listen: ") as error:
         parse_address(text, "listen")
     assert repr(text) in str(error.value)
 
 
-def test_a_value_that_is_not_text_is_an_error() -> None:
+def test_value_that_is_not_a_string_raises_an_error() -> None:
     with pytest.raises(ConfigError, match="listen: 7 "):
         parse_address(7, "listen")
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -1,4 +1,4 @@
-"""In-flight ids and the descriptor budget; the memory budget's tests are in `tests/streaming`."""
+"""In-flight request ids and the descriptor budget; the memory budget's tests are in `tests/streaming`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ScriptedHolder:
-    """A pool with some connections, of which the idle ones can be closed."""
+    """The connections of a pool, of which the idle ones can be closed."""
 
     def __init__(self, sockets: int, idle: int) -> None:
         self.sockets = sockets
@@ -21,21 +21,21 @@
         return True
 
 
-def budget(most: int, *holders: ScriptedHolder) -> DescriptorBudget:
+def budget(limit: int, *holders: ScriptedHolder) -> DescriptorBudget:
     descriptors = DescriptorBudget()
-    descriptors.limit = most
+    descriptors.limit = limit
     for holder in holders:
         descriptors.holders[holder] = None
     return descriptors
 
 
-def test_a_free_descriptor_closes_no_connection() -> None:
+def test_no_connection_is_closed_while_a_descriptor_is_free() -> None:
     holder = ScriptedHolder(sockets=2, idle=2)
     assert budget(3, holder).ensure_one_free()
     assert holder.idle == 2
 
 
-def test_without_a_free_descriptor_one_idle_connection_of_any_pool_is_closed() -> None:
+def test_one_idle_connection_of_any_pool_is_closed_if_no_descriptor_is_free() -> None:
     busy = ScriptedHolder(sockets=2, idle=0)
     idle = ScriptedHolder(sockets=2, idle=2)
     descriptors = budget(4, busy, idle)
@@ -43,11 +43,11 @@
     assert (busy.sockets, idle.sockets, descriptors.used) == (2, 1, 3)
 
 
-def test_no_descriptor_is_granted_where_all_connections_are_busy() -> None:
+def test_no_descriptor_is_granted_if_all_connections_are_busy() -> None:
     assert not budget(2, ScriptedHolder(sockets=2, idle=0)).ensure_one_free()
 
 
-def test_an_id_is_known_while_in_flight_and_for_its_retention() -> None:
+def test_id_is_retained_while_in_flight_and_for_the_retention_time() -> None:
     ids = InFlightIds(retention_ms=100.0)
     ids.begin(b"a")
     assert b"a" in ids
@@ -60,18 +60,18 @@
     assert b"c" in ids
 
 
-def test_a_reused_id_is_remembered_from_its_last_end() -> None:
+def test_retention_of_a_reused_id_starts_at_its_last_end() -> None:
     ids = InFlightIds(retention_ms=100.0)
     ids.end(b"a", 0.0)
     ids.begin(b"a")
     ids.end(b"a", 50.0)
-    ids.end(b"b", 120.0)  # the first end of `a` is forgotten
+    ids.end(b"b", 120.0)  # the retention time of the first end of `a` has passed
     assert b"a" in ids
     ids.end(b"c", 150.0)
     assert b"a" not in ids
 
 
-def test_no_more_ids_than_the_limit_are_remembered() -> None:
+def test_number_of_retained_ids_is_limited() -> None:
     ids = InFlightIds(retention_ms=1e9)
     for number in range(ids.MAX_FINISHED + 1):
         ids.end(b"%d" % number, 0.0)
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock's timers: order, cancelling, and a heap that cancelled timers can't fill."""
+"""The clock and its timers: order, cancellation, and removal of cancelled timers from the heap."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     asyncio.run(bounded())
 
 
-def test_timers_fire_in_the_order_of_their_times_and_never_early() -> None:
+def test_timers_fire_in_order_of_due_time_and_never_early() -> None:
     async def work(clock: Clock) -> None:
         fired: list[str] = []
         done = asyncio.Event()
@@ -41,7 +41,7 @@
     run(work)
 
 
-def test_a_cancelled_timer_does_not_fire() -> None:
+def test_cancelled_timer_does_not_fire() -> None:
     async def work(clock: Clock) -> None:
         fired: list[str] = []
         done = asyncio.Event()
@@ -62,7 +62,7 @@
     run(work)
 
 
-def test_a_timer_whose_call_fails_does_not_stop_the_others() -> None:
+def test_error_in_a_timer_call_does_not_stop_other_timers() -> None:
     async def work(clock: Clock) -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(
@@ -81,7 +81,7 @@
     run(work)
 
 
-def test_a_step_of_the_system_time_does_not_move_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_step_of_the_system_time_does_not_affect_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work(clock: Clock) -> None:
         before_ms = clock.now_ms()
         monkeypatch.setattr("time.time", lambda: 0.0)
--- a/tests/runtime/test_coalescing_runner.py
+++ b/tests/runtime/test_coalescing_runner.py
@@ -1,4 +1,4 @@
-"""Requests for work while it runs are coalesced into one more run."""
+"""The coalescing runner: requests during a run are coalesced into one more run."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ScriptedWork:
-    """Work whose runs end when the test says so."""
+    """Work whose runs end once the test sets `release`; asserts that runs do not overlap."""
 
     def __init__(self) -> None:
         self.started = 0
@@ -23,37 +23,37 @@
         self.running -= 1
 
 
-async def let_tasks_run() -> None:
+async def run_pending_tasks() -> None:
     for _ in range(5):
         await asyncio.sleep(0)
 
 
-def test_triggers_during_a_run_cause_exactly_one_more() -> None:
+def test_triggers_during_a_run_cause_exactly_one_more_run() -> None:
     async def work() -> None:
         scripted = ScriptedWork()
         runner = CoalescingRunner(scripted)
         runner.trigger()
-        await let_tasks_run()
+        await run_pending_tasks()
         for _ in range(5):
             runner.trigger()
-        await let_tasks_run()
+        await run_pending_tasks()
         assert scripted.started == 1
         scripted.release.set()
-        await let_tasks_run()
+        await run_pending_tasks()
         assert scripted.started == 2
         assert scripted.running == 0
 
     asyncio.run(work())
 
 
-def test_a_trigger_after_the_last_run_starts_another() -> None:
+def test_trigger_after_the_last_run_starts_another_run() -> None:
     async def work() -> None:
         scripted = ScriptedWork()
         scripted.release.set()
         runner = CoalescingRunner(scripted)
         for expected in (1, 2):
             runner.trigger()
-            await let_tasks_run()
+            await run_pending_tasks()
             assert scripted.started == expected
 
     asyncio.run(work())
--- a/tests/runtime/test_logger.py
+++ b/tests/runtime/test_logger.py
@@ -1,4 +1,4 @@
-"""The logger's bounds on rate and length, and errors that nothing handles."""
+"""The logger's limits on rate and length, and logging of unhandled errors."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SteppedTime:
-    """The monotonic time, as the test sets it."""
+    """A replacement for the `time` module whose monotonic time the test sets."""
 
     def __init__(self) -> None:
         self.now_s = 100.0
@@ -28,7 +28,7 @@
     return stepped
 
 
-def test_lines_over_the_limit_of_a_second_are_dropped_and_counted(
+def test_lines_beyond_the_limit_per_second_are_dropped_and_counted(
     stepped_time: SteppedTime, capsys: pytest.CaptureFixture[str]
 ) -> None:
     logger = Logger("a")
@@ -38,15 +38,15 @@
     logger.line("next second")
     lines = capsys.readouterr().err.splitlines()
     assert lines[:MAX_LINES_PER_S] == [f"sandhatch a: line {number}" for number in range(MAX_LINES_PER_S)]
-    assert lines[MAX_LINES_PER_S:] == ["sandhatch a: 3 lines dropped", "sandhatch a: next second"]
+    assert lines[MAX_LINES_PER_S:] == ["sandhatch a: 3 log lines dropped", "sandhatch a: next second"]
 
 
-def test_a_long_line_is_truncated(capsys: pytest.CaptureFixture[str]) -> None:
+def test_long_line_is_truncated(capsys: pytest.CaptureFixture[str]) -> None:
     Logger("a").line("x" * (MAX_LINE_CHARS + 1))
     assert capsys.readouterr().err == "sandhatch a: " + "x" * MAX_LINE_CHARS + "\n"
 
 
-def test_a_log_that_cannot_be_written_is_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_errors_in_writing_the_log_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     class BrokenStream:
         def write(self, _text: str) -> int:
             raise OSError("scripted")
@@ -58,7 +58,7 @@
     Logger("a").line("lost")
 
 
-def test_an_error_that_nothing_handles_is_one_line_and_the_loop_goes_on(
+def test_unhandled_error_is_logged_as_one_line_and_the_loop_continues(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def work() -> None:
--- a/tests/telemetry/harness.py
+++ b/tests/telemetry/harness.py
@@ -1,4 +1,4 @@
-"""Instances of a fleet whose recorders write into memory."""
+"""Instances of a fleet whose event recorders write to memory."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Instance:
-    """One instance's log, written at stated times."""
+    """One instance with its event recorder and log; the test gives the time of each event."""
 
     def __init__(self, name: str, scope: RecordScope = RecordScope.ALL) -> None:
         self.log = io.StringIO()
@@ -54,7 +54,7 @@
 def fleet_of_two() -> tuple[Instance, Instance]:
     first = Instance("n0")
     second = Instance("n1")
-    # The same server under another number in each instance.
+    # The instances number the same server differently.
     first.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"), (ServerEntry(2), "10.0.0.2:80"))
     second.notify_list(0.0, ListKind.CACHED, (ServerEntry(7), "10.0.0.2:80"))
     first.handle(100.0, RequestArrived(1, 0, 1000.0), Send(1, 2, 500.0))
--- a/tests/telemetry/test_event_recorder.py
+++ b/tests/telemetry/test_event_recorder.py
@@ -1,4 +1,4 @@
-"""The lines that an instance's event recorder writes."""
+"""Lines written by an instance's event recorder."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     ServerState,
     TimerFired,
 )
-from sandhatch.telemetry.event_recorder import RecordScope, requested_record
+from sandhatch.telemetry.event_recorder import RecordScope, requested_record_scope
 from sandhatch.telemetry.fleet_report import Column, count_fleets
 from sandhatch.telemetry.record_format import parse_records
 from tests.telemetry.harness import START_MS, Instance, fleet_of_two
 
 
-def test_a_timer_that_leads_to_nothing_is_not_recorded() -> None:
+def test_timer_without_resulting_actions_is_not_recorded() -> None:
     _, second = fleet_of_two()
     assert sum("TimerFired" in line for line in second.lines) == 1
 
 
-def test_a_list_poll_is_recorded_when_made_and_by_how_it_ended() -> None:
+def test_endpoint_list_poll_is_recorded_when_sent_and_with_its_result() -> None:
     instance = Instance("n0")
     instance.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"))
     instance.handle(500.0, TimerFired(4), WatchList(True, 1, 41, 2000.0, 2500.0))
@@ -40,12 +40,12 @@
     lines = instance.json_lines
     assert lines[1]["out"] == [["watchlist", 1, 41, 2000, 2500]]
     assert (lines[2]["kind"], lines[2]["call"], lines[2]["why"]) == ("failed", 1, "no answer in 2.5 s")
-    # A failure does not refresh the list: 3.1 s since the start.
+    # A failed poll does not reset the list's age: 3.1 s since the start.
     assert lines[3]["out"] == [["send", 1, 1, 500.0, 3100.0]]
     assert count_fleets([instance.lines])[0].seconds[3][Column.OLDEST_LIST_MS] == 3100
 
 
-def test_a_record_of_lists_counts_sends_by_server() -> None:
+def test_record_of_lists_only_counts_sends_by_server() -> None:
     instance = Instance("n0", RecordScope.LISTS)
     instance.notify_list(
         0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"), (ServerEntry(2), "10.0.0.2:80")
@@ -68,13 +68,13 @@
     assert seconds[1][Column.OLDEST_LIST_MS] == 500
 
 
-def test_a_line_that_cannot_be_written_raises_nothing() -> None:
+def test_line_that_cannot_be_written_raises_no_error() -> None:
     instance = Instance("n0")
     instance.log.close()
     instance.handle(1.0, RequestArrived(1, 0, 1000.0))
 
 
-def test_the_recorder_keeps_the_bytes_of_its_lines() -> None:
+def test_recorded_lines_match_their_format_byte_for_byte() -> None:
     instance = Instance("n0")
     instance.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"))
     instance.handle(
@@ -95,21 +95,21 @@
 @pytest.mark.parametrize(
     ("value", "scope"), [("1", RecordScope.ALL), ("lists", RecordScope.LISTS), ("", None), ("yes", None)]
 )
-def test_the_environment_requests_a_record_by_its_scope(value: str, scope: RecordScope | None) -> None:
+def test_environment_variable_sets_the_scope_of_the_record(value: str, scope: RecordScope | None) -> None:
     warnings: list[str] = []
-    assert requested_record({"SANDHATCH_RECORD": value}, warnings.append) == scope
-    assert requested_record({}, warnings.append) is None
+    assert requested_record_scope({"SANDHATCH_RECORD": value}, warnings.append) == scope
+    assert requested_record_scope({}, warnings.append) is None
     assert warnings == []
 
 
-def test_the_former_variable_name_counts_and_gets_one_warning_that_names_the_new_one() -> None:
+def test_former_variable_name_is_read_with_one_warning_naming_the_new_one() -> None:
     warnings: list[str] = []
-    assert requested_record({"LARKWEIR_RECORD": "lists"}, warnings.append) == RecordScope.LISTS
+    assert requested_record_scope({"LARKWEIR_RECORD": "lists"}, warnings.append) == RecordScope.LISTS
     assert warnings == ["LARKWEIR_RECORD is now called SANDHATCH_RECORD; set that one instead"]
 
 
-def test_the_new_variable_name_takes_precedence_over_the_former_one() -> None:
+def test_new_variable_name_takes_precedence_over_the_former_one() -> None:
     warnings: list[str] = []
     both = {"LARKWEIR_RECORD": "lists", "SANDHATCH_RECORD": "1"}
-    assert requested_record(both, warnings.append) == RecordScope.ALL
+    assert requested_record_scope(both, warnings.append) == RecordScope.ALL
     assert warnings == []
