--- a/testkit/__init__.py
+++ b/testkit/__init__.py
@@ -1,5 +1,5 @@
-"""Fakes of what sandhatch talks to, with faults by script: servers, discovery, clients, planners.
+"""Fakes of sandhatch's peers with scripted faults: servers, discovery, clients, planners.
 
-They are for tests, benchmarks and the demo; the program never imports them (an import contract), and they
-share no framing of HTTP with it. Source: the project's own.
+For tests, benchmarks and the demo only. The program never imports this package (an import contract enforces
+that), and the fakes share no HTTP framing code with it. Source: the project's own.
 """
--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -1,6 +1,7 @@
-"""Behaviours of a fake server by name: responses and faults, each a `Behaviour` for `FakeServer`.
+"""Named behaviours of a fake server: responses and faults, each a `Behaviour` for `FakeServer`.
 
-None of them sleeps: what waits, waits for an event or for the connection's end. Source: the project's own.
+None of them sleeps: a behaviour waits only for an event or for the end of the connection. Source: the
+project's own.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from testkit.servers import Behaviour, FakeConnection
 from testkit.wire import ReceivedRequest, ok, status
 
-# All behaviours take a request, though few look at it.
+# Every behaviour takes a request, although few use it.
 # ruff: noqa: ARG001
 
 
 def responds(data: bytes) -> Behaviour:
-    """Writes these bytes, whatever they are, in response to each request."""
+    """Writes these bytes unchanged in response to each request."""
     return partial(_send, data)
 
 
@@ -41,22 +42,22 @@
 
 
 async def never_responds(request: ReceivedRequest, connection: FakeConnection) -> None:
-    """Sends nothing until the balancer closes."""
+    """Sends nothing until the balancer closes the connection."""
     await connection.ended()
 
 
 async def disconnects(request: ReceivedRequest, connection: FakeConnection) -> None:
-    """Ends the connection in place of a response."""
+    """Resets the connection instead of sending a response."""
     connection.reset()
 
 
 def disconnects_after(body_bytes: int) -> Behaviour:
-    """Begins a response, and ends the connection after so many bytes of its body."""
+    """Begins a response, and resets the connection after `body_bytes` of its body."""
     return partial(_send_and_disconnect, _truncated_response(body_bytes))
 
 
 def stalls_after(body_bytes: int) -> Behaviour:
-    """Begins a response, and sends nothing more after so many bytes of its body."""
+    """Begins a response, and sends nothing more after `body_bytes` of its body."""
     return partial(_send_and_stall, _truncated_response(body_bytes))
 
 
@@ -82,5 +83,5 @@
 
 
 def _truncated_response(body_bytes: int) -> bytes:
-    """A response that announces one byte more than it has."""
+    """Returns a response whose Content-Length is one byte more than its body has."""
     return ok(b"x" * (body_bytes + 1))[:-1]
--- a/testkit/bodies.py
+++ b/testkit/bodies.py
@@ -1,6 +1,7 @@
-"""Long bodies: made from a seed, read by hand, and compared by a checksum in place of their bytes.
+"""Long bodies: generated from a seed, parsed without the program's code, and compared by checksum.
 
-It never keeps a body in memory, except where a test asks for its bytes. Source: RFC 9112 for the framing.
+Never buffers a complete body in memory, except where a test requests its bytes. Source: RFC 9112 for the
+framing.
 """
 
 from __future__ import annotations
@@ -13,19 +14,19 @@
 from zlib import crc32
 
 BLOCK_BYTES = 64 * 1024
-PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of what anyone reads at once
+PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of any read size
 UNLIMITED_BYTES = 1 << 60
 
 
 class SeededBody:
-    """A body of any length, the same for the same seed; two seeds differ in every block."""
+    """A body of any length, determined by its seed; bodies of two seeds differ in every block."""
 
     def __init__(self, seed: int) -> None:
-        """Draws the block that the body repeats."""
+        """Generates the block that the body repeats."""
         self._block = Random(seed).randbytes(PATTERN_BYTES)
 
     def pieces(self, size: int, max_piece_bytes: int = 0) -> Iterator[memoryview]:
-        """The first `size` bytes, in pieces of at most `max_piece_bytes`, or of any size if that is 0."""
+        """Yields the first `size` bytes in pieces of at most `max_piece_bytes`, or of any size if 0."""
         view = memoryview(self._block)
         piece_bytes = max_piece_bytes or len(view)
         offset = 0
@@ -36,11 +37,11 @@
             offset = (offset + len(piece)) % len(view)
 
     def prefix(self, size: int) -> bytes:
-        """The first `size` bytes in one piece."""
+        """Returns the first `size` bytes in one piece."""
         return b"".join(self.pieces(size))
 
     def crc(self, size: int) -> int:
-        """The checksum of the first `size` bytes."""
+        """Returns the CRC-32 checksum of the first `size` bytes."""
         crc = 0
         for piece in self.pieces(size):
             crc = crc32(piece, crc)
@@ -49,7 +50,7 @@
 
 @dataclass
 class Body:
-    """What was received of a body; `complete` says that it came to its end."""
+    """The received part of a body; `complete` tells whether its end was received."""
 
     size: int = 0
     crc: int = 0
@@ -57,21 +58,21 @@
     trailers: dict[str, str] = field(default_factory=dict)
 
     def add(self, piece: bytes) -> None:
-        """Counts a piece."""
+        """Adds a piece to the size and the checksum."""
         self.size += len(piece)
         self.crc = crc32(piece, self.crc)
 
 
-Pause = Callable[[Body], Awaitable[None]]  # awaited after each piece that was read
+Pause = Callable[[Body], Awaitable[None]]  # awaited after each piece is read
 
 
 class BodyReader:
-    """Reads one body, with a Content-Length or chunked, at the pace of a `pause`."""
+    """Reads one body, with a Content-Length or chunked, awaiting `pause` after each piece."""
 
     def __init__(
         self, reader: asyncio.StreamReader, max_read_bytes: int, pause: Pause | None, stop_at: int
     ) -> None:
-        """Creates a reader; its arguments are those of `read_body`."""
+        """Creates a reader; the arguments are those of `read_body`."""
         self.body = Body()
         self._reader = reader
         self._max_read_bytes = max_read_bytes
@@ -79,7 +80,7 @@
         self._stop_at = stop_at
 
     async def read_chunked(self) -> None:
-        """Reads chunks to the last one and its trailers."""
+        """Reads all chunks, including the last one and its trailers."""
         while self.body.size < self._stop_at:
             size_line = await self._reader.readuntil(b"\r\n")
             size = int(size_line.split(b";")[0], 16)
@@ -92,7 +93,7 @@
                 await self._reader.readexactly(2)
 
     async def read_length(self, length: int) -> None:
-        """Reads a body of this length."""
+        """Reads a body with this Content-Length."""
         await self._read_piecewise(length)
         self.body.complete = self.body.size == length
 
@@ -119,14 +120,14 @@
     pause: Pause | None = None,
     stop_at: int = UNLIMITED_BYTES,
 ) -> Body:
-    """Reads a body to its end, to `stop_at` bytes, or to where the connection breaks.
+    """Reads a body to its end, up to `stop_at` bytes, or until the connection breaks.
 
     Args:
-        reader: of the connection, behind the message's head.
-        headers: the message's, names in lower case.
-        max_read_bytes: bytes that are read at once.
-        pause: awaited after each piece.
-        stop_at: bytes after which the rest is left unread.
+        reader: Stream of the connection, positioned after the head of the message.
+        headers: Header fields of the message, names in lower case.
+        max_read_bytes: Maximum number of bytes per read.
+        pause: Function that is awaited after each piece.
+        stop_at: Number of bytes after which the rest is left unread.
     """
     body_reader = BodyReader(reader, max_read_bytes, pause, stop_at)
     with suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -138,11 +139,11 @@
 
 
 def chunked(piece: bytes | memoryview) -> bytes:
-    """A piece as one chunk; nothing for an empty piece, which would be the last chunk."""
+    """Encodes a piece as one chunk; empty for an empty piece, which would otherwise be the last chunk."""
     return b"%x\r\n%b\r\n" % (len(piece), bytes(piece)) if len(piece) else b""
 
 
 def head(first: str, **headers: str) -> bytes:
-    """A message's head: its start line and header fields, an underscore standing for a hyphen."""
+    """Encodes a message's head: start line and header fields, with underscores in names as hyphens."""
     lines = "".join(f"{name.replace('_', '-')}: {value}\r\n" for name, value in headers.items())
     return f"{first}\r\n{lines}\r\n".encode()
--- a/testkit/clients.py
+++ b/testkit/clients.py
@@ -1,6 +1,6 @@
-"""A fake client with one connection, and the requests it sends.
+"""A fake client with one connection, and the requests that it sends.
 
-It never retries. Source: the platform's page PROTOCOL, for the header fields.
+The client never retries. Source: the platform's page PROTOCOL, for the header fields.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 from testkit.wire import RESPONSE_TIMEOUT_S, Response, read_http_response
 
-TRACE_NUMBERS = count(1)  # numbers of trace ids: each request has a new one
+TRACE_NUMBERS = count(1)  # sequence from which each request gets a new trace id
 
 
 class HttpClient:
-    """One connection to a port of the loopback, open while in its `async with`."""
+    """One connection to a loopback port, open within its `async with` block."""
 
     def __init__(self, port: int) -> None:
-        """Creates a client that is not connected yet."""
+        """Creates a client that is not connected."""
         self._port = port
 
     async def __aenter__(self) -> HttpClient:
-        """Connects."""
+        """Opens the connection."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self._port)
         return self
 
@@ -30,33 +30,33 @@
         self.writer.close()
 
     def send(self, data: bytes) -> None:
-        """Writes bytes as they are."""
+        """Writes bytes unchanged."""
         self.writer.write(data)
 
     def send_request(
         self, cls: str = "look", body: bytes = b"", target: str = "/api", **headers: str
     ) -> None:
-        """Sends a request, as `request_bytes` makes it."""
+        """Sends a request built by `request_bytes`."""
         self.send(request_bytes(cls, body, target, **headers))
 
     async def read_response(self) -> Response:
-        """The next response."""
+        """Reads the next response."""
         return await read_http_response(self.reader)
 
     async def read_to_end(self) -> bytes:
-        """What still comes until the balancer closes."""
+        """Reads the remaining bytes until the balancer closes the connection."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.reader.read()
 
 
 def request_bytes(cls: str = "look", body: bytes = b"", target: str = "/api", **headers: str) -> bytes:
-    """A request.
+    """Builds a request.
 
     Args:
-        cls: its class; `look` without a body is a GET, all else a POST.
-        body: its body.
-        target: its target.
-        headers: further header fields, or other values; an underscore stands for a hyphen.
+        cls: Request class; `look` without a body becomes a GET, any other request a POST.
+        body: Request body.
+        target: Request target.
+        headers: Additional or replaced header fields; underscores in names become hyphens.
     """
     fields = {
         "Host": "api.internal",
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -1,7 +1,7 @@
-"""`sandhatch demo`: three tiers of fake servers and the balancer on the loopback, with load and with changes.
+"""`sandhatch demo`: three tiers of fake servers and the balancer on the loopback, under load and changes.
 
-It uses the example configuration as it is, except for its ports, which the system chooses, and ends by itself
-after some twenty seconds. A web-front server calls config-core through the balancer, and that calls
+Uses the example configuration unchanged, except for the ports, which the system chooses, and ends by itself
+after some twenty seconds. A web-front server calls config-core through the balancer, which in turn calls
 price-store. Source: `deploy/own-example.yaml`.
 """
 
@@ -30,7 +30,7 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
 NON_IDEMPOTENT = frozenset(("place-order", "save-quote", "send-drawing"))
-# How many of a hundred requests are of each class.
+# Percentage of requests of each class.
 CLASS_WEIGHTS = {"view-config": 38, "save-quote": 30, "send-drawing": 18, "place-order": 14}
 MIN_SERVICE_TIME_S = 0.02
 MAX_SERVICE_TIME_S = 0.04
@@ -40,21 +40,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Downstream:
-    """The call that a pool's servers make to the tier below, through the balancer."""
+class DependencyCall:
+    """The call that a pool's servers make through the balancer to the tier that they depend on."""
 
     target: str
-    tier: str  # of the caller
+    tier: str  # tier of the calling server
 
 
-CALLS_BELOW = {
-    "web-front": Downstream("/core/part", "web-front"),
-    "config-core": Downstream("/store/price", "config-core"),
+DEPENDENCY_CALLS = {
+    "web-front": DependencyCall("/core/part", "web-front"),
+    "config-core": DependencyCall("/store/price", "config-core"),
 }
 
 
 def choose_request(rng: Random) -> RequestChoice:
-    """Draws a request to the web front."""
+    """Chooses a random request to the web front."""
     request_class = rng.choices(list(CLASS_WEIGHTS), list(CLASS_WEIGHTS.values()))[0]
     return RequestChoice(request_class, "/configurator")
 
@@ -62,53 +62,59 @@
 class Tiers:
     """The fake servers of the example's pools.
 
-    `seen` counts the requests that each received; those whose names are in `broken` respond with status 500.
-    They call each other through the balancer at `balancer_port`, which is set once it is known.
+    Attributes:
+        balancer_port: Port of the balancer, through which the servers call each other; 0 until it is known.
+        received: Number of requests that each server received, by its name.
+        failing: Names of servers that respond to each request with status 500.
     """
 
     def __init__(self) -> None:
         """Creates tiers without servers."""
         self.balancer_port = 0
-        self.seen: Counter[str] = Counter()
-        self.broken: set[str] = set()
+        self.received: Counter[str] = Counter()
+        self.failing: set[str] = set()
         self._servers: dict[str, FakeServer] = {}
         self._rng = Random(7)
 
     async def start(self, pool: str, name: str) -> str:
-        """Starts a server of a pool; returns its address."""
+        """Starts a server of the pool; returns its address."""
         self._servers[name] = await FakeServer(self._behaviour(pool, name)).start()
         return f"127.0.0.1:{self._servers[name].port}"
 
     def close(self) -> None:
-        """Ends all servers."""
+        """Stops all servers."""
         for server in self._servers.values():
             server.close()
 
     def _behaviour(self, pool: str, name: str) -> Behaviour:
-        return partial(self._serve, name, CALLS_BELOW.get(pool))
+        return partial(self._serve, name, DEPENDENCY_CALLS.get(pool))
 
     async def _serve(
-        self, name: str, below: Downstream | None, request: ReceivedRequest, connection: FakeConnection
+        self,
+        name: str,
+        dependency: DependencyCall | None,
+        request: ReceivedRequest,
+        connection: FakeConnection,
     ) -> None:
-        """Serves a request at the server of this name, which calls the tier below if it has one."""
-        self.seen[name] += 1
-        if name in self.broken:
+        """Serves a request as the named server, calling the tier that it depends on, if any."""
+        self.received[name] += 1
+        if name in self.failing:
             await connection.send(status(500))
             return
         await asyncio.sleep(self._rng.uniform(MIN_SERVICE_TIME_S, MAX_SERVICE_TIME_S))
-        has_succeeded = below is None or await self._call(request, below)
-        await connection.send(ok(name.encode()) if has_succeeded else status(500))
+        succeeded = dependency is None or await self._call(request, dependency)
+        await connection.send(ok(name.encode()) if succeeded else status(500))
 
-    async def _call(self, request: ReceivedRequest, below: Downstream) -> bool:
-        """Calls the tier below; whether it responded with status 200."""
+    async def _call(self, request: ReceivedRequest, dependency: DependencyCall) -> bool:
+        """Makes the dependency call; returns whether the response had status 200."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.balancer_port)
         try:
-            trace = f"{request.headers['x-trace-id']}.{below.tier}"
+            trace = f"{request.headers['x-trace-id']}.{dependency.tier}"
             lines = (
-                f"{request.method} {below.target} HTTP/1.1",
+                f"{request.method} {dependency.target} HTTP/1.1",
                 "Host: below",
                 f"X-Trace-Id: {trace}",
-                f"X-Tier: {below.tier}",
+                f"X-Tier: {dependency.tier}",
                 f"X-Qos: {request.headers['x-qos']}",
                 f"X-Expires-In-Ms: {request.headers.get('x-expires-in-ms', '1000')}",
                 "Content-Length: 0",
@@ -122,19 +128,19 @@
 
 
 class Demo:
-    """One run of the demo, with its files in a directory of its own."""
+    """One run of the demo, with its files in the given directory."""
 
     def __init__(self, directory: str) -> None:
         """Creates a run that has started nothing."""
         self._directory = Path(directory)
         self._control = f"{directory}/sandhatch.sock"
-        self._port = 0  # the balancer's
+        self._port = 0  # port of the balancer
         self._tiers = Tiers()
         self._request_log = RequestLog()
         self._configuration: dict[str, Any] = yaml.safe_load(EXAMPLE.read_text())
 
     async def run(self) -> int:
-        """Plays the demo; returns the exit status, 1 if a request had not exactly one response."""
+        """Runs the demo; returns the exit status, 1 if any request did not get exactly one response."""
         await self._start_servers()
         balancer = await self._start_balancer()
         try:
@@ -142,20 +148,20 @@
             print(
                 f"three tiers of fake servers, the balancer at 127.0.0.1:{self._port}, 6 clients", flush=True
             )
-            await self._play_changes()
+            await self._run_scenario()
         finally:
             balancer.terminate()
             await balancer.wait()
             self._tiers.close()
-        faults = [line for line in self._request_log.faults(NON_IDEMPOTENT) if "answers" in line]
-        print(f"\nin all{self._summary(0)}; requests without exactly one answer: {len(faults)}")
+        faults = [line for line in self._request_log.faults(NON_IDEMPOTENT) if "responses" in line]
+        print(f"\nin all{self._summary(0)}; requests without exactly one response: {len(faults)}")
         return 1 if faults else 0
 
     async def _start_servers(self) -> None:
         for pool, spec in self._configuration["pools"].items():
             for name, server in spec["servers"].items():
                 server["address"] = await self._tiers.start(pool, name)
-        # Chosen last: a server that starts later could be given the same port.
+        # After all servers have started: one that starts later could be given the same port.
         self._port = free_port()
         self._tiers.balancer_port = self._port
 
@@ -174,7 +180,7 @@
             stderr=asyncio.subprocess.DEVNULL,
         )
 
-    async def _play_changes(self) -> None:
+    async def _run_scenario(self) -> None:
         load = LoadGenerator(
             self._port,
             self._request_log,
@@ -186,12 +192,12 @@
         await asyncio.sleep(STEADY_S)
         await self._command("status")
         print(self._summary(0))
-        await self._play_good_change()
-        await self._play_bad_change()
+        await self._commit_valid_change()
+        await self._commit_failing_change()
         await load.stop()
 
-    async def _play_good_change(self) -> None:
-        print("\n-- a server more in web-front, and web-1 drained", flush=True)
+    async def _commit_valid_change(self) -> None:
+        print("\n-- change 1: add web-4 to web-front and drain web-1", flush=True)
         servers = self._configuration["pools"]["web-front"]["servers"]
         servers["web-4"] = {"address": await self._tiers.start("web-front", "web-4")}
         servers["web-1"]["state"] = "draining"
@@ -200,16 +206,19 @@
         await self._command("diff", "--proposal", "1")
         await self._command("commit", "1", "--confirm-within", "30")
         since = len(self._request_log.entries)
-        seen_before = self._tiers.seen["web-1"]
+        received_before = self._tiers.received["web-1"]
         await asyncio.sleep(AFTER_COMMIT_S)
         await self._command("confirm")
         print(self._summary(since))
-        drained = self._tiers.seen["web-1"] - seen_before
-        print(f"   web-1 got {drained} requests since, web-4 {self._tiers.seen['web-4']}")
+        received_while_draining = self._tiers.received["web-1"] - received_before
+        print(
+            f"   since the commit, web-1 received {received_while_draining} requests, "
+            f"web-4 {self._tiers.received['web-4']}"
+        )
 
-    async def _play_bad_change(self) -> None:
-        print("\n-- a change that breaks price-store: it is to be rolled back by itself", flush=True)
-        self._tiers.broken.add("store-9")
+    async def _commit_failing_change(self) -> None:
+        print("\n-- change 2 breaks price-store: an automatic rollback is expected", flush=True)
+        self._tiers.failing.add("store-9")
         configuration = deepcopy(self._configuration)
         pool = configuration["pools"]["price-store"]
         pool["servers"] = {"store-9": {"address": await self._tiers.start("price-store", "store-9")}}
@@ -225,13 +234,13 @@
         await self._command("history")
 
     def _write_configuration(self, name: str, configuration: Mapping[str, Any]) -> str:
-        """Writes a configuration to a file; returns its path."""
+        """Writes a configuration to a file; returns the file's path."""
         path = self._directory / name
         path.write_text(yaml.safe_dump(dict(configuration), sort_keys=False))
         return str(path)
 
     async def _command(self, verb: str, *arguments: str) -> int:
-        """Runs a verb of the command line, shown with what it prints; returns its exit status."""
+        """Prints and runs a verb of the command line; returns its exit status."""
         shown = " ".join(Path(argument).name if "/" in argument else argument for argument in arguments)
         print(f"\n$ sandhatch {verb} {shown}", flush=True)
         process = await asyncio.create_subprocess_exec(
@@ -240,14 +249,14 @@
         return await process.wait()
 
     def _summary(self, since: int) -> str:
-        """Requests and statuses from the entry with this number on."""
+        """Summarizes the requests logged from index `since` on, with the statuses of their responses."""
         entries = list(self._request_log.entries.values())[since:]
         statuses = Counter(entry.responses[0].status for entry in entries if entry.responses)
-        return f"   {len(entries)} requests, answers {dict(sorted(statuses.items()))}"
+        return f"   {len(entries)} requests, responses by status {dict(sorted(statuses.items()))}"
 
 
 def main() -> int:
-    """Plays the demo; returns the exit status."""
+    """Runs the demo; returns the exit status."""
     with tempfile.TemporaryDirectory() as directory:
         return asyncio.run(Demo(directory).run())
 
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -1,7 +1,7 @@
-"""A fake of the platform's discovery: full lists and watches, and its failures.
+"""A fake of the platform's discovery service: complete lists, watches, and faults.
 
-It decides nothing about servers: tests enter the changes. Source: the platform's page PROTOCOL, whose JSON
-keys and targets these are.
+Tests make all changes to the entries. Source: the platform's page PROTOCOL, which defines the JSON keys and
+request targets.
 """
 
 from __future__ import annotations
@@ -18,22 +18,28 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishedChange:
-    """An entry that changed, and the generation that has it."""
+    """A changed entry and the generation in which it changed."""
 
     generation: int
     entry: dict[str, Any]
 
 
 class FakeDiscovery(ListeningFake):
-    """Answers requests for the full list and watches; it can go down and come back on its port.
+    """A discovery service that responds to polls for the complete list and to watches.
 
-    `calls` has the target of each request. Tests set the faults: `garbage` are raw responses given in place
-    of true ones, one a request; `delay_s` is the time that a full list takes; while `silent`, a watch is
-    never answered.
+    It can be stopped and started again on the same port. Tests set its faults.
+
+    Attributes:
+        generation: Generation of the endpoint list.
+        entries: Current entries, by instance id.
+        calls: Queue of the targets of all requests.
+        garbage: Raw responses that replace regular ones, one per request.
+        delay_s: Delay of each complete list, in seconds.
+        silent: Whether watches get no response.
     """
 
     def __init__(self, entries: list[dict[str, Any]]) -> None:
-        """Creates a discovery that lists these entries and does not listen yet."""
+        """Creates a service that lists these entries and does not listen yet."""
         super().__init__()
         self.generation = 1
         self.entries = {entry["instanceId"]: entry for entry in entries}
@@ -42,17 +48,17 @@
         self.delay_s = 0.0
         self.silent = False
         self._changes: list[PublishedChange] = []
-        self._changed = asyncio.Event()
+        self._generation_changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
 
     def stop(self) -> None:
-        """Goes down and ends all connections; `start` brings it back on the same port."""
+        """Stops listening and aborts all connections; `start` listens on the same port again."""
         for writer in list(self._writers):
             writer.transport.abort()
         self.close()
 
     def change(self, *entries: dict[str, Any]) -> None:
-        """Enters changed entries as the next generation, and answers the watches."""
+        """Publishes changed entries as the next generation, and completes the pending watches."""
         self.generation += 1
         for entry in entries:
             self.entries[entry["instanceId"]] = entry
@@ -60,12 +66,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Lets the pending watches look at the generation again."""
-        self._changed.set()
-        self._changed = asyncio.Event()
+        """Makes the pending watches check the generation again."""
+        self._generation_changed.set()
+        self._generation_changed = asyncio.Event()
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answers one request after another."""
+        """Responds to one request after another."""
         self._writers.add(writer)
         try:
             while (head := await read_head(reader)) is not None:
@@ -74,18 +80,18 @@
                 if self.garbage:
                     writer.write(self.garbage.pop(0))
                     continue
-                listing = await (self._delta(target) if "after=" in target else self._full_list())
-                writer.write(ok(json.dumps(listing).encode()))
+                endpoint_list = await (self._delta(target) if "after=" in target else self._full_list())
+                writer.write(ok(json.dumps(endpoint_list).encode()))
         finally:
             self._writers.discard(writer)
 
     async def _full_list(self) -> dict[str, Any]:
         await asyncio.sleep(self.delay_s)
-        present = [entry for entry in self.entries.values() if entry["lifecycle"] != "left"]
-        return {"generation": self.generation, "reset": True, "instances": present}
+        active_entries = [entry for entry in self.entries.values() if entry["lifecycle"] != "left"]
+        return {"generation": self.generation, "reset": True, "instances": active_entries}
 
     async def _delta(self, target: str) -> dict[str, Any]:
-        """What changed after the watch's generation, once anything has or its wait is over."""
+        """Returns the changes after the watch's generation, once there are any or its wait expires."""
         if self.silent:
             await asyncio.Event().wait()
         after = int(target.partition("after=")[2].partition("&")[0])
@@ -93,6 +99,6 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(wait_ms / 1000.0):
                 while self.generation == after:
-                    await self._changed.wait()
+                    await self._generation_changed.wait()
         changed = [change.entry for change in self._changes if change.generation > after]
         return {"generation": self.generation, "reset": False, "instances": changed}
--- a/testkit/listening.py
+++ b/testkit/listening.py
@@ -1,6 +1,6 @@
-"""What all fakes that listen share: a loopback port, a task for each connection, and an orderly end.
+"""Common base of all listening fakes: a loopback port, a task for each connection, and an orderly shutdown.
 
-It reads and writes nothing on a connection. Source: the project's own.
+Reads and writes nothing on a connection itself. Source: the project's own.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 class ListeningFake(ABC):
     """A fake that accepts connections on the loopback.
 
-    `port` is where it listens: the system's choice at the first start, the same at a later one. `connections`
-    counts those that it accepted.
+    Attributes:
+        port: Port that the fake listens on; chosen by the system at the first start, unchanged afterwards.
+        connections: Number of accepted connections.
     """
 
     BACKLOG: ClassVar[int] = 100
-    # What ends a connection without being an error of the fake.
+    # Errors that end a connection without being a fault of the fake.
     CONNECTION_ERRORS: ClassVar[tuple[type[Exception], ...]] = (ConnectionError, asyncio.IncompleteReadError)
 
     def __init__(self) -> None:
-        """Creates a fake that doesn't listen yet."""
+        """Creates a fake that does not listen yet."""
         self.port = 0
         self.connections = 0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -30,10 +31,10 @@
 
     @abstractmethod
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serves one connection until it ends; the caller closes it."""
+        """Serves one connection until it ends; the caller of this method closes it."""
 
     async def start(self) -> Self:
-        """Listens at `port`, or at one that the system chooses if it is 0."""
+        """Listens on `port`, or on a port that the system chooses if it is 0."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", self.port, backlog=self.BACKLOG)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self
@@ -53,7 +54,7 @@
         try:
             await self.serve_connection(reader, writer)
         except asyncio.CancelledError:
-            pass  # by `close`
+            pass  # cancelled by `close`
         except self.CONNECTION_ERRORS:
             pass
         finally:
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -1,6 +1,6 @@
-"""A load generator: clients that send requests one after another over persistent connections.
+"""A closed-loop load generator: clients that send requests one after another over persistent connections.
 
-It logs every request and never retries one. Source: the project's own; a closed loop with random pauses.
+Logs every request and never retries one. Source: the project's own; clients pause for random times.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from testkit.request_log import RequestLog
 from testkit.wire import read_http_response
 
-REQUEST_NUMBERS = count(1)  # of trace ids, over all generators of the process
+REQUEST_NUMBERS = count(1)  # numbers for trace ids, unique over all generators of the process
 
 
 class RequestChoice(NamedTuple):
-    """What a client requests."""
+    """Class and target of a request."""
 
     request_class: str
     target: str
@@ -28,7 +28,7 @@
 
 
 class LoadGenerator:
-    """Sends requests from its creation on, until `stop` or after `max_requests` in all."""
+    """Sends requests from its creation until `stop` is called or `max_requests` have been sent."""
 
     def __init__(
         self,
@@ -44,14 +44,14 @@
         """Creates a generator and starts its clients as tasks of the running event loop.
 
         Args:
-            port: of the loopback, where the balancer listens.
-            request_log: where every request is logged.
-            choose: draws the class and the target of a request.
-            clients: how many there are, each with a connection.
-            pause_s: the average pause of a client between two requests.
-            seed: of the draws.
-            max_requests: requests of all clients together.
-            non_idempotent: classes that are not idempotent; their requests are POSTs.
+            port: Loopback port that the balancer listens on.
+            request_log: Log to which every request is added.
+            choose: Function that chooses the class and the target of a request at random.
+            clients: Number of clients, each with one connection.
+            pause_s: Mean pause of a client between two requests.
+            seed: Seed of the random choices.
+            max_requests: Maximum number of requests of all clients together.
+            non_idempotent: Request classes that are not idempotent; their requests are POSTs.
         """
         self._port = port
         self._request_log = request_log
@@ -84,7 +84,7 @@
     async def _exchange(
         self, rng: Random, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Sends one request and logs its response; whether the connection may be used again."""
+        """Sends one request and logs its response; returns whether the connection may be reused."""
         request_class, target = self._choose(rng)
         trace = f"load-{next(REQUEST_NUMBERS):x}"
         entry = self._request_log.add(trace, request_class, asyncio.get_running_loop().time())
@@ -107,6 +107,6 @@
         ).encode()
 
     async def stop(self) -> None:
-        """Sends no more requests, and waits until those in flight have their responses."""
+        """Stops sending requests, and waits until those in flight are complete."""
         self._stopping.set()
         await asyncio.gather(*self._tasks)
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -1,7 +1,7 @@
-"""Fake planners that follow a script once the handshake is over.
+"""Fake planners that follow a script once the handshake is complete.
 
-They decide nothing about advice: the script does. Source: `docs/planning-link.md`; the frames are sealed by
-the program's own session.
+The script determines the advice. Source: `docs/planning-link.md`; the program's own session code seals the
+frames.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 
 class ForwarderConnection:
-    """One forwarder's connection, as the script sees it."""
+    """A forwarder's connection, the interface for scripts."""
 
     def __init__(
         self, session: PlannerSession, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Wraps a connection whose handshake is still to come."""
+        """Wraps a connection whose handshake has not begun."""
         self.session = session
         self._reader = reader
         self._writer = writer
@@ -36,16 +36,16 @@
         self._version = 0
 
     async def wait_established(self) -> None:
-        """Waits until the handshake is over."""
+        """Waits until the handshake is complete."""
         while not self.session.established:
             await self._read()
 
     async def next_report(self) -> Report:
-        """The next report.
+        """Returns the next report.
 
         Raises:
-            ConnectionError: the forwarder has closed.
-            SessionError: the forwarder broke the session.
+            ConnectionError: The forwarder has closed the connection.
+            SessionError: The forwarder violated the session protocol.
         """
         while not self._reports:
             await self._read()
@@ -54,14 +54,14 @@
     async def _read(self) -> None:
         data = await self._reader.read(READ_BYTES)
         if not data:
-            raise ConnectionError("the forwarder has left")
+            raise ConnectionError("the forwarder closed the connection")
         for event, _ in self.session.feed(data):
             if isinstance(event, Report):
                 self._reports.append(event)
         await self.send_raw(self.session.take_out())
 
     def advice(self, report: Report, *pools: PoolAdvice, **more: object) -> Advice:
-        """Advice in answer to a report, as a planner without a fault gives it; `more` replaces fields."""
+        """Creates the advice of a planner without faults for a report; `more` replaces fields."""
         self._version += 1
         advice = Advice(
             self.session.epoch, self._version, report.serial, LEASE_MS, SHARE_LEASE_MS, pools=list(pools)
@@ -76,12 +76,12 @@
         await self.send_raw(self.session.take_out())
 
     async def send_raw(self, data: bytes) -> None:
-        """Writes bytes as they are, sealed or not."""
+        """Writes bytes unchanged, sealed or not."""
         self._writer.write(data)
         await self._writer.drain()
 
     async def wait_closed(self) -> None:
-        """Waits until the forwarder closes."""
+        """Waits until the forwarder closes the connection."""
         with suppress(ConnectionError, SessionError):
             while True:
                 await self._read()
@@ -91,9 +91,14 @@
 
 
 class ScriptedPlanner(ListeningFake):
-    """A planner that runs the script on each connection.
-
-    `ended_scripts` counts the scripts that have ended.
+    """A planner that runs its script on each connection.
+
+    Attributes:
+        name: Name of the planner.
+        identity: Identity that the planner proves in the handshake.
+        script: Script that is run on each connection.
+        epoch: Epoch of the planner.
+        ended_scripts: Number of scripts that have ended.
     """
 
     CONNECTION_ERRORS: ClassVar[tuple[type[Exception], ...]] = (ConnectionError, SessionError)
--- a/testkit/platform.py
+++ b/testkit/platform.py
@@ -1,6 +1,6 @@
-"""What the platform gives a balancer at its start: settings, a configuration file, entries of discovery.
+"""Input that the platform gives a balancer at its start: settings, configuration file, discovery entries.
 
-It starts nothing. Source: the platform's pages DEPLOY and PROTOCOL, whose JSON keys these are.
+Holds data only. Source: the platform's pages DEPLOY and PROTOCOL, which define the JSON keys.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
 
 
 def config_data(entries: list[dict[str, Any]], discovery_port: int, **more: Any) -> dict[str, Any]:
-    """The configuration of an instance that knows these entries.
+    """Builds the configuration of an instance that starts with these entries.
 
     Args:
-        entries: as `entry` makes them.
-        discovery_port: of the loopback.
-        more: keys of the configuration that replace those here.
+        entries: Endpoint list entries, as built by `entry`.
+        discovery_port: Loopback port of the discovery service.
+        more: Configuration keys that replace the defaults.
     """
     return {
         "name": "n1",
@@ -67,7 +67,7 @@
 
 
 def entry(name: str, port: int, **more: Any) -> dict[str, Any]:
-    """A server's entry in the answers of discovery; `more` replaces keys."""
+    """Builds a server's entry in the responses of discovery; `more` replaces keys."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{port}",
--- a/testkit/polling.py
+++ b/testkit/polling.py
@@ -1,6 +1,6 @@
-"""A wait for what sets no event: a condition is looked at until it holds.
+"""Polling of a condition for which there is no event, until the condition holds.
 
-It changes nothing that it looks at. Source: the project's own.
+Changes nothing itself. Source: the project's own.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
     """Waits until a condition holds.
 
     Args:
-        condition: looked at again and again.
-        state: what it stands for, for the error.
-        timeout_s: how long to wait for it.
+        condition: Predicate that is polled.
+        state: Description of the condition, for the error message.
+        timeout_s: Maximum time to wait.
 
     Raises:
-        TimeoutError: it did not hold in time; names the state.
+        TimeoutError: The condition did not hold in time; the message names the state.
     """
     try:
         async with asyncio.timeout(timeout_s):
-            while not condition():  # noqa: ASYNC110 - the program sets no event for what a test looks at
+            while not condition():  # noqa: ASYNC110 - the program sets no event for the state that a test polls
                 await asyncio.sleep(POLL_S)
     except TimeoutError:
-        raise TimeoutError(f"not within {timeout_s:g} s: {state}") from None
+        raise TimeoutError(f"timed out after {timeout_s:g} s waiting for: {state}") from None
--- a/testkit/ports.py
+++ b/testkit/ports.py
@@ -1,6 +1,6 @@
-"""Ports of the loopback: free ones for processes that are given theirs, and a wait until one is listened at.
+"""Loopback ports: selection of a free port for a process, and a wait until a process listens on it.
 
-It keeps no port reserved: another process could take it in between. Source: bind(2) with port 0.
+Does not reserve the port: another process could bind it in the meantime. Source: bind(2) with port 0.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 
 
 def free_port() -> int:
-    """A TCP port of the loopback that nobody listens at."""
+    """Returns a loopback TCP port that no process listens on."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return int(probe.getsockname()[1])
 
 
 async def wait_until_listening(port: int) -> None:
-    """Waits until something listens at a port.
+    """Waits until a process listens on a port.
 
     Raises:
-        RuntimeError: nothing did for ten seconds.
+        RuntimeError: No process did so within ten seconds.
     """
     for _ in range(CONNECT_RETRIES):
         with suppress(OSError):
@@ -32,4 +32,4 @@
             writer.close()
             return
         await asyncio.sleep(CONNECT_RETRY_S)
-    raise RuntimeError(f"nothing listens at {port}")
+    raise RuntimeError(f"no process listens on port {port}")
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -1,7 +1,7 @@
-"""A fake server, whose behaviour a test gives as a function of the request.
+"""A fake server whose behaviour is a function of the request, given by the test.
 
-It reads a request to its end before it responds; `streaming_server` has one that doesn't. Source: the
-project's own; `behaviours` has the usual faults by name.
+Reads each request completely before it responds; `streaming_server` has a server that does not. Source: the
+project's own; `behaviours` has responses and common faults by name.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class FakeConnection:
-    """One connection of a fake server, as its behaviour sees it."""
+    """One connection of a fake server, the interface for behaviours."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Wraps the connection's streams."""
@@ -30,11 +30,11 @@
         await self.writer.drain()
 
     def reset(self) -> None:
-        """Ends the connection at once, without what is not written yet."""
+        """Aborts the connection immediately, discarding unsent bytes."""
         self.writer.transport.abort()
 
     async def ended(self) -> None:
-        """Waits until the balancer closes."""
+        """Waits until the balancer closes the connection."""
         with suppress(ConnectionError):
             await self.reader.read()
 
@@ -48,9 +48,13 @@
 
 
 class FakeServer(ListeningFake):
-    """A server that keeps the requests it received: all in `requests`, each once in the queue `arrived`.
+    """A server that records the requests that it receives.
 
-    `behave` may be changed at any time; `open_connections` are the open connections.
+    Attributes:
+        behave: Behaviour for each request; may be changed at any time.
+        requests: All requests received.
+        arrived: Queue of the requests received, for tests to wait on.
+        open_connections: Connections that are open.
     """
 
     def __init__(self, behave: Behaviour = serve_ok) -> None:
@@ -77,5 +81,5 @@
             self.open_connections.remove(connection)
 
     def entry(self, name: str, **more: Any) -> dict[str, Any]:
-        """Its entry in the answers of discovery; `more` replaces keys."""
+        """Builds the server's entry in the responses of discovery; `more` replaces keys."""
         return entry(name, self.port, **more)
--- a/testkit/simulation/clock.py
+++ b/testkit/simulation/clock.py
@@ -1,6 +1,6 @@
-"""Simulated time: a queue of calls, each made when its time has come.
+"""Simulated time: a queue of scheduled calls, each made at its due time.
 
-It never reads a clock and never waits. Source: the usual discrete event simulation, a heap of times.
+Never reads a clock and never waits. Source: standard discrete event simulation with a heap of due times.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-START_MS = 1_000_000.0  # where a run begins; not 0, which means "long ago" as a server's start
+START_MS = 1_000_000.0  # start time of a run; not 0, which as a server's start means "long ago"
 
 
 class _ScheduledCall(NamedTuple):
-    """A call, ordered by the time at which it is due and then by its serial."""
+    """A call, ordered by due time and then by serial number."""
 
     due_ms: float
     serial: int
@@ -21,24 +21,24 @@
 
 
 class SimulatedClock:
-    """The run's time. Calls that are due at the same time are made in the order in which they were added."""
+    """The clock of a run. Calls that are due at the same time are made in the order of their addition."""
 
     def __init__(self) -> None:
-        """Creates a clock that stands at the run's start."""
+        """Creates a clock at the start of a run."""
         self.now_ms = START_MS
         self._queue: list[_ScheduledCall] = []
         self._serial = 0
 
     def after(self, delay_ms: float, call: Callable[[], object]) -> None:
-        """Makes the call when `delay_ms` have passed."""
+        """Schedules a call `delay_ms` from now."""
         self._add(self.now_ms + max(0.0, delay_ms), call)
 
     def at(self, offset_ms: float, call: Callable[[], object]) -> None:
-        """Makes the call `offset_ms` after the run's start."""
+        """Schedules a call `offset_ms` after the start of the run."""
         self._add(START_MS + offset_ms, call)
 
     def run(self, until_ms: float) -> None:
-        """Makes all calls that are due up to `until_ms` after the run's start."""
+        """Makes all calls that are due up to `until_ms` after the start of the run."""
         end_ms = START_MS + until_ms
         while self._queue and self._queue[0].due_ms <= end_ms:
             scheduled = heappop(self._queue)
--- a/testkit/simulation/discovery.py
+++ b/testkit/simulation/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery in simulated time: one service that serves polls one at a time, with faults.
+"""Discovery in simulated time: one service that handles polls one at a time, with faults.
 
-It never changes the servers. Source: the polls of `balancing.endpoint_freshness`, which it answers.
+Never changes the servers. Source: `balancing.endpoint_freshness`, whose polls the service responds to.
 """
 
 from __future__ import annotations
@@ -14,23 +14,28 @@
 from testkit.simulation.protocols import ForwarderPort
 from testkit.simulation.server import SimServer
 
-UNREACHABLE_MS = 1.0  # after which a poll fails while discovery is down
+UNREACHABLE_MS = 1.0  # time after which a poll fails while discovery is down
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedPoll:
-    """A poll that waits for its turn."""
+    """A poll that waits in the queue of the service."""
 
     forwarder: ForwarderPort
     arrived_ms: float
 
 
 class SimDiscovery:
-    """Each poll takes `call_ms` of the service, and fails when it has waited for `response_timeout_ms`.
+    """A discovery service with a queue of polls, and subscriptions.
 
-    A poll that is answered begins a subscription, which is notified of changes `notice_ms` later, until
-    `fall_silent`. Tests set `up` to take the service down, and read `calls_ms` (when each poll came) and
-    `notified_ms` (by forwarder, when it last had all there was to know).
+    Each poll occupies the service for `call_ms`, and fails if it has waited longer than
+    `response_timeout_ms`. A successful poll begins a subscription, which is notified of each change
+    `notice_ms` later, until `fall_silent`.
+
+    Attributes:
+        up: Whether the service is up; set by tests.
+        calls_ms: Arrival time of each poll.
+        notified_ms: Time at which each forwarder last received all changes, by its number.
     """
 
     def __init__(
@@ -41,7 +46,7 @@
         notice_ms: float,
         response_timeout_ms: float = 3_000.0,
     ) -> None:
-        """Creates a service that is up; the list of servers is shared with the tier."""
+        """Creates a service that is up; it shares the list of servers with the tier."""
         self._clock = clock
         self._servers = servers
         self._call_ms = call_ms
@@ -51,26 +56,26 @@
         self.calls_ms: list[float] = []
         self.notified_ms: dict[int, float] = {}
         self._queue: deque[QueuedPoll] = deque()
-        self._busy = False
+        self._is_busy = False
         self._version = 0
-        self._changed_in: dict[int, int] = {}  # by server, the version that changed it last
-        self._known_version: dict[int, int] = {}  # by forwarder
-        self._subscribers: dict[int, ForwarderPort] = {}  # by number
+        self._changed_in_version: dict[int, int] = {}  # version of each server's last change, by number
+        self._known_version: dict[int, int] = {}  # latest version sent to each forwarder, by its number
+        self._subscribers: dict[int, ForwarderPort] = {}  # subscribed forwarders by number
 
     def change(self, servers: list[SimServer]) -> None:
-        """Enters changed servers, of which all subscribers are notified later."""
+        """Publishes changed servers; all subscribers are notified after the notification delay."""
         self._version += 1
         for server in servers:
-            self._changed_in[server.number] = self._version
+            self._changed_in_version[server.number] = self._version
         for forwarder in list(self._subscribers.values()):
             self._clock.after(self._notice_ms, partial(self._notify, forwarder))
 
     def fall_silent(self) -> None:
-        """Stops notifying all subscribers, and lets none of them know."""
+        """Drops all subscriptions without notice to the subscribers."""
         self._subscribers.clear()
 
     def poll(self, forwarder: ForwarderPort) -> None:
-        """Queues a forwarder's poll, which ends its subscription until it is answered."""
+        """Queues a forwarder's poll, which suspends its subscription until the response."""
         self.calls_ms.append(self._clock.now_ms)
         self._subscribers.pop(forwarder.number, None)
         if not self.up:
@@ -80,18 +85,18 @@
         self._serve_next()
 
     def _serve_next(self) -> None:
-        if self._busy or not self._queue:
+        if self._is_busy or not self._queue:
             return
         poll = self._queue.popleft()
         if self._clock.now_ms - poll.arrived_ms > self._response_timeout_ms:
             self._fail(poll.forwarder)
             self._serve_next()
             return
-        self._busy = True
+        self._is_busy = True
         self._clock.after(self._call_ms, partial(self._respond, poll.forwarder))
 
     def _respond(self, forwarder: ForwarderPort) -> None:
-        self._busy = False
+        self._is_busy = False
         if self.up:
             self._subscribers[forwarder.number] = forwarder
             self._notify(forwarder)
@@ -111,7 +116,7 @@
         self.notified_ms[forwarder.number] = self._clock.now_ms
         entries = [
             self._servers[number].entry()
-            for number, version in self._changed_in.items()
+            for number, version in self._changed_in_version.items()
             if version > known_version
         ]
         if entries:
--- a/testkit/simulation/faults.py
+++ b/testkit/simulation/faults.py
@@ -1,6 +1,6 @@
-"""Random faults of a simulated tier, from a seed: planners, partitions and forwarders.
+"""Random faults of a simulated tier, determined by a seed: planners, partitions and forwarders.
 
-It never touches servers. Source: the project's own.
+Servers are not affected. Source: the project's own.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from testkit.simulation.tier import Tier
 
 ADVICE_DELAYS_MS = (300.0, 1_500.0, 5_000.0)
-PARTITION_PROBABILITY = 0.5  # for each pair of a forwarder and a planner
+PARTITION_PROBABILITY = 0.5  # probability that a pair of a forwarder and a planner is partitioned
 
 
 @dataclass(frozen=True, slots=True)
 class FaultStep:
-    """One step of a fault: a call, so many milliseconds after the fault's begin."""
+    """One step of a fault: a call at a time relative to the start of the fault."""
 
     after_ms: float
     call: Callable[[], object]
 
 
 def random_faults(tier: Tier, rng: Random, count: int, begin_ms: float, end_ms: float) -> None:
-    """Schedules `count` faults at random in a span of the run.
+    """Schedules `count` faults at random times in an interval of the run.
 
-    Each is one of: a planner killed and started later or at once, a partition that heals, a forwarder that
-    dies, one that joins, a planner whose advice is late for a while.
+    Each is one of: a planner that is killed and restarted, later or at once; a partition that heals; a
+    forwarder that dies; a forwarder that joins; a planner whose advice is delayed for a while.
     """
     for _ in range(count):
-        # All draws are made for each fault, whichever it is: a seed's later faults don't depend on it.
+        # All random values are drawn for every fault, so that a seed's later faults don't depend on its kind.
         fault_ms = rng.uniform(begin_ms, end_ms)
         planner = f"p{rng.randrange(tier.plan.planners)}"
         pairs = [
@@ -45,25 +45,25 @@
         forwarder = rng.randrange(tier.plan.forwarders)
         delay_ms = rng.choice(ADVICE_DELAYS_MS)
         faults = [
-            _planner_restarts(tier, planner, down_ms=900.0),
-            _planner_restarts(tier, planner, down_ms=1.0),
-            _partition_heals(tier, pairs),
+            _restart_planner(tier, planner, down_ms=900.0),
+            _restart_planner(tier, planner, down_ms=1.0),
+            _partition_and_heal(tier, pairs),
             [FaultStep(0.0, partial(tier.leave, forwarder))],
             [FaultStep(0.0, partial(_join_if_configured, tier))],
-            _advice_is_late(tier, planner, delay_ms),
+            _delay_advice(tier, planner, delay_ms),
         ]
         for step in rng.choice(faults):
             tier.at(fault_ms + step.after_ms, step.call)
 
 
-def _planner_restarts(tier: Tier, planner: str, down_ms: float) -> list[FaultStep]:
+def _restart_planner(tier: Tier, planner: str, down_ms: float) -> list[FaultStep]:
     return [
         FaultStep(0.0, partial(tier.kill_planner, planner)),
         FaultStep(down_ms, partial(tier.start_planner, planner)),
     ]
 
 
-def _partition_heals(tier: Tier, pairs: list[LinkEnds]) -> list[FaultStep]:
+def _partition_and_heal(tier: Tier, pairs: list[LinkEnds]) -> list[FaultStep]:
     return [
         FaultStep(0.0, partial(tier.partition, pairs)),
         FaultStep(2_500.0, partial(tier.partition, [])),
@@ -75,7 +75,7 @@
         tier.join()
 
 
-def _advice_is_late(tier: Tier, planner: str, delay_ms: float) -> list[FaultStep]:
+def _delay_advice(tier: Tier, planner: str, delay_ms: float) -> list[FaultStep]:
     return [
         FaultStep(0.0, partial(tier.follow, planner, delays_advice(delay_ms))),
         FaultStep(2_000.0, partial(tier.follow, planner, passes_advice)),
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -1,6 +1,6 @@
-"""A simulated forwarder: the program's own balancer and planning machine between the simulated parts.
+"""A simulated forwarder: the program's own balancer and planning state machine in the simulated tier.
 
-It decides nothing: it gives events to the program's machines and carries out their actions.
+Makes no decisions itself: it passes events to the program's state machines and carries out their actions.
 Source: the project's own; `dispatch.dispatcher` does the same with real sockets.
 """
 
@@ -31,8 +31,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
-    """What all forwarders of a tier share."""
+class TierComponents:
+    """Components that all forwarders of a tier share."""
 
     plan: TierPlan
     settings: Settings
@@ -47,23 +47,32 @@
 class SimForwarder:
     """One forwarder.
 
-    Tests set `alter_report`, which changes its reports on their way, and read `guidance_rejections` (why its
-    balancer rejected advice) and `notes` (what its planning machine logged, each behind the time).
+    Attributes:
+        number: Number of the forwarder in its tier.
+        up: Whether the forwarder runs.
+        settings: Settings of its balancer.
+        balancer: The program's balancer.
+        observer: Observer that collects the data for reports.
+        machine: The program's planning state machine; None without planners.
+        sessions: Number of the session with each planner, by the planner's name.
+        alter_report: Function that changes reports on their way to a planner; set by tests.
+        guidance_rejections: Reasons why the balancer rejected advice.
+        notes: Log lines of the planning state machine, each preceded by its time.
     """
 
-    def __init__(self, surroundings: Surroundings, number: int, balancer_seed: int, quiet_ms: float) -> None:
+    def __init__(self, components: TierComponents, number: int, balancer_seed: int, quiet_ms: float) -> None:
         """Creates a forwarder without an endpoint list.
 
         Args:
-            surroundings: what it shares with the others.
-            number: its own.
-            balancer_seed: of the balancer's random draws.
-            quiet_ms: how long an earlier incarnation's ramp shares may still be leased.
+            components: Components shared with the tier's other forwarders.
+            number: Number of the forwarder in its tier.
+            balancer_seed: Seed of the balancer's random choices.
+            quiet_ms: How long ramp shares of an earlier incarnation may still be leased.
         """
-        settings = surroundings.settings
-        plan = surroundings.plan
-        clock = surroundings.clock
-        self._surroundings = surroundings
+        settings = components.settings
+        plan = components.plan
+        clock = components.clock
+        self._components = components
         self._clock = clock
         self.number: int = number
         self.up: bool = True
@@ -71,7 +80,7 @@
         self.balancer: Balancer = Balancer(self.settings, balancer_seed)
         self.observer = Observer([cls.name for cls in self.settings.classes], plan.warm_up_ms)
         self.machine: Forwarder | None = None
-        self.sessions: dict[str, int] = {}  # by planner, the session's number
+        self.sessions: dict[str, int] = {}
         self.alter_report: Callable[[Report], Report] = lambda report: report
         self.guidance_rejections: list[str] = []
         self.notes: list[str] = []
@@ -85,7 +94,7 @@
     # ------------------------------------------------ the balancer
 
     def feed(self, event: Event) -> None:
-        """Gives the balancer an event and carries out its actions."""
+        """Passes an event to the balancer and carries out its actions."""
         actions = self.balancer.handle(self._clock.now_ms, event)
         self.observer.on_event(event, actions)
         for action in actions:
@@ -94,17 +103,17 @@
     def _perform(self, action: Action) -> None:
         match action:
             case Send():
-                self._surroundings.network.send(self, action)
+                self._components.network.send(self, action)
             case SetTimer():
                 self._clock.after(action.delay_ms, partial(self.feed, TimerFired(action.cookie)))
             case Reject() | Fail():
-                self._surroundings.workload.complete(action.request, served=False)
+                self._components.workload.complete(action.request, served=False)
             case WatchList():
-                self._surroundings.discovery.poll(self)
+                self._components.discovery.poll(self)
             case GuidanceRejected():
                 self._on_guidance_rejected(action)
             case _:
-                pass  # the simulation has no counterpart of the others
+                pass  # the simulation has no counterpart of the other actions
 
     def _on_guidance_rejected(self, action: GuidanceRejected) -> None:
         self.guidance_rejections.append(action.why)
@@ -113,10 +122,10 @@
             self.perform_planning_actions(actions)
 
     def on_endpoint_list(self, update: ListUpdate) -> None:
-        """Gives the balancer an endpoint list, unless the forwarder has died."""
+        """Passes an endpoint list to the balancer, unless the forwarder has died."""
         if not self.up:
             return
-        servers = self._surroundings.servers
+        servers = self._components.servers
         addresses = [servers[entry.server].address for entry in update.entries]
         self.observer.on_endpoint_list(update, addresses)
         self.feed(update)
@@ -124,10 +133,10 @@
     # ------------------------------------------------ planning
 
     def tick(self) -> None:
-        """Connects to the planners that it reaches and ticks the planning machine, now and from now on."""
+        """Connects to reachable planners and ticks the planning state machine, now and every `TICK_MS`."""
         if self.machine is None or not self.up:
             return
-        link = self._surroundings.link
+        link = self._components.link
         for name in self.machine.peers:
             if name not in self.sessions and link.reaches(self, name):
                 link.connect(self, name)
@@ -135,14 +144,14 @@
         self._clock.after(TICK_MS, self.tick)
 
     def perform_planning_actions(self, actions: list[PlanningAction]) -> None:
-        """Carries out what the planning machine decided."""
+        """Carries out the actions of the planning state machine."""
         for action in actions:
             match action:
                 case SendReport():
-                    self._surroundings.link.report(self, action.planner, self.alter_report(action.report))
+                    self._components.link.report(self, action.planner, self.alter_report(action.report))
                 case NotifyBalancer():
                     self.feed(action.event)
                 case EndSession():
-                    self._surroundings.link.disconnect(self, action.planner)
+                    self._components.link.disconnect(self, action.planner)
                 case LogLine():
                     self.notes.append(f"{self._clock.now_ms:.0f} {action.text}")
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -1,6 +1,6 @@
-"""Attempts on their way: from a forwarder to a server, and their ends back to the forwarder.
+"""The simulated network: carries attempts to servers, and their outcomes back to the forwarders.
 
-It never chooses a server. Source: the project's own; a connection that fails does so at once, nearly.
+Never chooses a server. Source: the project's own; a connection that fails does so almost immediately.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class SimAttempt:
-    """One attempt. Its first end counts; a later one, such as a timeout's, is ignored."""
+    """One attempt. Only its first outcome counts; a later one, such as a timeout, is ignored."""
 
     def __init__(
         self, forwarder: ForwarderPort, send: Send, clock: SimulatedClock, workload: Workload
@@ -36,7 +36,7 @@
         self._ended = False
 
     def end(self, outcome: Outcome) -> None:
-        """Notifies the forwarder of how it ended, unless that has died."""
+        """Notifies the forwarder of the attempt's outcome, unless the forwarder has died."""
         if self._ended or not self._forwarder.up:
             return
         self._ended = True
@@ -54,14 +54,14 @@
     def __init__(
         self, plan: TierPlan, clock: SimulatedClock, servers: list[SimServer], workload: Workload
     ) -> None:
-        """Creates the network of these servers; the list is shared, so that later servers are reached too."""
+        """Creates the network of these servers; the list is shared, so that later servers are included."""
         self._plan = plan
         self._clock = clock
         self._servers = servers
         self._workload = workload
 
     def send(self, forwarder: ForwarderPort, action: Send) -> None:
-        """Sends an attempt; its end comes to the forwarder as an event."""
+        """Sends an attempt to its server; the forwarder receives the outcome as an event."""
         server = self._servers[action.server]
         server.sent_ms.append(self._clock.now_ms)
         attempt = SimAttempt(forwarder, action, self._clock, self._workload)
--- a/testkit/simulation/plan.py
+++ b/testkit/simulation/plan.py
@@ -1,6 +1,6 @@
-"""What a simulated tier is made of: sizes, rates, times and terms, and the balancers' settings for them.
+"""Description of a simulated tier: sizes, rates, times and terms, and the matching settings of its balancers.
 
-It holds values and decides nothing. Source: the project's own; the settings are `balancing.settings`.
+Holds values only. Source: the project's own; the settings are those of `balancing.settings`.
 """
 
 from __future__ import annotations
@@ -10,44 +10,44 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.planning.terms import ForwarderTerms, PlannerTerms
 
-POOL = "core"  # the name of the tier's one pool
-REQUEST_CLASS = "view"  # the name of its one class
+POOL = "core"  # name of the tier's only pool
+REQUEST_CLASS = "view"  # name of the tier's only request class
 
 
 @dataclass
 class TierPlan:
-    """A tier's description. Times are in milliseconds of the run.
+    """The description of a tier. Times are in milliseconds of simulated time.
 
     Attributes:
-        forwarders: how many there are at the start.
-        instances: configured ones; as many as forwarders if 0.
-        servers: how many there are at the start.
-        planners: how many there are; 0 for a tier without planning.
-        rate_per_s: requests that come to all forwarders together.
-        work_ms: the average time that a request takes of one core.
-        cores: attempts that a server runs at once.
-        objective_ms: the latency objective.
-        deadline_ms: a request's.
-        ramp_per_s: a server's rate in slow start, when it is warm; 0 for none.
-        ramp_burst: attempts that may come at once in slow start; the settings' default if 0.
-        initial_capacity_share: a server's capacity at its start, as a share of its full one.
-        warm_up_ms: how long a server warms up.
-        link_ms: the delay of a message between forwarder and planner.
-        link_loss: the share of messages that are lost; a lost one breaks its session.
-        reconnect_ms: the longest random delay of a connection to a planner.
-        demand: forwarders' shares of the requests, by number; 1 for each that is not named.
-        queue: attempts that wait at a server, beyond which it rejects.
-        max_attempts: for each request.
-        list_call_ms: the time that a poll takes of discovery; 0 if lists are pushed to all at once.
-        list_notice_ms: from a change until subscribers are notified.
-        poll_interval_ms: the longest time between two polls.
-        overload_attempts: attempts at a server at once that, after a while, make it three times slower; 0 for
-            a server that never is overloaded.
-        tier: the tier's number.
-        hints: whether requests tell their expected work.
-        heavy_tail: whether a few requests in a hundred have most of the work.
-        planner_terms: terms of the planners' machines.
-        forwarder_terms: terms of the forwarders' planning machines.
+        forwarders: Number of forwarders at the start.
+        instances: Number of configured instances; equal to `forwarders` if 0.
+        servers: Number of servers at the start.
+        planners: Number of planners; 0 for a tier without planning.
+        rate_per_s: Request rate of all forwarders together.
+        work_ms: Mean time that a request occupies a core.
+        cores: Number of attempts that a server runs concurrently.
+        objective_ms: Latency objective of requests.
+        deadline_ms: Deadline of requests.
+        ramp_per_s: Slow-start rate of a server at the end of its warm-up; 0 for no slow start.
+        ramp_burst: Number of attempts that slow start permits at once; the settings' default if 0.
+        initial_capacity_share: Capacity of a server at its start, as a share of its full capacity.
+        warm_up_ms: Duration of a server's warm-up.
+        link_ms: Delay of a message between forwarder and planner.
+        link_loss: Share of messages that are lost; the loss of a message ends its session.
+        reconnect_ms: Maximum random delay before a connection to a planner is established.
+        demand: Relative share of the requests that each forwarder receives, by number; 1 by default.
+        queue: Number of attempts that may wait at a server before it rejects further ones.
+        max_attempts: Maximum number of attempts of a request.
+        list_call_ms: Time that a poll occupies discovery; 0 if lists are pushed to all forwarders at once.
+        list_notice_ms: Time from a change until subscribers are notified.
+        poll_interval_ms: Maximum time between two polls.
+        overload_attempts: Number of concurrent attempts that, after a while, make a server three times
+            slower; 0 for servers that are never overloaded.
+        tier: Number of the tier.
+        hints: Whether requests state their expected work.
+        heavy_tail: Whether a few percent of the requests have most of the work.
+        planner_terms: Terms of the planners' state machines.
+        forwarder_terms: Terms of the forwarders' planning state machines.
     """
 
     forwarders: int = 5
@@ -81,7 +81,7 @@
 
 
 def settings_of(plan: TierPlan) -> Settings:
-    """The settings that all of the tier's balancers share."""
+    """Returns the settings that all balancers of the tier share."""
     request_class = RequestClass(
         objective_ms=plan.objective_ms,
         deadline_ms=plan.deadline_ms,
--- a/testkit/simulation/planner.py
+++ b/testkit/simulation/planner.py
@@ -1,6 +1,6 @@
 """A simulated planner, and scripts for the advice that it sends.
 
-It decides nothing itself: the program's own planning machine does. Source: the project's own.
+All decisions are made by the program's own planner state machine. Source: the project's own.
 """
 
 from __future__ import annotations
@@ -15,28 +15,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ArrivingMessage:
-    """What a forwarder receives in place of a planner's advice.
+    """A message that a forwarder receives in place of a planner's advice.
 
     Attributes:
-        delay_ms: how late it arrives, beside the link's own delay.
-        advice: the advice; None for a message that can't be decoded.
+        delay_ms: Delay of the message in addition to the link's delay.
+        advice: Advice in the message; None for a message that can't be decoded.
     """
 
     delay_ms: float
     advice: Advice | None
 
 
-# A fault of a planner: given a piece of advice, it returns what arrives in its place.
+# A fault of a planner: maps advice to the messages that arrive in its place.
 Script = Callable[[Advice], Iterable[ArrivingMessage]]
 
 
 def passes_advice(advice: Advice) -> Iterable[ArrivingMessage]:
-    """The script of a planner without a fault."""
+    """The script of a planner without faults."""
     return [ArrivingMessage(0.0, advice)]
 
 
 def delays_advice(delay_ms: float) -> Script:
-    """The script of a planner whose advice arrives late by `delay_ms`."""
+    """Returns the script of a planner whose advice arrives `delay_ms` late."""
     return lambda advice: [ArrivingMessage(delay_ms, advice)]
 
 
@@ -46,14 +46,14 @@
 
 
 class RepeatsFirstAdvice:
-    """The script of a planner that sends its first advice again and again."""
+    """The script of a planner that repeats its first advice forever."""
 
     def __init__(self) -> None:
-        """Creates a script that has seen no advice."""
+        """Creates a script that has received no advice yet."""
         self._first: Advice | None = None
 
     def __call__(self, advice: Advice) -> Iterable[ArrivingMessage]:
-        """Sends the first advice in place of this."""
+        """Returns the first advice in place of the given one."""
         if self._first is None:
             self._first = advice
         return [ArrivingMessage(0.0, self._first)]
@@ -63,7 +63,7 @@
     """One incarnation of a planner."""
 
     def __init__(self, name: str, epoch: int, now_ms: float, plan: TierPlan) -> None:
-        """Creates a planner without a fault, with nothing in its memory."""
+        """Creates a planner without faults and without retained state."""
         self.machine = Planner(name, epoch, now_ms, plan.planner_terms)
         self.up = True
         self.script: Script = passes_advice
--- a/testkit/simulation/planning_link.py
+++ b/testkit/simulation/planning_link.py
@@ -1,7 +1,7 @@
 """The planners of a simulated tier and their links to the forwarders: delays, losses and partitions.
 
-It decides nothing about advice. Source: `docs/planning-link.md` for the messages, which are encoded and
-decoded as on the wire.
+Does not influence the content of advice. Source: `docs/planning-link.md` for the messages, which are encoded
+and decoded as on the wire.
 """
 
 from __future__ import annotations
@@ -29,13 +29,15 @@
 
 
 class PlanningLink:
-    """The planners by name, and the sessions of forwarders with them.
+    """The planners of a tier and their sessions with the forwarders.
 
-    `partitions` are pairs of a forwarder and a planner that don't reach each other.
+    Attributes:
+        partitions: Pairs of a forwarder and a planner that cannot reach each other.
+        planners: Planners by name.
     """
 
     def __init__(self, plan: TierPlan, clock: SimulatedClock, rng: Random) -> None:
-        """Creates the plan's planners, each in its first incarnation."""
+        """Creates the planners of the plan, each in its first incarnation."""
         self._plan = plan
         self._clock = clock
         self._rng = rng
@@ -46,37 +48,37 @@
     # ------------------------------------------------ planners
 
     def tick(self, name: str) -> None:
-        """Ticks a planner's machine now and from now on."""
+        """Ticks a planner's state machine, now and every `TICK_MS`."""
         planner = self.planners[name]
         if planner.up:
             planner.machine.tick(self._clock.now_ms)
         self._clock.after(TICK_MS, partial(self.tick, name))
 
     def kill_planner(self, name: str, forwarders: Iterable[ForwarderPort]) -> None:
-        """Ends a planner's process and its sessions with the forwarders."""
+        """Kills a planner's process and ends its sessions with the forwarders."""
         self.planners[name].up = False
         for forwarder in forwarders:
             self.disconnect(forwarder, name)
 
     def start_planner(self, name: str) -> None:
-        """Starts a new incarnation of a planner, with its script and nothing in its memory."""
+        """Starts a new incarnation of a planner, with its previous script and without retained state."""
         previous = self.planners[name]
         planner = SimPlanner(name, previous.machine.epoch + 1, self._clock.now_ms, self._plan)
         planner.script = previous.script
         self.planners[name] = planner
 
     def follow(self, name: str, script: Script) -> None:
-        """Passes a planner's advice through this script from here on."""
+        """Passes a planner's advice through this script from now on."""
         self.planners[name].script = script
 
     # ------------------------------------------------ sessions
 
     def reaches(self, forwarder: ForwarderPort, planner: str) -> bool:
-        """Whether a message from the forwarder would arrive."""
+        """Whether a message from the forwarder would reach the planner."""
         return self.planners[planner].up and LinkEnds(forwarder.number, planner) not in self.partitions
 
     def connect(self, forwarder: ForwarderPort, planner: str) -> None:
-        """Opens a session, which is established after a while."""
+        """Opens a session, which is established after the round trip and a random delay."""
         machine = forwarder.machine
         if machine is None or not machine.may_connect(planner, self._clock.now_ms):
             return
@@ -99,16 +101,16 @@
         forwarder.perform_planning_actions(actions)
 
     def disconnect(self, forwarder: ForwarderPort, planner: str) -> None:
-        """Ends a forwarder's session with a planner, if it has one."""
+        """Ends a forwarder's session with a planner, if there is one."""
         if forwarder.sessions.pop(planner, None) is not None and forwarder.machine is not None:
             forwarder.machine.disconnected(planner)
 
     def partition(self, pairs: Iterable[LinkEnds], forwarders: Sequence[ForwarderPort]) -> None:
-        """Replaces the partitions and ends the sessions across them.
+        """Replaces the partitions and ends the sessions of partitioned pairs.
 
         Args:
-            pairs: of a forwarder and a planner.
-            forwarders: all of the tier's, by number.
+            pairs: Pairs of a forwarder and a planner to partition.
+            forwarders: All forwarders of the tier, by number.
         """
         self.partitions = set(pairs)
         for pair in self.partitions:
@@ -117,17 +119,17 @@
     # ------------------------------------------------ messages
 
     def report(self, forwarder: ForwarderPort, planner: str, report: Report) -> None:
-        """Sends a forwarder's report; the planner's advice comes back through its script."""
+        """Sends a forwarder's report; the planner's advice passes through its script on the way back."""
         if self._loses_message(forwarder, planner):
             return
         payload = encode(report)
         session = forwarder.sessions.get(planner)
         peer = self.planners[planner]
         self._clock.after(
-            self._plan.link_ms, partial(self._report_arrives, forwarder, planner, peer, session, payload)
+            self._plan.link_ms, partial(self._on_report, forwarder, planner, peer, session, payload)
         )
 
-    def _report_arrives(
+    def _on_report(
         self, forwarder: ForwarderPort, planner: str, peer: SimPlanner, session: int | None, payload: bytes
     ) -> None:
         if self.planners[planner] is not peer or not self.reaches(forwarder, planner):
@@ -144,10 +146,10 @@
         for arriving in peer.script(advice):
             self._clock.after(
                 self._plan.link_ms + arriving.delay_ms,
-                partial(self._advice_arrives, forwarder, planner, session, arriving.advice),
+                partial(self._on_advice, forwarder, planner, session, arriving.advice),
             )
 
-    def _advice_arrives(
+    def _on_advice(
         self, forwarder: ForwarderPort, planner: str, session: int | None, advice: Advice | None
     ) -> None:
         if forwarder.sessions.get(planner) != session or not forwarder.up:
@@ -167,7 +169,7 @@
         forwarder.perform_planning_actions(forwarder.machine.advice(planner, advice, now_ms))
 
     def _loses_message(self, forwarder: ForwarderPort, planner: str) -> bool:
-        """Draws whether a message is lost; its session ends if so."""
+        """Decides at random whether a message is lost; ends its session if so."""
         if self._plan.link_loss and self._rng.random() < self._plan.link_loss:
             self.disconnect(forwarder, planner)
             return True
@@ -175,10 +177,10 @@
 
 
 def planner_names(plan: TierPlan) -> list[str]:
-    """The planners' names, in the order in which forwarders prefer them."""
+    """Returns the planners' names, in the order in which forwarders prefer them."""
     return [f"p{number}" for number in range(plan.planners)]
 
 
 def forwarder_name(number: int) -> str:
-    """A forwarder's name, as planners know it."""
+    """Returns the name under which planners know a forwarder."""
     return f"f{number}"
--- a/testkit/simulation/protocols.py
+++ b/testkit/simulation/protocols.py
@@ -1,6 +1,6 @@
-"""What the parts of a simulated tier need of a forwarder; it breaks the circle between them.
+"""The forwarder's interface for the other components of a simulated tier, which avoids circular imports.
 
-It holds no code that runs. Source: the project's own; `forwarder.SimForwarder` is what implements it.
+Contains declarations only. Source: the project's own; implemented by `forwarder.SimForwarder`.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ForwarderPort(Protocol):
-    """A forwarder, as servers, workload, discovery and planners see it."""
+    """The interface of a forwarder for the network, the workload, discovery and the planning link."""
 
     number: int
     up: bool
@@ -23,10 +23,10 @@
     sessions: dict[str, int]
 
     def feed(self, event: Event) -> None:
-        """Gives the balancer an event and carries out its actions."""
+        """Passes an event to the balancer and carries out its actions."""
 
     def on_endpoint_list(self, update: ListUpdate) -> None:
-        """Gives the balancer an endpoint list."""
+        """Passes an endpoint list to the balancer."""
 
     def perform_planning_actions(self, actions: list[PlanningAction]) -> None:
-        """Carries out what the planning machine decided."""
+        """Carries out the actions of the planning state machine."""
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -1,6 +1,6 @@
 """A simulated server: cores, a queue, warm-up, and faults that a test sets.
 
-It decides nothing about where attempts go. Source: the project's own; first come, first served.
+Has no influence on where attempts are sent. Source: the project's own; first come, first served.
 """
 
 from __future__ import annotations
@@ -15,31 +15,40 @@
 from testkit.simulation.clock import SimulatedClock
 from testkit.simulation.plan import TierPlan
 
-EndAttempt = Callable[[Outcome], None]  # called with how an attempt ended
+EndAttempt = Callable[[Outcome], None]  # called with the outcome of an attempt
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedAttempt:
     """An attempt that waits for a core."""
 
-    work_ms: float  # of a warm server's core
+    work_ms: float  # time on a core of a warm server
     end: EndAttempt
 
 
 class SimServer:
-    """Runs attempts first come, first served on so many cores, and keeps when each was sent.
-
-    Tests set its faults: `slow` (times slower), `broken` (each attempt is answered with an error at once) and
-    `up` (False: it accepts no connection). With `TierPlan.overload_attempts` it gets slow by itself.
+    """A server that runs attempts first come, first served on its cores.
+
+    Tests set its faults: `slow`, `broken` and `up`. With `TierPlan.overload_attempts` the server also becomes
+    slow by itself under overload.
+
+    Attributes:
+        number: Number of the server in its tier.
+        address: Address of the server as `host:port`.
+        slow: Factor by which the server is slower than normal.
+        started_ms: Start time; 0 if the server started long ago.
+        up: Whether the server accepts connections.
+        broken: Whether each attempt immediately gets an error response.
+        sent_ms: Time at which each attempt was sent to the server.
     """
 
-    OVERLOAD_MS = 1_500.0  # so long at `overload_attempts` attempts, and it is overloaded
-    RECOVERY_MS = 3_000.0  # so long at few attempts, and it recovers
-    RECOVERY_SHARE = 0.3  # of `overload_attempts`: what few attempts are
+    OVERLOAD_MS = 1_500.0  # time with `overload_attempts` or more attempts that causes overload
+    RECOVERY_MS = 3_000.0  # time below the recovery threshold that ends overload
+    RECOVERY_SHARE = 0.3  # recovery threshold, as a fraction of `overload_attempts`
     OVERLOAD_SLOWDOWN = 3.0
 
     def __init__(self, number: int, plan: TierPlan, clock: SimulatedClock) -> None:
-        """Creates a server that has been warm for long."""
+        """Creates a server that started long ago and is warm."""
         self.number: int = number
         self.address = f"10.0.{number // 250}.{number % 250 + 1}:9000"
         self.slow = 1.0
@@ -53,25 +62,25 @@
         self._running = 0
         self._queue: deque[QueuedAttempt] = deque()
         self._overloaded = False
-        self._threshold_crossed_ms: float | None = None  # when the load crossed what would change that
+        self._threshold_crossed_ms: float | None = None  # start of the time beyond the threshold
 
     def entry(self) -> ServerEntry:
-        """Its entry of an endpoint list, as it is now."""
+        """Returns the server's current entry for an endpoint list."""
         state = ServerState.READY if self.up else ServerState.GONE
         return ServerEntry(self.number, state, self.started_ms, label=server_label(self.address))
 
     def is_queue_full(self) -> bool:
-        """Whether it rejects further attempts."""
+        """Whether the server rejects further attempts."""
         return len(self._queue) >= self._plan.queue
 
     def accept(self, attempt: QueuedAttempt) -> None:
-        """Takes an attempt: it runs once a core is free."""
+        """Queues an attempt, which runs once a core is free."""
         self._queue.append(attempt)
         self._update_overload()
         self._run_queue()
 
     def restart(self) -> None:
-        """Starts a new process, which warms up; the attempts of the old one are reset."""
+        """Starts a new process, which warms up; attempts at the old process are reset."""
         self.up = True
         self.started_ms = self._clock.now_ms
         self._incarnation += 1
@@ -102,27 +111,27 @@
         self._run_queue()
 
     def _update_overload(self) -> None:
-        """Overloaded after holding many attempts for long, recovered after holding few for long."""
+        """Updates the overload state: it changes after the load has been high or low for long enough."""
         threshold = self._plan.overload_attempts
         if not threshold:
             return
         load = self._running + len(self._queue)
-        few = self.RECOVERY_SHARE * threshold
-        crosses = load <= few if self._overloaded else load >= threshold
+        recovery_threshold = self.RECOVERY_SHARE * threshold
+        crosses = load <= recovery_threshold if self._overloaded else load >= threshold
         now_ms = self._clock.now_ms
         if not crosses:
             self._threshold_crossed_ms = None
         elif self._threshold_crossed_ms is None:
             self._threshold_crossed_ms = now_ms
-        elif now_ms - self._threshold_crossed_ms >= self._change_after_ms():
+        elif now_ms - self._threshold_crossed_ms >= self._min_crossing_ms():
             self._overloaded = not self._overloaded
             self._threshold_crossed_ms = None
 
-    def _change_after_ms(self) -> float:
+    def _min_crossing_ms(self) -> float:
         return self.RECOVERY_MS if self._overloaded else self.OVERLOAD_MS
 
     def _speed(self) -> float:
-        """As a share of a warm server's that is neither slow nor overloaded."""
+        """Returns the speed as a fraction of that of a warm server that is neither slow nor overloaded."""
         share = 1.0
         if self.started_ms:
             share = min(1.0, (self._clock.now_ms - self.started_ms) / self._plan.warm_up_ms)
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -1,6 +1,6 @@
-"""A tier in simulated time: its parts put together, and the events that a test makes happen to them.
+"""A tier in simulated time: assembly of its components, and the events that a test causes.
 
-It decides nothing and reads no clock: a run is the same each time. Source: the project's own.
+Reads no clock, so runs with the same seed are identical. Source: the project's own.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from sandhatch.balancing.events import ListKind, ListUpdate
 from testkit.simulation.clock import SimulatedClock
 from testkit.simulation.discovery import SimDiscovery
-from testkit.simulation.forwarder import SimForwarder, Surroundings
+from testkit.simulation.forwarder import SimForwarder, TierComponents
 from testkit.simulation.network import Network
 from testkit.simulation.plan import TierPlan, settings_of
 from testkit.simulation.planner import Script, SimPlanner
@@ -20,19 +20,19 @@
 from testkit.simulation.server import SimServer
 from testkit.simulation.workload import Workload
 
-FIRST_TICK_MS = 50.0  # a forwarder's first tick comes at random within so long
+FIRST_TICK_MS = 50.0  # maximum random delay of a forwarder's first tick
 
 
 class Tier:
-    """One run. Create it, schedule faults with `at`, then `run`."""
+    """One run of a tier. Usage: create it, schedule faults with `at`, then call `run`."""
 
     def __init__(self, plan: TierPlan, seed: int = 1, quiet_ms: float = 0.0) -> None:
-        """Creates a tier at the run's start.
+        """Creates a tier at the start of a run.
 
         Args:
-            plan: its description.
-            seed: of all random draws.
-            quiet_ms: how long an earlier incarnation's ramp shares may still be leased.
+            plan: Description of the tier.
+            seed: Seed of all random choices.
+            quiet_ms: How long ramp shares of an earlier incarnation may still be leased.
         """
         self.plan = plan
         self.rng = Random(seed)
@@ -43,7 +43,7 @@
         self.discovery = SimDiscovery(self.clock, self.servers, plan.list_call_ms, plan.list_notice_ms)
         self.link = PlanningLink(plan, self.clock, self.rng)
         self.workload = Workload(plan, self.clock, self.forwarders, Random(seed + 1))
-        self._surroundings = Surroundings(
+        self._components = TierComponents(
             plan=plan,
             settings=self.settings,
             clock=self.clock,
@@ -65,23 +65,23 @@
 
     @property
     def now(self) -> float:
-        """The run's time in milliseconds; it starts at `clock.START_MS`."""
+        """Simulated time in milliseconds; starts at `clock.START_MS`."""
         return self.clock.now_ms
 
     def at(self, ms: float, call: Callable[[], object]) -> None:
-        """Makes the call `ms` after the run's start."""
+        """Schedules a call `ms` after the start of the run."""
         self.clock.at(ms, call)
 
     def run(self, until_ms: float) -> None:
-        """Runs until `until_ms` after the run's start."""
+        """Runs until `until_ms` after the start of the run."""
         self.clock.run(until_ms)
 
     # ------------------------------------------------ forwarders and servers
 
     def join(self) -> SimForwarder:
-        """Adds a forwarder, with the servers of now in its endpoint list."""
+        """Adds a forwarder whose endpoint list has the servers that are up now."""
         number = len(self.forwarders)
-        forwarder = SimForwarder(self._surroundings, number, self.rng.getrandbits(32), self._quiet_ms)
+        forwarder = SimForwarder(self._components, number, self.rng.getrandbits(32), self._quiet_ms)
         self.forwarders.append(forwarder)
         kind = ListKind.CACHED if self.plan.list_call_ms else ListKind.FULL
         forwarder.on_endpoint_list(self._list([server for server in self.servers if server.up], kind))
@@ -89,20 +89,20 @@
         return forwarder
 
     def leave(self, number: int) -> None:
-        """Kills a forwarder, which notifies nobody."""
+        """Kills a forwarder without notice to its peers."""
         forwarder = self.forwarders[number]
         forwarder.up = False
         for name in list(forwarder.sessions):
             self.link.disconnect(forwarder, name)
 
     def restart(self, number: int) -> None:
-        """Restarts a server, which warms up and loses what it ran; the change is published at once."""
+        """Restarts a server, which loses its attempts and warms up; publishes the change at once."""
         server = self.servers[number]
         server.restart()
         self._publish([server])
 
     def add(self) -> SimServer:
-        """Adds a server that warms up."""
+        """Adds a server, which warms up."""
         server = SimServer(len(self.servers), self.plan, self.clock)
         server.started_ms = self.now
         self.servers.append(server)
@@ -110,7 +110,7 @@
         return server
 
     def replace(self, number: int) -> SimServer:
-        """Removes a server, which completes what it has, and adds one that warms up."""
+        """Removes a server, which completes its attempts, and adds one, which warms up."""
         self.servers[number].up = False
         self._publish([self.servers[number]])
         return self.add()
@@ -134,23 +134,23 @@
         return self.link.planners
 
     def kill_planner(self, name: str) -> None:
-        """Ends a planner's process."""
+        """Kills a planner's process."""
         self.link.kill_planner(name, self.forwarders)
 
     def start_planner(self, name: str) -> None:
-        """Starts a new incarnation of a planner, with nothing in its memory."""
+        """Starts a new incarnation of a planner, without retained state."""
         self.link.start_planner(name)
 
     def follow(self, name: str, script: Script) -> None:
-        """Passes a planner's advice through this script from here on."""
+        """Passes a planner's advice through this script from now on."""
         self.link.follow(name, script)
 
     def partition(self, pairs: Iterable[LinkEnds]) -> None:
-        """Keeps these pairs of a forwarder and a planner apart, and no others."""
+        """Partitions exactly these pairs of a forwarder and a planner."""
         self.link.partition(pairs, self.forwarders)
 
     # ------------------------------------------------ results
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """The share served in time of the requests that arrived in a span of the run; 0 if none did."""
+        """Returns the share of requests arriving in the interval that were served in time; 0 without any."""
         return self.workload.goodput_share(begin_ms, end_ms)
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -1,6 +1,7 @@
-"""The requests that come to a simulated tier, and what became of them.
+"""The requests that arrive at a simulated tier, and their outcomes.
 
-It never looks into a balancer. Source: the project's own; arrivals are a Poisson process from a seed.
+Does not depend on the state of the balancers. Source: the project's own; arrivals are a seeded Poisson
+process.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.protocols import ForwarderPort
 
-# A request's work is this share of the plan's, and a random part that makes up the rest on average.
+# Fixed share of the plan's work in every request; a random part contributes the rest on average.
 FIXED_WORK_SHARE = 0.25
-TAIL_INDEX = 2.1  # of the random part's Pareto distribution with a heavy tail; at 2 its variance is infinite
+TAIL_INDEX = 2.1  # index of the Pareto distribution for a heavy tail; at 2 its variance would be infinite
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request without its final response."""
+    """A request that has not had its final response."""
 
     arrived_ms: float
     work_ms: float
@@ -37,7 +38,7 @@
 
 
 class Workload:
-    """Sends requests to the forwarders by their demand, and keeps the outcome of each."""
+    """Sends requests to the forwarders by their demand, and records the outcome of each request."""
 
     def __init__(
         self, plan: TierPlan, clock: SimulatedClock, forwarders: Sequence[ForwarderPort], rng: Random
@@ -45,10 +46,10 @@
         """Creates a workload that has not started.
 
         Args:
-            plan: the tier's description.
-            clock: the run's time.
-            forwarders: shared, so that later ones get requests too.
-            rng: of the arrivals alone, so that all variants of a plan get the same ones.
+            plan: Description of the tier.
+            clock: Clock of the run.
+            forwarders: Forwarders of the tier; the list is shared, so that later ones get requests too.
+            rng: Random generator for arrivals alone, so that all variants of a plan get the same arrivals.
         """
         self.completed: list[CompletedRequest] = []
         self._plan = plan
@@ -59,7 +60,7 @@
         self._last_request = 0
 
     def schedule_arrival(self) -> None:
-        """Schedules the next request, which schedules the one after it."""
+        """Schedules the next request, whose arrival schedules the one after it."""
         self._clock.after(self._rng.expovariate(self._plan.rate_per_s / 1000.0), self._arrive)
 
     def _arrive(self) -> None:
@@ -83,12 +84,12 @@
         return (FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * random_part) * self._plan.work_ms
 
     def work_ms_of(self, request: int) -> float:
-        """The work of a request; the average of all for one that has been completed."""
+        """Returns the work of a request; the plan's mean for a request that has been completed."""
         pending = self._pending.get(request)
         return pending.work_ms if pending is not None else self._plan.work_ms
 
     def complete(self, request: int, served: bool) -> None:
-        """Notes the final response of a request; a second one is ignored."""
+        """Records the final response of a request; a second one is ignored."""
         pending = self._pending.pop(request, None)
         if pending is None:
             return
@@ -96,7 +97,7 @@
         self.completed.append(CompletedRequest(pending.arrived_ms, in_time))
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """The share served in time of the requests that arrived in a span of the run; 0 if none did."""
+        """Returns the share of requests arriving in the interval that were served in time; 0 without any."""
         in_time = [
             request.in_time
             for request in self.completed
--- a/testkit/streaming_server.py
+++ b/testkit/streaming_server.py
@@ -1,6 +1,6 @@
-"""A fake server that is given each request at its head, and reads the body at its own pace.
+"""A fake server whose function is called after a request's head, and reads the body at its own rate.
 
-It never reads a body that its function doesn't read. Source: the project's own; `bodies` has the framing.
+Reads no part of a body that the function does not read. Source: the project's own; `bodies` has the framing.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass
 class StreamedRequest:
-    """A request whose head was received and whose body is still to be read."""
+    """A request whose head has been received and whose body has not been read yet."""
 
     method: str
     target: str
@@ -27,13 +27,13 @@
 
     @property
     def trace(self) -> str:
-        """Its trace id."""
+        """Trace id of the request."""
         return self.headers["x-trace-id"]
 
     async def body(
         self, max_read_bytes: int = BLOCK_BYTES, pause: Pause | None = None, stop_at: int = UNLIMITED_BYTES
     ) -> Body:
-        """Reads its body, as `read_body` does."""
+        """Reads the body, as `read_body` does."""
         return await read_body(self.connection.reader, self.headers, max_read_bytes, pause, stop_at)
 
 
@@ -41,10 +41,14 @@
 
 
 class StreamingServer(ListeningFake):
-    """A server that passes each request to `serve`, which may be changed at any time.
-
-    It keeps the requests, all in `seen` and each once in the queue `arrived`, and counts its connections:
-    `open` now, `most_open` at once.
+    """A server that passes each request to a function once its head has been received.
+
+    Attributes:
+        serve: Function that serves a request; may be changed at any time.
+        seen: All requests received.
+        arrived: Queue of the requests received, for tests to wait on.
+        open: Number of open connections.
+        most_open: Maximum number of connections open at the same time.
     """
 
     BACKLOG: ClassVar[int] = 1024
@@ -75,6 +79,6 @@
 
 
 async def send_all(connection: FakeConnection, pieces: Iterator[memoryview], chunks: bool = False) -> None:
-    """Sends all pieces, each as a chunk if `chunks`; the last chunk is the caller's."""
+    """Sends all pieces, each as a chunk if `chunks` is set; the last chunk is left to the caller."""
     for piece in pieces:
         await connection.send(chunked(piece) if chunks else bytes(piece))
--- a/tests/testkit/test_behaviours.py
+++ b/tests/testkit/test_behaviours.py
@@ -1,4 +1,4 @@
-"""The named behaviours of a fake server, as a client sees them."""
+"""The named behaviours of a fake server, as observed by a client."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def with_client(behaviour: Behaviour, work: Callable[[HttpClient], Awaitable[None]]) -> None:
-    """Runs `work` with a client that has sent a request to a server of this behaviour."""
+    """Runs `work` with a client that has sent a request to a server with this behaviour."""
 
     async def run() -> None:
         server = await FakeServer(behaviour).start()
@@ -47,7 +47,7 @@
         (responds(b"HTTP/1.1 204 X\r\n\r\n"), (204, b"")),
     ],
 )
-def test_a_response_is_sent_for_each_request(behaviour: Behaviour, expected: tuple[int, bytes]) -> None:
+def test_each_request_gets_a_response(behaviour: Behaviour, expected: tuple[int, bytes]) -> None:
     async def work(client: HttpClient) -> None:
         first = await client.read_response()
         client.send_request(target="/api?7")
@@ -58,7 +58,7 @@
     with_client(behaviour, work)
 
 
-def test_a_behaviour_waits_for_its_event() -> None:
+def test_behaviour_waits_for_its_event() -> None:
     event = asyncio.Event()
 
     async def work(client: HttpClient) -> None:
@@ -71,7 +71,7 @@
     with_client(waits_for(event, serves(b"late")), work)
 
 
-def test_a_server_that_disconnects_sends_nothing() -> None:
+def test_server_that_disconnects_sends_nothing() -> None:
     async def work(client: HttpClient) -> None:
         assert await client.read_to_end() == b""
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("body_bytes", [0, 1, 1000])
-def test_a_response_is_truncated_after_so_many_bytes_of_its_body(body_bytes: int) -> None:
+def test_response_is_truncated_after_the_given_number_of_body_bytes(body_bytes: int) -> None:
     async def work(client: HttpClient) -> None:
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("body_bytes", [0, 1, 1000])
-def test_a_response_stalls_after_so_many_bytes_of_its_body(body_bytes: int) -> None:
+def test_response_stalls_after_the_given_number_of_body_bytes(body_bytes: int) -> None:
     async def work(client: HttpClient) -> None:
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
@@ -100,7 +100,7 @@
     with_client(stalls_after(body_bytes), work)
 
 
-def test_a_server_that_never_responds_keeps_the_connection_open() -> None:
+def test_server_that_never_responds_leaves_the_connection_open() -> None:
     async def work(client: HttpClient) -> None:
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.reader.read(1), 0.05)
--- a/tests/testkit/test_discovery.py
+++ b/tests/testkit/test_discovery.py
@@ -1,4 +1,4 @@
-"""The fake of the platform's discovery."""
+"""The fake of the platform's discovery service."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
     asyncio.run(run())
 
 
-async def listing(client: HttpClient, target: str) -> dict[str, Any]:
+async def fetch_list(client: HttpClient, target: str) -> dict[str, Any]:
     client.send_request(target=target)
     data: dict[str, Any] = json.loads((await client.read_response()).body)
     return data
 
 
-def test_a_full_list_leaves_out_servers_that_left() -> None:
+def test_complete_list_omits_servers_that_have_left() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         discovery.change(entry("b", 2, lifecycle="left"))
         async with HttpClient(discovery.port) as client:
-            full = await listing(client, "/v1/endpoints")
+            full = await fetch_list(client, "/v1/endpoints")
         assert (full["generation"], full["reset"]) == (2, True)
         assert [row["instanceId"] for row in full["instances"]] == ["a"]
 
     with_discovery(work)
 
 
-def test_a_watch_is_answered_by_the_change_it_waits_for() -> None:
+def test_watch_gets_its_response_once_an_entry_changes() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         async with HttpClient(discovery.port) as client:
-            watch = asyncio.create_task(listing(client, "/v1/endpoints?after=1&wait_ms=20000"))
+            watch = asyncio.create_task(fetch_list(client, "/v1/endpoints?after=1&wait_ms=20000"))
             assert "after=1" in await discovery.calls.get()
             assert not watch.done()
             discovery.change(entry("c", 3))
@@ -58,27 +58,27 @@
     with_discovery(work)
 
 
-def test_a_watch_whose_wait_is_over_gets_an_empty_delta() -> None:
+def test_watch_whose_wait_has_expired_gets_an_empty_delta() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         async with HttpClient(discovery.port) as client:
-            delta = await listing(client, "/v1/endpoints?after=1&wait_ms=20")
+            delta = await fetch_list(client, "/v1/endpoints?after=1&wait_ms=20")
         assert delta == {"generation": 1, "reset": False, "instances": []}
 
     with_discovery(work)
 
 
-def test_scripted_garbage_replaces_one_answer_each() -> None:
+def test_each_scripted_raw_response_replaces_one_response() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         discovery.garbage.append(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
         async with HttpClient(discovery.port) as client:
             client.send_request(target="/v1/endpoints")
             assert (await client.read_response()).status == 503
-            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+            assert (await fetch_list(client, "/v1/endpoints"))["generation"] == 1
 
     with_discovery(work)
 
 
-def test_a_watch_is_never_answered_while_discovery_is_silent() -> None:
+def test_watch_gets_no_response_while_discovery_is_silent() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         discovery.silent = True
         async with HttpClient(discovery.port) as client:
@@ -91,16 +91,16 @@
     with_discovery(work)
 
 
-def test_discovery_comes_back_on_its_port() -> None:
+def test_restarted_discovery_listens_on_the_same_port() -> None:
     async def work(discovery: FakeDiscovery) -> None:
         port = discovery.port
         async with HttpClient(port) as client:
-            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+            assert (await fetch_list(client, "/v1/endpoints"))["generation"] == 1
             discovery.stop()
             assert await client.read_to_end() == b""
         await discovery.start()
         assert discovery.port == port
         async with HttpClient(port) as client:
-            assert (await listing(client, "/v1/endpoints"))["generation"] == 1
+            assert (await fetch_list(client, "/v1/endpoints"))["generation"] == 1
 
     with_discovery(work)
--- a/tests/testkit/test_polling.py
+++ b/tests/testkit/test_polling.py
@@ -1,4 +1,4 @@
-"""The wait for a condition that sets no event."""
+"""Polling of a condition for which there is no event."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from testkit.polling import wait_until
 
 
-def test_the_wait_ends_once_the_condition_holds() -> None:
-    looks = 0
+def test_wait_ends_once_the_condition_holds() -> None:
+    checks = 0
 
-    def holds_at_the_third_look() -> bool:
-        nonlocal looks
-        looks += 1
-        return looks == 3
+    def holds_at_third_check() -> bool:
+        nonlocal checks
+        checks += 1
+        return checks == 3
 
-    asyncio.run(wait_until(holds_at_the_third_look))
-    assert looks == 3
+    asyncio.run(wait_until(holds_at_third_check))
+    assert checks == 3
 
 
-def test_a_condition_that_never_holds_ends_the_wait_with_a_timeout() -> None:
-    with pytest.raises(TimeoutError, match=r"not within 0\.05 s: the server is ready"):
+def test_wait_for_a_condition_that_never_holds_times_out() -> None:
+    with pytest.raises(TimeoutError, match=r"timed out after 0\.05 s waiting for: the server is ready"):
         asyncio.run(wait_until(lambda: False, "the server is ready", timeout_s=0.05))
--- a/tests/testkit/test_simulation.py
+++ b/tests/testkit/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated tier: its clock, and that one seed gives one run."""
+"""The simulated tier: its clock, determinism for a seed, sessions with planners, and the workload."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from testkit.simulation.tier import Tier
 
 
-def test_calls_are_made_in_the_order_of_their_times_and_then_of_their_addition() -> None:
+def test_calls_are_made_in_order_of_due_time_and_then_of_addition() -> None:
     clock = SimulatedClock()
     made: list[tuple[str, float]] = []
 
@@ -32,7 +32,7 @@
     assert made[-1] == ("late", 20.0)
 
 
-def sends_of_run(seed: int) -> list[list[float]]:
+def send_times_of_run(seed: int) -> list[list[float]]:
     plan = TierPlan(forwarders=4, servers=6, planners=2, link_loss=0.05, rate_per_s=300.0)
     tier = Tier(plan, seed)
     tier.at(500.0, lambda: tier.restart(0))
@@ -41,12 +41,12 @@
     return [server.sent_ms for server in tier.servers]
 
 
-def test_one_seed_gives_one_run() -> None:
-    assert sends_of_run(1) == sends_of_run(1)
-    assert sends_of_run(1) != sends_of_run(2)
+def test_runs_with_the_same_seed_are_identical() -> None:
+    assert send_times_of_run(1) == send_times_of_run(1)
+    assert send_times_of_run(1) != send_times_of_run(2)
 
 
-def test_a_planner_that_restarts_has_the_next_epoch_and_its_script() -> None:
+def test_restarted_planner_has_the_next_epoch_and_the_same_script() -> None:
     tier = Tier(TierPlan(planners=1))
     script = tier.planners["p0"].script
     tier.kill_planner("p0")
@@ -57,7 +57,7 @@
     assert tier.planners["p0"].script is script
 
 
-def test_forwarders_and_planners_that_are_partitioned_have_no_session() -> None:
+def test_partitioned_forwarder_and_planner_have_no_session() -> None:
     tier = Tier(TierPlan(planners=2, forwarders=3))
     tier.run(2_000.0)
     assert all(sorted(forwarder.sessions) == ["p0", "p1"] for forwarder in tier.forwarders)
@@ -73,14 +73,15 @@
     assert sorted(tier.forwarders[1].sessions) == ["p0", "p1"]
 
 
-def test_attempts_at_once_beyond_the_ramp_are_counted() -> None:
+def test_simultaneous_attempts_beyond_the_ramp_are_counted() -> None:
     plan = TierPlan(ramp_per_s=50.0, initial_capacity_share=0.1, warm_up_ms=20_000.0)
     assert attempts_beyond_ramp(plan, START_MS, []) == 0.0
     assert attempts_beyond_ramp(plan, START_MS, [START_MS + 1.0] * 5) == pytest.approx(5.0, abs=0.01)
-    assert attempts_beyond_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0  # it is warm by then
+    # The server is warm by then.
+    assert attempts_beyond_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0
 
 
-def works_of_run(plan: TierPlan) -> list[float]:
+def work_of_run(plan: TierPlan) -> list[float]:
     tier = Tier(plan, seed=3)
     tier.run(20_000.0)
     workload = tier.workload
@@ -88,22 +89,22 @@
 
 
 @pytest.mark.parametrize("heavy_tail", [False, True])
-def test_the_mean_work_is_the_plans_with_either_tail(heavy_tail: bool) -> None:
-    works = works_of_run(TierPlan(work_ms=20.0, heavy_tail=heavy_tail))
-    assert sum(works) / len(works) == pytest.approx(20.0, rel=0.05)
+def test_mean_work_is_that_of_the_plan_with_either_distribution(heavy_tail: bool) -> None:
+    work_ms = work_of_run(TierPlan(work_ms=20.0, heavy_tail=heavy_tail))
+    assert sum(work_ms) / len(work_ms) == pytest.approx(20.0, rel=0.05)
 
 
-def test_with_a_heavy_tail_few_requests_have_more_of_the_work() -> None:
-    def share_of_largest(works: list[float]) -> float:
-        return sum(sorted(works)[-len(works) // 100 :]) / sum(works)
+def test_largest_requests_have_more_of_the_work_with_a_heavy_tail() -> None:
+    def share_of_largest(work_ms: list[float]) -> float:
+        return sum(sorted(work_ms)[-len(work_ms) // 100 :]) / sum(work_ms)
 
-    exponential = share_of_largest(works_of_run(TierPlan()))
-    heavy = share_of_largest(works_of_run(TierPlan(heavy_tail=True)))
+    exponential = share_of_largest(work_of_run(TierPlan()))
+    heavy = share_of_largest(work_of_run(TierPlan(heavy_tail=True)))
     assert heavy > 1.5 * exponential
 
 
 @pytest.mark.parametrize("hints", [False, True])
-def test_requests_tell_their_work_only_with_hints(hints: bool) -> None:
+def test_requests_state_their_expected_work_only_with_hints(hints: bool) -> None:
     tier = Tier(TierPlan(forwarders=1, hints=hints))
     tier.run(1_000.0)
     assert bool(tier.forwarders[0].balancer.latency.hint_ms[0]) is hints
