--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Benchmarks: each compares two things in one run and prints the ratio; absolute figures are notes.
+"""Benchmarks, each of which compares two variants in one run and prints the ratio.
 
-They are scripts (`python -m benchmarks.NAME`), never imported by the program or its tests. Source: the
-project's own.
+Absolute figures are printed for information only: they depend on the machine. The benchmarks are scripts
+(`python -m benchmarks.NAME`); the program never imports them, and tests import their helpers alone.
 """
--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -3,10 +3,10 @@
     python -m benchmarks.admission [--cores 1 2 4 8] [--instances 1 7 40] [--loads 0.6 0.85 1.2]
                                    [--heavy-tail] [--seeds N]
 
-Each run is one tier whose servers turn three times slower after they have held several attempts for each core
-for long. Five seconds of half as much traffic again come in its middle. The fixed limits are attempts in
-flight a server, of all instances; the best of them is chosen with hindsight, which no balancer has. The same
-seeds give the same figures on any machine. Source: the project's own simulation (`testkit.simulation`).
+Each run simulates one tier (`testkit.simulation`). Its servers become three times slower once they have had
+several attempts per core in flight for some time. In the middle of the run, traffic is 1.5 times as high for
+five seconds. A fixed limit bounds the attempts in flight per server, summed over all instances; the best one
+is selected with hindsight, which no balancer has. The same seeds give the same figures on any machine.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.tier import Tier
 
-FIXED_LIMITS = (1.5, 2.0, 3.0, 5.0, 7.0, 10.0, 14.0, 20.0, 28.0)  # attempts in flight a server
+FIXED_LIMITS = (1.5, 2.0, 3.0, 5.0, 7.0, 10.0, 14.0, 20.0, 28.0)  # attempts in flight per server
 SERVERS = 12
 WORK_MS = 110.0
 OBJECTIVE_MS = 1_200.0
 DEADLINE_MS = 3_000.0
-QUEUE = 600  # attempts that wait at a server, more than ever come
-OVERLOAD_PER_CORE = 4  # attempts held for each core, from which a server turns slow after a while
-WARM_UP_MS = 2_000.0  # of each run, not counted
+MAX_QUEUED_ATTEMPTS = 600  # attempts queued at a server; high enough that the queue never fills
+OVERLOAD_ATTEMPTS_PER_CORE = 4  # attempts in flight per core above which a server becomes slow after a while
+WARM_UP_MS = 2_000.0  # start of each run, excluded from goodput
 BURST_BEGIN_MS, BURST_END_MS = 8_000.0, 13_000.0
 BURST_FACTOR = 1.5
 END_MS = 30_000.0
@@ -41,10 +41,10 @@
     """One row of the table.
 
     Attributes:
-        cores: of each server.
-        instances: balancers that share the tier.
-        load: of what the servers can do, outside the burst.
-        heavy_tail: whether a few requests have most of the work.
+        cores: Cores per server.
+        instances: Number of balancers that share the tier.
+        load: Offered load outside the burst, as a fraction of the servers' capacity.
+        heavy_tail: Whether a few requests account for most of the work.
     """
 
     cores: int
@@ -53,7 +53,7 @@
     heavy_tail: bool
 
     def plan(self) -> TierPlan:
-        """The tier; its requests tell nothing of their work."""
+        """Returns the tier's plan; its requests carry no hint of their cost."""
         return TierPlan(
             forwarders=self.instances,
             servers=SERVERS,
@@ -63,8 +63,8 @@
             objective_ms=OBJECTIVE_MS,
             deadline_ms=DEADLINE_MS,
             ramp_per_s=0.0,
-            queue=QUEUE,
-            overload_attempts=OVERLOAD_PER_CORE * self.cores,
+            queue=MAX_QUEUED_ATTEMPTS,
+            overload_attempts=OVERLOAD_ATTEMPTS_PER_CORE * self.cores,
             tier=0,
             hints=False,
             heavy_tail=self.heavy_tail,
@@ -73,11 +73,11 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FixedLimit:
-    """A fixed limit and what it reached; ordered by goodput.
+    """A fixed limit and the goodput it gave; instances are ordered by goodput.
 
     Attributes:
-        goodput: the share of the requests that is served in time.
-        attempts: in flight a server, of all instances.
+        goodput: Fraction of the requests served within their latency objective.
+        attempts: Limit of attempts in flight per server, summed over all instances.
     """
 
     goodput: float
@@ -86,7 +86,7 @@
 
 @contextmanager
 def fixed_limit(limit: float) -> Iterator[None]:
-    """Meanwhile admission control takes this for what a server can take, in attempts of all instances."""
+    """Replaces admission control's server capacity, in attempts of all instances, within the block."""
     before = admission_control.SERVER_CAPACITY
     admission_control.SERVER_CAPACITY = limit
     try:
@@ -96,7 +96,7 @@
 
 
 def goodput(scenario: Scenario, seeds: Sequence[int]) -> float:
-    """The share of the requests that is served in time, a mean over the seeds."""
+    """Returns the fraction of requests served within their latency objective, averaged over the seeds."""
     return mean(_goodput_of_run(scenario, seed) for seed in seeds)
 
 
@@ -111,7 +111,7 @@
 
 
 def best_fixed_limit(scenario: Scenario, seeds: Sequence[int]) -> FixedLimit:
-    """The fixed limit with the most goodput."""
+    """Returns the fixed limit with the highest goodput."""
     results = []
     for attempts in FIXED_LIMITS:
         with fixed_limit(attempts):
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Prints a line a scenario, and the least and the mean ratio."""
+    """Prints a line per scenario, and the minimum and mean ratio to the best fixed limit."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -134,15 +134,15 @@
     ratios = []
     for cores, instances, load in product(args.cores, args.instances, args.loads):
         scenario = Scenario(cores, instances, load, args.heavy_tail)
-        present = goodput(scenario, seeds)
+        adaptive = goodput(scenario, seeds)
         best = best_fixed_limit(scenario, seeds)
-        ratios.append(present / best.goodput)
+        ratios.append(adaptive / best.goodput)
         print(
-            f"{cores} cores, {instances:3} instances, load {load:.2f}: {present:.2f},"
-            f" best fixed {best.goodput:.2f} at {best.attempts:g} a server, ratio {ratios[-1]:.2f}",
+            f"{cores} cores, {instances:3} instances, load {load:.2f}: {adaptive:.2f},"
+            f" best fixed {best.goodput:.2f} at {best.attempts:g} per server, ratio {ratios[-1]:.2f}",
             flush=True,
         )
-    print(f"admission: ratio to the best fixed limit: mean {mean(ratios):.2f}, least {min(ratios):.2f}")
+    print(f"admission: ratio to the best fixed limit: mean {mean(ratios):.2f}, minimum {min(ratios):.2f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/checkouts.py
+++ b/benchmarks/checkouts.py
@@ -1,17 +1,17 @@
-"""Other checkouts of the project, which benchmarks measure beside this one.
+"""Other checkouts of the project that benchmarks compare with this one.
 
-It changes nothing in them. Source: the project's own; versions before the renaming had another package.
+The checkouts are only read. The package had another name before the project was renamed.
 """
 
 from __future__ import annotations
 
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent  # of this checkout
+ROOT = Path(__file__).parent.parent  # root directory of this checkout
 PACKAGE = "sandhatch"
-FORMER_PACKAGE = "larkweir"  # of versions before the renaming
+FORMER_PACKAGE = "larkweir"  # package name before the project was renamed
 
 
 def package_of(checkout: Path) -> str:
-    """The package that `python -m` starts in this checkout."""
+    """Returns the name of the package that `python -m` starts in a checkout."""
     return PACKAGE if (checkout / PACKAGE).is_dir() else FORMER_PACKAGE
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -1,14 +1,15 @@
-"""Long bodies through the balancer: memory, ceilings, checksums, and throughput against a bare relay.
+"""Long bodies through the balancer: memory, per-body limits, checksums, and throughput against a bare relay.
 
     python -m benchmarks.long_bodies [--bodies N] [--mb SIZE] [--at-once N] [--rounds N] [--large-mb SIZE]
 
-First part: one body of SIZE MB at a time through a bare uvloop relay and through the balancer on the same
-core, in turn; the ratio of their throughputs.
+First part: one body of SIZE MB at a time passes alternately through a bare uvloop relay and through the
+balancer on the same core; the ratio of their throughputs is printed.
 
-Second part: N bodies of SIZE MB, half up and half down, between clients and servers of mixed speeds that are
-drawn from a seed. Clients and servers are processes of their own, the balancer is bound to one core. Its
-resident memory is read twice a second from the system; what each request booked is the balancer's own
-account, in which each change is entered. Every response is counted, every body's checksum compared.
+Second part: N bodies of SIZE MB, half of them uploads and half downloads, pass between clients and servers
+whose speeds are drawn from a seed. Clients and servers run in separate processes; the balancer is bound to
+one core. The balancer's resident memory is read from the system twice a second; the memory reserved by each
+request comes from the balancer's own accounting, which records every change. Every response is counted and
+every body's checksum is verified.
 """
 
 from __future__ import annotations
@@ -27,25 +28,25 @@
 
 import uvloop
 
-from benchmarks.long_bodies_memory import MIB, MemoryWatch, read_status
+from benchmarks.long_bodies_memory import MIB, MemorySampler, read_status
 from benchmarks.long_bodies_peers import SPEED_WEIGHTS, listen, run_clients, serve_uploads, upload_once
 from benchmarks.processes import Cores, spawn, split_cores, stop_all
-from benchmarks.request_rate import in_turns, median_ratio
+from benchmarks.request_rate import alternate_order, median_ratio
 from testkit.ports import free_port, wait_until_listening
 
 GIB = 1024 * MIB
-WORKERS = 3  # processes of clients, and of servers
-BODY_CEILING_BYTES = 256 * 1024  # that one body may book
-LARGE_MEMORY_MB = 64.0
+WORKERS = 3  # number of client processes, and of server processes
+MAX_BODY_RESERVED_BYTES = 256 * 1024  # memory that one body may reserve
+LARGE_BODY_MEMORY_MB = 64.0
 RELAY = "relay"
 BALANCER = "balancer"
-THIS = ("-m", "benchmarks.long_bodies", "--role")
-# Both ends are processes that share seven cores: that they are slow is not to count as a fault of theirs.
+MODULE_ARGUMENTS = ("-m", "benchmarks.long_bodies", "--role")
+# Client and server processes share seven cores, so a slow peer must not be treated as stalled.
 PROGRESS_LIMITS = {"stall_ms": 120_000, "floor_bytes_per_s": 0}
 
 
-def configuration(port: int, servers: list[int], memory_mb: float) -> dict[str, Any]:
-    """The balancer's configuration, with limits that no body meets."""
+def balancer_config(port: int, servers: list[int], memory_mb: float) -> dict[str, Any]:
+    """Returns the balancer's configuration, with time limits that no body reaches."""
     addresses = {f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(servers)}
     limits = {
         f"{side}_{key}": value for side in ("writer", "reader") for key, value in PROGRESS_LIMITS.items()
@@ -66,29 +67,31 @@
 
 
 class Processes:
-    """The processes of one part, with their files in a directory."""
+    """The processes of one part of the benchmark; their files are in one directory."""
 
     def __init__(self, directory: str, cores: Cores) -> None:
-        """Creates a part that has started nothing."""
+        """Creates a set without processes."""
         self._directory = Path(directory)
         self._cores = cores
         self._processes: list[asyncio.subprocess.Process] = []
-        self.control = str(self._directory / "c.sock")  # the balancer's
+        self.control = str(self._directory / "c.sock")  # path of the balancer's control socket
 
     async def start_peer(self, role: str, *options: str, is_measured: bool = False) -> int:
-        """Starts a server or a relay; returns its port."""
+        """Starts a server or a relay, waits until it listens, and returns its port."""
         port = free_port()
         cores = self._cores.measured if is_measured else self._cores.rest
-        self._processes.append(await spawn(*THIS, role, "--port", str(port), *options, cores=cores))
+        self._processes.append(
+            await spawn(*MODULE_ARGUMENTS, role, "--port", str(port), *options, cores=cores)
+        )
         await wait_until_listening(port)
         return port
 
     async def start_balancer(
         self, port: int, servers: list[int], memory_mb: float
     ) -> asyncio.subprocess.Process:
-        """Starts the balancer of these servers."""
+        """Starts the balancer in front of these servers and waits until it listens."""
         path = self._directory / "own.json"
-        path.write_text(json.dumps(configuration(port, servers, memory_mb)))
+        path.write_text(json.dumps(balancer_config(port, servers, memory_mb)))
         serve = ("-m", "sandhatch", "serve", str(path), "--control", self.control)
         process = await spawn(*serve, cores=self._cores.measured)
         self._processes.append(process)
@@ -96,15 +99,20 @@
         return process
 
     async def start_clients(self, *options: str) -> asyncio.subprocess.Process:
-        """Starts a process of clients, which prints a line for each exchange."""
+        """Starts a client process, which prints a line for each exchange."""
         process = await spawn(
-            *THIS, "caller", *options, cores=self._cores.rest, stdout=asyncio.subprocess.PIPE, stderr=None
+            *MODULE_ARGUMENTS,
+            "client",
+            *options,
+            cores=self._cores.rest,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=None,
         )
         self._processes.append(process)
         return process
 
     async def stop(self) -> None:
-        """Ends all processes."""
+        """Terminates all processes and waits for them."""
         await stop_all(self._processes)
 
 
@@ -113,20 +121,20 @@
 
 @dataclass(slots=True)
 class Progress:
-    """The exchanges that have ended so far."""
+    """Results of the exchanges that have ended so far."""
 
-    bodies: int  # in all
-    memory: MemoryWatch
+    bodies: int  # total number of exchanges
+    memory: MemorySampler
     results: Counter[str] = field(default_factory=Counter)
-    passed_bytes: int = 0
+    transferred_bytes: int = 0
 
     async def collect(self, clients: asyncio.subprocess.Process) -> None:
-        """Counts the lines of a process of clients, and prints each tenth of all."""
+        """Counts the result lines of a client process, and prints progress after each tenth of all bodies."""
         assert clients.stdout is not None
         async for line in clients.stdout:
-            result, _, passed = line.decode().rstrip().rpartition(" ")
+            result, _, transferred = line.decode().rstrip().rpartition(" ")
             self.results[result] += 1
-            self.passed_bytes += int(passed)
+            self.transferred_bytes += int(transferred)
             ended = self.results.total()
             if ended % max(1, self.bodies // 10) == 0:
                 resident_mib = self.memory.samples[-1].resident_mib
@@ -135,15 +143,15 @@
 
 
 def client_options(args: argparse.Namespace, port: int) -> list[list[str]]:
-    """The options of each process of clients, which share the bodies."""
-    share = args.bodies // WORKERS
+    """Returns the options of each client process; the bodies are divided among the processes."""
+    bodies_per_worker = args.bodies // WORKERS
     options = []
     for worker in range(WORKERS):
         is_last = worker == WORKERS - 1
-        count = args.bodies - share * (WORKERS - 1) if is_last else share
+        count = args.bodies - bodies_per_worker * (WORKERS - 1) if is_last else bodies_per_worker
         values = {
             "--port": port,
-            "--first": worker * share,
+            "--first": worker * bodies_per_worker,
             "--count": count,
             "--at-once": max(1, args.at_once // WORKERS),
             "--mb": args.mb,
@@ -153,39 +161,40 @@
 
 
 async def measure_many(args: argparse.Namespace, processes: Processes) -> str:
-    """Passes many bodies at once; returns a line of figures."""
+    """Sends many bodies concurrently; returns a line of figures."""
     servers = [await processes.start_peer("server") for _ in range(WORKERS)]
     port = free_port()
     balancer = await processes.start_balancer(port, servers, args.memory_mb)
-    memory = MemoryWatch()
-    watching = asyncio.create_task(memory.run(balancer.pid, processes.control))
+    memory = MemorySampler()
+    sampling = asyncio.create_task(memory.run(balancer.pid, processes.control))
     progress = Progress(args.bodies, memory)
     begin_s = perf_counter()
     clients = [await processes.start_clients(*options) for options in client_options(args, port)]
     await asyncio.gather(*(progress.collect(process) for process in clients))
     end_s = perf_counter()
-    watching.cancel()
-    print_account(read_status(processes.control))
-    passed_bytes = progress.passed_bytes
-    spent_s = end_s - begin_s
+    sampling.cancel()
+    print_accounting(read_status(processes.control))
+    transferred_bytes = progress.transferred_bytes
+    elapsed_s = end_s - begin_s
     return (
-        f"{args.bodies} bodies of {args.mb} MiB, {passed_bytes / GIB:.1f} GiB in {spent_s:.0f} s"
-        f" ({passed_bytes / MIB / spent_s:.0f} MiB/s), {args.at_once} at once: {dict(progress.results)};"
-        f" after warm-up {memory.summary(begin_s, end_s)}"
+        f"{args.bodies} bodies of {args.mb} MiB, {transferred_bytes / GIB:.1f} GiB in {elapsed_s:.0f} s"
+        f" ({transferred_bytes / MIB / elapsed_s:.0f} MiB/s), {args.at_once} in flight:"
+        f" {dict(progress.results)}; after warm-up {memory.summary(begin_s, end_s)}"
     )
 
 
-def print_account(status: Mapping[str, Any]) -> None:
-    """Prints the speeds, and what the balancer's account says of the bodies."""
+def print_accounting(status: Mapping[str, Any]) -> None:
+    """Prints the distribution of speeds, and the balancer's accounting of the bodies."""
     speeds = ", ".join(
         f"{speed:g} MB/s {weight}" if speed else f"full {weight}" for speed, weight in SPEED_WEIGHTS.items()
     )
-    account = status["bodies"]
+    accounting = status["bodies"]
     print(f"speeds drawn for each side, by weight: {speeds}")
     print(
-        f"account: {account['opened']} flows, {account['most_open']} at once, one held at most"
-        f" {account['peak_bytes']} of {BODY_CEILING_BYTES} bytes, over its ceiling {account['over']} times;"
-        f" left open {account['open']}, memory still booked {status['memory']['held_bytes']}"
+        f"accounting: {accounting['opened']} bodies, at most {accounting['most_open']} open, peak of one body"
+        f" {accounting['peak_bytes']} of {MAX_BODY_RESERVED_BYTES} bytes, over its limit"
+        f" {accounting['over']} times; still open {accounting['open']},"
+        f" still reserved {status['memory']['held_bytes']} bytes"
     )
 
 
@@ -193,29 +202,31 @@
 
 
 async def measure_large(args: argparse.Namespace, processes: Processes) -> str:
-    """Passes one body at a time through relay and balancer in turn; returns a line with their ratio."""
-    server = await processes.start_peer("drink")
-    # One that is being measured must not meet the other's processes: they share the core, and take turns.
+    """Sends one body at a time through relay and balancer alternately; returns a line with their ratio."""
+    server = await processes.start_peer("sink")
+    # Relay and balancer share the measured core, so only one of them passes a body at a time.
     ports = {RELAY: await processes.start_peer("relay", "--to", str(server), is_measured=True)}
     ports[BALANCER] = free_port()
-    await processes.start_balancer(ports[BALANCER], [server], LARGE_MEMORY_MB)
+    await processes.start_balancer(ports[BALANCER], [server], LARGE_BODY_MEMORY_MB)
     loop = asyncio.get_running_loop()
-    spent_s: dict[str, list[float]] = {name: [] for name in ports}
+    elapsed_s: dict[str, list[float]] = {name: [] for name in ports}
     for turn in range(args.rounds):
-        for name in in_turns(list(ports), turn):
-            spent = await loop.run_in_executor(None, upload_once, ports[name], args.large_mb * MIB)
-            spent_s[name].append(spent)
-        row = "  ".join(f"{name} {args.large_mb / values[-1]:.0f} MiB/s" for name, values in spent_s.items())
+        for name in alternate_order(list(ports), turn):
+            elapsed = await loop.run_in_executor(None, upload_once, ports[name], args.large_mb * MIB)
+            elapsed_s[name].append(elapsed)
+        row = "  ".join(
+            f"{name} {args.large_mb / values[-1]:.0f} MiB/s" for name, values in elapsed_s.items()
+        )
         print(f"round {turn + 1}: {row}", flush=True)
-    ratio = median_ratio(spent_s[RELAY], spent_s[BALANCER])
-    return f"one body of {args.large_mb} MiB, of a bare relay's throughput on the same core: {ratio:.3f}"
+    ratio = median_ratio(elapsed_s[RELAY], elapsed_s[BALANCER])
+    return f"one body of {args.large_mb} MiB: {ratio:.3f} of a bare relay's throughput on the same core"
 
 
 # ------------------------------------------------ the command
 
 
 async def run(args: argparse.Namespace) -> None:
-    """Runs both parts, each unless it has no rounds or bodies."""
+    """Runs the first part unless it has no rounds, and the second unless it has no bodies."""
     cores = split_cores()
     lines = []
     for measure, count in ((measure_large, args.rounds), (measure_many, args.bodies)):
@@ -231,7 +242,7 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The command line's options; `--role` and those behind it are for the benchmark's own processes."""
+    """Parses the command line; `--role` and the options after it are for the benchmark's own processes."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -242,7 +253,7 @@
     parser.add_argument("--rounds", type=int, default=7)
     parser.add_argument("--large-mb", type=int, default=1024)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--role", choices=("server", "relay", "caller", "drink"))
+    parser.add_argument("--role", choices=("server", "relay", "client", "sink"))
     for name in ("port", "to", "first", "count"):
         parser.add_argument(f"--{name}", type=int, default=0)
     return parser.parse_args()
@@ -252,10 +263,10 @@
     """Runs the benchmark or, with `--role`, one of its processes."""
     args = parse_arguments()
     match args.role:
-        case "caller":
+        case "client":
             size = args.mb * MIB
             uvloop.run(run_clients(args.port, args.first, args.count, args.at_once, size, args.seed))
-        case "drink":
+        case "sink":
             serve_uploads(args.port)
         case "server" | "relay":
             with suppress(KeyboardInterrupt):
--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -1,7 +1,6 @@
-"""The clients and servers of the long bodies: throttled ones of mixed speeds, and unthrottled ones.
+"""Clients and servers of the long-body benchmark, throttled to mixed speeds or unthrottled.
 
-They run in processes of their own (`long_bodies --role`) and compare the checksum of every body. Source: the
-project's own.
+They run in separate processes (`long_bodies --role`); the throttled ones verify every body's checksum.
 """
 
 from __future__ import annotations
@@ -18,63 +17,63 @@
 from testkit.wire import read_head
 
 MIB = 1024 * 1024
-# Megabytes a second of either side, and how often each is drawn; 0: as fast as it goes.
+# Speeds of a peer in MB/s, with the weight by which each is drawn; 0 means unthrottled.
 SPEED_WEIGHTS = {0.0: 4, 8.0: 2, 2.0: 2, 1.0: 1}
-LEAST_PAUSE_S = 0.005
-AFTER_RESPONSE_S = 30.0
-RESPONDED = "answered"
+MIN_PAUSE_S = 0.005
+SURPLUS_TIMEOUT_S = 30.0
+RESPONDED = "responded"
 RECEIVE_BYTES = 65536
 
 
-def draw_speed(rng: Random) -> float:
-    """Megabytes a second of one side; 0 for as fast as it goes."""
+def draw_speed_mb_per_s(rng: Random) -> float:
+    """Draws the speed of one peer in MB/s; 0 means unthrottled."""
     return rng.choices(list(SPEED_WEIGHTS), list(SPEED_WEIGHTS.values()))[0]
 
 
 class Throttle:
-    """Keeps one side at its speed while it sends or reads one body, by a pause after each piece."""
+    """Limits the rate at which a peer sends or reads one body, by a pause after each piece."""
 
     def __init__(self, mb_per_s: float) -> None:
-        """Creates a throttle that starts now; 0 for one that never pauses."""
+        """Creates a throttle whose time starts now; a speed of 0 never pauses."""
         self._bytes_per_s = mb_per_s * MIB
         self._started_s = perf_counter()
-        self._bytes = 0
+        self._transferred_bytes = 0
 
-    async def after(self, size: int) -> None:
-        """Pauses after a piece of `size` bytes, if that came too early."""
+    async def pause_after(self, size: int) -> None:
+        """Pauses after a piece of `size` bytes if the body is ahead of its rate."""
         if not self._bytes_per_s:
             return
-        self._bytes += size
-        ahead_s = self._bytes / self._bytes_per_s - (perf_counter() - self._started_s)
-        if ahead_s > LEAST_PAUSE_S:
+        self._transferred_bytes += size
+        ahead_s = self._transferred_bytes / self._bytes_per_s - (perf_counter() - self._started_s)
+        if ahead_s > MIN_PAUSE_S:
             await asyncio.sleep(ahead_s)
 
-    async def after_piece(self, body: Body) -> None:
-        """Pauses after a piece of a body that is read at this speed; the `pause` of `read_body`."""
-        await self.after(body.size - self._bytes)
+    async def pause_after_piece(self, body: Body) -> None:
+        """Pauses after a piece of a body that is being read; passed to `read_body` as `pause`."""
+        await self.pause_after(body.size - self._transferred_bytes)
 
 
-# ------------------------------------------------ throttled
+# ------------------------------------------------ throttled peers
 
 
-async def serve(upload: StreamedRequest) -> None:
-    """Reads a POST's body and responds with its size and checksum, or sends the body that a GET requests."""
-    throttle = Throttle(float(upload.headers["x-server-speed"]))
-    if upload.method == "POST":
-        body = await upload.body(pause=throttle.after_piece)
+async def serve(request: StreamedRequest) -> None:
+    """Responds to a POST with the size and checksum of its body, and to a GET with the requested body."""
+    throttle = Throttle(float(request.headers["x-server-speed"]))
+    if request.method == "POST":
+        body = await request.body(pause=throttle.pause_after_piece)
         text = f"{body.size} {body.crc}".encode()
-        await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(len(text))) + text)
+        await request.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(len(text))) + text)
         return
-    size = int(upload.headers["x-size"])
-    seed = int(upload.headers["x-seed"])
-    await upload.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(size)))
+    size = int(request.headers["x-size"])
+    seed = int(request.headers["x-seed"])
+    await request.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(size)))
     for piece in SeededBody(seed).pieces(size):
-        await upload.connection.send(bytes(piece))
-        await throttle.after(len(piece))
+        await request.connection.send(bytes(piece))
+        await throttle.pause_after(len(piece))
 
 
 async def listen(port: int, relay_to: int) -> None:
-    """Listens until the process ends: a relay to `relay_to`, or a throttled server if that is 0."""
+    """Listens until the process ends, as a relay to port `relay_to` or, if that is 0, a throttled server."""
     if relay_to:
         loop = asyncio.get_running_loop()
         await loop.create_server(lambda: RelaySide(port=relay_to), "127.0.0.1", port)
@@ -87,38 +86,38 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
-    """What came of an exchange.
+    """Result of an exchange.
 
     Attributes:
-        outcome: `RESPONDED`, the response's status or an error.
-        passed_bytes: the body's, if it has passed to its end.
+        outcome: `RESPONDED`, the response's status code or the name of an error.
+        passed_bytes: Size of the body if it was transferred completely, otherwise 0.
     """
 
     outcome: str
-    passed_bytes: int = 0
+    transferred_bytes: int = 0
 
 
 class Exchange:
-    """One request with a long body, up if its number is even and down if it is odd."""
+    """One request with a long body: an upload if its number is even, a download if it is odd."""
 
     def __init__(self, port: int, number: int, size: int, seed: int) -> None:
-        """Draws the speeds of both sides.
+        """Draws the speeds of client and server.
 
         Args:
-            port: of the balancer.
-            number: the exchange's, which seeds its body.
-            size: the body's.
-            seed: of the run.
+            port: Port of the balancer.
+            number: Number of the exchange, which seeds its body.
+            size: Size of the body in bytes.
+            seed: Seed of the run.
         """
         rng = Random(seed * 1_000_003 + number)
         self._port = port
         self._number = number
         self._size = size
-        self._throttle = Throttle(draw_speed(rng))
-        self._server_speed = draw_speed(rng)
+        self._throttle = Throttle(draw_speed_mb_per_s(rng))
+        self._server_speed = draw_speed_mb_per_s(rng)
         self._is_upload = number % 2 == 0
         self._trace = f"{seed:x}-{number:x}"
-        self._pattern = SeededBody(number)
+        self._seeded_body = SeededBody(number)
 
     async def run(self) -> ExchangeResult:
         """Sends the request and reads its response."""
@@ -127,15 +126,15 @@
             await self._send(writer)
             response_head = await read_head(reader)
             if response_head is None:
-                return ExchangeResult("no answer")
+                return ExchangeResult("no response")
             status = response_head.start_line.split()[1]
             if status != "200":
                 return ExchangeResult(status)
-            is_as_sent = await self._read(reader, response_head.headers)
-            # A second response, or bytes behind it, would come now.
+            is_intact = await self._read(reader, response_head.headers)
+            # A second response, or bytes after the first, would arrive now.
             writer.write_eof()
-            surplus = await asyncio.wait_for(reader.read(), AFTER_RESPONSE_S)
-            outcome = RESPONDED if is_as_sent and not surplus else "wrong bytes"
+            surplus = await asyncio.wait_for(reader.read(), SURPLUS_TIMEOUT_S)
+            outcome = RESPONDED if is_intact and not surplus else "wrong bytes"
             return ExchangeResult(outcome, self._size)
         except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as error:
             return ExchangeResult(type(error).__name__)
@@ -148,24 +147,24 @@
             writer.write(head("GET /d HTTP/1.1", X_Size=str(self._size), X_Seed=str(self._number), **fields))
             return
         writer.write(head("POST /d HTTP/1.1", Content_Length=str(self._size), **fields))
-        for piece in self._pattern.pieces(self._size):
+        for piece in self._seeded_body.pieces(self._size):
             writer.write(bytes(piece))
             await writer.drain()
-            await self._throttle.after(len(piece))
+            await self._throttle.pause_after(len(piece))
 
     async def _read(self, reader: asyncio.StreamReader, headers: dict[str, str]) -> bool:
-        """Reads the response's body; whether the long body came as it was sent."""
-        expected_crc = self._pattern.crc(self._size)
+        """Reads the response's body; returns whether the long body arrived unchanged."""
+        expected_crc = self._seeded_body.crc(self._size)
         if self._is_upload:
             text = await reader.readexactly(int(headers["content-length"]))
             return text.decode() == f"{self._size} {expected_crc}"
-        body = await read_body(reader, headers, pause=self._throttle.after_piece)
+        body = await read_body(reader, headers, pause=self._throttle.pause_after_piece)
         return body.complete and body.size == self._size and body.crc == expected_crc
 
 
-async def run_clients(port: int, first: int, count: int, at_once: int, size: int, seed: int) -> None:
-    """Runs exchanges, `at_once` at a time, and prints the result and the bytes of each."""
-    slots = asyncio.Semaphore(at_once)
+async def run_clients(port: int, first: int, count: int, max_concurrent: int, size: int, seed: int) -> None:
+    """Runs exchanges, at most `max_concurrent` concurrently, and prints the outcome and bytes of each."""
+    slots = asyncio.Semaphore(max_concurrent)
     await asyncio.gather(
         *(_run_exchange(slots, port, number, size, seed) for number in range(first, first + count))
     )
@@ -173,19 +172,19 @@
 
 async def _run_exchange(slots: asyncio.Semaphore, port: int, number: int, size: int, seed: int) -> None:
     async with slots:
-        # Created here, since its throttle measures from its creation on.
+        # Created only once a slot is free, because the throttle's time starts at its creation.
         result = await Exchange(port, number, size, seed).run()
-        print(result.outcome, result.passed_bytes, flush=True)
+        print(result.outcome, result.transferred_bytes, flush=True)
 
 
-# ------------------------------------------------ as fast as can be, with blocking sockets
+# ------------------------------------------------ unthrottled peers, with blocking sockets
 
 
 def upload_once(port: int, size: int) -> float:
-    """Seconds for a body to go up and be responded to.
+    """Uploads a body; returns the seconds until its response arrived.
 
     Raises:
-        RuntimeError: the response's status is not 200.
+        RuntimeError: The response's status is not 200.
     """
     block = memoryview(bytes(MIB))
     with socket.create_connection(("127.0.0.1", port)) as connection:
@@ -193,18 +192,18 @@
         started_s = perf_counter()
         trace = f"{port:x}-{started_s}"
         connection.sendall(head("POST /d HTTP/1.1", Host="h", X_Trace_Id=trace, Content_Length=str(size)))
-        left_bytes = size
-        while left_bytes:
-            left_bytes -= connection.send(block[: min(left_bytes, MIB)])
+        remaining_bytes = size
+        while remaining_bytes:
+            remaining_bytes -= connection.send(block[: min(remaining_bytes, MIB)])
         response = connection.recv(4096)
-        spent_s = perf_counter() - started_s
+        elapsed_s = perf_counter() - started_s
     if not response.startswith(b"HTTP/1.1 200"):
         raise RuntimeError(response.decode())
-    return spent_s
+    return elapsed_s
 
 
 def serve_uploads(port: int) -> None:
-    """Reads bodies as fast as they come, one connection after the other, until the process ends."""
+    """Reads uploads without throttling, one connection after another, until the process ends."""
     buffer = memoryview(bytearray(MIB))
     listener = socket.create_server(("127.0.0.1", port))
     while True:
@@ -222,7 +221,7 @@
         received += data
     request_head, _, rest = received.partition(b"\r\n\r\n")
     fields = dict(line.lower().split(b": ", 1) for line in request_head.split(b"\r\n")[1:])
-    left_bytes = int(fields[b"content-length"]) - len(rest)
-    while left_bytes > 0:
-        left_bytes -= connection.recv_into(buffer, min(left_bytes, MIB))
+    remaining_bytes = int(fields[b"content-length"]) - len(rest)
+    while remaining_bytes > 0:
+        remaining_bytes -= connection.recv_into(buffer, min(remaining_bytes, MIB))
     connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -1,10 +1,11 @@
-"""Tiers with planners against tiers without, on the same arrivals in simulated time.
+"""Goodput of tiers with and without planners, on the same arrivals in simulated time.
 
     python -m benchmarks.planned [--part service|age|failures] [--seeds N] [--jobs N]
 
-The share of requests served in time: by load, number of forwarders and fault of the tier (service); by the
-delay and the loss of the link to the planners (age); and with planners that fail (failures). One line a case
-on standard error as it ends, a table at the end. Nothing reads a clock: the same seeds give the same figures.
+Reports the fraction of requests served within the latency objective: by load, number of forwarders and fault
+of the tier (service); by delay and loss of the link to the planners (age); and with failing planners
+(failures). Progress is printed on standard error, a table at the end. No clock is read, so the same seeds
+give the same figures.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
 FAILURE_END_MS = BEGIN_MS + 60_000.0
 
 EVEN = "even"
-UNEVEN = "uneven"  # a tenth of the forwarders have eight times the demand
+UNEVEN = "uneven"  # a tenth of the forwarders have eight times the demand of the others
 WARM_UPS = "cold starts"  # two servers restart and warm up
-THIRD_SLOW = "a third slow"  # of the servers, by SLOWDOWN
+THIRD_SLOW = "a third slow"  # a third of the servers are slower by the factor SLOWDOWN
 SLOWDOWN = 1.4
-KILLED = "killed"  # all planners, at BEGIN_MS
-RETAINED = "kept"
+KILLED = "killed"  # all planners are killed at BEGIN_MS
+NOT_KILLED = "not killed"
 
-# Leases that outlast a slow link, there and back.
+# On links slower than SLOW_LINK_MS, leases are longer, so that they outlast a round trip.
 SLOW_LINK_MS = 300.0
 SLOW_LINK_TERMS = PlannerTerms(lease_ms=6_000.0, share_lease_ms=9_000.0, member_timeout_ms=9_000.0)
 
 
 @dataclass(frozen=True)
 class Case:
-    """One run; `load` is relative to the capacity of the tier without a fault."""
+    """Parameters of one run; `load` is a fraction of the capacity of the tier without a fault."""
 
     scenario: str
     load: float
@@ -53,21 +54,21 @@
     work_ms: float = 100.0
     link_ms: float = 1.0
     loss: float = 0.0
-    fault: str = ""  # of the planners
+    fault: str = ""  # fault of the planners: KILLED or RETAINED; empty in the shorter runs
 
 
 @dataclass(frozen=True)
 class Result:
-    """What came of a run."""
+    """Result of a run."""
 
     case: Case
     goodput_share: float
-    ramp_excess: float  # the most of its ramp's burst that a restarted server got beyond the rate
+    ramp_excess: float  # maximum over restarted servers of attempts beyond the ramp's rate, in ramp bursts
 
 
 def make_tier(case: Case) -> Tier:
-    """A tier without a fault."""
-    server_per_s = CORES / case.work_ms * 1000.0
+    """Creates a tier without a fault."""
+    server_capacity_per_s = CORES / case.work_ms * 1000.0
     plan = TierPlan(
         forwarders=case.forwarders,
         servers=SERVERS,
@@ -77,7 +78,7 @@
         cores=CORES,
         objective_ms=7.5 * case.work_ms,
         deadline_ms=50.0 * case.work_ms,
-        ramp_per_s=0.9 * server_per_s,
+        ramp_per_s=0.9 * server_capacity_per_s,
         warm_up_ms=15_000.0,
         tier=0,
         link_ms=case.link_ms,
@@ -90,13 +91,13 @@
 
 
 def kill_all_planners(tier: Tier) -> None:
-    """Ends all planners' processes."""
+    """Kills all planners of a simulated tier."""
     for name in tier.planners:
         tier.kill_planner(name)
 
 
 def run_case(case: Case) -> Result:
-    """Runs a case."""
+    """Runs a case and returns its result."""
     tier = make_tier(case)
     restarted = [0, 1] if case.scenario == WARM_UPS else []
     for number in restarted:
@@ -116,7 +117,7 @@
 
 
 def service_cases(seeds: int) -> list[Case]:
-    """By load, number of forwarders and fault of the tier."""
+    """Returns the cases by load, number of forwarders and fault of the tier."""
     return [
         Case(scenario, load, forwarders, planners, seed, work_ms)
         for scenario in (EVEN, UNEVEN, WARM_UPS, THIRD_SLOW)
@@ -129,7 +130,7 @@
 
 
 def age_cases(seeds: int) -> list[Case]:
-    """By delay and loss of the link."""
+    """Returns the cases by delay and loss of the link to the planners."""
     delays_and_losses = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
     delays_and_losses += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
     return [
@@ -142,10 +143,10 @@
 
 
 def failure_cases(seeds: int) -> list[Case]:
-    """Planners that fail, that don't, and none."""
+    """Returns the cases without planners, with planners that are killed, and with planners that are not."""
     return [
         Case(UNEVEN, 0.95, 20, planners, seed, 100.0, fault=fault)
-        for planners, fault in ((0, KILLED), (2, KILLED), (2, RETAINED))
+        for planners, fault in ((0, KILLED), (2, KILLED), (2, NOT_KILLED))
         for seed in range(1, seeds + 1)
     ]
 
@@ -158,7 +159,7 @@
 
 
 def run_cases(cases: list[Case], jobs: int) -> dict[Case, list[Result]]:
-    """The results by case, with all seeds of one together under seed 0."""
+    """Returns the results by case; those of all seeds are grouped under the case with seed 0."""
     results: dict[Case, list[Result]] = {}
     with Pool(jobs) as pool:
         for done, result in enumerate(pool.imap(run_case, cases), 1):
@@ -168,13 +169,13 @@
 
 
 def format_results(case: Case, results: list[Result]) -> str:
-    """A case's line of the table."""
+    """Formats a case's line of the table."""
     shares = [result.goodput_share for result in results]
     ramp = ""
     if results[0].ramp_excess:
-        ramp = f", at most {max(result.ramp_excess for result in results):.2f} of the ramp's burst"
+        ramp = f", at most {max(result.ramp_excess for result in results):.2f} ramp bursts in excess"
     return (
-        f"{case.scenario}, calls of {case.work_ms:g} ms, load {case.load:g}, {case.forwarders} forwarders,"
+        f"{case.scenario}, requests of {case.work_ms:g} ms, load {case.load:g}, {case.forwarders} forwarders,"
         f" {case.planners} planners, link {case.link_ms:g} ms, loss {case.loss:g}{' ' + case.fault}:"
         f" {mean(shares):.4f} ({min(shares):.4f} to {max(shares):.4f}){ramp}"
     )
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -1,10 +1,10 @@
-"""What the link to planners costs a forwarder, with it and without it in alternating rounds on one core.
+"""Cost of the link to planners: a forwarder with and one without it, in alternating rounds on one core.
 
     python -m benchmarks.planning_link [--rounds N] [--seconds S] [--connections C] [--planners P]
 
-Prints requests a second, processor time, the link's traffic, and what it costs when no request comes. Servers
-and planners are processes on the other cores. The forwarder that is not measured is stopped meanwhile, so
-that neither pays for the other.
+Prints requests per second, processor time, the link's traffic, and the processor time used without requests.
+Servers and planners run on the other cores. The forwarder that is not being measured is suspended by SIGSTOP,
+so that it takes no processor time from the measured one.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from typing import Any
 
 from benchmarks.processes import Cores, cpu_s, spawn, split_cores, stop_all
-from benchmarks.request_rate import format_costs, format_rates, in_turns, median_ratio, request_rate
+from benchmarks.request_rate import alternate_order, format_costs, format_rates, median_ratio, request_rate
 from sandhatch.control.client import Client
 from testkit.ports import free_port, wait_until_listening
 
 SERVERS = 8
-STABILIZE_S = 1.0  # after a forwarder is let run, before anything is measured
+STABILIZE_S = 1.0  # time between resuming a forwarder and the start of its measurement
 IDLE_S = 4.0
 LEASED_TIMEOUT_S = 60.0
-ALONE = "alone"  # the forwarder without planners
-CONNECTED = "linked"  # the one with them
+ALONE = "alone"  # name of the forwarder without planners
+CONNECTED = "connected"  # name of the forwarder with planners
 
 
 @dataclass(frozen=True, slots=True)
 class MeasuredForwarder:
-    """A forwarder, and where it listens."""
+    """A forwarder process and the port it listens on."""
 
     port: int
     process: asyncio.subprocess.Process
@@ -43,15 +43,15 @@
 
 @dataclass(slots=True)
 class Samples:
-    """What was measured, by forwarder, a value a round."""
+    """Measurements by forwarder, one value per round."""
 
     rates: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
     costs_us: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
-    link_bytes_per_s: list[float] = field(default_factory=list)  # to one planner
+    link_bytes_per_s: list[float] = field(default_factory=list)  # traffic to one planner
 
 
 def forwarder_config(port: int, servers: list[int], planning: dict[str, Any] | None) -> dict[str, Any]:
-    """The configuration of a forwarder; one without `planning` has no planners."""
+    """Returns the configuration of a forwarder; without `planning`, it has no planners."""
     addresses = {f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(servers)}
     return {
         "format": 1,
@@ -64,15 +64,15 @@
 
 
 def planner_config(name: str, port: int, key: Path) -> dict[str, Any]:
-    """The configuration of a planner."""
+    """Returns the configuration of a planner."""
     return {"format": 1, "name": name, "listen": f"127.0.0.1:{port}", "shared_key_file": str(key)}
 
 
 class Processes:
-    """The processes of a run, with their files in a directory."""
+    """The processes of a run; their files are in one directory."""
 
     def __init__(self, directory: Path, cores: Cores) -> None:
-        """Creates a run that has started nothing."""
+        """Creates a set without processes."""
         self._directory = directory
         self._cores = cores
         self._key = directory / "key"
@@ -96,16 +96,16 @@
         await self._wait_until_leased()
 
     async def stop(self) -> None:
-        """Ends all processes."""
+        """Terminates all processes and waits for them."""
         await stop_all(self._processes)
 
-    def let_only_run(self, name: str) -> None:
-        """Stops the other forwarder until it is let run."""
+    def resume_only(self, name: str) -> None:
+        """Resumes one forwarder and suspends the others."""
         for other, forwarder in self.forwarders.items():
             forwarder.process.send_signal(signal.SIGCONT if other == name else signal.SIGSTOP)
 
-    def planner_bytes_in(self) -> int:
-        """What the first planner has received so far."""
+    def planner_received_bytes(self) -> int:
+        """Returns the number of bytes that the first planner has received so far."""
         with Client(str(self._control("p0"))) as client:
             return int(client.call("status")["bytes_in"])
 
@@ -142,33 +142,33 @@
 
 
 def planner_names(count: int) -> list[str]:
-    """The planners' names."""
+    """Returns the names of `count` planners."""
     return [f"p{number}" for number in range(count)]
 
 
 async def measure_load(processes: Processes, args: argparse.Namespace) -> Samples:
-    """Measures both forwarders under load in turn, and prints the rates of each round."""
+    """Measures both forwarders under load alternately, and prints the rates of each round."""
     samples = Samples()
     for turn in range(args.rounds):
-        for name in in_turns([ALONE, CONNECTED], turn):
-            processes.let_only_run(name)
+        for name in alternate_order([ALONE, CONNECTED], turn):
+            processes.resume_only(name)
             await asyncio.sleep(STABILIZE_S)
             forwarder = processes.forwarders[name]
             cpu_before_s = cpu_s(forwarder.process.pid)
-            bytes_before = processes.planner_bytes_in()
+            bytes_before = processes.planner_received_bytes()
             rate = await request_rate(forwarder.port, args.connections, args.seconds)
             if name == CONNECTED:
-                sent_bytes = processes.planner_bytes_in() - bytes_before
+                sent_bytes = processes.planner_received_bytes() - bytes_before
                 samples.link_bytes_per_s.append(sent_bytes / args.seconds)
-            spent_s = cpu_s(forwarder.process.pid) - cpu_before_s
+            cpu_spent_s = cpu_s(forwarder.process.pid) - cpu_before_s
             samples.rates[name].append(rate)
-            samples.costs_us[name].append(spent_s / (rate * args.seconds) * 1e6)
+            samples.costs_us[name].append(cpu_spent_s / (rate * args.seconds) * 1e6)
         print(f"round {turn + 1}: {format_rates(samples.rates)}", flush=True)
     return samples
 
 
 async def measure_idle(processes: Processes) -> dict[str, float]:
-    """The share of a core that each forwarder uses without requests."""
+    """Returns the fraction of a core that each forwarder uses without requests."""
     shares = {}
     for name, forwarder in processes.forwarders.items():
         forwarder.process.send_signal(signal.SIGCONT)
@@ -189,11 +189,11 @@
     finally:
         await processes.stop()
     ratio = median_ratio(samples.rates[CONNECTED], samples.rates[ALONE])
-    print(f"processor time a request, microseconds: {format_costs(samples.costs_us)}")
-    print(f"idle, of a core: alone {idle[ALONE]:.4f}, linked {idle[CONNECTED]:.4f}")
+    print(f"processor time per request, in microseconds: {format_costs(samples.costs_us)}")
+    print(f"idle, fraction of a core: alone {idle[ALONE]:.4f}, connected {idle[CONNECTED]:.4f}")
     print(
-        f"link: {args.planners} planners, {ratio:.3f} of the requests a second without it;"
-        f" {statistics.median(samples.link_bytes_per_s):.0f} bytes a second to each planner under load"
+        f"link: {args.planners} planners, {ratio:.3f} of the requests per second without it;"
+        f" {statistics.median(samples.link_bytes_per_s):.0f} bytes per second to each planner under load"
     )
 
 
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -1,13 +1,13 @@
-"""Planners and forwarders at large size: the pure machines in simulated time, from one seed.
+"""Planners and forwarders at large scale: the state machines without I/O, in simulated time, from one seed.
 
     python -m benchmarks.planning_scale [--forwarders 1000] [--servers 5000] [--planners 5] [--seconds 6]
     python -m benchmarks.planning_scale --trouble --loss 0.01 --link-ms 20
-    python -m benchmarks.planning_scale --sizes            several sizes, for where a planner's core is full
-    python -m benchmarks.planning_scale --faults 200       random faults on so many seeds, none past its ramp
+    python -m benchmarks.planning_scale --sizes          several sizes, to find where a planner fills a core
+    python -m benchmarks.planning_scale --faults 200     random faults on 200 seeds; none may exceed its ramp
 
 Forwarders are modelled (`planning_scale_model`). Servers are restarted one after another. All reports and
-advice are encoded and decoded as on the wire. Processor time is that of the planner's machine alone, measured
-around its calls: an absolute figure of the machine that it ran on.
+advice are encoded and decoded as on the wire. Processor time is that of the planner's state machine alone,
+from timers around its calls; it is an absolute figure, which depends on the computer.
 """
 
 from __future__ import annotations
@@ -32,46 +32,46 @@
 from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
-WARM_UP_MS = 4_000.0  # before anything is measured
+WARM_UP_MS = 4_000.0  # start of the run, excluded from the figures
 FIRST_RESTART_MS = 2_500.0
 TICK_MS = 100.0
-PLANNER_AGE_MS = 60_000.0  # at the start, so that they are not learning any more
-PARTITION_AFTER_MS = 1_500.0  # from the planner's restart
-PARTITION_HEALS_AFTER_MS = 4_500.0
+PLANNER_AGE_MS = 60_000.0  # age of the planners at the start, by which their learning period is over
+PARTITION_AFTER_MS = 1_500.0  # time from the planner's restart to the start of the partition
+PARTITION_HEALS_AFTER_MS = 4_500.0  # time from the planner's restart to the end of the partition
 MEASURED_PLANNER = "p0"
 RAMP_TOLERANCE = 1e-9
-# Forwarders and servers of the runs with --sizes.
+# Numbers of forwarders and servers of the runs with --sizes.
 SIZES = ((50, 250), (100, 500), (200, 1_000), (400, 2_000), (1_000, 5_000))
 
 
 @dataclass
-class Figures:
-    """What was measured in one run, of the first planner where it is of a planner."""
+class ScaleResult:
+    """Figures of one run; those of a planner are the first planner's."""
 
     core_share: float = 0.0
     reports_per_s: float = 0.0
     up_bytes_per_s: float = 0.0
     down_bytes_per_s: float = 0.0
-    ramp_excess: float = 0.0  # the most attempts beyond a ramp's rate
+    ramp_excess: float = 0.0  # maximum number of attempts beyond a ramp's rate
     ramp_used_share: float = 0.0
     broken_sessions: int = 0
     leasing: int = 0  # forwarders that lease their shares to a planner at the end
 
 
 class ScaleRun:
-    """One run: messages arrive after the link's delay, and some are lost and break their session."""
+    """One run: messages arrive after the link's delay; a lost message breaks its session."""
 
     def __init__(
         self, plan: TierPlan, seconds: float, restarts_per_s: float, faults: bool, seed: int
     ) -> None:
-        """Creates a run at its start.
+        """Creates a run and schedules its events.
 
         Args:
-            plan: the tier's description.
-            seconds: how long is measured, after the warm-up.
-            restarts_per_s: servers that restart in a second.
-            faults: whether the first planner restarts, and is then partitioned from half of the forwarders.
-            seed: of all random draws.
+            plan: Description of the tier.
+            seconds: Duration of the measurement, after the warm-up.
+            restarts_per_s: Number of servers that restart per second.
+            faults: Whether the first planner restarts, and is then partitioned from half of the forwarders.
+            seed: Seed of all random draws.
         """
         self._plan = plan
         self._rng = Random(seed)
@@ -85,10 +85,10 @@
         ]
         self._seconds = seconds
         self._measure_from_ms = START_MS + WARM_UP_MS
-        self._partitions: set[tuple[str, str]] = set()  # of a forwarder's name and a planner's
-        self._sessions: dict[tuple[str, str], int] = {}  # by the same, the session's number
+        self._partitions: set[tuple[str, str]] = set()  # pairs of forwarder name and planner name
+        self._sessions: dict[tuple[str, str], int] = {}  # session number by forwarder name and planner name
         self._last_session = 0
-        self._figures = Figures()
+        self._result = ScaleResult()
         self._cpu_s = 0.0
         self._reports = 0
         self._up_bytes = 0
@@ -107,17 +107,17 @@
             self._clock.after(half_ms + PARTITION_AFTER_MS, self._partition)
             self._clock.after(half_ms + PARTITION_HEALS_AFTER_MS, self._partitions.clear)
 
-    def run(self) -> Figures:
-        """Runs to the end; returns what was measured."""
+    def run(self) -> ScaleResult:
+        """Runs to the end and returns the figures."""
         self._clock.run(WARM_UP_MS + self._seconds * 1_000.0)
-        figures = self._figures
-        figures.core_share = self._cpu_s / self._seconds
-        figures.reports_per_s = self._reports / self._seconds
-        figures.up_bytes_per_s = self._up_bytes / self._seconds
-        figures.down_bytes_per_s = self._down_bytes / self._seconds
-        figures.leasing = sum(forwarder.machine.leased_to is not None for forwarder in self._forwarders)
+        result = self._result
+        result.core_share = self._cpu_s / self._seconds
+        result.reports_per_s = self._reports / self._seconds
+        result.up_bytes_per_s = self._up_bytes / self._seconds
+        result.down_bytes_per_s = self._down_bytes / self._seconds
+        result.leasing = sum(forwarder.machine.leased_to is not None for forwarder in self._forwarders)
         self._measure_ramps()
-        return figures
+        return result
 
     def _measure_ramps(self) -> None:
         plan = self._plan
@@ -126,12 +126,12 @@
         for number in self._model.restarts:
             server = self._model.servers[number]
             excess = attempts_beyond_ramp(plan, server.started_ms, server.sent_ms)
-            self._figures.ramp_excess = max(self._figures.ramp_excess, excess)
+            self._result.ramp_excess = max(self._result.ramp_excess, excess)
             age = min(1.0, (self._clock.now_ms - server.started_ms) / plan.warm_up_ms)
             share = plan.initial_capacity_share * age + (1.0 - plan.initial_capacity_share) * age * age / 2.0
             allowed += plan.ramp_per_s * plan.warm_up_ms / 1000.0 * share
             sent += len(server.sent_ms)
-        self._figures.ramp_used_share = sent / (allowed or 1.0)
+        self._result.ramp_used_share = sent / (allowed or 1.0)
 
     # ------------------------------------------------ faults
 
@@ -168,7 +168,7 @@
         self._clock.after(TICK_MS, self._tick)
 
     def _step(self, forwarder: ModelForwarder) -> None:
-        """A forwarder connects to planners, sends attempts and ticks its machine."""
+        """Lets a forwarder connect to planners, send attempts and tick its state machine."""
         now_ms = self._clock.now_ms
         for name, planner in self._planners.items():
             key = (forwarder.name, name)
@@ -176,20 +176,20 @@
                 self._last_session += 1
                 self._sessions[key] = self._last_session
                 planner.joined(forwarder.name, now_ms)
-                self._perform(forwarder, forwarder.machine.connected(name, planner.epoch, now_ms))
+                self._apply_actions(forwarder, forwarder.machine.connected(name, planner.epoch, now_ms))
         forwarder.send_attempts(now_ms)
-        self._perform(forwarder, forwarder.machine.tick(now_ms))
+        self._apply_actions(forwarder, forwarder.machine.tick(now_ms))
         self._clock.after(STEP_S * 1000.0, partial(self._step, forwarder))
 
-    def _perform(self, forwarder: ModelForwarder, actions: list[Action]) -> None:
-        for action in forwarder.perform(actions, self._clock.now_ms):
+    def _apply_actions(self, forwarder: ModelForwarder, actions: list[Action]) -> None:
+        for action in forwarder.apply_actions(actions, self._clock.now_ms):
             if self._loses_message():
                 self._disconnect(forwarder, action.planner)
                 continue
             payload = encode(action.report)
             session = self._sessions.get((forwarder.name, action.planner))
             self._clock.after(
-                self._plan.link_ms, partial(self._report_arrives, forwarder, action.planner, session, payload)
+                self._plan.link_ms, partial(self._receive_report, forwarder, action.planner, session, payload)
             )
 
     # ------------------------------------------------ the link
@@ -199,10 +199,10 @@
 
     def _disconnect(self, forwarder: ModelForwarder, planner: str) -> None:
         if self._sessions.pop((forwarder.name, planner), None) is not None:
-            self._figures.broken_sessions += 1
+            self._result.broken_sessions += 1
             forwarder.machine.disconnected(planner)
 
-    def _report_arrives(
+    def _receive_report(
         self, forwarder: ModelForwarder, planner: str, session: int | None, payload: bytes
     ) -> None:
         if session is None or self._sessions.get((forwarder.name, planner)) != session:
@@ -220,40 +220,40 @@
             self._disconnect(forwarder, planner)
             return
         self._clock.after(
-            self._plan.link_ms, partial(self._advice_arrives, forwarder, planner, session, response)
+            self._plan.link_ms, partial(self._receive_advice, forwarder, planner, session, response)
         )
 
-    def _advice_arrives(self, forwarder: ModelForwarder, planner: str, session: int, payload: bytes) -> None:
+    def _receive_advice(self, forwarder: ModelForwarder, planner: str, session: int, payload: bytes) -> None:
         if self._sessions.get((forwarder.name, planner)) == session:
             advice = cast(Advice, decode(payload))
-            self._perform(forwarder, forwarder.machine.advice(planner, advice, self._clock.now_ms))
+            self._apply_actions(forwarder, forwarder.machine.advice(planner, advice, self._clock.now_ms))
 
 
-def format_figures(plan: TierPlan, figures: Figures) -> str:
-    """A run's line."""
+def format_result(plan: TierPlan, result: ScaleResult) -> str:
+    """Formats a run's line."""
     burst = plan.ramp_burst or plan.forwarders
     return (
         f"{plan.forwarders} forwarders, {plan.servers} servers, {plan.planners} planners:"
-        f" {figures.core_share:.3f} of a core, {figures.reports_per_s:.0f} reports a second;"
-        f" a forwarder's link {figures.up_bytes_per_s / plan.forwarders:.0f} bytes a second up and"
-        f" {figures.down_bytes_per_s / plan.forwarders:.0f} down;"
-        f" at most {figures.ramp_excess:.1f} calls of a burst of {burst:g} beyond a ramp,"
-        f" {figures.ramp_used_share:.2f} of the ramps used; {figures.broken_sessions} sessions broken,"
-        f" {figures.leasing} forwarders lend at the end"
+        f" {result.core_share:.3f} of a core, {result.reports_per_s:.0f} reports per second;"
+        f" a forwarder's link {result.up_bytes_per_s / plan.forwarders:.0f} bytes per second up and"
+        f" {result.down_bytes_per_s / plan.forwarders:.0f} down;"
+        f" at most {result.ramp_excess:.1f} attempts beyond a ramp with a burst of {burst:g},"
+        f" {result.ramp_used_share:.2f} of the ramps used; {result.broken_sessions} sessions broken,"
+        f" {result.leasing} forwarders lease their shares at the end"
     )
 
 
 @dataclass(frozen=True, slots=True)
-class FaultRun:
-    """What came of a run with random faults."""
+class FaultRunResult:
+    """Result of a run with random faults."""
 
     seed: int
-    ramp_excess: float  # as a share of the ramp's burst
-    rejections: int  # of advice
+    ramp_excess: float  # attempts beyond the ramp's rate, as a fraction of the ramp's burst
+    rejections: int  # number of rejected guidance events
 
 
-def run_with_faults(seed: int) -> FaultRun:
-    """Runs a simulated tier with random faults."""
+def run_with_faults(seed: int) -> FaultRunResult:
+    """Runs a simulated tier with random faults and returns its result."""
     rng = Random(seed)
     forwarders = rng.choice([3, 8, 20])
     plan = TierPlan(
@@ -278,27 +278,29 @@
     server = tier.servers[0]
     burst = plan.ramp_burst or tier.settings.instances
     excess = attempts_beyond_ramp(plan, server.started_ms, server.sent_ms) / burst
-    return FaultRun(seed, excess, sum(len(forwarder.guidance_rejections) for forwarder in tier.forwarders))
+    return FaultRunResult(
+        seed, excess, sum(len(forwarder.guidance_rejections) for forwarder in tier.forwarders)
+    )
 
 
 def run_fault_seeds(count: int, jobs: int) -> None:
-    """Runs so many seeds with random faults, and prints those that break a bound."""
-    most = 0.0
+    """Runs `count` seeds with random faults and prints those that violate a bound."""
+    max_excess = 0.0
     failed = []
     with Pool(jobs) as pool:
         for done, result in enumerate(pool.imap_unordered(run_with_faults, range(count)), 1):
-            most = max(most, result.ramp_excess)
+            max_excess = max(max_excess, result.ramp_excess)
             if result.ramp_excess > 1.0 + RAMP_TOLERANCE or result.rejections:
                 failed.append(result.seed)
             print(f"{done}/{count}", end="\r", file=sys.stderr, flush=True)
     print(
-        f"{count} seeds: at most {most:.3f} of a ramp's burst; past it or with refused advice:"
-        f" {failed or 'none'}"
+        f"{count} seeds: at most {max_excess:.3f} of a ramp's burst; seeds beyond it or with rejected"
+        f" guidance: {failed or 'none'}"
     )
 
 
 def parse_arguments() -> argparse.Namespace:
-    """The command line's options."""
+    """Parses the command line."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -306,11 +308,17 @@
     parser.add_argument("--servers", type=int, default=5_000)
     parser.add_argument("--planners", type=int, default=5)
     parser.add_argument("--seconds", type=float, default=6.0)
-    parser.add_argument("--restarts", type=float, default=5.0, help="servers a second")
+    parser.add_argument("--restarts", type=float, default=5.0, help="servers restarted per second")
     parser.add_argument("--burst", type=float, default=0.0)
     parser.add_argument("--link-ms", type=float, default=5.0)
-    parser.add_argument("--loss", type=float, default=0.0, help="of messages, each of which breaks a session")
-    parser.add_argument("--trouble", action="store_true", help="a planner restarted, and a partition")
+    parser.add_argument(
+        "--loss", type=float, default=0.0, help="fraction of messages lost, each of which breaks a session"
+    )
+    parser.add_argument(
+        "--trouble",
+        action="store_true",
+        help="restart a planner and partition it from half of the forwarders",
+    )
     parser.add_argument("--sizes", action="store_true")
     parser.add_argument("--faults", type=int, metavar="SEEDS")
     parser.add_argument("--jobs", type=int, default=4)
@@ -340,8 +348,8 @@
             for forwarders, servers in SIZES
         ]
     for plan in plans:
-        figures = ScaleRun(plan, args.seconds, args.restarts, args.trouble, 1).run()
-        print(format_figures(plan, figures))
+        result = ScaleRun(plan, args.seconds, args.restarts, args.trouble, 1).run()
+        print(format_result(plan, result))
 
 
 if __name__ == "__main__":
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -1,7 +1,7 @@
-"""A model of servers and of what forwarders see of them, for planners at large size.
+"""Model of servers and of the forwarders' view of them, for planners at large scale.
 
-The forwarders' planning machine and ramp are the program's own; the balancers are left out, since thousands
-of them would fill the memory of any machine. Source: the project's own.
+The forwarders' planning state machine and ramp are the program's own. The balancers are omitted, because
+thousands of them would exceed a computer's memory.
 """
 
 from __future__ import annotations
@@ -23,17 +23,17 @@
 from testkit.simulation.clock import START_MS
 from testkit.simulation.plan import POOL, REQUEST_CLASS, TierPlan
 
-STEP_S = 0.25  # of a forwarder
+STEP_S = 0.25  # interval between a forwarder's steps
 CLASS = RequestClass(objective_ms=150.0, deadline_ms=1_000.0, effect=Effect.IDEMPOTENT, name=REQUEST_CLASS)
 
 
 class ModelServer:
-    """A server, the same object for all forwarders."""
+    """A server, shared by all forwarders."""
 
     __slots__ = ("address", "id", "label", "sent_ms", "started_ms", "state")
 
     def __init__(self, number: int) -> None:
-        """Creates a server that has been warm for long."""
+        """Creates a server that is fully warmed up."""
         self.id = number
         self.address = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080"
         self.label = server_label(self.address)
@@ -43,45 +43,45 @@
 
 
 class Model:
-    """What all forwarders see; `restarts` are the servers' numbers in the order of their restarts."""
+    """State that all forwarders see; `restarts` lists server numbers in the order of their restarts."""
 
     def __init__(self, plan: TierPlan, rng: Random) -> None:
-        """Creates the plan's servers."""
+        """Creates the servers of the plan."""
         self.plan = plan
         self.rng = rng
         self.servers = [ModelServer(number) for number in range(plan.servers)]
         self.names = [server.address for server in self.servers]
         self.restarts: list[int] = []
-        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # a forwarder's
+        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # per forwarder
 
 
 class ModelReporter:
-    """Stands for what the planning machine gets from `Observer.new_reporter`, whose methods it has.
+    """Test double for the reporter that `Observer.new_reporter` returns, with the same methods.
 
-    It reports the names of the servers at first, then rows of servers drawn at random.
+    The first report has the names of all servers; every report has rows of servers drawn at random.
     """
 
     def __init__(self, model: Model) -> None:
-        """Creates a reporter that has reported nothing."""
+        """Creates a reporter that has not reported yet."""
         self._model = model
         self._has_reported_names = False
         self._restarts_reported = 0
 
     def close(self) -> None:
-        """Does nothing: nobody keeps it."""
+        """Does nothing: the model holds no reference to a reporter."""
 
     def server_of(self, number: int) -> int | None:
-        """The forwarder's number of a server; here it is the report's."""
+        """Returns the forwarder's number of a server, which in the model equals the number in the report."""
         return number if number < len(self._model.servers) else None
 
     def report(
         self,
         pool: str,
-        now_ms: float,  # noqa: ARG002 - the machine gives it
+        now_ms: float,  # noqa: ARG002 - the state machine passes it
         budget_bytes: int,
         previous_grants: Iterable[RampShareRow] = (),
     ) -> BudgetedReport:
-        """The pool's part of a report; the budget is left as it is, since the model doesn't count bytes."""
+        """Returns the pool's part of a report; the budget is unchanged, as the model doesn't count bytes."""
         model = self._model
         report = PoolReport(pool, anew=not self._has_reported_names, previous_grants=list(previous_grants))
         if not self._has_reported_names:
@@ -98,22 +98,22 @@
 
 
 class ModelObserver:
-    """Stands for the planning machine's `Observer`, as far as that calls it."""
+    """Test double for `Observer`, with the methods that the planning state machine calls."""
 
     def __init__(self, model: Model) -> None:
         """Creates an observer of the model."""
         self._model = model
 
     def new_reporter(self) -> ModelReporter:
-        """What reports to one planner are made from."""
+        """Creates the reporter for one planner."""
         return ModelReporter(self._model)
 
 
 class ModelForwarder:
-    """One forwarder: the planning machine, its ramp, and attempts to servers that warm up."""
+    """One forwarder: the planning state machine, its ramp, and attempts to servers that warm up."""
 
     def __init__(self, number: int, model: Model, planners: list[str], terms: ForwarderTerms) -> None:
-        """Creates a forwarder that knows these planners by name."""
+        """Creates a forwarder that is configured with the planners of these names."""
         plan = model.plan
         settings = Settings(
             classes=[CLASS],
@@ -132,7 +132,7 @@
         self.machine.add_pool(POOL, settings, cast(Observer, ModelObserver(model)))
 
     def send_attempts(self, now_ms: float) -> None:
-        """Sends a step's attempts, of which some go to servers that warm up."""
+        """Sends the attempts of a step that go to servers that warm up."""
         model = self._model
         restarted = [model.servers[number] for number in model.restarts[self._restarts_seen :]]
         self.ramp.watch(restarted, now_ms)
@@ -140,16 +140,16 @@
         probability = max(model.attempts_per_step / len(model.servers), 0.5)
         for number in self.ramp.warming_servers(now_ms):
             server = model.servers[number]
-            # A drawn server without credit is passed over; several draws, as several attempts would have.
+            # Each draw models one attempt; a server without ramp credit ends the draws.
             while model.rng.random() < probability and self.ramp.admits(server, now_ms):
                 self.ramp.spend(server, now_ms)
                 server.sent_ms.append(now_ms)
 
-    def perform(self, actions: list[Action], now_ms: float) -> list[SendReport]:
-        """Carries out what the planning machine decided, and returns the reports to be sent.
+    def apply_actions(self, actions: list[Action], now_ms: float) -> list[SendReport]:
+        """Applies the planning state machine's actions, and returns the reports to be sent.
 
         Raises:
-            AssertionError: the machine ended a session because of an error of the planner.
+            AssertionError: The state machine ended a session because of an error of the planner.
         """
         reports = []
         for action in actions:
@@ -157,14 +157,16 @@
                 case SendReport():
                     reports.append(action)
                 case NotifyBalancer():
-                    self._apply(action.event, now_ms)
+                    self._apply_event(action.event, now_ms)
                 case EndSession():
-                    raise AssertionError(f"{action.planner} was dropped: {action.why}")
+                    raise AssertionError(
+                        f"forwarder ended its session with planner {action.planner}: {action.why}"
+                    )
                 case _:
                     pass
         return reports
 
-    def _apply(self, event: Guidance | OwnSharesLeased, now_ms: float) -> None:
+    def _apply_event(self, event: Guidance | OwnSharesLeased, now_ms: float) -> None:
         if isinstance(event, OwnSharesLeased):
             self.ramp.lease_own_shares(event.until_ms, now_ms)
         elif event.leased:
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,6 +1,7 @@
-"""Processes that a benchmark starts and measures, bound to cores of their own.
+"""Processes that a benchmark starts and measures, bound to separate cores.
 
-It ends no process that it has not started. Source: proc(5) for the figures, sched_setaffinity(2).
+Only processes that the benchmark started are terminated. Figures come from proc(5), binding uses
+sched_setaffinity(2).
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cores:
-    """The machine's cores: one for what is measured, the rest for all else."""
+    """The computer's cores: one for the measured process, the rest for all others."""
 
     measured: set[int]
     rest: set[int]
 
 
 def split_cores() -> Cores:
-    """Reserves the last core for what is measured, and binds this process to the rest."""
+    """Reserves the last core for measured processes, and binds this process to the rest."""
     cores = sorted(os.sched_getaffinity(0))
     split = Cores({cores[-1]}, set(cores[:-1]) or {cores[-1]})
     os.sched_setaffinity(0, split.rest)
@@ -44,12 +45,12 @@
     """Starts a Python process that is bound to these cores.
 
     Args:
-        arguments: of the interpreter.
-        cores: numbers of cores.
-        env: variables beside those of this process.
-        cwd: its working directory.
-        stdout: as of `asyncio.create_subprocess_exec`.
-        stderr: the same; dropped unless given.
+        arguments: Arguments of the interpreter.
+        cores: Numbers of the cores to bind the process to.
+        env: Environment variables in addition to those of this process.
+        cwd: Working directory of the new process.
+        stdout: Standard output, as for `asyncio.create_subprocess_exec`.
+        stderr: Standard error, as for `asyncio.create_subprocess_exec`; discarded by default.
     """
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -63,7 +64,7 @@
 
 
 async def stop_all(processes: Iterable[asyncio.subprocess.Process]) -> None:
-    """Ends these processes, also those that are stopped by a signal, and waits for each."""
+    """Terminates processes, including those suspended by a signal, and waits for each."""
     processes = list(processes)
     for process in processes:
         with suppress(ProcessLookupError):
@@ -74,12 +75,12 @@
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time that a process has used, in seconds."""
+    """Returns the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def resident_bytes(pid: int | str = "self") -> int:
-    """A process's resident memory."""
+    """Returns a process's resident memory in bytes."""
     fields = Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()
     return int(fields[1]) * os.sysconf("SC_PAGE_SIZE")
--- a/benchmarks/request_rate.py
+++ b/benchmarks/request_rate.py
@@ -1,6 +1,6 @@
-"""Requests a second of something that listens: clients with persistent connections, one request at a time.
+"""Closed-loop load: persistent connections with one request at a time each, and the resulting request rate.
 
-It doesn't retry: a response other than 200 ends the benchmark. Source: the project's own; a closed loop.
+Requests are not retried: a response other than 200 ends the benchmark.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 async def request_rate(port: int, connections: int, seconds: float) -> float:
-    """Requests that were responded to in a second, on so many connections at once."""
+    """Returns the responses per second, on `connections` concurrent connections."""
     until_s = perf_counter() + seconds
     counts = await asyncio.gather(*(_count_exchanges(port, number, until_s) for number in range(connections)))
     return sum(counts) / seconds
@@ -37,13 +37,13 @@
     return count
 
 
-def in_turns(names: Sequence[str], turn: int) -> list[str]:
-    """The names in their order or, every other turn, in reverse: guards against a drift of the machine."""
+def alternate_order(names: Sequence[str], turn: int) -> list[str]:
+    """Returns the names, reversed in every other turn, to cancel drift of the computer's speed."""
     return list(names) if turn % 2 else list(names)[::-1]
 
 
 def median_ratio(values: Sequence[float], reference: Sequence[float]) -> float:
-    """The median of the ratios of each round."""
+    """Returns the median of the ratios of each round."""
     return PairedRatio.of(values, reference).median
 
 
@@ -52,8 +52,8 @@
     """Two targets compared by the ratio of their values in each round.
 
     Attributes:
-        median: Of the ratios.
-        standard_error: Of the ratios' mean; 0 with a single round.
+        median: Median of the ratios.
+        standard_error: Standard error of the ratios' mean; 0 with a single round.
     """
 
     median: float
@@ -67,15 +67,15 @@
         return cls(statistics.median(ratios), error)
 
     def __str__(self) -> str:
-        """The median and the standard error, as in `0.987 +- 0.012`."""
+        """Formats the median and the standard error, as in `0.987 +- 0.012`."""
         return f"{self.median:.3f} +- {self.standard_error:.3f}"
 
 
 def format_rates(rates: Mapping[str, Sequence[float]]) -> str:
-    """The latest round's rates, by name."""
+    """Formats the latest round's rates, by name."""
     return "  ".join(f"{name} {values[-1]:.0f}/s" for name, values in rates.items())
 
 
 def format_costs(costs_us: Mapping[str, Sequence[float]]) -> str:
-    """The medians of processor time for a request, by name."""
+    """Formats the median processor time per request, by name."""
     return ", ".join(f"{name} {statistics.median(values):.0f}" for name, values in costs_us.items())
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -1,12 +1,12 @@
-"""What the watch after a commit does: bad changes rolled back, with and without it, and good ones left alone.
+"""The watch after a commit: bad changes it rolls back, and good changes it wrongly rolls back.
 
     python -m benchmarks.rollback [--good N] [--services K]
 
-Bad changes: a pool whose servers all fail, whose half fails, and whose servers respond past the latency
-objective. Printed: time to the rollback, and the goodput lost (as "worth", the setting's word) in the ten
-seconds after the commit, with the watch and without it. Good changes: commits of harmless keys under load
-whose servers fail in bursts all along; printed: how many were rolled back. Services run side by side, each
-with its own servers and clients.
+Bad changes replace a pool's servers by servers of which all fail, half fail, or all respond past the latency
+objective. Printed are the time to the rollback and the goodput lost, weighted by priority, in the ten seconds
+after the commit, with and without the watch. Good changes are commits of harmless keys under load while
+servers fail in bursts; printed is the number that was rolled back. Services run concurrently, each with its
+own servers and clients.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from testkit.wire import ReceivedRequest, ok
 from tests.service.harness import FakeServers, serving
 
-# Keys of the configuration: the watch of a bad change, and the shorter one of a good change.
+# Settings of the watch for bad changes, and of a shorter one for good changes.
 WATCH = {"window_ms": 10_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
 SHORT_WATCH = WATCH | {"window_ms": 4_000}
-BEFORE_S = 6.5  # under load, longer than the watch looks back
-AFTER_S = 10.0
+BASELINE_S = 6.5  # time under load before a commit, longer than the baseline that the watch uses
+OBSERVED_S = 10.0
 OBJECTIVE_S = 0.5
-LATE_S = 0.6  # past the objective
+LATE_RESPONSE_S = 0.6  # response time of late servers, past the objective
 PRIORITY_WEIGHTS = {"order": 5.0, "look": 1.0}
 SERVERS_BEFORE = ("a1", "a2", "a3", "a4")
 SERVERS_AFTER = ("b1", "b2", "b3", "b4")
@@ -48,20 +48,20 @@
 
 async def responds_late(request: ReceivedRequest, connection: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
     """Responds past the latency objective."""
-    await asyncio.sleep(LATE_S)
+    await asyncio.sleep(LATE_RESPONSE_S)
     await connection.send(ok())
 
 
 class BurstingFailures:
-    """A behaviour of servers that fail in bursts."""
+    """Behaviour of servers that fail in bursts."""
 
     def __init__(self, rng: Random) -> None:
-        """Creates servers that don't fail yet."""
+        """Creates the behaviour outside a burst."""
         self._rng = rng
         self._bursting = False
 
     async def run(self) -> None:
-        """Begins and ends bursts, until it is cancelled."""
+        """Starts and ends bursts until the task is cancelled."""
         while True:
             await asyncio.sleep(self._rng.expovariate(1 / 1.2))
             self._bursting = True
@@ -69,7 +69,7 @@
             self._bursting = False
 
     async def behave(self, request: ReceivedRequest, connection: FakeConnection) -> None:
-        """Fails during a burst more often than not."""
+        """Fails with probability 0.6 during a burst, and succeeds otherwise."""
         if self._bursting and self._rng.random() < 0.6:
             await fails(request, connection)
         else:
@@ -78,22 +78,22 @@
 
 @dataclass(frozen=True, slots=True)
 class BadChange:
-    """What came of a bad change."""
+    """Result of a bad change."""
 
-    rolled_back_after_s: float | None  # None: never
-    goodput_lost: float  # share of the priority weight requested in AFTER_S
+    rolled_back_after_s: float | None  # None if it was not rolled back
+    goodput_lost: float  # fraction of the priority weight requested within AFTER_S
 
 
 @dataclass(frozen=True, slots=True)
 class GoodChanges:
-    """What came of good changes."""
+    """Result of a series of good changes."""
 
     committed: int
     rolled_back: int
 
 
 def with_classes(data: dict[str, Any]) -> dict[str, Any]:
-    """Sets the classes of a configuration."""
+    """Sets the request classes of a configuration, in place."""
     data["classes"] = {
         "look": {"effect": "safe", "aim_ms": 500, "deadline_ms": 2000},
         "order": {"effect": "unsafe", "aim_ms": 500, "deadline_ms": 2000, "worth": 5},
@@ -102,7 +102,7 @@
 
 
 async def make_bad_change(kind: str, watched: bool) -> BadChange:
-    """Moves a pool under load to servers that fail or are late."""
+    """Commits a change, under load, that moves a pool to servers that fail or are late."""
     farm = await FakeServers().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
     behaviour = responds_late if kind == LATE else fails
     for name in SERVERS_AFTER[: 2 if kind == HALF_FAILS else 4]:
@@ -118,7 +118,7 @@
             clients=8,
             pause_s=0.02,
         )
-        await asyncio.sleep(BEFORE_S)
+        await asyncio.sleep(BASELINE_S)
         change = deepcopy(first)
         change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
         version = running.service.commit(running.propose(change))
@@ -132,10 +132,10 @@
 
 
 async def wait_for_rollback(version: Version) -> float | None:
-    """Waits for AFTER_S; returns seconds until the version was rolled back, None if it was not."""
+    """Waits for AFTER_S; returns the seconds until the version was rolled back, or None if it was not."""
     started_s = time.perf_counter()
     rolled_back_after_s: float | None = None
-    while time.perf_counter() < started_s + AFTER_S:
+    while time.perf_counter() < started_s + OBSERVED_S:
         if rolled_back_after_s is None and version.state is State.ROLLED_BACK:
             rolled_back_after_s = time.perf_counter() - started_s
         await asyncio.sleep(0.01)
@@ -143,7 +143,7 @@
 
 
 def goodput_lost(entries: Sequence[Entry]) -> float:
-    """The share of the requested priority weight that was not served within the latency objective."""
+    """Returns the fraction of the requested priority weight not served within the latency objective."""
     requested = sum(PRIORITY_WEIGHTS[entry.request_class] for entry in entries)
     served = sum(
         PRIORITY_WEIGHTS[entry.request_class]
@@ -156,7 +156,7 @@
 
 
 async def make_good_changes(changes: int, seed: int) -> GoodChanges:
-    """Commits harmless changes one after another, while servers fail in bursts all along."""
+    """Commits harmless changes one after another, while servers fail in bursts."""
     farm = await FakeServers().start("a1", "a2", "o1")
     failures = BurstingFailures(Random(seed))
     farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
@@ -173,7 +173,7 @@
             pause_s=0.02,
             seed=seed,
         )
-        await asyncio.sleep(BEFORE_S)
+        await asyncio.sleep(BASELINE_S)
         for number in range(changes):
             change = deepcopy(data)
             change["pools"]["web"]["max_connections"] = 100 + number
@@ -181,7 +181,7 @@
             await running.service.wait_until_decided(version, over=True)
             rolled_back += version.state is State.ROLLED_BACK
             if version.why:
-                print(f"taken back: {version.why}", flush=True)
+                print(f"good change rolled back: {version.why}", flush=True)
         await load.stop()
         bursts.cancel()
     farm.close()
@@ -197,8 +197,8 @@
         after_s = watched.rolled_back_after_s
         when = "never" if after_s is None else f"after {after_s:.1f} s"
         lines.append(
-            f"{kind}: back {when}, worth lost {watched.goodput_lost:.3f}"
-            f" (without {unwatched.goodput_lost:.3f})"
+            f"{kind}: rolled back {when}, goodput lost {watched.goodput_lost:.3f}"
+            f" (without the watch {unwatched.goodput_lost:.3f})"
         )
         print(lines[-1], flush=True)
     results = await asyncio.gather(
@@ -206,7 +206,7 @@
     )
     committed = sum(result.committed for result in results)
     rolled_back = sum(result.rolled_back for result in results)
-    print(f"rollback: {'; '.join(lines)}; {rolled_back} of {committed} good changes under bursts taken back")
+    print(f"rollback: {'; '.join(lines)}; {rolled_back} of {committed} good changes under bursts rolled back")
 
 
 def main() -> None:
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -1,8 +1,8 @@
-"""Look-up cost of the route table from 10 to 10,000 routes, for exact, prefix and host matches.
+"""Lookup cost of the route table with 10 to 10,000 routes, for exact, prefix and host matches.
 
     python -m benchmarks.routes
 
-Prints microseconds a look-up, and the ratio of the largest table to the smallest.
+Prints microseconds per lookup, and the ratio of the largest table to the smallest.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def make_routes(kind: str, size: int) -> list[Route]:
-    """A table's routes of one kind."""
+    """Returns `size` routes of one kind."""
     if kind == "exact":
         return [Route(f"r{number}", "p", exact=b"/tier/%d/page" % number) for number in range(size)]
     if kind == "prefix":
@@ -33,7 +33,7 @@
 
 
 def make_queries(kind: str, size: int, rng: Random) -> list[Query]:
-    """Queries that each match a route drawn at random."""
+    """Returns queries, each of which matches a route drawn at random."""
     numbers = [rng.randrange(size) for _ in range(QUERIES)]
     return [
         Query(
@@ -49,28 +49,28 @@
 
 
 def lookup_cost_us(kind: str, size: int) -> float:
-    """The least of several rounds, in microseconds a look-up."""
+    """Returns the minimum of several rounds, in microseconds per lookup."""
     table = RouteTable(make_routes(kind, size), "d")
     queries = make_queries(kind, size, Random(size))
-    least_s = float("inf")
+    min_elapsed_s = float("inf")
     for _ in range(ROUNDS):
         started_s = perf_counter()
         for _ in range(LOOKUPS // len(queries)):
             for query in queries:
                 assert table.match(query) is not None
-        least_s = min(least_s, perf_counter() - started_s)
-    return least_s / LOOKUPS * 1e6
+        min_elapsed_s = min(min_elapsed_s, perf_counter() - started_s)
+    return min_elapsed_s / LOOKUPS * 1e6
 
 
 def main() -> None:
     """Runs the benchmark."""
-    worst = 0.0
+    max_ratio = 0.0
     for kind in KINDS:
         costs = [lookup_cost_us(kind, size) for size in SIZES]
-        worst = max(worst, costs[-1] / costs[0])
+        max_ratio = max(max_ratio, costs[-1] / costs[0])
         row = "  ".join(f"{size}: {cost:.2f} us" for size, cost in zip(SIZES, costs, strict=True))
         print(f"{kind:7} {row}  ratio {costs[-1] / costs[0]:.2f}", flush=True)
-    print(f"routes: a look-up among 10,000 costs at most {worst:.2f} times one among 10")
+    print(f"routes: a lookup among 10,000 routes costs at most {max_ratio:.2f} times one among 10")
 
 
 if __name__ == "__main__":
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -1,7 +1,4 @@
-"""What benchmarks change in a service that runs in their own process.
-
-It touches no decision. Source: the project's own.
-"""
+"""Changes that benchmarks make to a service in their own process; none affects a balancing decision."""
 
 from __future__ import annotations
 
@@ -13,17 +10,17 @@
 
 
 def silence_log(service: Service) -> None:
-    """Drops the service's log lines, of which each commit writes several."""
-    service.logger.line = lambda text: None  # type: ignore[method-assign]  # noqa: ARG005 - the method's name
+    """Discards the service's log lines; each commit would write several."""
+    service.logger.line = lambda text: None  # type: ignore[method-assign]  # noqa: ARG005 - signature of the method
 
 
-def note_activation_times(service: Service, activated_ms: dict[int, float]) -> None:
-    """Notes by number when each version becomes the active one; the service has no hook for that."""
-    noted = partial(_activate_and_note, service.changes.activate, service, activated_ms)
-    service.changes.activate = noted  # type: ignore[method-assign]
+def record_activation_times(service: Service, activated_ms: dict[int, float]) -> None:
+    """Records by number when each version becomes active, by wrapping a method: there is no hook for it."""
+    recording_activate = partial(_activate_and_record, service.changes.activate, service, activated_ms)
+    service.changes.activate = recording_activate  # type: ignore[method-assign]
 
 
-def _activate_and_note(
+def _activate_and_record(
     activate: Callable[[Version, bool], None],
     service: Service,
     activated_ms: dict[int, float],
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -1,8 +1,9 @@
-"""Start-up time and memory of the platform's program, against another checkout in alternating rounds.
+"""Start-up time and memory of the platform's program, compared with another checkout in alternating rounds.
 
     python -m benchmarks.start --before DIR [--rounds N]
 
-Time from the start of the process until it accepts, and its resident memory then. Medians and ratios.
+Prints medians and ratios of the time from the start of the process until it accepts connections, and of its
+resident memory at that time.
 """
 
 from __future__ import annotations
@@ -27,20 +28,20 @@
 
 START_TIMEOUT_S = 20.0
 POLL_S = 0.001
-MEMORY_DELAY_S = 0.2  # from the first accepted connection until memory is read
+MEMORY_DELAY_S = 0.2  # time between the first accepted connection and the reading of memory
 MIB = 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One start of the program."""
+    """Figures of one start of the program."""
 
     until_accepting_ms: float
     resident_mib: float
 
 
 def measure_start(checkout: Path, directory: Path) -> Start:
-    """Starts a checkout's program, waits until it accepts, and ends it."""
+    """Starts a checkout's program, waits until it accepts connections, and terminates it."""
     port = free_port()
     config = directory / "config.json"
     config.write_text(json.dumps(config_data([entry("s", 1)], 1, listen=f"127.0.0.1:{port}")))
@@ -63,10 +64,10 @@
 
 
 def measure(before: Path, rounds: int) -> dict[str, list[Start]]:
-    """Starts both checkouts in turn; the first round, which fills the caches, doesn't count."""
+    """Starts both checkouts alternately; the first round fills the caches and is discarded."""
     checkouts = {"before": before, "now": ROOT}
     for checkout in checkouts.values():
-        # Else the one that is not compiled starts later for that alone.
+        # Without this, a checkout without byte code would start later than a compiled one.
         compileall.compile_dir(checkout / package_of(checkout), quiet=2)
     starts: dict[str, list[Start]] = {name: [] for name in checkouts}
     with tempfile.TemporaryDirectory() as directory:
@@ -95,9 +96,9 @@
         name: statistics.median(start.resident_mib for start in values) for name, values in starts.items()
     }
     print(
-        f"start: {time_ms['now']:.0f} ms for {time_ms['before']:.0f} (ratio "
-        f"{time_ms['now'] / time_ms['before']:.2f}); {memory_mib['now']:.1f} MB for "
-        f"{memory_mib['before']:.1f} (ratio {memory_mib['now'] / memory_mib['before']:.2f})"
+        f"start: {time_ms['now']:.0f} ms, before {time_ms['before']:.0f} ms (ratio "
+        f"{time_ms['now'] / time_ms['before']:.2f}); {memory_mib['now']:.1f} MiB, before "
+        f"{memory_mib['before']:.1f} MiB (ratio {memory_mib['now'] / memory_mib['before']:.2f})"
     )
 
 
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -1,10 +1,11 @@
-"""The balancer's requests a second against a bare relay on one core, in alternating rounds.
+"""The balancer's requests per second compared with a bare relay on one core, in alternating rounds.
 
     python -m benchmarks.through [--rounds N] [--seconds S] [--connections C] [--before DIR]
 
-The bytes and the clients are the same. Relay, balancers and servers are processes of their own; what is
-measured is bound to one core, all else to the rest. The platform's program is measured, the same through a
-configuration of its own, and with `--before` that of another checkout. Prints ratios.
+The bytes and the clients are the same. Relay, balancers and servers are separate processes; measured ones are
+bound to one core, all others to the rest. Measured are the platform's program, the same balancer started
+by `serve` with its own configuration format, and with `--before` the platform's program of another checkout.
+Prints ratios.
 """
 
 from __future__ import annotations
@@ -24,9 +25,9 @@
 from benchmarks.relay import serve_until_terminated
 from benchmarks.request_rate import (
     PairedRatio,
+    alternate_order,
     format_costs,
     format_rates,
-    in_turns,
     median_ratio,
     request_rate,
 )
@@ -35,15 +36,15 @@
 
 SERVERS = 8
 SOCKETS = 1024
-SETTLE_S = 1.0
-THIS = ("-m", "benchmarks.through")
-PLATFORM = "platform"  # names of targets
-BEFORE = "before"
+STABILIZE_S = 1.0
+MODULE_ARGUMENTS = ("-m", "benchmarks.through")
+PLATFORM = "platform"  # name of the target that runs the platform's program of this checkout
+BEFORE = "before"  # name of the target that runs the platform's program of the other checkout
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Something that is measured, and where it listens."""
+    """A measured process and the port it listens on."""
 
     port: int
     process: asyncio.subprocess.Process
@@ -51,22 +52,22 @@
 
 @dataclass(slots=True)
 class Samples:
-    """What was measured of each target, a value a round."""
+    """Measurements by target, one value per round."""
 
-    rates: dict[str, list[float]] = field(default_factory=dict)  # requests a second
-    costs_us: dict[str, list[float]] = field(default_factory=dict)  # processor time for a request
+    rates: dict[str, list[float]] = field(default_factory=dict)  # requests per second
+    costs_us: dict[str, list[float]] = field(default_factory=dict)  # processor time per request
 
     def add(self, name: str, rate: float, cost_us: float) -> None:
-        """Adds a target's values of a round."""
+        """Adds a target's values of one round."""
         self.rates.setdefault(name, []).append(rate)
         self.costs_us.setdefault(name, []).append(cost_us)
 
 
 class Targets:
-    """The processes of a run, with their configuration files in a directory."""
+    """The processes of a run; their configuration files are in one directory."""
 
     def __init__(self, directory: str, cores: Cores) -> None:
-        """Creates a run that has started nothing."""
+        """Creates a set without processes."""
         self._directory = Path(directory)
         self._cores = cores
         self._servers = [free_port() for _ in range(SERVERS)]
@@ -77,27 +78,27 @@
         """Starts the servers and all targets, and waits until they listen."""
         for port in self._servers:
             server = ("--role", "server", "--port", str(port))
-            self._processes.append(await spawn(*THIS, *server, cores=self._cores.rest))
+            self._processes.append(await spawn(*MODULE_ARGUMENTS, *server, cores=self._cores.rest))
         await self._start_relay()
         await self._start_platform(PLATFORM, ROOT)
-        await self._start_own()
+        await self._start_service()
         if before:
             await self._start_platform(BEFORE, Path(before))
         for port in (*self._servers, *(target.port for target in self.by_name.values())):
             await wait_until_listening(port)
-        await asyncio.sleep(SETTLE_S)
+        await asyncio.sleep(STABILIZE_S)
 
     async def stop(self) -> None:
-        """Ends all processes."""
+        """Terminates all processes and waits for them."""
         await stop_all(self._processes)
 
     async def _start_relay(self) -> None:
         port = free_port()
         relay = ("--role", "relay", "--port", str(port), "--to", str(self._servers[0]))
-        self._add("relay", port, await spawn(*THIS, *relay, cores=self._cores.measured))
+        self._add("relay", port, await spawn(*MODULE_ARGUMENTS, *relay, cores=self._cores.measured))
 
     async def _start_platform(self, name: str, checkout: Path) -> None:
-        """Starts the platform's program of a checkout; all checkouts are started alike."""
+        """Starts the platform's program of a checkout, in the same way for all checkouts."""
         port = free_port()
         entries = [entry(f"s{number}", server) for number, server in enumerate(self._servers)]
         data = config_data(entries, 1, listen=f"127.0.0.1:{port}")
@@ -107,8 +108,8 @@
         process = await spawn(*program, cores=self._cores.measured, env=env, cwd=str(checkout))
         self._add(name, port, process)
 
-    async def _start_own(self) -> None:
-        """Starts a service with a configuration of its own."""
+    async def _start_service(self) -> None:
+        """Starts the balancer by `serve`, with its own configuration format."""
         port = free_port()
         servers = {
             f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(self._servers)
@@ -136,15 +137,15 @@
 
 
 async def measure(rounds: int, seconds: float, connections: int, targets: Targets) -> Samples:
-    """Measures all targets in turn, and prints the rates of each round."""
+    """Measures all targets alternately, and prints the rates of each round."""
     samples = Samples()
     for turn in range(rounds):
-        for name in in_turns(list(targets.by_name), turn):
+        for name in alternate_order(list(targets.by_name), turn):
             target = targets.by_name[name]
             before_s = cpu_s(target.process.pid)
             rate = await request_rate(target.port, connections, seconds)
-            spent_s = cpu_s(target.process.pid) - before_s
-            samples.add(name, rate, spent_s / (rate * seconds) * 1e6)
+            cpu_spent_s = cpu_s(target.process.pid) - before_s
+            samples.add(name, rate, cpu_spent_s / (rate * seconds) * 1e6)
         rates = {name: samples.rates[name] for name in targets.by_name}
         print(f"round {turn + 1}: {format_rates(rates)}", flush=True)
     return samples
@@ -164,13 +165,16 @@
         if name != "relay"
     )
     costs_us = {name: samples.costs_us[name] for name in targets.by_name}
-    print(f"processor time a request, in microseconds: {format_costs(costs_us)}")
-    print(f"through: at {args.connections} connections, of a bare relay's requests a second: {ratios}")
+    print(f"processor time per request, in microseconds: {format_costs(costs_us)}")
+    print(
+        f"through: at {args.connections} connections, ratio to a bare relay's requests per second: {ratios}"
+    )
     if BEFORE in targets.by_name:
         rate = PairedRatio.of(samples.rates[PLATFORM], samples.rates[BEFORE])
         cost = PairedRatio.of(samples.costs_us[PLATFORM], samples.costs_us[BEFORE])
         print(
-            f"through: against the version before: requests a second {rate}, processor time a request {cost}"
+            f"through: ratio to the version before: requests per second {rate},"
+            f" processor time per request {cost}"
         )
 
 
--- a/tests/benchmarks/test_admission.py
+++ b/tests/benchmarks/test_admission.py
@@ -1,4 +1,4 @@
-"""The table of admission control against fixed limits."""
+"""The comparison of admission control with fixed limits."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
     monkeypatch.setattr(admission, "END_MS", 6_000.0)
 
 
-def test_a_fixed_limit_counts_within_its_block_alone() -> None:
+def test_fixed_limit_applies_only_within_its_block() -> None:
     before = admission_control.SERVER_CAPACITY
     with fixed_limit(before + 1.0):
         within = admission_control.SERVER_CAPACITY
     assert (within, admission_control.SERVER_CAPACITY) == (before + 1.0, before)
 
 
-def test_the_same_seeds_give_the_same_goodput() -> None:
+def test_same_seeds_give_the_same_goodput() -> None:
     assert goodput(OVERLOAD, [1, 2]) == goodput(OVERLOAD, [1, 2])
 
 
-def test_a_lower_limit_serves_more_under_overload() -> None:
+def test_lower_limit_gives_higher_goodput_under_overload() -> None:
     with fixed_limit(2.0):
         low = goodput(OVERLOAD, [1])
     with fixed_limit(28.0):
@@ -37,7 +37,7 @@
     assert low > high + 0.2
 
 
-def test_the_best_of_the_fixed_limits_is_chosen() -> None:
+def test_best_fixed_limit_is_the_one_with_the_highest_goodput() -> None:
     with patch.object(admission, "FIXED_LIMITS", (2.0, 28.0)):
         best = best_fixed_limit(OVERLOAD, [1])
     with fixed_limit(2.0):
