--- a/tests/benchmarks/test_shared.py
+++ b/tests/benchmarks/test_shared.py
@@ -11,11 +11,11 @@
 from benchmarks.request_rate import PairedRatio, alternate_order, median_ratio
 
 
-def test_the_package_of_this_checkout_is_sandhatch() -> None:
+def test_package_of_this_checkout_is_sandhatch() -> None:
     assert package_of(ROOT) == "sandhatch"
 
 
-def test_a_checkout_older_than_the_renaming_has_the_former_package_name(tmp_path: Path) -> None:
+def test_checkout_older_than_the_renaming_has_the_former_package_name(tmp_path: Path) -> None:
     (tmp_path / "larkweir").mkdir()
     assert package_of(tmp_path) == "larkweir"
 
--- a/tests/race_conditions/skipping_clock.py
+++ b/tests/race_conditions/skipping_clock.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock skips waits: real connections, hours in seconds.
+"""An event loop whose clock skips waits: hours pass in seconds, on real connections.
 
-While bytes move, time stands still; once nothing arrives and only a timer is left, the clock jumps to that
-timer. A machine that is busy therefore takes none of the time. The program's own clock reads the same time.
+While data arrives, time stands still; once nothing arrives and only a timer is left, the clock jumps to that
+timer. A busy computer therefore doesn't consume test time. The program's own clock reads the same time.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 
 from sandhatch.runtime import clock
 
-QUIET_S = 0.004  # in which bytes on loopback between two sockets of this process have long arrived
+# Time without data after which nothing is in transit between two loopback sockets of this process.
+QUIET_S = 0.004
 
 
 class _SkippingSelector(selectors.DefaultSelector):
-    """Waits for a moment only, and then skips the whole wait."""
+    """Waits QUIET_S for data, and skips the rest of the wait if none arrives."""
 
     skipped_s = 0.0
 
@@ -34,19 +35,19 @@
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
-    """An event loop on a selector that skips."""
+    """An event loop whose clock includes the skipped waits."""
 
     def __init__(self) -> None:
-        self._skipping = _SkippingSelector()
+        self._skipping_selector = _SkippingSelector()
         self._started_s = time.monotonic()
-        super().__init__(self._skipping)
+        super().__init__(self._skipping_selector)
 
     def time(self) -> float:
-        return self._started_s + self._skipping.skipped_s
+        return self._started_s + self._skipping_selector.skipped_s
 
 
 def run(monkeypatch: pytest.MonkeyPatch, work: Callable[[SkippingLoop], Coroutine[Any, Any, None]]) -> None:
-    """Run a test under the skipping clock; the program's clock is the same."""
+    """Runs a test on a skipping event loop; the program's clock reads the same time."""
     loop = SkippingLoop()
 
     class SkippingTime:
@@ -57,7 +58,7 @@
     try:
         loop.run_until_complete(work(loop))
     finally:
-        unfinished = asyncio.all_tasks(loop)  # of fakes that a fault keeps waiting
+        unfinished = asyncio.all_tasks(loop)  # tasks of fakes that a fault leaves waiting
         for task in unfinished:
             task.cancel()
         if unfinished:
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""A client disconnects while its request waits: nothing is sent to a server from then on.
+"""After a client disconnects while its request waits, nothing more is sent to a server.
 
-Two kinds of disconnect: one that the balancer notices as it reads, and one that it has not noticed, because
-reading is paused, when it is about to send.
+Two kinds of disconnect are tested: one that the balancer detects as it reads, and one that it has not
+detected when it is about to send, because reading is paused.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from tests.event_loop import run
 from tests.fakes import RunningBalancer, ScriptedBalancer, running
 from tests.race_conditions.harness import (
-    HeldLastBytes,
-    HoldingServer,
-    balancer_before,
+    DelayedResponseServer,
+    LastByteBarrier,
+    balancer_in_front_of,
     close_and_block_until_delivered,
     connect_client,
     only_connection,
     reset,
-    wait_until_disconnect_noticed,
+    wait_until_disconnect_detected,
     wait_until_nothing_in_flight,
     wait_until_requested,
 )
 
-MAX_NOTICE_MS = 100.0  # after that no attempt may begin
+MAX_DETECTION_MS = 100.0  # time after a disconnect from which no attempt may begin
 NEVER_MS = 1e9
 
 Disconnect = Callable[[socket.socket], None]
@@ -47,10 +47,10 @@
 def connect_pipelining_client(
     balancer: RunningBalancer, disconnect_poll_ms: float = NEVER_MS
 ) -> socket.socket:
-    """A client that has sent a request and all but one of those that may queue behind it.
+    """Connects a client that sends a request and all but one of those that may queue behind it.
 
-    The sweep is off: once reading is paused, only the poll and the check before each attempt can notice a
-    disconnect. By default the poll is off too.
+    The sweep is disabled: once reading is paused, only the poll and the check before each attempt can detect
+    a disconnect. By default the poll is disabled too.
     """
     balancer.listener.SWEEP_MS = NEVER_MS
     balancer.listener.DISCONNECT_POLL_MS = disconnect_poll_ms
@@ -60,38 +60,38 @@
 
 
 async def pause_reading(balancer: RunningBalancer, client: socket.socket) -> None:
-    """A pipelining client, whose first request has begun, fills the queue: its end is not read either."""
+    """Fills the queue of a pipelining client whose first request is in flight, so that reading is paused."""
     client.sendall(request_bytes())
     connection = only_connection(balancer)
-    connection.check = lambda _: None  # type: ignore[method-assign]  # a sweep that was due already
+    connection.check = lambda _: None  # type: ignore[method-assign]  # disables a sweep that is already due
     await wait_until(lambda: connection.queue_full, "reading from the client is paused")
 
 
-async def disconnect_unnoticed(
+async def disconnect_undetected(
     balancer: RunningBalancer, client: socket.socket, disconnect: Disconnect = socket.socket.close
 ) -> None:
-    """A pipelining client disconnects with reading paused; the system knows and the program does not yet."""
+    """Disconnects a pipelining client with reading paused: the kernel knows of it, the program does not."""
     await pause_reading(balancer, client)
     connection = only_connection(balancer)
     disconnect(client)
-    await wait_until(connection.has_disconnected, "the disconnect is in the system")
+    await wait_until(connection.has_disconnected, "the kernel has received the disconnect")
     assert balancer.dispatcher.pending_requests
 
 
-def test_a_disconnect_behind_pipelined_requests_is_noticed_with_reading_paused() -> None:
-    """Guards against serving a client that has disconnected: with reading paused its end is not read."""
+def test_disconnect_behind_pipelined_requests_is_detected_while_reading_is_paused() -> None:
+    """Guards against serving a disconnected client, whose end of stream is not read with reading paused."""
 
     async def work() -> None:
-        upstream = HoldingServer()
+        upstream = DelayedResponseServer()
         script = ScriptedBalancer([1])
-        async with balancer_before(upstream, script) as balancer:
-            assert 2.0 * Listener.DISCONNECT_POLL_MS <= MAX_NOTICE_MS
+        async with balancer_in_front_of(upstream, script) as balancer:
+            assert 2.0 * Listener.DISCONNECT_POLL_MS <= MAX_DETECTION_MS
             client = connect_pipelining_client(balancer, Listener.DISCONNECT_POLL_MS)
             await wait_until_requested(upstream)
             await pause_reading(balancer, client)
             client.close()
-            # By the poll: the upstream holds its response.
-            await wait_until_disconnect_noticed(script.events)
+            # Only the poll can detect it, since the upstream delays its response.
+            await wait_until_disconnect_detected(script.events)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
@@ -99,15 +99,15 @@
     run(work())
 
 
-def test_no_pipelined_request_begins_after_the_answer_if_the_client_has_disconnected() -> None:
-    """The answer comes before the poll that looks for disconnects: the next request does not begin."""
+def test_pipelined_request_is_not_started_after_a_response_if_the_client_has_disconnected() -> None:
+    """The response arrives before the poll that detects disconnects; the next request must not start."""
 
     async def work() -> None:
-        upstream = HoldingServer()
-        async with balancer_before(upstream, ScriptedBalancer([1])) as balancer:
+        upstream = DelayedResponseServer()
+        async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
             client = connect_pipelining_client(balancer)
             await wait_until_requested(upstream)
-            await disconnect_unnoticed(balancer, client)
+            await disconnect_undetected(balancer, client)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
             await wait_until(lambda: not balancer.listener.connections, "the connection is closed")
@@ -116,13 +116,13 @@
     run(work())
 
 
-def test_a_client_that_disconnects_before_its_request_is_read_is_not_served() -> None:
-    """A client that sends and disconnects at once, while the balancer is busy elsewhere."""
+def test_request_is_not_served_if_the_client_disconnects_before_it_is_read() -> None:
+    """The client sends and disconnects at once, while the balancer's event loop is busy."""
 
     async def work() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
-        async with balancer_before(upstream, script) as balancer:
+        async with balancer_in_front_of(upstream, script) as balancer:
             disconnected: list[ClientConnection] = []
             balancer.listener.on_connection_closed = disconnected.append  # type: ignore[method-assign]
             client = connect_client(balancer.port)
@@ -135,34 +135,34 @@
     run(work())
 
 
-def test_the_last_byte_is_not_written_after_a_disconnect() -> None:
-    """The client disconnects between writing the request's first bytes and its last."""
+def test_last_byte_of_a_request_is_not_written_after_a_disconnect() -> None:
+    """The client disconnects after the balancer wrote the request's first bytes and before its last one."""
 
     async def work() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
-        async with balancer_before(upstream, script) as balancer:
+        async with balancer_in_front_of(upstream, script) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes())
             await wait_until_requested(upstream)
             await wait_until_nothing_in_flight(balancer)  # the connection to the server is pooled
-            last_bytes = HeldLastBytes(balancer.dispatcher.connection_pool)
+            last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client.sendall(request_bytes("move", b"x"))
-            await last_bytes.wait_until_held()
+            await last_byte.wait_until_blocked()
             client.close()
-            await wait_until_disconnect_noticed(script.events)
-            last_bytes.release()
+            await wait_until_disconnect_detected(script.events)
+            last_byte.release()
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
 
     run(work())
 
 
-class HeldConnect:
-    """Holds what the pool gets of the next connection to a server, which is established at once."""
+class ConnectBarrier:
+    """Delays the pool's receipt of the next connection to a server, which is established at once."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        """Holds from now on."""
+        """Delays the next connection."""
         self._loop = asyncio.get_running_loop()
         self._monkeypatch = monkeypatch
         self._established = asyncio.Event()
@@ -173,37 +173,37 @@
     async def create_connection(
         self, factory: Callable[[], ServerConnection], host: str, port: int
     ) -> object:
-        """Takes the event loop's place: connects, and returns once it is released."""
+        """Replaces the event loop's method: connects, and returns after `release`."""
         connection = await self._loop.create_connection(factory, host, port)
         self._established.set()
         await self._released.wait()
         return connection
 
-    async def wait_until_held(self) -> None:
-        """Wait until the connection is established; later ones are not held."""
+    async def wait_until_blocked(self) -> None:
+        """Waits until the connection is established; later ones are not delayed."""
         await self._established.wait()
         self._monkeypatch.undo()
 
     def release(self) -> None:
-        """Let the pool have the connection."""
+        """Returns the connection to the pool."""
         self._released.set()
 
 
-def test_nothing_is_written_to_a_connection_established_after_the_disconnect(
+def test_nothing_is_written_to_a_connection_established_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection is established only after the disconnect: it is pooled, and nothing is written to it."""
+    """The connection becomes available after the disconnect: it is pooled, and nothing is written to it."""
 
     async def work() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
-        async with balancer_before(upstream, script) as balancer:
-            connect = HeldConnect(monkeypatch)
+        async with balancer_in_front_of(upstream, script) as balancer:
+            connect = ConnectBarrier(monkeypatch)
             client = connect_client(balancer.port)
             client.sendall(request_bytes("move", b"x"))
-            await connect.wait_until_held()
+            await connect.wait_until_blocked()
             client.close()
-            await wait_until_disconnect_noticed(script.events)
+            await wait_until_disconnect_detected(script.events)
             connect.release()
             await wait_until_nothing_in_flight(balancer)
             assert not upstream.requests
@@ -212,14 +212,14 @@
 
 
 def decisions_of(balancer: RunningBalancer) -> Balancer:
-    """The balancer's decisions, which are no script."""
+    """Returns the balancer's decisions, which must not be scripted."""
     decisions = balancer.dispatcher.balancer
     assert isinstance(decisions, Balancer)
     return decisions
 
 
 def record_events(decisions: Balancer) -> list[Event]:
-    """The events that the decisions are notified of from now on; the list grows."""
+    """Returns a list to which every further event that the decisions receive is appended."""
     handle = decisions.handle
     events: list[Event] = []
 
@@ -231,19 +231,19 @@
     return events
 
 
-def test_a_queued_request_is_not_dispatched_after_a_disconnect() -> None:
-    """The balancer queues it because there is no server; one that becomes ready then gets nothing."""
+def test_queued_request_is_not_dispatched_after_a_disconnect() -> None:
+    """A request queued for lack of a server is not sent to one that becomes ready after the disconnect."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream, lifecycle="leaving") as balancer:
+        async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
             events = record_events(decisions)
             client = connect_client(balancer.port)
             client.sendall(request_bytes("move", b"x"))
             await wait_until(lambda: decisions.queued, "the request is queued")
             client.close()
-            await wait_until_disconnect_noticed(events)
+            await wait_until_disconnect_detected(events)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until(lambda: balancer.dispatcher.ready, "the server is ready")
             event_count = len(events)
@@ -257,56 +257,56 @@
     run(work())
 
 
-async def fail_attempt_after_noticed(disconnect: Disconnect) -> None:
-    """The client disconnects, the balancer notices it, and the attempt fails: there is no second."""
-    upstream = HoldingServer(fails_with(500))
-    async with balancer_before(upstream) as balancer:
+async def fail_attempt_after_detected(disconnect: Disconnect) -> None:
+    """The attempt fails after the balancer has detected the disconnect; there must be no second attempt."""
+    upstream = DelayedResponseServer(fails_with(500))
+    async with balancer_in_front_of(upstream) as balancer:
         client = connect_client(balancer.port)
         client.sendall(request_bytes())
         await wait_until_requested(upstream)
         disconnect(client)
-        await wait_until(lambda: not balancer.dispatcher.pending_requests, "the disconnect is noticed")
+        await wait_until(lambda: not balancer.dispatcher.pending_requests, "the disconnect is detected")
         upstream.release()
         await wait_until_nothing_in_flight(balancer)
         assert len(upstream.requests) == 1
 
 
-async def fail_attempt_after_unnoticed(disconnect: Disconnect) -> None:
-    """The client disconnects with reading paused, and the attempt fails before that has been noticed."""
-    upstream = HoldingServer(fails_with(500))
-    async with balancer_before(upstream) as balancer:
+async def fail_attempt_after_undetected(disconnect: Disconnect) -> None:
+    """The attempt fails before the balancer, with reading paused, has detected the disconnect."""
+    upstream = DelayedResponseServer(fails_with(500))
+    async with balancer_in_front_of(upstream) as balancer:
         client = connect_pipelining_client(balancer)
         await wait_until_requested(upstream)
-        await disconnect_unnoticed(balancer, client, disconnect)
+        await disconnect_undetected(balancer, client, disconnect)
         upstream.release()
         await wait_until_nothing_in_flight(balancer)
         assert len(upstream.requests) == 1
 
 
-def test_a_failed_attempt_is_not_retried_after_a_disconnect() -> None:
-    run(fail_attempt_after_noticed(socket.socket.close))
+def test_failed_attempt_is_not_retried_after_a_disconnect() -> None:
+    run(fail_attempt_after_detected(socket.socket.close))
 
 
-def test_a_failed_attempt_is_not_retried_after_an_unnoticed_disconnect() -> None:
-    run(fail_attempt_after_unnoticed(socket.socket.close))
+def test_failed_attempt_is_not_retried_after_an_undetected_disconnect() -> None:
+    run(fail_attempt_after_undetected(socket.socket.close))
 
 
 @pytest.mark.parametrize(
     "fail_attempt_after",
-    [fail_attempt_after_noticed, fail_attempt_after_unnoticed],
-    ids=["noticed", "unnoticed"],
+    [fail_attempt_after_detected, fail_attempt_after_undetected],
+    ids=["detected", "undetected"],
 )
-def test_a_reset_by_the_client_counts_as_a_disconnect(
+def test_client_reset_is_treated_as_a_disconnect(
     fail_attempt_after: Callable[[Disconnect], Coroutine[Any, Any, None]],
 ) -> None:
     run(fail_attempt_after(reset))
 
 
-def test_a_hedged_request_is_not_sent_after_an_unnoticed_disconnect() -> None:
-    """The hedge would go to another server while the first attempt is in flight."""
+def test_hedged_request_is_not_sent_after_an_undetected_disconnect() -> None:
+    """The hedged request would go to another server while the first attempt is in flight."""
 
     async def work() -> None:
-        first = await HoldingServer().start()
+        first = await DelayedResponseServer().start()
         second = await FakeServer().start()
         script = ScriptedBalancer([1])
         async with running(first.entry("a"), second.entry("b"), script=script) as balancer:
@@ -315,7 +315,7 @@
             )
             client = connect_pipelining_client(balancer)
             await wait_until_requested(first)
-            await disconnect_unnoticed(balancer, client)
+            await disconnect_undetected(balancer, client)
             balancer.dispatcher._deliver(TimerFired(1))
             assert script.ends()[-1].outcome is Outcome.DISCARDED
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
@@ -329,38 +329,41 @@
     run(work())
 
 
-def test_the_last_byte_is_not_written_after_an_unnoticed_disconnect() -> None:
-    """With reading paused: the last byte is due before the disconnect has been noticed."""
+def test_last_byte_of_a_request_is_not_written_after_an_undetected_disconnect() -> None:
+    """With reading paused, the last byte is due before the disconnect is detected."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream, ScriptedBalancer([1])) as balancer:
-            with connect_client(balancer.port) as other:  # leaves a pooled connection
+        async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
+            # The other client's request leaves a pooled connection to the server.
+            with connect_client(balancer.port) as other:
                 other.sendall(request_bytes())
                 await wait_until_requested(upstream)
                 await wait_until_nothing_in_flight(balancer)
-            await wait_until(lambda: not balancer.listener.connections, "the other client is forgotten")
-            last_bytes = HeldLastBytes(balancer.dispatcher.connection_pool)
+            await wait_until(
+                lambda: not balancer.listener.connections, "the other client's connection is closed"
+            )
+            last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client = connect_pipelining_client(balancer)
-            await last_bytes.wait_until_held()
-            await disconnect_unnoticed(balancer, client)
-            last_bytes.release()
+            await last_byte.wait_until_blocked()
+            await disconnect_undetected(balancer, client)
+            last_byte.release()
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
 
     run(work())
 
 
-def test_a_queued_request_is_not_dispatched_after_an_unnoticed_disconnect() -> None:
-    """With reading paused: a server becomes ready before the disconnect has been noticed."""
+def test_queued_request_is_not_dispatched_after_an_undetected_disconnect() -> None:
+    """With reading paused, a server becomes ready before the disconnect is detected."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream, lifecycle="leaving") as balancer:
+        async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
             client = connect_pipelining_client(balancer)
             await wait_until(lambda: decisions.queued, "the request is queued")
-            await disconnect_unnoticed(balancer, client)
+            await disconnect_undetected(balancer, client)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until_nothing_in_flight(balancer)
             assert not upstream.requests
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -1,6 +1,6 @@
-"""Calls to discovery race with each other, with the change of its address, and with the end of connections.
+"""Races of discovery calls with each other, with a change of discovery's address, and with closed sockets.
 
-The test writes each answer itself, so that it gives the order.
+Each test writes discovery's responses itself and so determines their order.
 """
 
 from __future__ import annotations
@@ -30,17 +30,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedCall:
-    """A call that discovery received: the test answers it, or doesn't."""
+    """A call that discovery received, and to which the test may respond."""
 
     target: str
     writer: asyncio.StreamWriter
 
     def respond_with_full_list(self, version: int, **states: str) -> None:
-        """Answer with the servers of this version and their states on the wire."""
+        """Responds with all servers of this version, with their states as on the wire."""
         self._respond(version, states, complete=True)
 
     def respond_with_changes(self, version: int, **states: str) -> None:
-        """Answer with the servers that changed up to this version and their states on the wire."""
+        """Responds with the servers changed up to this version, with their states as on the wire."""
         self._respond(version, states, complete=False)
 
     def _respond(self, version: int, states: dict[str, str], complete: bool) -> None:
@@ -50,24 +50,24 @@
 
 
 class ManualDiscovery:
-    """Discovery whose calls the test answers one by one."""
+    """Discovery service to whose calls the test responds one by one."""
 
     def __init__(self) -> None:
         self._calls: asyncio.Queue[ReceivedCall] = asyncio.Queue()
         self._writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> ManualDiscovery:
-        self._server = await asyncio.start_server(self._talk, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._serve_connection, "127.0.0.1", 0)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.append(writer)
         while (head := await read_head(reader)) is not None:
             self._calls.put_nowait(ReceivedCall(head[0].split()[1], writer))
 
     async def call(self) -> ReceivedCall:
-        """The next call that was not taken yet."""
+        """Returns the next received call."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self._calls.get()
 
@@ -80,12 +80,12 @@
 def watch_call(
     number: int = 1, after: int = 41, wait_ms: float = 60_000.0, response_timeout_ms: float = 60_000.0
 ) -> WatchList:
-    """A watch call; by default it does not time out within the test."""
+    """Creates a watch call, which by default does not time out within the test."""
     return WatchList(True, number, after, wait_ms, response_timeout_ms)
 
 
-class ReceivedListings:
-    """The listings that the source has published, and the state of each server by them."""
+class PublishedListings:
+    """Listings that the source has published, and the resulting state of each server."""
 
     def __init__(self) -> None:
         self.listings: asyncio.Queue[Listing] = asyncio.Queue()
@@ -106,9 +106,9 @@
 
 
 @asynccontextmanager
-async def following_discovery() -> AsyncIterator[tuple[Discovery, ManualDiscovery, ReceivedListings]]:
+async def running_discovery_client() -> AsyncIterator[tuple[Discovery, ManualDiscovery, PublishedListings]]:
     discovery = await ManualDiscovery().start()
-    received = ReceivedListings()
+    received = PublishedListings()
     known = {"generation": 41, "reset": True, "instances": [entry("a", 9), entry("b", 9)]}
     plan = DiscoveryPlan(("127.0.0.1", discovery.port), known=known)
     source = Discovery(plan, received, lambda _: None)
@@ -121,11 +121,11 @@
         discovery.close()
 
 
-def test_a_complete_list_older_than_the_watch_events_received_does_not_count() -> None:
-    """Guards the drain: the complete list was made before a server drained, and arrives after that event."""
+def test_complete_list_older_than_received_watch_events_is_ignored() -> None:
+    """Guards against undoing a drain by a complete list that was created before it and arrives after it."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             source.fetch()
@@ -134,18 +134,18 @@
             watch.respond_with_changes(43, a="leaving")
             await received.next()
             fetch.respond_with_full_list(42, a="active", b="active")
-            response = await received.next()  # each call is answered once
+            response = await received.next()  # every call publishes exactly one listing
             assert (response.kind, response.version, response.entries) == (ListKind.DELTA, 43, ())
             assert received.states[1] is ServerState.DRAINING
 
     run(work())
 
 
-def test_a_watch_event_older_than_the_complete_list_received_since_does_not_count() -> None:
-    """The same the other way round: the watch is answered after a newer complete list."""
+def test_watch_event_older_than_a_received_complete_list_is_ignored() -> None:
+    """Guards against a stale watch response that arrives after a newer complete list."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             source.fetch()
@@ -160,11 +160,11 @@
     run(work())
 
 
-def test_a_lower_version_counts_if_discovery_was_restarted() -> None:
-    """A lower version with nothing received meanwhile is not an old answer."""
+def test_lower_version_is_accepted_after_a_restart_of_discovery() -> None:
+    """A lower version is no stale response if nothing else was received during the call."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.fetch()
             fetch = await discovery.call()
             fetch.respond_with_full_list(2, b="leaving")
@@ -175,8 +175,8 @@
     run(work())
 
 
-def test_a_call_on_a_connection_that_is_reset_while_connecting_fails_at_once() -> None:
-    """Guards against waiting out a watch's time on a connection that ended before its call was written."""
+def test_call_on_a_connection_reset_while_connecting_fails_at_once() -> None:
+    """Guards against waiting a watch's full time on a connection that closed before the call was written."""
 
     async def work() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -184,7 +184,7 @@
         await asyncio.get_running_loop().create_connection(lambda: connection, *listener.getsockname())
         accepted, _ = listener.accept()
         reset(accepted)
-        await wait_until(lambda: not connection.open, "the reset is noticed")
+        await wait_until(lambda: not connection.open, "the reset is detected")
         with pytest.raises(DiscoveryError, match="the connection ended"):
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await connection.get(b"/v1/endpoints", b"d")
@@ -193,43 +193,43 @@
     run(work())
 
 
-def test_a_watch_whose_connection_is_never_established_fails_long_before_its_wait(
+def test_watch_without_an_established_connection_fails_long_before_its_wait_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the bound on the list's age: an address that never answered took all of the wait."""
+    """Guards the bound on the list's age: an unresponsive address took the watch's full wait."""
 
     async def work() -> None:
         monkeypatch.setattr(Discovery, "CONNECT_S", 0.05)
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
-        waiting = [socket.socket() for _ in range(4)]
-        for client in waiting:  # the backlog is full: further connections get no answer
+        full_listener = socket.socket()
+        full_listener.bind(("127.0.0.1", 0))
+        full_listener.listen(0)
+        backlog_clients = [socket.socket() for _ in range(4)]
+        for client in backlog_clients:  # fill the backlog, so that further connections get no response
             client.setblocking(False)
-            client.connect_ex(full.getsockname())
-        block_until_readable(full.fileno())
-        received = ReceivedListings()
+            client.connect_ex(full_listener.getsockname())
+        block_until_readable(full_listener.fileno())
+        received = PublishedListings()
         known = {"generation": 41, "reset": True, "instances": [entry("a", 9)]}
-        source = Discovery(DiscoveryPlan(full.getsockname(), known=known), received, lambda _: None)
+        source = Discovery(DiscoveryPlan(full_listener.getsockname(), known=known), received, lambda _: None)
         source.start()
         await received.next()
         source.watch(watch_call())
-        assert (await received.next()).kind is ListKind.FAILED  # long before the watch's wait is over
+        assert (await received.next()).kind is ListKind.FAILED  # long before the watch's wait ends
         source.stop()
-        for opened in (*waiting, full):
-            opened.close()
+        for opened_socket in (*backlog_clients, full_listener):
+            opened_socket.close()
 
     run(work())
 
 
-@pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty answer"])
-def test_a_watch_without_answer_times_out(silence: str) -> None:
-    """Wherever discovery stops answering, the watch fails by its number, and its connection is closed."""
+@pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty response"])
+def test_watch_without_a_response_times_out(silence: str) -> None:
+    """Wherever discovery stops responding, the watch fails with its number and its connection is closed."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             responded: ReceivedCall | None = None
-            if silence == "after an empty answer":
+            if silence == "after an empty response":
                 source.watch(watch_call(1))
                 responded = await discovery.call()
                 responded.respond_with_changes(41)
@@ -237,7 +237,7 @@
             source.watch(watch_call(2, response_timeout_ms=200.0))
             silent = await discovery.call()
             if responded is not None:
-                assert silent.writer is responded.writer  # the next watch is on the same connection
+                assert silent.writer is responded.writer  # the next watch uses the same connection
             if silence == "in the body":
                 silent.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
             failed = await received.next()
@@ -250,11 +250,11 @@
     run(work())
 
 
-def test_a_listing_names_the_call_that_it_answers() -> None:
-    """Guards the list's age: the complete list polled during a watch does not answer the watch."""
+def test_listing_has_the_number_of_the_call_it_responds_to() -> None:
+    """Guards the list's age: a complete list polled during a watch must not count as the watch's response."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call(7))
             watch = await discovery.call()
             source.fetch()
@@ -268,11 +268,11 @@
 
 
 @pytest.mark.parametrize("version", [3, 40])
-def test_events_for_another_list_than_the_cached_one_count_as_a_failed_call(version: int) -> None:
-    """They can't be applied: no server changes, and the next call is for the complete list."""
+def test_events_that_do_not_apply_to_the_cached_list_count_as_a_failed_call(version: int) -> None:
+    """The events can't be applied: no server changes, and the next call requests the complete list."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             watch.respond_with_changes(version, a="leaving")
@@ -286,22 +286,22 @@
 
 
 @pytest.mark.parametrize("watching", [True, False])
-def test_a_change_of_address_is_published_and_answers_of_the_old_one_do_not_count(watching: bool) -> None:
-    """SIGHUP while a call is in flight, or while none is: the new address is called."""
+def test_change_of_address_is_published_and_responses_of_the_old_one_are_ignored(watching: bool) -> None:
+    """The address changes (SIGHUP) with or without a call in flight; further calls go to the new one."""
 
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             new_discovery = await ManualDiscovery().start()
             if watching:
                 source.watch(watch_call())
-                late = await discovery.call()
+                stale_call = await discovery.call()
             source.relocate(("127.0.0.1", new_discovery.port))
             assert (await received.next()).kind is ListKind.RELOCATED
             source.watch(watch_call(2, NO_VERSION))
             first = await new_discovery.call()
-            assert "after" not in first.target  # its versions are its own
+            assert "after" not in first.target  # versions of another discovery service are not comparable
             if watching:
-                late.respond_with_changes(99, a="left")
+                stale_call.respond_with_changes(99, a="left")
             first.respond_with_full_list(3, a="active")
             listing = await received.next()
             assert (listing.kind, listing.version) == (ListKind.FULL, 3)
@@ -329,9 +329,9 @@
     [split_response for _, split_response in RESPONSES_IN_PIECES],
     ids=[name for name, _ in RESPONSES_IN_PIECES],
 )
-def test_an_indented_list_that_arrives_in_pieces_is_read(split_response: SplitResponse) -> None:
+def test_indented_list_that_arrives_in_pieces_is_parsed(split_response: SplitResponse) -> None:
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             rows: list[dict[str, Any]] = [entry("a", 9, lifecycle="leaving")]
@@ -345,9 +345,9 @@
     run(work())
 
 
-def test_a_list_with_one_invalid_row_changes_nothing() -> None:
+def test_list_with_an_invalid_row_is_rejected_as_a_whole() -> None:
     async def work() -> None:
-        async with following_discovery() as (source, discovery, received):
+        async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
             rows = [entry("a", 9, lifecycle="left"), entry("b", 9, lifecycle="asleep")]
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -1,4 +1,4 @@
-"""What arrives late on a reused connection to a server races with the next request on it."""
+"""Races of late data on a reused server connection with the next request on that connection."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from tests.event_loop import run
 from tests.fakes import RunningBalancer, ScriptedBalancer, running
 from tests.race_conditions.harness import (
-    HeldLastBytes,
-    HoldingServer,
+    DelayedResponseServer,
+    LastByteBarrier,
     accept_request,
-    balancer_before,
+    balancer_in_front_of,
     block_until_readable,
     block_until_reset,
     reset,
@@ -31,7 +31,7 @@
 
 @dataclass
 class ManualServerSetup:
-    """A client, the balancer with its script, and the listening socket of a server that the test plays."""
+    """A client, the scripted balancer, and the listening socket of a server whose role the test takes."""
 
     listener: socket.socket
     script: ScriptedBalancer
@@ -40,8 +40,8 @@
 
 
 @asynccontextmanager
-async def balancer_before_manual_server() -> AsyncIterator[ManualServerSetup]:
-    """The balancer between a client and a server whose every byte the test sends."""
+async def balancer_in_front_of_manual_server() -> AsyncIterator[ManualServerSetup]:
+    """Runs the balancer between a client and a server whose bytes the test sends itself."""
     listener = socket.create_server(("127.0.0.1", 0))
     listener.settimeout(RESPONSE_TIMEOUT_S)
     script = ScriptedBalancer([1])
@@ -54,34 +54,34 @@
 
 
 def only_server_connection(balancer: RunningBalancer) -> ServerConnection:
-    """The balancer's end of the only connection to a server."""
+    """Returns the balancer's end of the only connection to a server."""
     (connection,) = balancer.dispatcher.connection_pool._open
     return connection
 
 
 def balancer_descriptor(connection: ServerConnection) -> int:
-    """The descriptor of the balancer's end of a connection to a server."""
+    """Returns the file descriptor of the balancer's end of a connection to a server."""
     assert connection._transport is not None
     return int(connection._transport.get_extra_info("socket").fileno())
 
 
-def test_a_second_answer_before_the_last_byte_is_written_answers_no_other_request() -> None:
-    """Guards a client against another's answer, which arrived after the connection was found quiet and before
-    the request was written completely.
+def test_surplus_response_before_the_last_byte_is_written_goes_to_no_other_request() -> None:
+    """Guards a client against another request's response, which arrived after the connection was found idle
+    and before the next request was written completely.
     """
 
     async def work() -> None:
         upstream = FakeServer(echoes_target)
         script = ScriptedBalancer([1])
-        async with balancer_before(upstream, script) as balancer, HttpClient(balancer.port) as client:
+        async with balancer_in_front_of(upstream, script) as balancer, HttpClient(balancer.port) as client:
             client.send_request("move", b"x", "/api?1")
             assert (await client.read_response()).body == b"/api?1"
-            last_bytes = HeldLastBytes(balancer.dispatcher.connection_pool)
+            last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client.send_request("move", b"x", "/api?2")
-            await last_bytes.wait_until_held()
+            await last_byte.wait_until_blocked()
             await upstream.open_connections[0].send(ok(b"/api?1"))
             assert (await client.read_response()).body == b"/api?2"
-            last_bytes.release()  # there is nothing left to write
+            last_byte.release()  # the last byte is no longer to be written
             await script.ended()
         assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
         assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
@@ -90,13 +90,13 @@
     run(work())
 
 
-def test_a_connection_to_a_server_process_that_was_restarted_is_not_reused() -> None:
-    """A server restarts under its id and address while an attempt to the earlier process is in flight."""
+def test_connection_to_the_predecessor_of_a_restarted_server_is_not_reused() -> None:
+    """A server restarts with the same id and address while an attempt to its predecessor is in flight."""
 
     async def work() -> None:
-        upstream = HoldingServer()
+        upstream = DelayedResponseServer()
         async with (
-            balancer_before(upstream, ScriptedBalancer([1])) as balancer,
+            balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer,
             HttpClient(balancer.port) as client,
         ):
             pool = balancer.dispatcher.connection_pool
@@ -114,25 +114,25 @@
     run(work())
 
 
-def test_a_connection_that_ends_before_the_last_byte_is_written_is_not_used() -> None:
-    """Guards non-idempotent requests: the end of stream is in the system, unread, when the last byte is due.
-    Written then, the request may have run, and nobody may retry it.
+def test_connection_closed_before_the_last_byte_is_written_is_not_used() -> None:
+    """Guards non-idempotent requests: the kernel has the end of stream, unread, when the last byte is due.
+    If the byte were written, the request might have run and could not be retried.
     """
 
     async def work() -> None:
-        async with balancer_before_manual_server() as setup:
+        async with balancer_in_front_of_manual_server() as setup:
             client = setup.client
             client.send_request("move", b"x", "/api?1")
             first = (await accept_request(setup.listener)).connection
             first.sendall(ok())
             assert (await client.read_response()).status == 200
-            last_bytes = HeldLastBytes(setup.balancer.dispatcher.connection_pool)
+            last_byte = LastByteBarrier(setup.balancer.dispatcher.connection_pool)
             client.send_request("move", b"x", "/api?2")
-            await last_bytes.wait_until_held()
+            await last_byte.wait_until_blocked()
             connection = only_server_connection(setup.balancer)
             first.close()
             block_until_readable(balancer_descriptor(connection))
-            last_bytes.release()
+            last_byte.release()
             second = await accept_request(setup.listener)
             assert b"/api?2" in second.received
             second.connection.sendall(ok())
@@ -143,29 +143,29 @@
     run(work())
 
 
-def test_an_answer_and_a_reset_that_arrive_together_are_an_answer() -> None:
-    """The system holds both when the loop reads: the answer is complete, and its request is served."""
+def test_response_that_arrives_together_with_a_reset_is_delivered() -> None:
+    """The kernel has both when the event loop reads: the response is complete, so its request is served."""
 
     async def work() -> None:
-        async with balancer_before_manual_server() as setup:
+        async with balancer_in_front_of_manual_server() as setup:
             setup.client.send_request("move", b"x")
             server_side = (await accept_request(setup.listener)).connection
             descriptor = balancer_descriptor(only_server_connection(setup.balancer))
             server_side.sendall(ok())
             block_until_readable(descriptor)
             reset(server_side)
-            block_until_reset(descriptor)  # no await since the answer: the loop has read neither
+            block_until_reset(descriptor)  # no await since the response, so the event loop has read neither
             assert (await setup.client.read_response()).status == 200
         assert [event.outcome for event in setup.script.ends()] == [Outcome.OK]
 
     run(work())
 
 
-def test_a_timeout_before_an_unread_answer_is_final() -> None:
-    """A non-idempotent attempt times out while the system holds its answer: it fails, once."""
+def test_timeout_with_an_unread_response_is_final() -> None:
+    """A non-idempotent attempt that times out while the kernel has its unread response fails exactly once."""
 
     async def work() -> None:
-        async with balancer_before_manual_server() as setup:
+        async with balancer_in_front_of_manual_server() as setup:
             pool = setup.balancer.dispatcher.connection_pool
             setup.client.send_request("move", b"x")
             server_side = (await accept_request(setup.listener)).connection
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -1,7 +1,7 @@
-"""Shutdown races with what clients do.
+"""Races of a graceful shutdown with actions of clients.
 
-Each test forces the two events into the bad order, by a hook at the event or by bytes that the system holds
-and the program has not read.
+Each test forces the two events into the harmful order, by a hook at the event or by bytes that the kernel has
+received and the program has not read.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 from tests.event_loop import run
 from tests.fakes import RunningBalancer
 from tests.race_conditions.harness import (
-    HoldingServer,
-    balancer_before,
+    DelayedResponseServer,
+    balancer_in_front_of,
     block_until_readable,
     connect_client,
     only_connection,
@@ -31,7 +31,7 @@
 
 
 async def read_until_close(client: socket.socket) -> bytes:
-    """All bytes until the balancer closes the connection; a reset ends it too."""
+    """Returns all bytes until the balancer closes or resets the connection."""
     client.setblocking(False)
     loop = asyncio.get_running_loop()
     received = b""
@@ -46,7 +46,7 @@
 
 
 async def drain(balancer: RunningBalancer) -> None:
-    """Shut down as at SIGTERM, up to the moment at which the process would end."""
+    """Shuts down as on SIGTERM, up to the moment at which the process would exit."""
     await graceful_shutdown.drain(
         balancer.shared.clock,
         [balancer.listener],
@@ -56,7 +56,7 @@
 
 
 async def accepted_connection(balancer: RunningBalancer) -> ClientConnection:
-    """The balancer's end of the only client's connection, once it can be read."""
+    """Waits until the only client's connection is accepted; returns the balancer's end of it."""
     connections = balancer.listener._connections
     await wait_until(
         lambda: any(connection._transport is not None for connection in connections),
@@ -66,35 +66,35 @@
 
 
 async def connect_idle_client(balancer: RunningBalancer) -> socket.socket:
-    """A client whose first request is answered, and which has not read the answer."""
+    """Connects a client whose first request is served and which has not read the response."""
     client = connect_client(balancer.port)
     client.sendall(request_bytes())
-    await wait_until(lambda: balancer.listener._idle, "the first request is answered")
+    await wait_until(lambda: balancer.listener._idle, "the first request is served")
     return client
 
 
 @pytest.fixture(autouse=True)
-def accept_no_new_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+def no_accept_period(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_MS", 0.0)
 
 
 @pytest.fixture
-def give_clients_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No client is late with its request or with reading its answer, however busy the machine is."""
+def long_client_time_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raises the clients' time limits, so that none expires on a busy computer."""
     for limit in ("FIRST_REQUEST_MS", "REQUEST_MS", "LINGER_MS"):
         monkeypatch.setattr(ClientConnection, limit, RESPONSE_TIMEOUT_S * 1000.0)
 
 
-def test_a_request_that_arrives_while_idle_connections_are_closed_is_answered(
+def test_request_that_arrives_while_idle_connections_are_closed_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the received request: its bytes were in the system, unread, when nothing else was unanswered,
-    and the process ended with them.
+    """Guards against losing a received request: the kernel had its bytes, unread, when no other request was
+    pending, and the process exited without reading them.
     """
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream) as balancer:
+        async with balancer_in_front_of(upstream) as balancer:
             client = connect_client(balancer.port)
             connection = await accepted_connection(balancer)
             close_idle = balancer.listener.close_idle
@@ -107,7 +107,7 @@
 
             monkeypatch.setattr(balancer.listener, "close_idle", close_idle_as_a_request_arrives)
             await drain(balancer)
-            assert len(upstream.requests) == 1  # before the process may end
+            assert len(upstream.requests) == 1  # sent before the process may exit
             response = await read_until_close(client)
             assert response.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in response
@@ -115,12 +115,12 @@
     run(work())
 
 
-def test_clients_that_wait_in_the_backlog_when_accepting_stops_are_served() -> None:
-    """Guards the received request: its connection waited for a slot when accepting stopped."""
+def test_clients_in_the_backlog_are_served_when_accepting_stops() -> None:
+    """Guards against losing a received request whose connection waited for a slot when accepting stopped."""
 
     async def work() -> None:
-        upstream = HoldingServer()
-        async with balancer_before(upstream) as balancer:
+        upstream = DelayedResponseServer()
+        async with balancer_in_front_of(upstream) as balancer:
             balancer.shared.client_budget = 2
             clients = [connect_client(balancer.port) for _ in range(6)]
             for client in clients:
@@ -128,24 +128,24 @@
             for _ in range(2):
                 async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                     await upstream.arrived.get()
-            ending = asyncio.create_task(drain(balancer))
+            draining = asyncio.create_task(drain(balancer))
             await wait_until(lambda: balancer.listener._stopping, "accepting stops")
             upstream.release()
             responses = [await read_until_close(client) for client in clients]
             assert all(response.startswith(b"HTTP/1.1 200") for response in responses)
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                await ending
+                await draining
             assert balancer.listener._socket is None
 
     run(work())
 
 
-def test_a_request_that_arrives_after_its_idle_connection_is_closed_is_never_read() -> None:
-    """Guards against losing it: the balancer answers what it has read; the client may retry the rest."""
+def test_request_that_arrives_after_its_idle_connection_is_closed_is_not_read() -> None:
+    """Guards against losing a request: the balancer serves all it has read; the client may retry others."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream) as balancer:
+        async with balancer_in_front_of(upstream) as balancer:
             client = await connect_idle_client(balancer)
             connection = only_connection(balancer)
             balancer.listener.stop_accepting()
@@ -161,7 +161,7 @@
 
 
 def count_shutdown_polls(balancer: RunningBalancer, monkeypatch: pytest.MonkeyPatch) -> list[None]:
-    """A list that gets an item whenever the shutdown looks whether it may end."""
+    """Returns a list that gets an item whenever the shutdown polls whether it is complete."""
     polls: list[None] = []
     close_idle = balancer.listener.close_idle
 
@@ -173,38 +173,38 @@
     return polls
 
 
-@pytest.mark.usefixtures("give_clients_time")
-def test_the_process_ends_no_sooner_than_its_last_answer_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards the answer in transit: a process that ends with bytes unread resets the connection."""
+@pytest.mark.usefixtures("long_client_time_limits")
+def test_process_does_not_exit_before_its_last_response_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards a response in transit: a process that exits with unread received bytes resets the connection."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream) as balancer:
+        async with balancer_in_front_of(upstream) as balancer:
             client = connect_client(balancer.port)
             client.sendall(request_bytes(Connection="close"))
-            await wait_until(lambda: balancer.listener._lingering, "the last answer is written")
+            await wait_until(lambda: balancer.listener._lingering, "the last response is written")
             client.sendall(b"noise")
             polls = count_shutdown_polls(balancer, monkeypatch)
-            ending = asyncio.create_task(drain(balancer))
-            await wait_until(lambda: len(polls) > 5 or ending.done(), "shutdown has polled several times")
-            assert not ending.done()
+            draining = asyncio.create_task(drain(balancer))
+            await wait_until(lambda: len(polls) > 5 or draining.done(), "shutdown has polled several times")
+            assert not draining.done()
             assert (await read_until_close(client)).startswith(b"HTTP/1.1 200")
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-                await ending
+                await draining
 
     run(work())
 
 
-def test_a_request_that_arrives_late_is_answered_before_sigkill_may_come(
+def test_request_that_arrives_late_in_a_shutdown_gets_a_response_before_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the received request whose deadline is the longest: SIGKILL does not wait for it."""
+    """Guards a received request with the longest deadline, which could exceed the time until SIGKILL."""
 
     async def work() -> None:
         monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
         latest_response_ms = graceful_shutdown.MAX_COUNTED_DEADLINE_MS - graceful_shutdown.RESPONSE_READ_MS
         upstream = FakeServer(never_responds)
-        async with balancer_before(upstream) as balancer, HttpClient(balancer.port) as client:
+        async with balancer_in_front_of(upstream) as balancer, HttpClient(balancer.port) as client:
             request_handler = balancer.listener.request_handler
             assert isinstance(request_handler, PlatformRequestHandler)
             started_ms = balancer.shared.clock.now_ms()
@@ -217,14 +217,14 @@
     run(work())
 
 
-@pytest.mark.usefixtures("give_clients_time")
-def test_closing_connections_for_new_ones_aborts_no_undelivered_answer() -> None:
-    """Guards the last answer of a connection: its request has ended, and the client does not have it yet."""
+@pytest.mark.usefixtures("long_client_time_limits")
+def test_eviction_for_new_connections_aborts_no_undelivered_response() -> None:
+    """Guards a connection's last response, whose request has ended but which the client has not received."""
 
     async def work() -> None:
         body = b"x" * 1_000_000
         upstream = FakeServer(serves(body))
-        async with balancer_before(upstream) as balancer:
+        async with balancer_in_front_of(upstream) as balancer:
             client = socket.socket()
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             client.settimeout(RESPONSE_TIMEOUT_S)
@@ -233,7 +233,7 @@
             assert accepted._transport is not None
             accepted._transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             client.sendall(request_bytes(Connection="close"))
-            await wait_until(lambda: balancer.listener._lingering, "the last answer is written")
+            await wait_until(lambda: balancer.listener._lingering, "the last response is written")
             assert accepted in balancer.listener._lingering
             assert accepted.undelivered
             assert not balancer.listener._evict_one()
@@ -242,12 +242,12 @@
     run(work())
 
 
-def test_an_idle_connection_with_an_unread_request_is_not_closed_for_its_age() -> None:
-    """Guards the request that arrives as the idle time-out of its connection ends."""
+def test_idle_connection_with_an_unread_request_is_not_closed_by_the_idle_timeout() -> None:
+    """Guards a request that arrives just as the idle timeout of its connection expires."""
 
     async def work() -> None:
         upstream = FakeServer()
-        async with balancer_before(upstream) as balancer:
+        async with balancer_in_front_of(upstream) as balancer:
             client = await connect_idle_client(balancer)
             connection = only_connection(balancer)
             client.sendall(request_bytes("move", b"x", Connection="close"))
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals to the real process race with its start, its calls to discovery, and each other."""
+"""Races of signals to the real process with its start-up, its discovery calls, and each other."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
 from tests.platform.harness import exit_code, ready, started
-from tests.race_conditions.harness import HoldingServer
+from tests.race_conditions.harness import DelayedResponseServer
 
 
-class PatientClient(HttpClient):
-    """A client that waits until the program serves; its connection has had an answer and may be idle."""
+class ReadinessWaitingClient(HttpClient):
+    """A client that waits until the program is ready; its connection has had a response and is idle."""
 
     async def __aenter__(self) -> HttpClient:
         await ready(self._port)
@@ -31,9 +31,9 @@
 
 
 async def wait_until_shutting_down(port: int) -> None:
-    """Wait until the program has received SIGTERM: it is not ready any more, or accepts nobody.
+    """Waits until the program has received SIGTERM: it is no longer ready, or rejects connections.
 
-    It goes on accepting for half a second, in which this test may not have run.
+    The program goes on accepting for half a second; on a busy computer, this test may not run within it.
     """
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
@@ -45,18 +45,18 @@
             except ConnectionRefusedError:
                 return
             except (ConnectionError, AssertionError):
-                pass  # it stopped accepting after this client had connected
+                pass  # the program stopped accepting after this client had connected
 
 
 async def wait_until_watched_from(discovery: FakeDiscovery, generation: int) -> None:
-    """Wait until discovery gets a watch for what comes after this generation."""
+    """Waits until discovery receives a watch for changes after this generation."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while f"after={generation}&" not in await discovery.calls.get():
             pass
 
 
-def test_sigterm_before_the_program_is_ready_ends_it(tmp_path: Path) -> None:
-    """It listens, and a call for its first endpoint list is in flight: nothing is unanswered."""
+def test_sigterm_before_the_program_is_ready_makes_it_exit(tmp_path: Path) -> None:
+    """The program listens, its first discovery call is in flight, and no request is pending."""
 
     async def work() -> None:
         discovery = await FakeDiscovery([]).start()
@@ -73,15 +73,18 @@
     run(work())
 
 
-def test_repeated_sigterm_and_sighup_neither_end_a_shutdown_sooner_nor_restart_it(tmp_path: Path) -> None:
-    """The request in flight is answered."""
+def test_repeated_sigterm_and_sighup_neither_shorten_nor_restart_a_shutdown(tmp_path: Path) -> None:
+    """The request in flight must be served, once."""
 
     async def work() -> None:
-        upstream = await HoldingServer().start()
+        upstream = await DelayedResponseServer().start()
         discovery = await FakeDiscovery([upstream.entry("a")]).start()
         port = free_port()
         data = config_data([upstream.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
-        async with started(tmp_path / "config.json", data) as process, PatientClient(port) as in_flight:
+        async with (
+            started(tmp_path / "config.json", data) as process,
+            ReadinessWaitingClient(port) as in_flight,
+        ):
             in_flight.send_request("move", b"x")
             await upstream.arrived.get()
             for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP):
@@ -99,28 +102,30 @@
     run(work())
 
 
-def test_the_endpoint_list_is_followed_during_a_shutdown(tmp_path: Path) -> None:
-    """A server begins to drain after SIGTERM: requests that still arrive go to the other one."""
+def test_endpoint_list_is_watched_during_a_shutdown(tmp_path: Path) -> None:
+    """A server starts to drain after SIGTERM: requests that still arrive must go to the other one."""
 
     async def work() -> None:
-        old = await HoldingServer(serves(b"old")).start()
+        old = await DelayedResponseServer(serves(b"old")).start()
         new = await FakeServer(serves(b"new")).start()
         discovery = await FakeDiscovery([old.entry("a")]).start()
         port = free_port()
         data = config_data([old.entry("a")], discovery.port, listen=f"127.0.0.1:{port}")
         async with (
             started(tmp_path / "config.json", data) as process,
-            PatientClient(port) as in_flight,
-            PatientClient(port) as late,
+            ReadinessWaitingClient(port) as in_flight,
+            ReadinessWaitingClient(port) as late,
         ):
             in_flight.send_request("move", b"x")
             await old.arrived.get()
             late_request = request_bytes("move", b"x")
-            late.send(late_request[:10])  # keeps the connection from being closed as idle
+            late.send(late_request[:10])  # a partial request, so that the connection is not closed as idle
             process.send_signal(signal.SIGTERM)
             await wait_until_shutting_down(port)
             discovery.change(old.entry("a", lifecycle="leaving"), new.entry("b"))
-            await wait_until_watched_from(discovery, discovery.generation)  # it has the change
+            await wait_until_watched_from(
+                discovery, discovery.generation
+            )  # the program has received the change
             late.send(late_request[10:])
             assert (await late.read_response()).body == b"new"
             old.release()
@@ -133,8 +138,8 @@
     run(work())
 
 
-def test_sighup_to_a_dead_address_does_not_delay_the_next_to_a_live_one(tmp_path: Path) -> None:
-    """The endpoint list in use serves meanwhile. The live discovery's versions are lower than the first's."""
+def test_sighup_to_an_unreachable_address_does_not_delay_the_next_reload(tmp_path: Path) -> None:
+    """The current endpoint list stays in use. The new discovery's versions are lower than the first's."""
 
     async def work() -> None:
         first_server = await FakeServer().start()
@@ -146,13 +151,13 @@
         known = {"generation": 41, "reset": True, "instances": [first_server.entry("a")]}
         data = config_data([first_server.entry("a")], old.port, listen=f"127.0.0.1:{port}", known=known)
         path = tmp_path / "config.json"
-        async with started(path, data) as process, PatientClient(port) as client:
+        async with started(path, data) as process, ReadinessWaitingClient(port) as client:
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{free_port()}"}))
             process.send_signal(signal.SIGHUP)
             assert process.stderr is not None
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while b"discovery: " not in await process.stderr.readline():
-                    pass  # the first call to nobody has failed
+                    pass  # the first call to the unreachable address has failed
             client.send_request()
             assert (await client.read_response()).body == b"served"
             path.write_text(json.dumps(data | {"discovery": f"127.0.0.1:{new.port}"}))
