--- a/sandhatch/__init__.py
+++ b/sandhatch/__init__.py
@@ -1,1 +1,1 @@
-"""sandhatch: the real balancer, one program on real sockets round the decisions of `sandhatch.balancing`."""
+"""sandhatch, an HTTP load balancer: network I/O around the decisions made in `sandhatch.balancing`."""
--- a/sandhatch/__main__.py
+++ b/sandhatch/__main__.py
@@ -1,6 +1,7 @@
-"""Start, signals and exit code of the platform's program; with a verb, the command line of `sandhatch.cli`.
+"""Entry point: the platform's program without arguments, the command line of `sandhatch.cli` with a verb.
 
-Without a verb, none of the optional packages is imported.
+This module handles the program's start-up, signals and exit codes. Without a verb, none of the optional
+packages is imported.
 """
 
 from __future__ import annotations
@@ -19,41 +20,41 @@
 from sandhatch.runtime.process import freeze_garbage_collector, shutdown_event
 
 EXIT_OK = 0
-EXIT_BAD_CONFIGURATION = 2  # the file, a value in it, or the address to listen on
+EXIT_BAD_CONFIGURATION = 2  # unreadable file, invalid value, or an address that can't be listened on
 
 
 async def serve(config: PlatformConfig) -> int:
-    """Run the platform's program until SIGTERM or SIGINT; the exit code."""
+    """Runs the platform's program until SIGTERM or SIGINT; returns the exit code."""
     loop = asyncio.get_running_loop()
-    stopping = shutdown_event(loop)
+    shutdown_requested = shutdown_event(loop)
     program = PlatformProgram(config, loop)
     reload = DiscoveryReload(program.discovery, program.shared.logger)
     loop.add_signal_handler(signal.SIGHUP, reload.trigger)
     try:
         program.listener.start()
-    except OSError as problem:
-        print(f"sandhatch: listen: {format_address(config.listen)}: {problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"sandhatch: listen: {format_address(config.listen)}: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     program.discovery.start()
     freeze_garbage_collector()
-    await stopping.wait()
+    await shutdown_requested.wait()
     await program.drain()
     return EXIT_OK
 
 
 def main() -> int:
-    """Run the program that the command line asks for; the exit code."""
+    """Runs the program or the verb on the command line; returns the exit code."""
     if len(sys.argv) > 1:
-        # Imported here: a verb may need the optional packages.
-        from sandhatch.cli.commands import main as run_verb
+        # Imported only here, because a verb may need the optional packages.
+        from sandhatch.cli.commands import main as run_command
 
-        return run_verb(sys.argv[1:])
-    # Until the program can reload: the default action of SIGHUP would end the process.
+        return run_command(sys.argv[1:])
+    # SIGHUP is ignored until the program can reload; its default action would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load()
-    except ConfigError as problem:
-        print(f"sandhatch: {problem}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"sandhatch: {error}", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     return uvloop.run(serve(config))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Support for KNOWN-RED.txt, the list of tests that fail because of a real fault that is not fixed yet.
 
-Each of its lines reads `test id | cause | issue`, three at the most. A listed test runs and may fail: it is
-reported as an expected failure and printed with its cause. One that passes, a line that names no test, and a
-line that can't be read fail the run.
+The file has at most three lines of the form `test id | cause | issue`. A listed test runs and may fail: it is
+reported as an expected failure and printed with its cause. A listed test that passes, a line whose test
+doesn't exist, and a malformed line fail the run.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class KnownRedTest:
-    """A line of the file."""
+    """One line of KNOWN-RED.txt."""
 
     test_id: str
     cause: str
@@ -27,10 +27,10 @@
 
 
 def parse_known_red(text: str) -> list[KnownRedTest]:
-    """The file's lines, without the blank ones.
+    """Parses the text of KNOWN-RED.txt; blank lines are skipped.
 
     Raises:
-        ValueError: names the line that is wrong.
+        ValueError: A line is malformed, there are too many lines, or a test is listed twice.
     """
     known: list[KnownRedTest] = []
     for number, line in enumerate(text.splitlines(), 1):
@@ -38,13 +38,15 @@
             continue
         parts = [part.strip() for part in line.split("|")]
         if len(parts) != 3 or not all(parts):
-            raise ValueError(f"{KNOWN_RED_FILE}:{number}: {line!r} is not `test id | cause | issue`")
+            raise ValueError(
+                f"{KNOWN_RED_FILE}:{number}: malformed line {line!r}, expected `test id | cause | issue`"
+            )
         known.append(KnownRedTest(*parts))
     if len(known) > MAX_KNOWN_RED:
-        raise ValueError(f"{KNOWN_RED_FILE}: {len(known)} lines, {MAX_KNOWN_RED} at the most")
+        raise ValueError(f"{KNOWN_RED_FILE}: {len(known)} lines, at most {MAX_KNOWN_RED} allowed")
     test_ids = [entry.test_id for entry in known]
     if len(set(test_ids)) < len(test_ids):
-        raise ValueError(f"{KNOWN_RED_FILE}: a test is named twice")
+        raise ValueError(f"{KNOWN_RED_FILE}: duplicate test id")
     return known
 
 
@@ -59,7 +61,7 @@
 
 
 def _runs_all_tests(config: pytest.Config) -> bool:
-    """Whether all tests were requested: in a part of them a listed one may be absent."""
+    """Returns whether all tests were selected; a listed test may be missing from a partial selection."""
     if not config.args:
         return True
     return [Path(argument).name for argument in config.args] == list(config.getini("testpaths"))
@@ -73,7 +75,7 @@
         if item is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{known.cause} ({known.issue})", strict=True))
         elif _runs_all_tests(config):
-            raise pytest.UsageError(f"{KNOWN_RED_FILE}: {known.test_id} names no test")
+            raise pytest.UsageError(f"{KNOWN_RED_FILE}: {known.test_id} does not exist")
 
 
 @pytest.hookimpl(wrapper=True)
--- a/tests/event_loop.py
+++ b/tests/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs a test's coroutine on the event loop that the program uses, with a limit on its time."""
+"""Runs a test's coroutine on the program's event loop implementation, with a time limit."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """Run a test to its end, or fail it after `TEST_LIMIT_S`."""
+    """Runs a test's coroutine to its end, or fails the test after `TEST_LIMIT_S`."""
     uvloop.run(asyncio.wait_for(work, TEST_LIMIT_S))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,6 +1,6 @@
-"""The balancer's real parts between fakes of the rest, and a script in place of its decisions.
+"""The balancer's real components between fakes of its peers, and scripted decisions for it.
 
-Ports are the system's choice, and everything waits for events.
+Ports are assigned by the operating system; all waits are for events, not for time to pass.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 from testkit.servers import Behaviour, FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S, Response
 
-SomeEvent = TypeVar("SomeEvent", bound=Event)
+EventT = TypeVar("EventT", bound=Event)
 SERVER_NAMES = ascii_lowercase
 
 
 class ScriptedBalancer:
-    """Decisions by script: each request's attempts go to the given servers in turn, then it fails.
+    """Scripted decisions: each request's attempts go to the given servers in order, then the request fails.
 
-    It keeps every event, so that a test sees just what the balancer would be notified of. It follows pushed
-    endpoint lists as the balancer does, unless the test makes each poll itself. A test that sets `more`
-    decides on an event before the script does; None from it leaves the event to the script.
+    Every event is recorded, so that a test sees exactly what the balancer's decisions would receive. Endpoint
+    lists are watched as the balancer does, unless `follows` is false because the test makes each poll itself.
+    A test may set `more` to decide on events before the script does; if it returns None, the script decides.
     """
 
     def __init__(self, servers: list[int], timeout_ms: float = 0.0, follows: bool = True) -> None:
@@ -75,9 +75,9 @@
         return []
 
     async def next_event(
-        self, kind: type[SomeEvent], matches: Callable[[SomeEvent], bool] = lambda _event: True
-    ) -> SomeEvent:
-        """The next event of a kind that matches; those before it are skipped."""
+        self, kind: type[EventT], matches: Callable[[EventT], bool] = lambda _event: True
+    ) -> EventT:
+        """Waits for the next matching event of a kind, and skips the events before it."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             while True:
                 event = await self.notifications.get()
@@ -85,21 +85,21 @@
                     return event
 
     async def ended(self) -> AttemptEnded:
-        """The next end of an attempt."""
+        """Waits for the next end of an attempt."""
         return await self.next_event(AttemptEnded)
 
-    def received(self, kind: type[SomeEvent]) -> list[SomeEvent]:
-        """All events of a kind so far."""
+    def received(self, kind: type[EventT]) -> list[EventT]:
+        """Returns all events of a kind received so far."""
         return [event for event in self.events if isinstance(event, kind)]
 
     def ends(self) -> list[AttemptEnded]:
-        """All ends of attempts so far."""
+        """Returns all ends of attempts received so far."""
         return self.received(AttemptEnded)
 
 
 @dataclass
 class RunningBalancer:
-    """The parts of a balancer that runs."""
+    """Components of a running balancer."""
 
     dispatcher: Dispatcher
     listener: Listener
@@ -109,7 +109,7 @@
     watch: Discovery
 
     def stop(self) -> None:
-        """Stops it and its fake discovery, without waiting for what is in flight."""
+        """Stops the balancer and the fake discovery, without waiting for attempts in flight."""
         self.dispatcher.source.stop()
         self.listener.stop_accepting()
         self.listener.close_idle()
@@ -117,8 +117,8 @@
         self.discovery.stop()
 
 
-def start_parts(program: PlatformProgram, discovery: FakeDiscovery) -> RunningBalancer:
-    """Starts the parts of a program that serve requests."""
+def start_components(program: PlatformProgram, discovery: FakeDiscovery) -> RunningBalancer:
+    """Starts the components of a program that serve requests."""
     dispatcher = program.dispatcher
     listener = program.listener
     listener.start()
@@ -151,18 +151,18 @@
     rest_ms: float = 0.0,
     **more: Any,
 ) -> AsyncIterator[RunningBalancer]:
-    """The balancer's real parts, with a fake discovery that lists the entries.
+    """Runs the balancer's real components with a fake discovery that lists the entries.
 
     Args:
-        entries: servers, as `testkit.platform.entry` makes them.
-        script: takes the place of the balancer's decisions.
-        limits: keys of the settings' `PolicyLimits`.
-        stats: the settings' `Stats`.
-        categories: the settings' `Categories`.
-        base: the settings that those above change.
-        generation: of the list that is known at the start.
-        rest_ms: how long a connection to a server rests between attempts.
-        more: further keys of the configuration; `machine` is its `limits`.
+        entries: Servers, in the form that `testkit.platform.entry` returns.
+        script: Decisions to use in place of the balancer's own.
+        limits: Keys of the settings' `PolicyLimits`.
+        stats: The settings' `Stats`.
+        categories: The settings' `Categories`.
+        base: Settings to which the arguments above are applied; the default is `SETTINGS`.
+        generation: Generation of the endpoint list that is known at the start.
+        rest_ms: Minimum idle time of a server connection between two attempts, in milliseconds.
+        more: Further keys of the configuration; `machine` stands for its key `limits`.
     """
     listed = list(entries)
     discovery = await FakeDiscovery(listed).start()
@@ -174,7 +174,7 @@
     config = decode(json.dumps(config_data(listed, discovery.port, settings=settings, **more)), {})
     program = PlatformProgram(config, asyncio.get_running_loop(), script)
     program.dispatcher.connection_pool.COOLDOWN_MS = rest_ms
-    balancer = start_parts(program, discovery)
+    balancer = start_components(program, discovery)
     try:
         yield balancer
     finally:
@@ -184,7 +184,7 @@
 
 @asynccontextmanager
 async def fake_servers(*behaviours: Behaviour) -> AsyncIterator[list[FakeServer]]:
-    """A fake server for each behaviour."""
+    """Starts a fake server for each behaviour."""
     servers = [await FakeServer(behave).start() for behave in behaviours]
     try:
         yield servers
@@ -197,9 +197,10 @@
     """Clients, a balancer and fake servers, connected over loopback.
 
     Attributes:
-        balancer: the balancer's real parts.
-        servers: the fake servers; the balancer knows them as 1, 2 and so on, discovery as `a`, `b` and so on.
-        clients: those that have a connection.
+        balancer: The balancer's real components.
+        servers: The fake servers, numbered 1, 2 and so on by the balancer, and named `a`, `b` and so on in
+            discovery.
+        clients: The connected clients.
     """
 
     def __init__(
@@ -222,11 +223,11 @@
 
     @property
     def pool(self) -> ConnectionPool:
-        """The balancer's connections to the servers."""
+        """The balancer's pool of connections to the servers."""
         return self.balancer.dispatcher.connection_pool
 
     async def connect(self) -> HttpClient:
-        """Open the connection of a further client; it is closed before the balancer stops."""
+        """Connects a further client, whose connection is closed before the balancer stops."""
         client = await self._connections.enter_async_context(HttpClient(self.balancer.port))
         self.clients.append(client)
         return client
@@ -236,13 +237,13 @@
 async def loopback(
     *behaviours: Behaviour, clients: int = 1, entries: tuple[dict[str, Any], ...] = (), **more: Any
 ) -> AsyncIterator[Loopback]:
-    """Starts fake servers, a balancer that knows them, and clients that are connected to it.
+    """Starts fake servers, a balancer in front of them, and clients that are connected to it.
 
     Args:
-        behaviours: one for each server.
-        clients: how many are connected.
-        entries: of further servers, which the balancer numbers behind these.
-        more: as for `running`; without a `script` the decisions are the balancer's own.
+        behaviours: Behaviour of each server.
+        clients: Number of clients to connect.
+        entries: Entries of further servers, which the balancer numbers after the fake ones.
+        more: Arguments of `running`; without a `script` the decisions are the balancer's own.
     """
     async with fake_servers(*behaviours) as servers:
         listed = [server.entry(name) for name, server in zip(SERVER_NAMES, servers, strict=False)]
@@ -254,7 +255,7 @@
 
 
 async def served(client: HttpClient, *request: Any, **headers: str) -> Response:
-    """Send a request, as `HttpClient.send_request` does; its answer, which must have status 200."""
+    """Sends a request by `HttpClient.send_request`; returns its response, whose status must be 200."""
     client.send_request(*request, **headers)
     response = await client.read_response()
     assert response.status == 200
--- a/tests/project/documentation.py
+++ b/tests/project/documentation.py
@@ -1,7 +1,7 @@
-"""Finds the paths of the project that a page names, and those of them that don't exist.
+"""Finds project paths mentioned in a documentation page, and those of them that don't exist.
 
-It looks at code spans alone (text in single backticks), not at fenced blocks. Source: the CommonMark syntax
-of both, as far as the project's pages use it.
+Only code spans (text in single backticks) are searched, not fenced blocks. Both follow the CommonMark syntax
+as far as the project's pages use it.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 TRAILING_PUNCTUATION = ".,;:)\"'"
 
 
-def paths_in(text: str) -> list[str]:
-    """The paths in a page's code spans, in their order.
+def find_paths(text: str) -> list[str]:
+    """Returns the paths in a page's code spans, in order of appearance.
 
-    A path is a word that begins with one of `FOLDERS` and a slash, without a test's name or a line number
-    behind a colon. One with a placeholder, such as `deploy/<site>.toml`, names no file.
+    A path is a word that begins with one of `FOLDERS` and a slash; a test's name or a line number after a
+    colon is stripped. A path with a placeholder, such as `deploy/<site>.toml`, is ignored.
     """
     paths = []
     for span in CODE_SPAN.findall(FENCED_BLOCK.sub("", text)):
@@ -32,13 +32,13 @@
     return paths
 
 
-def missing_paths(text: str, root: Path) -> list[str]:
-    """The paths that a page names and that are neither file nor folder under `root`.
+def find_missing_paths(text: str, root: Path) -> list[str]:
+    """Returns the paths in a page that are neither a file nor a folder under `root`.
 
-    A path with an asterisk is a pattern, and exists if anything matches it; one that ends with a slash must
-    be a folder.
+    A path with an asterisk is a glob pattern, and exists if anything matches it; a path that ends with a
+    slash must be a folder.
     """
-    return [path for path in paths_in(text) if not _exists(path, root)]
+    return [path for path in find_paths(text) if not _exists(path, root)]
 
 
 def _exists(path: str, root: Path) -> bool:
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known red tests, tried in a project of its own."""
+"""The list of known red tests, tested by running pytest in a temporary project."""
 
 from __future__ import annotations
 
@@ -13,86 +13,90 @@
 
 CONFTEST = Path(__file__).parents[1] / "conftest.py"
 TESTS = """
-def test_sound():
+def test_passing():
     pass
 
-def test_red():
+def test_failing():
     assert 1 == 2
 
-def test_red_too():
+def test_also_failing():
     assert 1 == 2
 """
 
 
 class PytestRun(NamedTuple):
-    """Exit status and output of a run of all tests."""
+    """Exit status and output of a pytest run."""
 
-    code: int
-    out: str
+    exit_status: int
+    output: str
 
 
-def run_pytest(tmp: Path, lines: str | None, tests: str = TESTS) -> PytestRun:
-    (tmp / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
-    (tmp / "tests").mkdir()
-    (tmp / "tests" / "conftest.py").write_text(CONFTEST.read_text())
-    (tmp / "tests" / "test_some.py").write_text(tests)
+def run_pytest(root: Path, lines: str | None, tests: str = TESTS) -> PytestRun:
+    (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
+    (root / "tests").mkdir()
+    (root / "tests" / "conftest.py").write_text(CONFTEST.read_text())
+    (root / "tests" / "test_some.py").write_text(tests)
     if lines is not None:
-        (tmp / KNOWN_RED_FILE).write_text(lines)
+        (root / KNOWN_RED_FILE).write_text(lines)
     command = [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider"]
-    process = subprocess.run(command, cwd=tmp, capture_output=True, text=True, timeout=60, check=False)
+    process = subprocess.run(command, cwd=root, capture_output=True, text=True, timeout=60, check=False)
     return PytestRun(process.returncode, process.stdout + process.stderr)
 
 
-RED = "tests/test_some.py::test_red | a fault | issue 7\n"
-RED_TOO = "tests/test_some.py::test_red_too | another | issue 8\n"
+FAILING_LINE = "tests/test_some.py::test_failing | a fault | issue 7\n"
+ALSO_FAILING_LINE = "tests/test_some.py::test_also_failing | another fault | issue 8\n"
 
 
-def test_listed_tests_are_expected_failures_printed_with_their_cause(tmp_path: Path) -> None:
-    code, out = run_pytest(tmp_path, RED + "\n" + RED_TOO)
-    assert code == 0
-    assert "1 passed, 2 xfailed" in out
-    assert "known red: tests/test_some.py::test_red: a fault (issue 7)" in out
+def test_listed_tests_are_expected_failures_and_printed_with_their_cause(tmp_path: Path) -> None:
+    exit_status, output = run_pytest(tmp_path, FAILING_LINE + "\n" + ALSO_FAILING_LINE)
+    assert exit_status == 0
+    assert "1 passed, 2 xfailed" in output
+    assert "known red: tests/test_some.py::test_failing: a fault (issue 7)" in output
 
 
-def test_a_red_test_that_is_not_listed_fails(tmp_path: Path) -> None:
-    code, out = run_pytest(tmp_path, RED)
-    assert code == 1
-    assert "1 failed" in out
+def test_failing_test_that_is_not_listed_fails_the_run(tmp_path: Path) -> None:
+    exit_status, output = run_pytest(tmp_path, FAILING_LINE)
+    assert exit_status == 1
+    assert "1 failed" in output
 
 
 @pytest.mark.parametrize("lines", [None, "", "\n \n"])
-def test_an_empty_or_absent_file_is_the_normal_state(lines: str | None, tmp_path: Path) -> None:
-    code, out = run_pytest(tmp_path, lines, "def test_sound():\n    pass\n")
-    assert code == 0
-    assert "1 passed" in out
+def test_empty_or_absent_file_changes_nothing(lines: str | None, tmp_path: Path) -> None:
+    exit_status, output = run_pytest(tmp_path, lines, "def test_passing():\n    pass\n")
+    assert exit_status == 0
+    assert "1 passed" in output
 
 
-def test_a_listed_test_that_passes_fails(tmp_path: Path) -> None:
-    code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_sound | mended | issue 9\n")
-    assert code == 1
-    assert "1 failed" in out
+def test_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
+    exit_status, output = run_pytest(
+        tmp_path, FAILING_LINE + ALSO_FAILING_LINE + "tests/test_some.py::test_passing | fixed | issue 9\n"
+    )
+    assert exit_status == 1
+    assert "1 failed" in output
 
 
-def test_a_line_that_names_no_test_fails(tmp_path: Path) -> None:
-    code, out = run_pytest(tmp_path, RED + RED_TOO + "tests/test_some.py::test_none | gone | issue 9\n")
-    assert code != 0
-    assert "test_none names no test" in out
+def test_line_without_an_existing_test_fails_the_run(tmp_path: Path) -> None:
+    exit_status, output = run_pytest(
+        tmp_path, FAILING_LINE + ALSO_FAILING_LINE + "tests/test_some.py::test_none | removed | issue 9\n"
+    )
+    assert exit_status != 0
+    assert "tests/test_some.py::test_none does not exist" in output
 
 
 @pytest.mark.parametrize(
-    ("lines", "wrong"),
+    ("lines", "message"),
     [
-        ("tests/test_some.py::test_red\n", "is not"),
-        ("tests/test_some.py::test_red | a fault\n", "is not"),
-        ("tests/test_some.py::test_red | | issue 7\n", "is not"),
-        ("a | b | c | d\n", "is not"),
-        (RED + RED, "named twice"),
-        ("".join(f"t::{n} | a | b\n" for n in range(4)), "4 lines, 3 at the most"),
+        ("tests/test_some.py::test_failing\n", "malformed line"),
+        ("tests/test_some.py::test_failing | a fault\n", "malformed line"),
+        ("tests/test_some.py::test_failing | | issue 7\n", "malformed line"),
+        ("a | b | c | d\n", "malformed line"),
+        (FAILING_LINE + FAILING_LINE, "duplicate test id"),
+        ("".join(f"t::{n} | a | b\n" for n in range(4)), "4 lines, at most 3 allowed"),
     ],
 )
-def test_a_line_that_cannot_be_read_or_is_too_many_fails(lines: str, wrong: str, tmp_path: Path) -> None:
-    with pytest.raises(ValueError, match=wrong):
+def test_malformed_duplicate_or_surplus_lines_fail_the_run(lines: str, message: str, tmp_path: Path) -> None:
+    with pytest.raises(ValueError, match=message):
         parse_known_red(lines)
-    code, out = run_pytest(tmp_path, lines)
-    assert code != 0
-    assert wrong in out
+    exit_status, output = run_pytest(tmp_path, lines)
+    assert exit_status != 0
+    assert message in output
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's library snippet runs as printed."""
+"""The README's library example runs as printed."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_quick_start_runs() -> None:
+def test_quick_start_example_runs() -> None:
     text = (ROOT / "README.md").read_text()
     (snippet,) = re.findall(r"```python\n(.*?)```", text, re.S)
     exec(compile(snippet, "README.md", "exec"), {})
