--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class FixedLimit:
-    """A fixed limit and the goodput it gave; instances are ordered by goodput.
+    """A fixed limit and the goodput it gave; limits are ordered by goodput.
 
     Attributes:
         goodput: Fraction of the requests served within their latency objective.
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -81,7 +81,7 @@
     """Result of a bad change."""
 
     rolled_back_after_s: float | None  # None if it was not rolled back
-    goodput_lost: float  # fraction of the priority weight requested within AFTER_S
+    goodput_lost: float  # fraction of the priority weight requested within OBSERVED_S
 
 
 @dataclass(frozen=True, slots=True)
@@ -132,7 +132,7 @@
 
 
 async def wait_for_rollback(version: Version) -> float | None:
-    """Waits for AFTER_S; returns the seconds until the version was rolled back, or None if it was not."""
+    """Waits for OBSERVED_S; returns the seconds until the version was rolled back, or None if it was not."""
     started_s = time.perf_counter()
     rolled_back_after_s: float | None = None
     while time.perf_counter() < started_s + OBSERVED_S:
