--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -63,7 +63,7 @@
             objective_ms=OBJECTIVE_MS,
             deadline_ms=DEADLINE_MS,
             ramp_per_s=0.0,
-            queue=MAX_QUEUED_ATTEMPTS,
+            max_queued=MAX_QUEUED_ATTEMPTS,
             overload_attempts=OVERLOAD_ATTEMPTS_PER_CORE * self.cores,
             tier=0,
             hints=False,
@@ -87,12 +87,12 @@
 @contextmanager
 def fixed_limit(limit: float) -> Iterator[None]:
     """Replaces admission control's server capacity, in attempts of all instances, within the block."""
-    before = admission_control.SERVER_CAPACITY
-    admission_control.SERVER_CAPACITY = limit
+    before = admission_control.MAX_ATTEMPTS_PER_SERVER
+    admission_control.MAX_ATTEMPTS_PER_SERVER = limit
     try:
         yield
     finally:
-        admission_control.SERVER_CAPACITY = before
+        admission_control.MAX_ATTEMPTS_PER_SERVER = before
 
 
 def goodput(scenario: Scenario, seeds: Sequence[int]) -> float:
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -24,7 +24,13 @@
 from sandhatch.config.version import State
 from testkit.load_generator import LoadGenerator
 from tests.service.harness import FakeServers, RunningService, serving
-from tests.service.version_churn import NON_IDEMPOTENT, check_no_mixture, choose, churn, variants
+from tests.service.version_churn import (
+    NON_IDEMPOTENT,
+    check_no_mixture,
+    choose_request,
+    churn,
+    configuration_variants,
+)
 
 BASELINE_S = 5.0  # time under load before the first commit, for the baseline latency
 CLIENTS = 16
@@ -58,13 +64,15 @@
 
 async def commit_under_load(commits: int, seed: int, pause_s: float) -> str:
     """Commits random versions under load; returns a line of figures."""
-    farm = await FakeServers().start(*SERVERS)
-    config_variants = variants(farm)
+    fake_servers = await FakeServers().start(*SERVERS)
+    config_variants = configuration_variants(fake_servers)
     async with serving(config_variants[0]) as running:
         silence_log(running.service)
         activated_ms: dict[int, float] = {}
         record_activation_times(running.service, activated_ms)
-        load = LoadGenerator(running.port, farm.books, choose, clients=CLIENTS, pause_s=CLIENT_PAUSE_S)
+        load = LoadGenerator(
+            running.port, fake_servers.request_log, choose_request, clients=CLIENTS, pause_s=CLIENT_PAUSE_S
+        )
         await asyncio.sleep(BASELINE_S)
         baseline_end = len(running.records)
         started_s = time.perf_counter()
@@ -72,13 +80,13 @@
         elapsed_s = time.perf_counter() - started_s
         commits_end = len(running.records)
         await load.stop()
-        await running.until(lambda: len(running.records) == len(farm.books.entries))
-        check_records(running, farm, config_by_version)
+        await running.wait_until(lambda: len(running.records) == len(fake_servers.request_log.entries))
+        check_records(running, fake_servers, config_by_version)
         versions = len({record.version for record in running.records})
         p99_text = format_p99(running, baseline_end, commits_end)
         max_late_ms = max_lateness_ms(running, activated_ms)
-        statuses = dict(farm.books.statuses())
-    farm.close()
+        statuses = dict(fake_servers.request_log.statuses())
+    fake_servers.close()
     return (
         f"{commits} commits in {elapsed_s:.1f} s under {commits_end - baseline_end} requests of {versions} "
         f"versions: no mixture, responses {statuses}; last request routed by an "
@@ -87,11 +95,11 @@
 
 
 def check_records(
-    running: RunningService, farm: FakeServers, config_by_version: dict[int, dict[str, Any]]
+    running: RunningService, fake_servers: FakeServers, config_by_version: dict[int, dict[str, Any]]
 ) -> None:
     """Raises AssertionError if a request saw a mixture of versions or broke a rule of the platform."""
     check_no_mixture(running, config_by_version)
-    faults = farm.books.faults(NON_IDEMPOTENT)
+    faults = fake_servers.request_log.faults(NON_IDEMPOTENT)
     assert not faults, faults[:5]
 
 
@@ -105,8 +113,10 @@
 
 async def measure_memory(commits: int) -> str:
     """Returns a line with the resident memory after a tenth and after all of the commits, without load."""
-    farm = await FakeServers().start("a1", "a2", "o1")
-    configurations = [farm.config(farm.pool(name), farm.pool("o1")) for name in ("a1", "a2")]
+    fake_servers = await FakeServers().start("a1", "a2", "o1")
+    configurations = [
+        fake_servers.config(fake_servers.pool(name), fake_servers.pool("o1")) for name in ("a1", "a2")
+    ]
     async with serving(configurations[0]) as running:
         service = running.service
         silence_log(service)
@@ -114,14 +124,14 @@
         texts = [json.dumps(configurations[1]).encode(), json.dumps(configurations[0]).encode()]
         for number in range(commits):
             version = service.commit(service.propose(texts[number % 2], None).number)
-            await service.wait_until_decided(version, over=True)
+            await service.wait_until_decided(version, until_terminal=True)
             assert version.state is State.CONFIRMED, version.why
             if number == commits // 10:
                 early_mib = resident_bytes() / MIB
             if number % 1000 == 999:
                 print(f"{number + 1} commits: {resident_bytes() / MIB:.1f} MiB", file=sys.stderr, flush=True)
         late_mib = resident_bytes() / MIB
-    farm.close()
+    fake_servers.close()
     return f"memory over {commits} commits: {early_mib:.1f} MiB after a tenth, {late_mib:.1f} MiB after all"
 
 
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -104,7 +104,7 @@
         tier.at(BEGIN_MS + 3_000.0 * number, partial(tier.restart, number))
     if case.scenario == THIRD_SLOW:
         for server in tier.servers[: SERVERS // 3]:
-            tier.at(BEGIN_MS - 4_000.0, partial(setattr, server, "slow", SLOWDOWN))
+            tier.at(BEGIN_MS - 4_000.0, partial(setattr, server, "slowdown", SLOWDOWN))
     if case.fault == KILLED:
         tier.at(BEGIN_MS, partial(kill_all_planners, tier))
     end_ms = FAILURE_END_MS if case.fault else END_MS
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -175,7 +175,7 @@
             if key not in self._sessions and key not in self._partitions:
                 self._last_session += 1
                 self._sessions[key] = self._last_session
-                planner.joined(forwarder.name, now_ms)
+                planner.forwarder_connected(forwarder.name, now_ms)
                 self._apply_actions(forwarder, forwarder.machine.connected(name, planner.epoch, now_ms))
         forwarder.send_attempts(now_ms)
         self._apply_actions(forwarder, forwarder.machine.tick(now_ms))
@@ -226,7 +226,9 @@
     def _receive_advice(self, forwarder: ModelForwarder, planner: str, session: int, payload: bytes) -> None:
         if self._sessions.get((forwarder.name, planner)) == session:
             advice = cast(Advice, decode(payload))
-            self._apply_actions(forwarder, forwarder.machine.advice(planner, advice, self._clock.now_ms))
+            self._apply_actions(
+                forwarder, forwarder.machine.handle_advice(planner, advice, self._clock.now_ms)
+            )
 
 
 def format_result(plan: TierPlan, result: ScaleResult) -> str:
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -135,14 +135,14 @@
         """Sends the attempts of a step that go to servers that warm up."""
         model = self._model
         restarted = [model.servers[number] for number in model.restarts[self._restarts_seen :]]
-        self.ramp.watch(restarted, now_ms)
+        self.ramp.add_servers(restarted, now_ms)
         self._restarts_seen = len(model.restarts)
         probability = max(model.attempts_per_step / len(model.servers), 0.5)
         for number in self.ramp.warming_servers(now_ms):
             server = model.servers[number]
             # Each draw models one attempt; a server without ramp credit ends the draws.
             while model.rng.random() < probability and self.ramp.admits(server, now_ms):
-                self.ramp.spend(server, now_ms)
+                self.ramp.spend_credit(server, now_ms)
                 server.sent_ms.append(now_ms)
 
     def apply_actions(self, actions: list[Action], now_ms: float) -> list[SendReport]:
@@ -160,7 +160,7 @@
                     self._apply_event(action.event, now_ms)
                 case EndSession():
                     raise AssertionError(
-                        f"forwarder ended its session with planner {action.planner}: {action.why}"
+                        f"forwarder ended its session with planner {action.planner}: {action.reason}"
                     )
                 case _:
                     pass
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -103,31 +103,33 @@
 
 async def make_bad_change(kind: str, watched: bool) -> BadChange:
     """Commits a change, under load, that moves a pool to servers that fail or are late."""
-    farm = await FakeServers().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
+    fake_servers = await FakeServers().start(*SERVERS_BEFORE, *SERVERS_AFTER, "o1")
     behaviour = responds_late if kind == LATE else fails
     for name in SERVERS_AFTER[: 2 if kind == HALF_FAILS else 4]:
-        farm.behave[name] = behaviour
+        fake_servers.behaviours[name] = behaviour
     watch = WATCH | {"enabled": watched}
-    first = with_classes(farm.config(farm.pool(*SERVERS_BEFORE), farm.pool("o1"), watch=watch))
+    first = with_classes(
+        fake_servers.config(fake_servers.pool(*SERVERS_BEFORE), fake_servers.pool("o1"), watch=watch)
+    )
     async with serving(first) as running:
         silence_log(running.service)
         load = LoadGenerator(
             running.port,
-            farm.books,
+            fake_servers.request_log,
             lambda rng: ("order" if rng.random() < 0.5 else "look", "/cart"),
             clients=8,
             pause_s=0.02,
         )
         await asyncio.sleep(BASELINE_S)
         change = deepcopy(first)
-        change["pools"]["web"] = farm.pool(*SERVERS_AFTER)
+        change["pools"]["web"] = fake_servers.pool(*SERVERS_AFTER)
         version = running.service.commit(running.propose(change))
         await running.service.wait_until_decided(version)
-        since = len(farm.books.entries)
+        since = len(fake_servers.request_log.entries)
         rolled_back_after_s = await wait_for_rollback(version)
-        entries = list(farm.books.entries.values())[since:]
+        entries = list(fake_servers.request_log.entries.values())[since:]
         await load.stop()
-    farm.close()
+    fake_servers.close()
     return BadChange(rolled_back_after_s, goodput_lost(entries))
 
 
@@ -157,17 +159,19 @@
 
 async def make_good_changes(changes: int, seed: int) -> GoodChanges:
     """Commits harmless changes one after another, while servers fail in bursts."""
-    farm = await FakeServers().start("a1", "a2", "o1")
+    fake_servers = await FakeServers().start("a1", "a2", "o1")
     failures = BurstingFailures(Random(seed))
-    farm.behave.update(dict.fromkeys(("a1", "a2"), failures.behave))
-    data = with_classes(farm.config(farm.pool("a1", "a2"), farm.pool("o1"), watch=SHORT_WATCH))
+    fake_servers.behaviours.update(dict.fromkeys(("a1", "a2"), failures.behave))
+    data = with_classes(
+        fake_servers.config(fake_servers.pool("a1", "a2"), fake_servers.pool("o1"), watch=SHORT_WATCH)
+    )
     rolled_back = 0
     async with serving(data) as running:
         silence_log(running.service)
         bursts = asyncio.create_task(failures.run())
         load = LoadGenerator(
             running.port,
-            farm.books,
+            fake_servers.request_log,
             lambda rng: ("order", "/cart"),  # noqa: ARG005 - a `Choose`
             clients=4,
             pause_s=0.02,
@@ -178,13 +182,13 @@
             change = deepcopy(data)
             change["pools"]["web"]["max_connections"] = 100 + number
             version = running.service.commit(running.propose(change))
-            await running.service.wait_until_decided(version, over=True)
+            await running.service.wait_until_decided(version, until_terminal=True)
             rolled_back += version.state is State.ROLLED_BACK
             if version.why:
                 print(f"good change rolled back: {version.why}", flush=True)
         await load.stop()
         bursts.cancel()
-    farm.close()
+    fake_servers.close()
     return GoodChanges(changes, rolled_back)
 
 
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -11,7 +11,7 @@
 
 def silence_log(service: Service) -> None:
     """Discards the service's log lines; each commit would write several."""
-    service.logger.line = lambda text: None  # type: ignore[method-assign]  # noqa: ARG005 - signature of the method
+    service.logger.write_line = lambda text: None  # type: ignore[method-assign]  # noqa: ARG005 - signature of the method
 
 
 def record_activation_times(service: Service, activated_ms: dict[int, float]) -> None:
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -57,7 +57,7 @@
 MIN_NOTIFIED_MS = 1_000.0  # limits the request rate at discovery under settings with tiny intervals
 
 
-def notified_after_ms(settings: Settings) -> float:
+def list_age_bound_ms(settings: Settings) -> float:
     """Return the bound on a list's age: the time after which a change at discovery counts as notified.
 
     A change then counts as notified whether it was received or not. An instance that neither watches nor
@@ -159,7 +159,7 @@
         self._poll_interval_ms = settings.poll_interval_ms
         self._has_one_shot_watches = settings.one_shot_watches
         self._is_polled = settings.polled_discovery
-        self.notified_ms = notified_after_ms(settings)
+        self.notified_ms = list_age_bound_ms(settings)
         self._pacing = _pacing(settings, self.notified_ms)
         self._max_wait_ms = self.notified_ms / 3.0
         # A queued request that is abandoned loses its place, so it may take half of the bound.
--- a/sandhatch/balancing/guidance/server_weights.py
+++ b/sandhatch/balancing/guidance/server_weights.py
@@ -29,17 +29,17 @@
     """The weights of one balancer's servers.
 
     Attributes:
-        changes: The weights that are not 1 or are changing, keyed by server id. An absent server has the
+        by_server: The weights that are not 1 or are changing, keyed by server id. An absent server has the
             weight 1.
     """
 
-    __slots__ = ("_leases", "_next_expiry_ms", "changes")
+    __slots__ = ("_leases", "_next_expiry_ms", "by_server")
 
     def __init__(self) -> None:
         """Start with the weight 1 for all servers."""
         self._leases: dict[str, _PlannerLease] = {}  # keyed by planner name
         self._next_expiry_ms = math.inf
-        self.changes: dict[int, GradualValue] = {}
+        self.by_server: dict[int, GradualValue] = {}
 
     def set_advised(self, planner: str, weights: dict[int, float], until_ms: float) -> None:
         """Store the weights that a planner advises; they take effect at the next `update_targets`."""
@@ -56,29 +56,29 @@
         self._leases = {planner: lease for planner, lease in self._leases.items() if lease.until_ms > now_ms}
         advised_weights = [lease.weights for lease in self._leases.values()]
         self._next_expiry_ms = min((lease.until_ms for lease in self._leases.values()), default=math.inf)
-        for server in set(self.changes).union(*advised_weights):
+        for server in set(self.by_server).union(*advised_weights):
             target = _median([weights.get(server, 1.0) for weights in advised_weights])
-            gradual_weight = self.changes.get(server)
+            gradual_weight = self.by_server.get(server)
             if gradual_weight is None:
                 if target == 1.0:
                     continue
-                gradual_weight = self.changes[server] = GradualValue(1.0)
+                gradual_weight = self.by_server[server] = GradualValue(1.0)
             gradual_weight.change_to(target, now_ms, duration_ms)
             if target == 1.0 and gradual_weight.value_at(now_ms) == 1.0:
-                del self.changes[server]
+                del self.by_server[server]
 
     def weight(self, server: int, now_ms: float) -> float:
         """Return the present weight of a server, from 0 to 1."""
         while now_ms >= self._next_expiry_ms:
             self.update_targets(self._next_expiry_ms, WEIGHT_RESET_MS)
-        gradual_weight = self.changes.get(server)
+        gradual_weight = self.by_server.get(server)
         return 1.0 if gradual_weight is None else gradual_weight.value_at(now_ms)
 
     def inherit(self, previous: ServerWeights) -> None:
         """Copy the leases of a predecessor, and share its weights from now on."""
         self._leases = dict(previous._leases)
         self._next_expiry_ms = previous._next_expiry_ms
-        self.changes = previous.changes
+        self.by_server = previous.by_server
 
 
 def _median(values: list[float]) -> float:
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -83,7 +83,7 @@
 
     # ------------------------------------------------ warming servers
 
-    def watch(self, servers: Sequence[ListedServer], now_ms: float) -> None:
+    def add_servers(self, servers: Sequence[ListedServer], now_ms: float) -> None:
         """Start the ramp of each of these servers that is warming up."""
         for server in servers:
             if self.is_warming_up(server, now_ms):
@@ -91,7 +91,7 @@
                 self._buckets[server.id] = _TokenBucket(server.started_ms, now_ms)
                 self._rate_shares.pop(server.id, None)
 
-    def earn(self, ready: int, now_ms: float) -> None:
+    def earn_credit(self, ready: int, now_ms: float) -> None:
         """Do nothing: credit accrues with time, not with requests as in `SlowStart`."""
 
     def warming_servers(self, now_ms: float) -> list[int]:
@@ -112,7 +112,7 @@
             for server in self._warming.values()
             if server.state is ServerState.READY and self.is_warming_up(server, now_ms)
         ]
-        return sum(1.0 - self.share(server, now_ms) for server in warming)
+        return sum(1.0 - self.capacity_share(server, now_ms) for server in warming)
 
     def _has_finished(self, server: ListedServer, now_ms: float) -> bool:
         return server.state is ServerState.GONE or not self.is_warming_up(server, now_ms)
@@ -167,14 +167,14 @@
         """Return whether a request may be sent to this server now."""
         return not self.is_warming_up(server, now_ms) or self._accrue(server, now_ms).credit >= 1.0
 
-    def spend(self, server: ListedServer, now_ms: float) -> None:
+    def spend_credit(self, server: ListedServer, now_ms: float) -> None:
         """Charge a request that is sent to this server."""
         if self.is_warming_up(server, now_ms):
             self._accrue(server, now_ms).credit -= 1.0
 
     # ------------------------------------------------ shares and credit
 
-    def part(self, server: ListedServer, at_ms: float) -> RampAllocation:
+    def allocation(self, server: ListedServer, at_ms: float) -> RampAllocation:
         """Return this instance's allocation on a server at a time that is not in the past."""
         phase = self._phase_at(at_ms)
         return RampAllocation(self._rate_share(phase, server, at_ms), self._burst_share(phase, server))
@@ -233,7 +233,9 @@
             end_ms = self._segment_end_ms(start_ms, rate_share.end_ms, now_ms)
             mean_share = (rate_share.value_at(start_ms) + rate_share.value_at(end_ms)) / 2.0
             counted_share = min(mean_share, self._rate_share(phase, server, end_ms))
-            capacity_share = (self.share(server, start_ms) + self.share(server, end_ms)) / 2.0
+            capacity_share = (
+                self.capacity_share(server, start_ms) + self.capacity_share(server, end_ms)
+            ) / 2.0
             rate_per_ms = self._ramp_per_s / 1000.0 * capacity_share
             credit = bucket.credit + counted_share * rate_per_ms * (end_ms - start_ms)
             bucket.credit = min(self._burst_share(phase, server), credit)
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -33,8 +33,8 @@
     """
 
     # Bounds of an instance's share of the tier's capacity, as multiples of an even share.
-    MIN_PART = 0.5
-    MAX_PART = 8.0
+    MIN_OWN_SHARE_FACTOR = 0.5
+    MAX_OWN_SHARE_FACTOR = 8.0
     OWN_SHARE_CHANGE_MS = 3_000.0  # duration of a change of that share
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -49,7 +49,7 @@
 
     # ------------------------------------------------ applying guidance
 
-    def take(
+    def apply(
         self, event: Guidance, servers: Mapping[int, ListedServer], warm: Sequence[int], now_ms: float
     ) -> GuidanceRejected | None:
         """Apply guidance from a planner, completely or not at all.
@@ -69,8 +69,8 @@
             event,
             warm,
             ramp_burst(self._settings),
-            self.MIN_PART * self._even_share,
-            min(1.0, self.MAX_PART * self._even_share),
+            self.MIN_OWN_SHARE_FACTOR * self._even_share,
+            min(1.0, self.MAX_OWN_SHARE_FACTOR * self._even_share),
         )
         if reason is not None:
             return GuidanceRejected(event.planner, reason)
@@ -81,10 +81,10 @@
             self.weights.set_advised(event.planner, weights, event.until_ms)
         self.weights.update_targets(now_ms, WEIGHT_CHANGE_MS)
         if event.leased:
-            self._take_leased_shares(event, servers, now_ms)
+            self._apply_leased_shares(event, servers, now_ms)
         return None
 
-    def _take_leased_shares(
+    def _apply_leased_shares(
         self, event: Guidance, servers: Mapping[int, ListedServer], now_ms: float
     ) -> None:
         if self.ramp is not None:
@@ -103,7 +103,7 @@
 
     # ------------------------------------------------ taking over from another balancer
 
-    def fits(self, other: GuidanceState) -> bool:
+    def has_same_settings(self, other: GuidanceState) -> bool:
         """Return whether both states have the same settings, as far as guidance depends on them."""
         return _guidance_settings(self._settings) == _guidance_settings(other._settings)
 
@@ -119,14 +119,14 @@
         """Return the present weight of a server, from 0 to 1."""
         return self.weights.weight(server, now_ms)
 
-    def declines(self, server: int, now_ms: float) -> bool:
+    def is_passed_over(self, server: int, now_ms: float) -> bool:
         """Return whether to pass over a drawn server because of its weight; random."""
-        if server not in self.weights.changes:
+        if server not in self.weights.by_server:
             return False
         weight = self.weights.weight(server, now_ms)
         return weight < 1.0 and self._rng.random() >= weight
 
-    def own_part(self, now_ms: float) -> float:
+    def own_share(self, now_ms: float) -> float:
         """Return this instance's share of the tier's capacity; an even share without guidance."""
         if now_ms >= self._own_share_until_ms:
             self._own_share.change_to(self._even_share, self._own_share_until_ms, self.OWN_SHARE_CHANGE_MS)
--- a/sandhatch/balancing/guidance/warm_up.py
+++ b/sandhatch/balancing/guidance/warm_up.py
@@ -33,15 +33,15 @@
     def __init__(self, settings: Settings) -> None:
         """Read the initial share and the warm-up duration from the settings."""
         self._initial_share = settings.initial_capacity_share
-        self._ms = settings.warm_up_ms
+        self._warm_up_ms = settings.warm_up_ms
 
     def is_warming_up(self, server: ListedServer, now_ms: float) -> bool:
         """Return whether the server is warming up."""
-        return server.started_ms > 0.0 and now_ms - server.started_ms < self._ms
+        return server.started_ms > 0.0 and now_ms - server.started_ms < self._warm_up_ms
 
-    def share(self, server: ListedServer, now_ms: float) -> float:
+    def capacity_share(self, server: ListedServer, now_ms: float) -> float:
         """Return the server's present capacity as a share of its capacity once warm, from 0 to 1."""
         age_ms = max(0.0, now_ms - server.started_ms)
-        if not self._ms:
+        if not self._warm_up_ms:
             return 1.0
-        return self._initial_share + (1.0 - self._initial_share) * min(1.0, age_ms / self._ms)
+        return self._initial_share + (1.0 - self._initial_share) * min(1.0, age_ms / self._warm_up_ms)
--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -16,7 +16,7 @@
 # Attempts, of all instances together, that one server can have in flight. Limits queues that the latency
 # target alone would allow: a server of two cores with 8 to 14 waiting requests becomes three times slower and
 # stays so.
-SERVER_CAPACITY = 7.0
+MAX_ATTEMPTS_PER_SERVER = 7.0
 UNQUEUED_SLOWDOWN = 1.8  # latency through all tiers over the hinted work, without queues
 QUEUED_SLOWDOWN = 2.2  # latency through all tiers over the hinted work, with queues
 LOAD_TIME_CONSTANT_MS = 1_000.0  # averaging time of the load; overload takes longer to make a server slow
@@ -100,8 +100,8 @@
 
     def is_loaded(self, now_ms: float) -> bool:
         """Return whether the mean load exceeds half of this instance's capacity, at any request rate."""
-        own_part = self.guidance_state.own_part
-        return self.load > 0.5 * SERVER_CAPACITY * self._warm_equivalents(now_ms) * own_part(now_ms)
+        own_share = self.guidance_state.own_share
+        return self.load > 0.5 * MAX_ATTEMPTS_PER_SERVER * self._warm_equivalents(now_ms) * own_share(now_ms)
 
     def is_lightly_loaded(self, now_ms: float) -> bool:
         """Return whether the mean load is below half of the capacity."""
@@ -109,7 +109,11 @@
 
     def server_limit(self, now_ms: float) -> float:
         """Return the limit of own attempts at one server; protects the few left when others fail or start."""
-        return math.inf if self.settings.tier else max(1.0, SERVER_CAPACITY * self._capacity_share(now_ms))
+        return (
+            math.inf
+            if self.settings.tier
+            else max(1.0, MAX_ATTEMPTS_PER_SERVER * self._capacity_share(now_ms))
+        )
 
     def record_outcome(self, event: AttemptEnded, request: Request) -> None:
         """Adjust the window by the difference between a latency and its target.
@@ -150,10 +154,10 @@
         """
         queued_fraction = (self.latency.slowdown - UNQUEUED_SLOWDOWN) / (QUEUED_SLOWDOWN - UNQUEUED_SLOWDOWN)
         queued_fraction = min(1.0, max(0.0, queued_fraction))
-        own_share = self.guidance_state.own_part(now_ms)
+        own_share = self.guidance_state.own_share(now_ms)
         instances = self.settings.instances
         return own_share * (queued_fraction + (1.0 - queued_fraction) * instances / max(1, instances - 1))
 
     def capacity(self, now_ms: float) -> float:
         """Return the mean number of attempts that this instance may have in flight."""
-        return SERVER_CAPACITY * self._warm_equivalents(now_ms) * self._capacity_share(now_ms)
+        return MAX_ATTEMPTS_PER_SERVER * self._warm_equivalents(now_ms) * self._capacity_share(now_ms)
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -47,7 +47,7 @@
         """Start without servers. The same seed and events give the same actions."""
         self.settings = settings
         self.rng = Random(seed)
-        self.now = -1.0
+        self.now_ms = -1.0
         self.actions: list[Action] = []  # actions returned for the event that is being handled
         self.requests: dict[int, Request] = {}
         self.queued: dict[int, Request] = {}  # requests that wait for a server
@@ -80,15 +80,15 @@
             events.PeerMessage: lambda _event: None,  # instances send each other no messages
             events.Guidance: self._on_guidance,
             events.OwnSharesLeased: lambda event: self.guidance_state.lease_own_shares(
-                event.until_ms, self.now
+                event.until_ms, self.now_ms
             ),
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Handle one event; return the actions to carry out, in order, at the same time."""
-        if not now_ms >= self.now:
-            raise ContractError(f"time went back from {self.now} to {now_ms}")
-        self.now = now_ms
+        if not now_ms >= self.now_ms:
+            raise ContractError(f"time went back from {self.now_ms} to {now_ms}")
+        self.now_ms = now_ms
         handler = self._handlers.get(type(event))
         if handler is None:
             raise ContractError(f"unknown event {event!r}")
@@ -108,12 +108,12 @@
         if not 0 <= event.class_index < len(self.settings.classes):
             raise ContractError(f"request {event.request}: class {event.class_index} is not in the settings")
         class_index = event.class_index
-        deadline_ms = self.now + event.time_left_ms
+        deadline_ms = self.now_ms + event.time_left_ms
         request_class = self.settings.classes[class_index]
         request = Request(event.request, request_class, class_index, deadline_ms, deadline_ms)
         self.requests[request.id] = request
-        self.slow_start.earn(self.server_list.ready_count, self.now)
-        self.admission.record_arrival(self.interarrival.record(self.now))
+        self.slow_start.earn_credit(self.server_list.ready_count, self.now_ms)
+        self.admission.record_arrival(self.interarrival.record(self.now_ms))
         if event.expected_ms:
             request.relative_size = self.latency.relative_size(class_index, event.expected_ms)
         self.retry_budget.earn()
@@ -121,8 +121,8 @@
             request.objective_deadline_ms = min(deadline_ms, self._objective_deadline_ms(request, event))
         over_quota = self.quotas.is_over_quota(event)
         min_left_ms = MIN_TIME_LEFT_FRACTION * self.latency.mean_ms[class_index]
-        too_late = request.objective_deadline_ms - self.now <= min_left_ms
-        if too_late or not self.admission.admits(over_quota, self.now):
+        too_late = request.objective_deadline_ms - self.now_ms <= min_left_ms
+        if too_late or not self.admission.admits(over_quota, self.now_ms):
             self._give_up(request)
         else:
             self._dispatch(request)
@@ -135,13 +135,13 @@
 
     def _continue_dispatch(self, request: Request) -> None:
         """Draw a server, then probe it or send to it; queue the request if no server can be drawn."""
-        if self.now + self.settings.tick_ms >= request.objective_deadline_ms:
+        if self.now_ms + self.settings.tick_ms >= request.objective_deadline_ms:
             self._give_up(request)
             return
         server = self._draw(request)
         if server is None:
             self._queue(request)
-        elif self.probing.is_worthwhile(request, self.latency.mean_ms[request.class_index], self.now):
+        elif self.probing.is_worthwhile(request, self.latency.mean_ms[request.class_index], self.now_ms):
             self._send_probe(request, server)
         elif request.probes and self.probing.servers_are_serial:  # every drawn server reported itself busy
             self._queue(request)
@@ -177,23 +177,23 @@
     def _may_draw(self, request: Request, server: Server) -> bool:
         if server.outstanding + 1 > self._per_server_limit:
             return False
-        allowed = self.retry_rules.may_send(request, server, self.now)
-        return allowed and self.slow_start.admits(server, self.now)
+        allowed = self.retry_rules.may_send(request, server, self.now_ms)
+        return allowed and self.slow_start.admits(server, self.now_ms)
 
     def _send(self, request: Request, server: Server) -> None:
-        if not self.retry_rules.may_send(request, server, self.now):
+        if not self.retry_rules.may_send(request, server, self.now_ms):
             raise AssertionError("attempt dispatched although the retry rules forbid it")
         self.queued.pop(request.id, None)
         request.timer_due_ms = -1.0
-        self.slow_start.spend(server, self.now)
-        idle_ms = self.connections.idle_ms(server, self.now)
+        self.slow_start.spend_credit(server, self.now_ms)
+        idle_ms = self.connections.idle_ms(server, self.now_ms)
         if idle_ms is not None and idle_ms > self.connections.idle_limit_ms:
             self._close_connection(server)
             idle_ms = None
         server.outstanding += 1
-        self.server_list.update_token(server, self.now)
-        self.connections.mark_used(server, self.now)
-        request.attempts.append(Attempt(server, server.zone, server.cell, self.now, idle_ms))
+        self.server_list.update_token(server, self.now_ms)
+        self.connections.mark_used(server, self.now_ms)
+        request.attempts.append(Attempt(server, server.zone, server.cell, self.now_ms, idle_ms))
         request.outstanding += 1
         self.server_list.in_flight += 1
         self.actions.append(Send(request.id, server.id, self._attempt_timeout_ms(request)))
@@ -214,7 +214,7 @@
         request.outstanding -= 1
         self.server_list.in_flight -= 1
         self._record_outcome(event, request, attempt)
-        self.server_list.update_token(attempt.server, self.now)
+        self.server_list.update_token(attempt.server, self.now_ms)
         if request.done or event.final or event.outcome is Outcome.OK:
             self._finish(request)
         elif event.outcome is Outcome.CLIENT_ERROR:
@@ -237,20 +237,20 @@
         self.connections.record_outcome(attempt, event.spent_ms, mean_ms, request.request_class.objective_ms)
         self._update_connection(server, outcome)
         if outcome is Outcome.OK:
-            self.outliers.record_response(server, request, event.spent_ms, self.now)
+            self.outliers.record_response(server, request, event.spent_ms, self.now_ms)
             if not (self.probing.enabled and self.probing.servers_are_serial):
                 # No load report shows which server is idle.
-                self.outliers.withhold_slow_token(server, self.now)
+                self.outliers.withhold_slow_token(server, self.now_ms)
             self.latency.record_response(class_index, request.relative_size, event.spent_ms)
         elif not neutral:
-            self.outliers.record_failure(server, class_index, outcome, self.now)
+            self.outliers.record_failure(server, class_index, outcome, self.now_ms)
             if outcome in NEVER_RAN:
-                self.actions.extend(self.freshness.on_rejection(server, self.now))
+                self.actions.extend(self.freshness.on_rejection(server, self.now_ms))
 
     def _update_connection(self, server: Server, outcome: Outcome) -> None:
         lost = outcome in (Outcome.RESET, Outcome.TIMEOUT, Outcome.CONNECT_FAILED)
         if server.connected and not lost:
-            self.connections.mark_used(server, self.now)
+            self.connections.mark_used(server, self.now_ms)
         elif server.connected and not server.outstanding:
             self.connections.mark_closed(server)
             if outcome is Outcome.TIMEOUT:  # the connection may be dead without an error
@@ -273,7 +273,7 @@
             mean_ms = self.latency.mean_ms[request.class_index]
             # Jitter, as many requests are rejected at the same time.
             wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())
-            if self.now + wait_ms + mean_ms > request.objective_deadline_ms:
+            if self.now_ms + wait_ms + mean_ms > request.objective_deadline_ms:
                 wait_ms = self.settings.max_retry_after_ms
             self.actions.append(Reject(request.id, min(wait_ms, self.settings.max_retry_after_ms)))
         else:
@@ -284,8 +284,8 @@
 
     def _draw_by_exception(self, request: Request) -> Server | None:
         """Draw by another rule than PULL where the condition of an exception holds."""
-        loaded = self.admission.is_loaded(self.now)
-        self._per_server_limit = self.admission.server_limit(self.now) if loaded else math.inf
+        loaded = self.admission.is_loaded(self.now_ms)
+        self._per_server_limit = self.admission.server_limit(self.now_ms) if loaded else math.inf
         server = None
         if self.connections.is_connecting_expensive:
             # Exception while connecting is slow: token holders with an open connection are drawn first.
@@ -318,7 +318,7 @@
         zone = self.settings.own_zone if self.zone_routing.prefers_own_zone(request) else None
         for server in self.server_list.iter_ready(zone):
             count = server.outstanding + server.consecutive_failures
-            if count > fewest or server.failing_until_ms > self.now or self._is_avoided(request, server):
+            if count > fewest or server.failing_until_ms > self.now_ms or self._is_avoided(request, server):
                 continue
             if not self._may_draw(request, server):
                 continue
@@ -341,8 +341,8 @@
         planners' weights decline it, or after it has failed an attempt of this request.
         """
         circuit = server.circuits.get(request.class_index)
-        failing = server.ejected or (circuit is not None and circuit.open_until_ms > self.now)
-        if failing or self.guidance_state.declines(server.id, self.now):
+        failing = server.ejected or (circuit is not None and circuit.open_until_ms > self.now_ms)
+        if failing or self.guidance_state.is_passed_over(server.id, self.now_ms):
             return True
         return any(a.server is server and a.outcome is not Outcome.OK for a in request.attempts)
 
@@ -364,24 +364,24 @@
         if not is_common and (event.client_retry or not self.settings.clients_mark_retries):
             # A first attempt with little time left has a short deadline; no time was spent before it.
             spent_ms = max(0.0, request.request_class.deadline_ms - left_ms)
-        return self.now + request.request_class.objective_ms - spent_ms - 2.0 * tick_ms
+        return self.now_ms + request.request_class.objective_ms - spent_ms - 2.0 * tick_ms
 
     def _attempt_timeout_ms(self, request: Request) -> float:
         """Return the time-out of an attempt: below the time left if an idempotent retry can be in time."""
-        left_ms = request.objective_deadline_ms - self.now
+        left_ms = request.objective_deadline_ms - self.now_ms
         mean_ms = self.latency.mean_ms[request.class_index]
         slow_ms = SLOW_FACTOR * mean_ms * max(1.0, request.relative_size)
         is_idempotent = request.request_class.effect is Effect.IDEMPOTENT
         # Not under load: responses are slow then because servers are full, and retries add to their load.
-        may_add_load = self.admission.is_lightly_loaded(self.now) and self.retry_budget.balance >= 1.0
+        may_add_load = self.admission.is_lightly_loaded(self.now_ms) and self.retry_budget.balance >= 1.0
         retriable = is_idempotent and may_add_load and len(request.attempts) < self.settings.max_attempts
         return slow_ms if retriable and left_ms - slow_ms > mean_ms else left_ms
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
         """Dispatch a failed request without outstanding attempts again, or give it up."""
         min_left_ms = MIN_RETRY_TIME_FRACTION * self.latency.mean_ms[request.class_index]
-        has_time = request.objective_deadline_ms - self.now > min_left_ms
-        allowed = has_time and self.retry_rules.may_send_somewhere(request, self.now)
+        has_time = request.objective_deadline_ms - self.now_ms > min_left_ms
+        allowed = has_time and self.retry_rules.may_send_somewhere(request, self.now_ms)
         if allowed and self.retry_budget.spend(outcome):
             self._dispatch(request)
         else:
@@ -403,50 +403,50 @@
         if load is None or load >= IDLE_THRESHOLD:
             mean_ms = sum(self.latency.mean_ms) / len(self.latency.mean_ms)
             pause_ms = BUSY_PAUSE_FRACTION * mean_ms * (0.5 + self.rng.random())
-            self.server_list.withhold_token(server, self.now + pause_ms)
+            self.server_list.withhold_token(server, self.now_ms + pause_ms)
         else:
-            self.server_list.update_token(server, self.now)
+            self.server_list.update_token(server, self.now_ms)
         if request is None or request.done or request.probed_server is not server:
             return
         request.probed_server = None
         idle = load is not None and load < IDLE_THRESHOLD
         # Checked again: requests dispatched while the probe was in flight may have spent the slow-start
         # credit of the server.
-        admitted = self.slow_start.admits(server, self.now)
-        if idle and admitted and self.retry_rules.may_send(request, server, self.now):
+        admitted = self.slow_start.admits(server, self.now_ms)
+        if idle and admitted and self.retry_rules.may_send(request, server, self.now_ms):
             self._send(request, server)
         else:
             self._continue_dispatch(request)
 
     def _set_timer(self, request: Request, delay_ms: float) -> None:
         # At the latest when a response is still in time: a request may have less time left than the delay.
-        latest_ms = request.objective_deadline_ms - self.settings.tick_ms - self.now
+        latest_ms = request.objective_deadline_ms - self.settings.tick_ms - self.now_ms
         delay_ms = max(0.0, min(delay_ms, latest_ms))
-        request.timer_due_ms = self.now + delay_ms
+        request.timer_due_ms = self.now_ms + delay_ms
         self.actions.append(SetTimer(request.id, delay_ms))
 
     def _queue(self, request: Request) -> None:
         """Queue a request for an idle server that may serve it, while a response can still be in time."""
         mean_ms = self.latency.mean_ms[request.class_index]
         latest_ms = request.objective_deadline_ms - MIN_RETRY_TIME_FRACTION * mean_ms
-        is_late = self.now >= latest_ms or not self.retry_rules.may_send_somewhere(request, self.now)
+        is_late = self.now_ms >= latest_ms or not self.retry_rules.may_send_somewhere(request, self.now_ms)
         is_queue_full = len(self.queued) > MAX_QUEUED_FRACTION * self.server_list.in_flight
         if is_late or (is_queue_full and not self.settings.tier and not self.probing.enabled):
             self._give_up(request)
             return
         self.queued[request.id] = request
         pause_ms = self.probing.draw_queue_pause_ms(mean_ms)
-        self._set_timer(request, max(self.settings.tick_ms, min(pause_ms, latest_ms - self.now)))
+        self._set_timer(request, max(self.settings.tick_ms, min(pause_ms, latest_ms - self.now_ms)))
 
     def _on_timer(self, event: events.TimerFired) -> None:
         if event.cookie in COOKIES:
-            self.actions.extend(self.freshness.on_timer(event.cookie, self.now))
+            self.actions.extend(self.freshness.on_timer(event.cookie, self.now_ms))
             return
         request = self.requests.get(event.cookie)
         if request is None or request.done or request.timer_due_ms < 0.0:
             return
         # Tolerates half a tick: a clock may round below the delay that was set.
-        if self.now + self.settings.tick_ms / 2.0 < request.timer_due_ms:
+        if self.now_ms + self.settings.tick_ms / 2.0 < request.timer_due_ms:
             return
         if request.probed_server is not None:  # probe timed out: the server counts as busy
             request.probed_server = None
@@ -463,11 +463,11 @@
             change = self.server_list.update(event)
             for server in change.removed:  # connections end with the server's process
                 self.connections.mark_closed(server)
-            self.slow_start.watch(change.added, self.now)
-            self.admission.open_window(self.now)
+            self.slow_start.add_servers(change.added, self.now_ms)
+            self.admission.open_window(self.now_ms)
             for server in change.added:
-                self.server_list.update_token(server, self.now)
-        self.actions.extend(self.freshness.on_list_update(event, self.now))
+                self.server_list.update_token(server, self.now_ms)
+        self.actions.extend(self.freshness.on_list_update(event, self.now_ms))
 
     def _on_client_disconnected(self, event: events.ClientDisconnected) -> None:
         request = self.requests.get(event.request)
@@ -486,8 +486,8 @@
 
     def _on_guidance(self, event: events.Guidance) -> None:
         ready = self.server_list.iter_ready() if event.weights else ()
-        warm = [server.id for server in ready if not self.slow_start.is_warming_up(server, self.now)]
-        rejected = self.guidance_state.take(event, self.server_list.servers, warm, self.now)
+        warm = [server.id for server in ready if not self.slow_start.is_warming_up(server, self.now_ms)]
+        rejected = self.guidance_state.apply(event, self.server_list.servers, warm, self.now_ms)
         if rejected is not None:
             self.actions.append(rejected)
 
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -23,8 +23,8 @@
     otherwise the sum over many instances could overload the server.
 
     Attributes:
-        credits: Credit of each warming server by its id, and the value of `earned` when it was computed.
-        earned: Credit that a server at full capacity has earned since the start.
+        credits: Credit of each warming server by its id, and the `earned_credit` at which it was computed.
+        earned_credit: Credit that a server at full capacity has earned since the start.
     """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -36,14 +36,14 @@
         self._capacity = 0.0  # total capacity of the warming servers, in units of warm servers
         self._refresh_due_ms = 0.0
         self.credits: dict[int, tuple[float, float]] = {}
-        self.earned = 0.0
+        self.earned_credit = 0.0
 
-    def watch(self, servers: list[Server], now_ms: float) -> None:
+    def add_servers(self, servers: list[Server], now_ms: float) -> None:
         """Start credits for the added servers that are warming up."""
         warming = [server for server in servers if self.is_warming_up(server, now_ms)]
         for server in warming:
             # A random initial credit: low-rate instances must not all start with a send, nor all without.
-            self.credits[server.id] = self._phases.random(), self.earned
+            self.credits[server.id] = self._phases.random(), self.earned_credit
         if warming:
             self._warming.extend(warming)
             self._refresh_due_ms = now_ms
@@ -54,36 +54,36 @@
             self._warming = [
                 s for s in listed if s.state is ServerState.READY and self.is_warming_up(s, now_ms)
             ]
-            self._capacity = sum(self.share(server, now_ms) for server in self._warming)
-            self._refresh_due_ms = now_ms + self._ms / REFRESHES_PER_WARM_UP
+            self._capacity = sum(self.capacity_share(server, now_ms) for server in self._warming)
+            self._refresh_due_ms = now_ms + self._warm_up_ms / REFRESHES_PER_WARM_UP
 
     def warm_up_deficit(self, now_ms: float) -> float:
         """Return the capacity that warming servers still lack, in units of warm servers."""
         self._refresh(now_ms)
         return len(self._warming) - self._capacity if self._warming else 0.0
 
-    def earn(self, ready: int, now_ms: float) -> None:
+    def earn_credit(self, ready: int, now_ms: float) -> None:
         """Earn credit for a request, before it is dispatched to one of `ready` servers."""
         self._refresh(now_ms)
         if not self._warming or not ready:
             return
         capacity = ready - len(self._warming) + self._capacity
-        self.earned += min(self._overload / capacity, 1.0 / ready)
+        self.earned_credit += min(self._overload / capacity, 1.0 / ready)
 
     def credit(self, server: Server, now_ms: float) -> float:
         """Update and return the credit of a server that is warming up."""
-        credit, earned_before = self.credits.get(server.id, (0.0, self.earned))
-        credit += (self.earned - earned_before) * self.share(server, now_ms)
+        credit, earned_before = self.credits.get(server.id, (0.0, self.earned_credit))
+        credit += (self.earned_credit - earned_before) * self.capacity_share(server, now_ms)
         if credit >= 2.0:
             credit %= 1.0  # unused credits expire; the fraction keeps the spacing of sends
-        self.credits[server.id] = credit, self.earned
+        self.credits[server.id] = credit, self.earned_credit
         return credit
 
     def admits(self, server: Server, now_ms: float) -> bool:
         """Return whether slow start allows an attempt at a drawn server."""
         return not self.is_warming_up(server, now_ms) or self.credit(server, now_ms) >= 1.0
 
-    def spend(self, server: Server, now_ms: float) -> None:
+    def spend_credit(self, server: Server, now_ms: float) -> None:
         """Deduct one credit for an attempt at a server that is warming up."""
         if self.is_warming_up(server, now_ms):
-            self.credits[server.id] = self.credit(server, now_ms) - 1.0, self.earned
+            self.credits[server.id] = self.credit(server, now_ms) - 1.0, self.earned_credit
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing.records import Server
 
 
-def inherit(successor: Balancer, predecessor: Balancer, connected: frozenset[int] = frozenset()) -> int:
+def inherit_state(successor: Balancer, predecessor: Balancer, connected: frozenset[int] = frozenset()) -> int:
     """Transfer the state of the servers that both balancers know and whose process is the same.
 
     Args:
@@ -54,7 +54,7 @@
 def _inherit_guidance(successor: Balancer, predecessor: Balancer) -> None:
     if isinstance(successor.slow_start, SlowStart) and isinstance(predecessor.slow_start, SlowStart):
         _inherit_credit(successor.slow_start, predecessor.slow_start)
-    if successor.guidance_state.fits(predecessor.guidance_state):
+    if successor.guidance_state.has_same_settings(predecessor.guidance_state):
         successor.share_guidance(predecessor.guidance_state)
     else:
         successor.guidance_state.inherit(predecessor.guidance_state)
@@ -64,8 +64,8 @@
     """Transfer the remaining credit of the servers that both balancers know as warming up."""
     for number, (credit, earned_before) in predecessor.credits.items():
         if number in successor.credits:
-            left = credit + predecessor.earned - earned_before
-            successor.credits[number] = left, successor.earned
+            left = credit + predecessor.earned_credit - earned_before
+            successor.credits[number] = left, successor.earned_credit
 
 
 def _inherit_latency(successor: Balancer, predecessor: Balancer) -> None:
@@ -108,10 +108,10 @@
     """Withhold the token if the predecessor withholds it or has attempts in flight at the server."""
     if known.ejected:
         successor.server_list.eject(server, known.withheld_until_ms)
-    elif known.withheld_until_ms > successor.now:
+    elif known.withheld_until_ms > successor.now_ms:
         successor.server_list.withhold_token(server, known.withheld_until_ms)
     elif known.outstanding:
         # Withheld for a limited time, not until an own attempt ends there: while other servers always hold
         # a token, the server would never be drawn again.
-        until_ms = successor.now + max(successor.latency.mean_ms)
+        until_ms = successor.now_ms + max(successor.latency.mean_ms)
         successor.server_list.withhold_token(server, until_ms)
--- a/sandhatch/cli/console.py
+++ b/sandhatch/cli/console.py
@@ -12,7 +12,7 @@
 from enum import IntEnum
 from typing import Any, TextIO
 
-from sandhatch.runtime.text_table import table
+from sandhatch.runtime.text_table import format_table
 
 
 class ExitCode(IntEnum):
@@ -47,7 +47,7 @@
 
     def table(self, rows: Sequence[Mapping[str, Any]], columns: Sequence[str]) -> None:
         """Print rows under their columns."""
-        print(table([dict(row) for row in rows], columns), file=self.out)
+        print(format_table([dict(row) for row in rows], columns), file=self.out)
 
     def error(self, problem: object) -> None:
         """Print one line on standard error, with the program's name."""
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -15,10 +15,10 @@
 from sandhatch.control.framing import fault_response
 from sandhatch.control.server import ControlServer
 from sandhatch.planning.errors import BadKeyError
-from sandhatch.planning.keys import identity
+from sandhatch.planning.keys import load_identity
 from sandhatch.planning.server import PlannerServer
 from sandhatch.planning.terms import PlannerTerms
-from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.address import parse_address_setting
 from sandhatch.runtime.clock import Clock
 from sandhatch.runtime.logger import Logger, report_loop_errors
 from sandhatch.runtime.process import freeze_garbage_collector, raise_descriptor_limit, shutdown_event
@@ -48,8 +48,8 @@
         console.error(problem)
         return ExitCode.FAILED
     freeze_garbage_collector()
-    host, _ = parse_address(config.listen, "listen")
-    logger.line(f"planner {config.name} at {host}:{server.port}; control at {control_path}")
+    host, _ = parse_address_setting(config.listen, "listen")
+    logger.write_line(f"planner {config.name} at {host}:{server.port}; control at {control_path}")
     await stopping.wait()
     await control.stop()
     server.stop()
@@ -61,10 +61,10 @@
     descriptors = raise_descriptor_limit(config.most_forwarders + RESERVED_DESCRIPTORS)
     return PlannerServer(
         config.name,
-        parse_address(config.listen, "listen"),
-        identity(config.shared_key_file, config.private_key_file, config.forwarders),
+        parse_address_setting(config.listen, "listen"),
+        load_identity(config.shared_key_file, config.private_key_file, config.forwarders),
         clock,
-        logger.line,
+        logger.write_line,
         _build_terms(config),
         config.bytes_per_s,
         min(config.most_forwarders, descriptors - RESERVED_DESCRIPTORS),
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -12,7 +12,7 @@
 from sandhatch.cli.console import Console, ExitCode
 from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import CheckError, HistoryError
-from sandhatch.config.history import History, Saved
+from sandhatch.config.history import History, StoredState
 from sandhatch.control.calls import Calls
 from sandhatch.control.errors import ControlError
 from sandhatch.control.server import ControlServer
@@ -46,7 +46,7 @@
         return ExitCode.FAILED
     loop.add_signal_handler(signal.SIGHUP, Reload(service, args.file).trigger)
     freeze_garbage_collector()
-    service.logger.line(
+    service.logger.write_line(
         f"version {service.lifecycle.active.number} is active; control socket at {args.control}"
     )
     await stopping.wait()
@@ -62,7 +62,7 @@
 ) -> Service:
     """Build the service with the version saved in the state directory, if any, or else with the file's."""
     history: History | None = None
-    saved: Saved | None = None
+    saved: StoredState | None = None
     if args.state:
         history = History(args.state)
         saved = history.load()
@@ -74,7 +74,7 @@
     return service
 
 
-def _report_saved(saved: Saved, args: argparse.Namespace, console: Console) -> None:
+def _report_saved(saved: StoredState, args: argparse.Namespace, console: Console) -> None:
     for note in saved.notes:
         console.error(note)
     if saved.lost_version:
--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -29,19 +29,19 @@
 class Save:
     """Write the current result of `VersionLifecycle.record` to disk.
 
-    Report `saved` or `save_failed` with `step`.
+    Report `saved` or `save_failed` with `save_number`.
     """
 
-    step: int
+    save_number: int
     version: Version | None
 
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Assign every new request to this version from now on; `back` is set for a rollback."""
+    """Assign every new request to this version from now on; `is_rollback` is set for a rollback."""
 
     version: Version
-    back: bool = False
+    is_rollback: bool = False
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/config/class_model.py
+++ b/sandhatch/config/class_model.py
@@ -1,6 +1,6 @@
 """Request classes and tenants: their keys, units, defaults and bounds.
 
-Field names are the keys of the file and must not be renamed; `terms` and `pool_settings` map them to the
+Field names are the keys of the file and must not be renamed; `limits` and `pool_settings` map them to the
 names used in the code. Source: docs/operators/configuration.md and docs/operators/bodies.md.
 """
 
@@ -11,8 +11,8 @@
 from pydantic import Field, model_validator
 
 from sandhatch.config.value_types import Milliseconds, Model
+from sandhatch.streaming.limits import BodyLimits, StreamLimits
 from sandhatch.streaming.progress import ProgressLimits
-from sandhatch.streaming.terms import BodyTerms, StreamTerms
 
 MAX_READ_BYTES = 32 * 1024  # maximum number of bytes that one read adds to a buffered body
 
@@ -55,9 +55,9 @@
             )
         return self
 
-    def terms(self) -> BodyTerms:
+    def limits(self) -> BodyLimits:
         """Return these settings in the form that the streaming code uses."""
-        return BodyTerms(
+        return BodyLimits(
             self.most_bytes,
             self.hold_bytes,
             self.replay_bytes,
@@ -85,11 +85,11 @@
     room_wait_ms: Milliseconds = 2_000.0
     answer_hold_ms: Annotated[float, Field(ge=0, le=60_000)] = 100.0
 
-    def terms(self) -> StreamTerms:
+    def limits(self) -> StreamLimits:
         """Return these settings in the form that the streaming code uses."""
-        return StreamTerms(
-            self.request.terms(),
-            self.answer.terms(),
+        return StreamLimits(
+            self.request.limits(),
+            self.answer.limits(),
             self.total_ms,
             self.room_wait_ms,
             self.answer_hold_ms,
--- a/sandhatch/config/goodput_watch.py
+++ b/sandhatch/config/goodput_watch.py
@@ -136,7 +136,7 @@
         """
         self._block_ms = block_ms
         max_blocks_before = max(MIN_BLOCKS_BEFORE, math.ceil(before_ms / block_ms))
-        self._before: deque[Block] = deque(maxlen=max_blocks_before)
+        self.blocks_before: deque[Block] = deque(maxlen=max_blocks_before)
         self._open_blocks: dict[int, Block] = {}
         self._blocks_after: list[Block] | None = None  # None unless a change is being watched
         self._first_block_after = 0  # number of the first complete block after the change
@@ -225,9 +225,9 @@
         """End the watch of a confirmed change; its blocks are compared with those of the next change."""
         after = self._blocks_after or ()
         self._blocks_after = None
-        self._before.extend(after)
+        self.blocks_before.extend(after)
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """End the watch of a change that is rolled back, and discard its blocks.
 
         They carry no information about the version that is active again.
@@ -250,7 +250,7 @@
                 break
             del self._open_blocks[number]
             if self._blocks_after is None or number < self._first_block_after - 1:
-                self._before.append(block)
+                self.blocks_before.append(block)
             elif number >= self._first_block_after:
                 self._blocks_after.append(block)
                 closed_after = True
@@ -258,7 +258,7 @@
 
     def _evaluate(self) -> GoodputDrop | None:
         after = self._blocks_after or []
-        if len(after) < MIN_BLOCKS_AFTER or len(self._before) < MIN_BLOCKS_BEFORE:
+        if len(after) < MIN_BLOCKS_AFTER or len(self.blocks_before) < MIN_BLOCKS_BEFORE:
             return None
         names = sorted({name for block in after for name in block.tallies})
         if self._only_names is not None:
@@ -270,7 +270,7 @@
     def _test(self, name: str, after: list[Block], significance: float) -> GoodputDrop | None:
         """Return the goodput drop of one class or pool; None if there is none."""
         empty = Tally()
-        tallies_before = [block.tallies.get(name, empty) for block in self._before]
+        tallies_before = [block.tallies.get(name, empty) for block in self.blocks_before]
         tallies_after = [block.tallies.get(name, empty) for block in after]
         total_before = _total(tallies_before)
         total_after = _total(tallies_after)
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Saved:
+class StoredState:
     """The content of the state directory.
 
     Attributes:
@@ -113,7 +113,7 @@
 
     # -------------------------------------------- reading
 
-    def load(self) -> Saved | None:
+    def load(self) -> StoredState | None:
         """Return the state to start from; None if nothing has been saved yet.
 
         Raises:
@@ -132,7 +132,7 @@
             raise HistoryError("; ".join(notes))
         return None
 
-    def _read(self, path: Path) -> Saved:
+    def _read(self, path: Path) -> StoredState:
         """Read a state and the content of its confirmed version."""
         state = unseal(path.read_bytes())
         if state["format"] != FORMAT:
@@ -144,7 +144,7 @@
         pending = int(state["pending"])
         stored_rows = [HistoryRow.from_data(row) for row in state["versions"]]
         rows = tuple(_mark_lost(row) if row.number == pending else row for row in stored_rows)
-        return Saved(number, data, int(state["next"]), pending, rows)
+        return StoredState(number, data, int(state["next"]), pending, rows)
 
     def _read_content(self, number: int) -> Any:
         return unseal(self._content_path(number).read_bytes())
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -17,7 +17,7 @@
 
 from sandhatch.balancing.errors import SettingsError
 from sandhatch.balancing.settings import Settings
-from sandhatch.runtime.address import Address, parse_address
+from sandhatch.runtime.address import Address, parse_address_setting
 from sandhatch.runtime.errors import ConfigError
 from sandhatch.runtime.process import raise_descriptor_limit
 from sandhatch.simulator.settings_decoder import decode_settings
@@ -85,7 +85,7 @@
     drain_grace_ms = _drain_grace_ms(settings_data)
     return PlatformConfig(
         name=str(env.get("GW_NAME") or data.get("name", "")),
-        listen=parse_address(env.get("GW_LISTEN") or data.get("listen"), "listen"),
+        listen=parse_address_setting(env.get("GW_LISTEN") or data.get("listen"), "listen"),
         discovery=_discovery(data, env, is_reload),
         seed=_seed(data.get("seed", "0")),
         sockets=_sockets(_limits(data)),
@@ -146,7 +146,7 @@
     in_file = data.get("discovery")
     in_environment = env.get("GW_DISCOVERY")
     preferred = in_file or in_environment if is_reload else in_environment or in_file
-    return parse_address(preferred, "discovery")
+    return parse_address_setting(preferred, "discovery")
 
 
 def _seed(value: object) -> int:
--- a/sandhatch/config/proposals.py
+++ b/sandhatch/config/proposals.py
@@ -27,7 +27,7 @@
         checked: Configuration after the change.
         author: Author of the change.
         comment: Free text of the author.
-        merge: Whether the change may be merged with changes that became active since its base.
+        may_merge: Whether the change may be merged with changes that became active since its base.
         made_ms: Time of the proposal.
         size_bytes: Length of the configuration's text.
         restores: Number of the version whose content the proposal restores; 0 for none.
@@ -38,7 +38,7 @@
     checked: CheckedConfiguration
     author: str
     comment: str
-    merge: bool
+    may_merge: bool
     made_ms: float
     size_bytes: int
     restores: int = 0
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -39,7 +39,7 @@
         data = merge(base.data, proposal.checked.data, active.data)
     except MergeError as problem:
         raise conflict(proposal, active, problem.keys) from None
-    if not proposal.merge:
+    if not proposal.may_merge:
         raise conflict(proposal, active, [])
     try:
         return check(data)
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -58,7 +58,7 @@
         checked: CheckedConfiguration,
         author: str = "",
         comment: str = "",
-        merged: bool = False,
+        may_merge: bool = False,
         size_bytes: int = 0,
     ) -> Proposal:
         """Store a checked change of version `base`.
@@ -69,7 +69,7 @@
             checked: Configuration after the change.
             author: Author of the change.
             comment: Free text of the author.
-            merged: Whether the change may be merged with changes that became active since `base`.
+            may_merge: Whether the change may be merged with changes that became active since `base`.
             size_bytes: Length of the configuration's text.
 
         Raises:
@@ -79,7 +79,7 @@
         self._reject_if_stopping()
         self._proposals.check_capacity(now_ms, size_bytes)
         number = self._proposals.next_number
-        proposal = Proposal(number, base, checked, author, comment, merged, now_ms, size_bytes)
+        proposal = Proposal(number, base, checked, author, comment, may_merge, now_ms, size_bytes)
         self._rebase(proposal)
         self._proposals.add(proposal)
         return proposal
--- a/sandhatch/config/value_types.py
+++ b/sandhatch/config/value_types.py
@@ -11,7 +11,7 @@
 import re2
 from pydantic import AfterValidator, BaseModel, ConfigDict, Field, StringConstraints
 
-from sandhatch.runtime.address import read_address
+from sandhatch.runtime.address import parse_address
 
 MAX_PATTERN_CHARACTERS = 1024
 MAX_PATTERN_MEMORY_BYTES = 1 << 20
@@ -35,7 +35,7 @@
 
 
 def _check_address(text: str) -> str:
-    read_address(text)
+    parse_address(text)
     return text
 
 
--- a/sandhatch/config/version_lifecycle.py
+++ b/sandhatch/config/version_lifecycle.py
@@ -145,7 +145,7 @@
         version.transition(State.SAVING)
         self._save(version)
 
-    def failed(self, version: Version, why: str) -> None:
+    def staging_failed(self, version: Version, why: str) -> None:
         """Report that a version could not be staged or saved; the active version stays."""
         if version is self.pending and version.state in NOT_APPLIED:
             version.transition(State.FAILED, why)
@@ -159,23 +159,23 @@
         self._last_save += 1
         self._actions.append(Save(self._last_save, version))
 
-    def saved(self, now_ms: float, step: int) -> None:
-        """Report that `Save` number `step` is on disk; ignored unless that is the last `Save`."""
+    def saved(self, now_ms: float, save_number: int) -> None:
+        """Report that `Save` number `save_number` is on disk; ignored unless that is the last `Save`."""
         version = self.pending
-        if step != self._last_save or version is None:
+        if save_number != self._last_save or version is None:
             return
         if version.state is State.SAVING:
             self._activate(now_ms, version)
         elif version.state is State.CONFIRMING:
             self._finish_confirmation(version)
 
-    def save_failed(self, step: int, why: str) -> None:
-        """Report that `Save` number `step` failed; ignored unless that is the last `Save`."""
+    def save_failed(self, save_number: int, why: str) -> None:
+        """Report that `Save` number `save_number` failed; ignored unless that is the last `Save`."""
         version = self.pending
-        if step != self._last_save or version is None:
+        if save_number != self._last_save or version is None:
             return
         if version.state is State.SAVING:
-            self.failed(version, f"it can't be saved: {why}")
+            self.staging_failed(version, f"it can't be saved: {why}")
         elif version.state is State.CONFIRMING:
             self._roll_back(version, f"its confirmation can't be saved: {why}")
 
@@ -262,7 +262,7 @@
         if version.state in RUNNING:
             self._roll_back(version, f"by hand{author_suffix}")
         else:
-            self.failed(version, f"given up by hand{author_suffix}")
+            self.staging_failed(version, f"given up by hand{author_suffix}")
         return version
 
     def _roll_back(self, version: Version, why: str) -> None:
@@ -272,7 +272,7 @@
         self.active = self.confirmed
         self.pending = None
         self._actions += [
-            Apply(self.confirmed, back=True),
+            Apply(self.confirmed, is_rollback=True),
             Retire(version),
             LogMessage(
                 f"version {version.number} rolled back: {why}; version {self.confirmed.number} is active"
@@ -285,4 +285,4 @@
         self.stopping = True
         pending = self.pending
         if pending is not None and pending.state in NOT_APPLIED:
-            self.failed(pending, "the process ended")
+            self.staging_failed(pending, "the process ended")
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -84,7 +84,7 @@
         uid = peer_uid(writer.get_extra_info("socket"))
         try:
             if uid not in (0, os.geteuid()):
-                self._logger.line(
+                self._logger.write_line(
                     f"control: rejected a connection by user id {uid}: only the owner and root are permitted"
                 )
             elif len(self._peers) > MAX_PEERS:
@@ -153,7 +153,7 @@
             return await self._calls.run(call, author)
         except Exception as problem:
             # An unexpected error in one call must not stop the service.
-            self._logger.line(
+            self._logger.write_line(
                 f"control: call {call.get('op')!r:.40} failed: {type(problem).__name__}: {problem}"
             )
             return fault_response(FaultReason.INTERNAL, f"{type(problem).__name__}: {problem}")
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -31,9 +31,9 @@
             "confirmed": lifecycle.confirmed.number,
             "pending": version_row(pending, service.now_ms) if pending else None,
             "ready": service.request_handler.ready,
-            "versions": {str(number): version.open for number, version in service.running.items()},
+            "versions": {str(number): version.open_requests for number, version in service.running.items()},
             "pools": self._pool_rows(),
-            "bodies": service.shared.flows.snapshot(),
+            "bodies": service.shared.flow_statistics.snapshot(),
             "listeners": self._listener_rows(),
             "proposals": self._proposal_rows(),
             "planning": service.forwarding.status(),
@@ -59,7 +59,7 @@
 
     def _listener_rows(self) -> list[dict[str, Any]]:
         return [
-            {"name": listener.name, "address": key, "connections": listener.connections}
+            {"name": listener.name, "address": key, "connections": listener.connection_count}
             for key, listener in self._service.listeners.items()
         ]
 
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -50,5 +50,5 @@
         return await self._row_when_decided(version, call.flag("wait", False))
 
     async def _row_when_decided(self, version: Version, wait: bool) -> dict[str, Any]:
-        await self._service.wait_until_decided(version, over=wait)
+        await self._service.wait_until_decided(version, until_terminal=wait)
         return version_row(version, self._service.now_ms)
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -28,7 +28,7 @@
 from sandhatch.discovery.connection import DiscoveryConnection
 from sandhatch.discovery.endpoint_list import Listing, parse_listing
 from sandhatch.discovery.errors import DiscoveryError
-from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.discovery.numbering import EndpointNumbering
 from sandhatch.http1.message import Message
 from sandhatch.runtime.address import Address
 
@@ -42,14 +42,14 @@
     Attributes:
         address: Address at which discovery listens.
         zones: Names of the zones in the order of their numbers, this instance's zone first.
-        kinds: Names of the machine types in the order of their numbers.
-        known: Last complete list that was received, in discovery's format.
+        machine_types: Names of the machine types in the order of their numbers.
+        initial_list: Last complete list that was received, in discovery's format.
     """
 
     address: Address
     zones: tuple[str, ...] = ()
-    kinds: tuple[str, ...] = ()
-    known: dict[str, Any] | None = None
+    machine_types: tuple[str, ...] = ()
+    initial_list: dict[str, Any] | None = None
 
 
 class Discovery:
@@ -61,7 +61,7 @@
     FETCH_TIMEOUT_S = 3.5
     # Time-out of connection establishment, which succeeds at once or not at all: unlike a call, it does not
     # wait in discovery's queue.
-    CONNECT_S = 1.0
+    CONNECT_TIMEOUT_S = 1.0
 
     def __init__(
         self,
@@ -79,8 +79,8 @@
             numbering: Assigns the servers' numbers; a new numbering by default.
         """
         self._set_address(plan.address)
-        self._numbering = numbering or EndpointNumbering(plan.zones, plan.kinds)
-        self._initial_list = plan.known
+        self._numbering = numbering or EndpointNumbering(plan.zones, plan.machine_types)
+        self._initial_list = plan.initial_list
         self._publish = publish
         self._log = log
         self._version = NO_VERSION
@@ -107,7 +107,7 @@
                 self._log(f"discovery: ignoring the known list: {problem}")
         self._publish(listing)
 
-    def watch(self, order: WatchList) -> None:
+    def watch(self, command: WatchList) -> None:
         """Make a watch call.
 
         A pending watch call is cancelled and its connection closed, so that a late response to it is not
@@ -116,8 +116,8 @@
         if self._watch_task is not None and not self._watch_task.done():
             self._watch_task.cancel()
             self._close_watch_connection()
-        if order.active and not self._stopped:
-            self._watch_task = asyncio.get_running_loop().create_task(self._run_watch(order))
+        if command.active and not self._stopped:
+            self._watch_task = asyncio.get_running_loop().create_task(self._run_watch(command))
 
     def fetch(self) -> None:
         """Fetch the complete list once, beside the watch, unless a fetch is already pending."""
@@ -158,29 +158,29 @@
 
     # ------------------------------------------------ watch
 
-    async def _run_watch(self, order: WatchList) -> None:
+    async def _run_watch(self, command: WatchList) -> None:
         """Make one watch call, and publish its result."""
         accepted_count_before = self._accepted_response_count
         try:
-            listing = await self._call_watch(order)
-            if listing.kind is ListKind.DELTA and listing.version < order.after:
+            listing = await self._call_watch(command)
+            if listing.kind is ListKind.DELTA and listing.version < command.after:
                 # A version that went back belongs to another list, to which these changes would not apply.
                 self._version = NO_VERSION
                 raise DiscoveryError(
-                    f"version went back: changes since {order.after} have version {listing.version}"
+                    f"version went back: changes since {command.after} have version {listing.version}"
                 )
         except (DiscoveryError, OSError) as problem:
             self._close_watch_connection()
-            self._publish_failure(problem, order.call, order.response_timeout_ms / 1000.0)
+            self._publish_failure(problem, command.call, command.response_timeout_ms / 1000.0)
         else:
-            self._publish_response(listing, accepted_count_before, order.call)
+            self._publish_response(listing, accepted_count_before, command.call)
 
-    async def _call_watch(self, order: WatchList) -> Listing:
-        needs_complete = order.after == NO_VERSION
+    async def _call_watch(self, command: WatchList) -> Listing:
+        needs_complete = command.after == NO_VERSION
         target = LIST_TARGET
         if not needs_complete:
-            target += b"?after=%d&wait_ms=%d" % (order.after, order.wait_ms)
-        async with asyncio.timeout(order.response_timeout_ms / 1000.0):
+            target += b"?after=%d&wait_ms=%d" % (command.after, command.wait_ms)
+        async with asyncio.timeout(command.response_timeout_ms / 1000.0):
             if self._watch_connection is None or not self._watch_connection.open:
                 self._watch_connection = DiscoveryConnection()
                 await self._connect(self._watch_connection)
@@ -214,7 +214,7 @@
     # ------------------------------------------------ watch and fetch
 
     async def _connect(self, connection: DiscoveryConnection) -> None:
-        async with asyncio.timeout(self.CONNECT_S):
+        async with asyncio.timeout(self.CONNECT_TIMEOUT_S):
             await asyncio.get_running_loop().create_connection(lambda: connection, *self._address)
 
     def _parse(self, response: Message) -> Listing:
@@ -247,7 +247,7 @@
     def _publish_failure(self, problem: Exception, call: int, timeout_s: float) -> None:
         why = str(problem) or type(problem).__name__
         if isinstance(problem, TimeoutError):
-            why = f"no answer in {timeout_s:.1f} s"
+            why = f"no response within {timeout_s:.1f} s"
         self._log(f"discovery: {why}")
         self._publish(Listing(ListKind.FAILED, self._version, (), (), call, why))
 
--- a/sandhatch/discovery/endpoint_list.py
+++ b/sandhatch/discovery/endpoint_list.py
@@ -11,8 +11,8 @@
 
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
 from sandhatch.discovery.errors import DiscoveryError, MalformedListError
-from sandhatch.discovery.names import EndpointNumbering
-from sandhatch.runtime.address import Address, format_address, parse_address, server_label
+from sandhatch.discovery.numbering import EndpointNumbering
+from sandhatch.runtime.address import Address, format_address, parse_address_setting, server_label
 from sandhatch.runtime.errors import ConfigError
 
 # Values of the protocol's key `lifecycle`.
@@ -31,7 +31,7 @@
         entries: All entries of a complete list, or the entries that have changed.
         addresses: Addresses of the entries, in the same order.
         call: Number of the watch call that has ended, 0 for none.
-        why: Reason for which the call failed.
+        failure_reason: Reason for which the call failed.
     """
 
     kind: ListKind
@@ -39,7 +39,7 @@
     entries: tuple[ServerEntry, ...]
     addresses: tuple[Address, ...]
     call: int = 0
-    why: str = ""
+    failure_reason: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,7 +110,7 @@
 
 def _make_entry(row: _InstanceRow, numbering: EndpointNumbering) -> ServerEntry:
     return ServerEntry(
-        server=numbering.server(row.instance_id),
+        server=numbering.server_number(row.instance_id),
         state=row.state,
         label=server_label(format_address(row.address)),
         started_ms=row.started_ms,
@@ -124,7 +124,7 @@
 def _parse_address(row: dict[str, Any], state: ServerState) -> Address:
     """Parse a server's address, which may be absent for a removed server."""
     try:
-        return parse_address(row.get("hostPort"), "hostPort")
+        return parse_address_setting(row.get("hostPort"), "hostPort")
     except ConfigError as problem:
         if state is not ServerState.GONE:
             raise DiscoveryError(str(problem)) from None
--- a/sandhatch/discovery/names.py
+++ b/sandhatch/discovery/numbering.py
@@ -25,7 +25,7 @@
         self._zone_numbers = {name: number for number, name in enumerate(zones)}
         self._machine_type_numbers = {name: number for number, name in enumerate(machine_types)}
 
-    def server(self, instance_id: str) -> int:
+    def server_number(self, instance_id: str) -> int:
         """Return a server's number; a new id is assigned the next unused number."""
         number = self._numbers.pop(instance_id, None)
         if number is None:
@@ -36,7 +36,7 @@
         self._numbers[instance_id] = number
         return number
 
-    def known(self) -> list[tuple[str, int]]:
+    def numbered_ids(self) -> list[tuple[str, int]]:
         """Return all retained ids with their numbers, the most recently seen id last."""
         return list(self._numbers.items())
 
--- a/sandhatch/discovery/static.py
+++ b/sandhatch/discovery/static.py
@@ -77,5 +77,5 @@
         """Publish the list again."""
         self.republish()
 
-    def watch(self, order: WatchList) -> None:
+    def watch(self, command: WatchList) -> None:
         """Do nothing: the list never changes."""
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -184,13 +184,15 @@
         """Start an attempt; an attempt that may not be started ends at once as DISCARDED."""
         exchange = self._exchanges.get(action.request)
         if exchange is None:
-            self._logger.line(f"ignored an attempt for request number {action.request}: no such open request")
+            self._logger.write_line(
+                f"ignored an attempt for request number {action.request}: no such open request"
+            )
             return
         now_ms = self.clock.now_ms()
         attempt_number = len(exchange.attempts)
         time_left_ms = exchange.deadline_ms - now_ms
         timeout_ms = min(time_left_ms, action.timeout_ms) if action.timeout_ms else time_left_ms
-        server = self.connection_pool.table.get(action.server)
+        server = self.connection_pool.servers.get(action.server)
         self.close_if_client_disconnected(exchange)
         exchange.attempts.append(None)
         exchange.servers.append(action.server)
@@ -198,13 +200,13 @@
         flow = exchange.message.flow
         # A streamed body goes to one server at a time, and can be sent again only while all of it is
         # buffered.
-        body_unavailable = flow is not None and (not flow.repeatable or exchange.pending_attempts > 1)
+        body_unavailable = flow is not None and (not flow.is_repeatable or exchange.pending_attempts > 1)
         is_over = exchange.closed or exchange.response_flow is not None or timeout_ms <= 0.0
         if server is None or is_over or body_unavailable or attempt_number >= self._max_attempts:
             self.end_attempt(exchange, attempt_number, action.server, Outcome.DISCARDED, now_ms, None)
             return
         context = AttemptContext(self, exchange, attempt_number, server, now_ms, timeout_ms)
-        attempt = Attempt(server, context, now_ms, flow=flow, terms=exchange.message.terms)
+        attempt = Attempt(server, context, now_ms, flow=flow, limits=exchange.message.limits)
         exchange.attempts[attempt_number] = attempt
         self.connection_pool.start(attempt, timeout_ms)
 
@@ -247,7 +249,7 @@
     def probe(self, server_number: int) -> None:
         """Start a probe; the probe of a server that is not listed ends at once as CONNECT_FAILED."""
         now_ms = self.clock.now_ms()
-        server = self.connection_pool.table.get(server_number)
+        server = self.connection_pool.servers.get(server_number)
         if server is None:
             self._deliver(ProbeEnded(server_number, Outcome.CONNECT_FAILED))
             return
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -42,7 +42,7 @@
 from sandhatch.dispatch.endpoint_updates import EndpointUpdates
 from sandhatch.dispatch.exchange import DoneCallback, Exchange, ExchangeCallbacks, ExchangeTable, TruncatedBy
 from sandhatch.dispatch.plan import PoolPlan
-from sandhatch.dispatch.protocols import Decisions, DownstreamClient, Observer, SourceFactory
+from sandhatch.dispatch.protocols import BalancerProtocol, DownstreamClient, Observer, SourceFactory
 from sandhatch.dispatch.streamed_bodies import StreamedBodies
 from sandhatch.http1.message import Message
 from sandhatch.runtime.address import format_address
@@ -72,7 +72,7 @@
         plan: PoolPlan,
         shared: SharedResources,
         source: SourceFactory,
-        decisions: Decisions | None = None,
+        decisions: BalancerProtocol | None = None,
     ) -> None:
         """Create the dispatcher of a pool without starting the source of its endpoint list.
 
@@ -88,11 +88,14 @@
         self.logger = shared.logger
         self.memory_budget = shared.memory_budget
         limits = ConnectionLimits(
-            plan.sockets, settings.connection_idle_ms, settings.connect_timeout_ms, plan.drain_grace_ms
+            plan.max_connections,
+            settings.connection_idle_ms,
+            settings.connect_timeout_ms,
+            plan.drain_grace_ms,
         )
         self.connection_pool = ConnectionPool(self.clock, self.memory_budget, shared.descriptors, limits)
-        self.source = source(self.on_listing, self.logger.line)
-        self.balancer: Decisions = decisions or Balancer(settings, plan.seed)
+        self.source = source(self.on_listing, self.logger.write_line)
+        self.balancer: BalancerProtocol = decisions or Balancer(settings, plan.seed)
         self.observer: Observer | None = None
         self._endpoints = EndpointUpdates(settings, self.connection_pool)
         self._exchanges = ExchangeTable(self.clock, shared.in_flight_ids)
@@ -107,12 +110,12 @@
         self._on_guidance_rejected: Callable[[GuidanceRejected], None] | None = None
 
     @property
-    def ready(self) -> bool:
+    def has_ready_server(self) -> bool:
         """Whether any server is ready to receive requests."""
         return self._endpoints.has_ready_server
 
     @property
-    def open(self) -> int:
+    def open_exchange_count(self) -> int:
         """Number of requests without a response or with a pending attempt."""
         return len(self._exchanges)
 
@@ -128,7 +131,7 @@
         client: DownstreamClient,
         message: Message,
         time_left_ms: float,
-        trace: bytes,
+        trace_id: bytes,
         event: RequestArrived,
         done: DoneCallback | None = None,
     ) -> int:
@@ -138,7 +141,7 @@
             client: Receiver of the response.
             message: The request.
             time_left_ms: Time remaining until the request's deadline.
-            trace: Id of the request; must not be in flight.
+            trace_id: Id of the request; must not be in flight.
             event: The request as presented to the balancer; its number is set here.
             done: Callback, called once when the response was sent or the client has disconnected, and no
                 attempt is pending.
@@ -149,7 +152,7 @@
         number = self._next_number
         self._next_number += 1
         event.request = number
-        exchange = Exchange(number, client, message, self.clock.now_ms() + time_left_ms, trace, done)
+        exchange = Exchange(number, client, message, self.clock.now_ms() + time_left_ms, trace_id, done)
         self._exchanges.add(exchange)
         exchange.deadline_timer = self.clock.call_after(time_left_ms, lambda: self._on_deadline(exchange))
         if message.flow is not None:
@@ -202,7 +205,9 @@
 
     def _notify_observer(self, update: ListUpdate, listing: Listing) -> None:
         if self.observer is not None:
-            self.observer.on_endpoint_list(update, list(map(format_address, listing.addresses)), listing.why)
+            self.observer.on_endpoint_list(
+                update, list(map(format_address, listing.addresses)), listing.failure_reason
+            )
 
     def withdraw(self, retained_servers: frozenset[int], notified_ms: float) -> None:
         """Drain all servers except the retained ones, until `restore` is called.
@@ -259,7 +264,7 @@
             if self.observer is not None:
                 self.observer.on_event(event, actions)
             for action in actions:
-                self._act(action)
+                self._execute(action)
         except Exception as error:
             # An exception must not affect other requests: only this one gets a response of 500.
             self._on_handler_error(event, error)
@@ -272,14 +277,14 @@
         exchange = self._exchanges.get(number)
         trace = exchange.trace_text if exchange is not None else "-"
         frames = traceback.format_exc(limit=-3).strip().replace("\n", " | ")
-        self.logger.line(f"request {trace}: {type(event).__name__}: {error!r}: {frames}")
+        self.logger.write_line(f"request {trace}: {type(event).__name__}: {error!r}: {frames}")
         if exchange is not None:
             self._exchanges.respond(exchange, 500)
 
     # ------------------------------------------------ actions of the balancer
 
-    def _act(self, action: Action) -> None:
-        """Carry out an action; actions that belong to no request are left to `_act_on_pool`."""
+    def _execute(self, action: Action) -> None:
+        """Carry out an action; actions that belong to no request are left to `_execute_pool_action`."""
         match action:
             case Send():
                 self._attempts.send(action)
@@ -292,9 +297,9 @@
             case Fail(request):
                 self._respond(request, 502)
             case _:
-                self._act_on_pool(action)
+                self._execute_pool_action(action)
 
-    def _act_on_pool(self, action: Action) -> None:
+    def _execute_pool_action(self, action: Action) -> None:
         """Carry out an action that belongs to no request."""
         match action:
             case Probe(server_number):
@@ -306,12 +311,14 @@
             case WatchList():
                 self.source.watch(action)
             case Log(text):
-                self.logger.line(text)
+                self.logger.write_line(text)
             case GuidanceRejected():
                 if self._on_guidance_rejected is not None:
                     self._on_guidance_rejected(action)
             case _:
-                self.logger.line(f"ignored an unsupported action of the balancer: {type(action).__name__}")
+                self.logger.write_line(
+                    f"ignored an unsupported action of the balancer: {type(action).__name__}"
+                )
 
     def _cancel(self, number: int, attempt_number: int) -> None:
         exchange = self._exchanges.get(number)
--- a/sandhatch/dispatch/endpoint_updates.py
+++ b/sandhatch/dispatch/endpoint_updates.py
@@ -10,7 +10,7 @@
 import math
 from dataclasses import replace
 
-from sandhatch.balancing.endpoint_freshness import notified_after_ms
+from sandhatch.balancing.endpoint_freshness import list_age_bound_ms
 from sandhatch.balancing.events import ListKind, ServerEntry, ServerState
 from sandhatch.balancing.settings import Settings
 from sandhatch.discovery.endpoint_list import Listing
@@ -35,13 +35,13 @@
         self.current_since_ms = math.inf
         self._connection_pool = connection_pool
         self._entries: dict[int, ServerEntry] = {}  # by server number
-        self._notified_after_ms = notified_after_ms(settings) if settings.one_shot_watches else math.inf
+        self._list_age_bound_ms = list_age_bound_ms(settings) if settings.one_shot_watches else math.inf
         self._retained_servers: frozenset[int] | None = None  # server numbers; None if no server is withdrawn
 
     @property
     def has_ready_server(self) -> bool:
         """Whether any server of the list is ready."""
-        return any(server.state is ServerState.READY for server in self._connection_pool.table.values())
+        return any(server.state is ServerState.READY for server in self._connection_pool.servers.values())
 
     def apply(self, listing: Listing, now_ms: float) -> Listing:
         """Apply a listing to the connections.
@@ -57,7 +57,7 @@
             listing = self._drain_withdrawn(listing, self._retained_servers)
         # A drain grace period starts when its notice counts as received, which is before its arrival if the
         # list is old.
-        notified_ms = min(now_ms, self.current_since_ms + self._notified_after_ms)
+        notified_ms = min(now_ms, self.current_since_ms + self._list_age_bound_ms)
         if self.current_since_ms == math.inf or listing.kind in (ListKind.FULL, ListKind.DELTA):
             self.current_since_ms = now_ms
         if listing.kind in (ListKind.FULL, ListKind.CACHED):
@@ -70,7 +70,7 @@
     def _remove_absent(self, listing: Listing, notified_ms: float) -> None:
         """Remove the servers that a complete list does not contain."""
         listed = {entry.server for entry in listing.entries}
-        for server in list(self._connection_pool.table.values()):
+        for server in list(self._connection_pool.servers.values()):
             if server.number not in listed:
                 self._connection_pool.update(
                     server.number, server.address, ServerState.GONE, server.started_ms, notified_ms
@@ -79,7 +79,7 @@
 
     def snapshot(self) -> Listing:
         """Return the present endpoint list as a complete listing."""
-        table = self._connection_pool.table
+        table = self._connection_pool.servers
         entries = tuple(entry for entry in self._entries.values() if entry.server in table)
         addresses = tuple(table[entry.server].address for entry in entries)
         return Listing(ListKind.FULL, 0, entries, addresses)
@@ -96,7 +96,7 @@
         """
         self._retained_servers = retained_servers
         drained = []
-        for server in list(self._connection_pool.table.values()):
+        for server in list(self._connection_pool.servers.values()):
             if server.state is ServerState.READY and server.number not in retained_servers:
                 self._connection_pool.update(
                     server.number, server.address, ServerState.DRAINING, server.started_ms, notified_ms
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -40,7 +40,7 @@
         client: Receiver of the response.
         message: The request.
         deadline_ms: Deadline for the response in Unix milliseconds.
-        trace: Id of the request.
+        trace_id: Id of the request.
         on_done: Callback, called once when the exchange is closed and no attempt is pending.
         attempts: Attempts, indexed by number; None for an attempt that was never started.
         servers: Server numbers of the attempts, including those never started.
@@ -58,7 +58,7 @@
     client: DownstreamClient
     message: Message
     deadline_ms: float
-    trace: bytes
+    trace_id: bytes
     on_done: DoneCallback | None = None
     attempts: list[Attempt | None] = field(default_factory=list)
     servers: list[int] = field(default_factory=list)
@@ -74,7 +74,7 @@
     @property
     def trace_text(self) -> str:
         """The request's id, for log lines."""
-        return self.trace.decode("latin-1")
+        return self.trace_id.decode("latin-1")
 
     @property
     def open_flows(self) -> list[Flow]:
@@ -135,7 +135,7 @@
     def add(self, exchange: Exchange) -> None:
         """Add a new exchange, and register its id as in flight."""
         self[exchange.number] = exchange
-        self._in_flight_ids.begin(exchange.trace)
+        self._in_flight_ids.begin(exchange.trace_id)
 
     def close(self, exchange: Exchange, status: int) -> None:
         """Close an exchange; nothing but a response with this status may be sent to its client afterwards."""
@@ -163,7 +163,7 @@
             return
         if self.pop(exchange.number, None) is None:
             return
-        self._in_flight_ids.end(exchange.trace, self._clock.now_ms())
+        self._in_flight_ids.end(exchange.trace_id, self._clock.now_ms())
         on_done = exchange.on_done
         exchange.on_done = None
         if on_done is not None:
--- a/sandhatch/dispatch/plan.py
+++ b/sandhatch/dispatch/plan.py
@@ -17,7 +17,7 @@
     Attributes:
         settings: Settings of the balancer.
         seed: Seed of the balancer's random number generator.
-        sockets: Maximum number of connections to the pool's servers.
+        max_connections: Maximum number of connections to the pool's servers.
         drain_grace_ms: Time after the notice that a server is draining during which requests may still be
             sent to it.
         report_names: Names of the values that the balancer uses from load reports, in the balancer's order.
@@ -25,6 +25,6 @@
 
     settings: Settings
     seed: int
-    sockets: int
+    max_connections: int
     drain_grace_ms: float
     report_names: tuple[str, ...] = ()
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -17,7 +17,7 @@
 from sandhatch.streaming.interfaces import Sink
 
 
-class Decisions(Protocol):
+class BalancerProtocol(Protocol):
     """Makes all decisions on a pool's requests; implemented by `sandhatch.balancing.Balancer`."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
@@ -74,8 +74,8 @@
     def fetch(self) -> None:
         """Fetch the complete list once."""
 
-    def watch(self, order: WatchList) -> None:
-        """Replace the pending call by this one; its result is published under the number of the order."""
+    def watch(self, command: WatchList) -> None:
+        """Replace the pending call by this one; its result is published under the number of the command."""
 
     def republish(self) -> None:
         """Publish the last known complete list, or fetch it."""
@@ -87,13 +87,15 @@
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
         """Record an event, and the actions that it led to."""
 
-    def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
+    def on_endpoint_list(
+        self, update: ListUpdate, addresses: Sequence[str], failure_reason: str = ""
+    ) -> None:
         """Record an update of the endpoint list before it is delivered to the balancer.
 
         Args:
             update: The update.
             addresses: Addresses of the update's entries as `address:port`, in the same order.
-            why: Reason why the call for the list failed, empty if it succeeded.
+            failure_reason: Reason why the call for the list failed, empty if it succeeded.
         """
 
 
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -12,7 +12,7 @@
 from sandhatch.http1.message import Message
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.streaming.flow import Flow, Side
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection_pool import ConnectionPool
 from sandhatch.upstream.load_report import LOAD_HEADER
@@ -119,14 +119,14 @@
         Returns:
             The flow that takes over the body and its reservation; None if the body is to be discarded.
         """
-        terms = exchange.message.terms
-        if exchange.closed or response.status != 200 or terms is None or exchange.response_flow is not None:
+        limits = exchange.message.limits
+        if exchange.closed or response.status != 200 or limits is None or exchange.response_flow is not None:
             return None
         now_ms = self._clock.now_ms()
-        self._restart_timers(exchange, attempt, terms, now_ms)
+        self._restart_timers(exchange, attempt, limits, now_ms)
         assert attempt.connection is not None  # the connection that receives the response
         flow = Flow(
-            terms.response, self._shared, attempt.connection, reserved_bytes, leases_to_response=False
+            limits.response, self._shared, attempt.connection, reserved_bytes, leases_to_response=False
         )
         flow.observe(_ResponseObserver(self, exchange))
         exchange.response_flow = flow
@@ -142,7 +142,7 @@
         return flow
 
     def _restart_timers(
-        self, exchange: Exchange, attempt: Attempt, terms: StreamTerms, now_ms: float
+        self, exchange: Exchange, attempt: Attempt, limits: StreamLimits, now_ms: float
     ) -> None:
         """Replace the timeout and the deadline of an exchange by the deadline of its streamed response."""
         for timer in (attempt.timer, exchange.deadline_timer):
@@ -150,7 +150,7 @@
                 timer.cancel()
         # If the request was not streamed, the time allowed for a streamed exchange starts with the response.
         request_streamed = exchange.message.flow is not None
-        time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
+        time_left_ms = exchange.deadline_ms - now_ms if request_streamed else limits.total_ms
         exchange.deadline_timer = self._clock.call_after(time_left_ms, lambda: self._on_deadline(exchange))
 
     def on_response_sent(self, exchange: Exchange) -> None:
@@ -185,7 +185,7 @@
             if not flows:
                 self._streaming.pop(exchange, None)
             for flow in flows:
-                violation = flow.slow_side(now_ms)
+                violation = flow.find_slow_side(now_ms)
                 if violation is not None:
                     self._end_slow_exchange(exchange, flow, violation.side, violation.reason)
         self._is_checking = bool(self._streaming)
@@ -204,9 +204,9 @@
         is_response = flow is exchange.response_flow
         server_is_slow = is_response is (side is Side.SOURCE)
         slow_party = "server" if server_is_slow else "client"
-        body = "answer" if is_response else "request"
+        body = "response" if is_response else "request"
         # Operators search for this line as documented in docs/operators/bodies.md.
-        self._logger.line(f"request {exchange.trace_text}: {slow_party} slow at its {body}: {why}")
+        self._logger.write_line(f"request {exchange.trace_text}: {slow_party} slow at its {body}: {why}")
         if server_is_slow:
             exchange.end_attempts(Outcome.TIMEOUT)  # notifies the balancer of the slow server
             return
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -23,8 +23,8 @@
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.message import Message
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.socket_writer import SCRATCH
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
+from sandhatch.streaming.socket_writer import READ_BUFFER
 
 OUT_OF_MEMORY = Fault(503, "out of memory for requests")
 # Statuses of responses that carry Retry-After.
@@ -40,18 +40,20 @@
     """Protocol of one client connection; the module's docstring describes its layers."""
 
     MAX_QUEUED_REQUESTS = 4
-    FIRST_REQUEST_MS = 2_000.0  # time from the accept until the first request must be complete
+    FIRST_REQUEST_TIMEOUT_MS = 2_000.0  # time from the accept until the first request must be complete
     # Time from a later request's first byte until it must be complete, and time for a response to be read.
-    REQUEST_MS = 2_000.0
-    IDLE_MS = 60_000.0  # longest time between two requests
-    LINGER_MS = 1_000.0  # time for the client to read the last response, which an earlier reset could discard
+    REQUEST_TIMEOUT_MS = 2_000.0
+    IDLE_TIMEOUT_MS = 60_000.0  # longest time between two requests
+    LINGER_TIMEOUT_MS = (
+        1_000.0  # time for the client to read the last response, which an earlier reset could discard
+    )
     MAX_LINGER_BYTES = 256 * 1024  # bytes discarded during the lingering close before reading stops
 
     def __init__(self, listener: ConnectionOwner) -> None:
         """Create the protocol of a connection that `listener` has just accepted."""
         super().__init__(listener, max_queued=self.MAX_QUEUED_REQUESTS)
-        self.fresh = True  # no request has been completed or responded to yet
-        self._discarded_bytes = 0  # bytes received since `ending` was set
+        self.is_fresh = True  # no request has been completed or responded to yet
+        self._discarded_bytes = 0  # bytes received since `is_ending` was set
         self._queued_requests: deque[Message] = deque()  # received completely, not begun yet
         self._is_processing = False  # guards `_process_requests` against reentry
         self._request_bytes = 0  # size of the queued requests and the current one
@@ -62,30 +64,30 @@
         """Store the transport; abort it if the connection was evicted while it was being set up."""
         # uvloop's transports are not subclasses of asyncio.Transport.
         self._transport = cast(asyncio.Transport, transport)
-        if self.ending:
+        if self.is_ending:
             self._transport.abort()
 
     def buffer_updated(self, nbytes: int) -> None:
         """Parse received bytes: queue complete requests and stream parts of the current body."""
-        if self.ending:
+        if self.is_ending:
             self._discard_received(nbytes)
             return
         had_partial_request = self._parser.has_partial_message
-        events = self._parser.feed(SCRATCH[:nbytes])
+        events = self._parser.feed(READ_BUFFER[:nbytes])
         if self._request_flow is not None:
             events = self._stream_to(self._request_flow, events)
-            if self.ending:
+            if self.is_ending:
                 return
         if events:
             # `_stream_to` has removed the pieces and the end of a streamed body, so only messages remain.
             requests = cast(list[Message], events)
-            self.fresh = False
+            self.is_fresh = False
             self._queued_requests.extend(requests)
-            self._request_bytes += sum(request.size for request in requests)
-        if not self.fresh and (events or not had_partial_request) and self.has_partial_request:
+            self._request_bytes += sum(request.approximate_bytes for request in requests)
+        if not self.is_fresh and (events or not had_partial_request) and self.has_partial_request:
             # The time limit counts from a request's first byte; later bytes don't renew it.
-            self.since_ms = self._shared.clock.now_ms()
-        if self._body_terms is not None or self._progress is not None:
+            self.state_since_ms = self._shared.clock.now_ms()
+        if self._body_limits is not None or self._progress is not None:
             self._track_body(nbytes)
         if not self._update_usage():
             self._reject_for_memory()
@@ -109,7 +111,7 @@
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of the protocol
         """Notify the request handler, and release the connection's resources."""
         self._transport = None
-        self.ending = True
+        self.is_ending = True
         # Called first, so that memory released below is not granted to this connection.
         self._stop_buffering()
         self._on_disconnect()
@@ -130,7 +132,7 @@
         return self._listener.name
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is in flight or queued, and no response waits to be read."""
         return self._current_request is None and not self._queued_requests and not self._write_paused
 
@@ -142,12 +144,12 @@
     @property
     def has_partial_request(self) -> bool:
         """Whether the connection is idle except for a partially received request."""
-        return self.idle and self._parser.has_partial_message
+        return self.is_idle and self._parser.has_partial_message
 
     @property
     def state(self) -> ConnectionState:
         """Current state, derived from what the connection holds."""
-        if self.ending:
+        if self.is_ending:
             return ConnectionState.CLOSING
         if self._write_paused:
             return ConnectionState.RESPONSE_UNREAD
@@ -159,34 +161,34 @@
             return ConnectionState.RECEIVING_BODY
         if self._parser.has_partial_message:
             return ConnectionState.READING
-        return ConnectionState.FRESH if self.fresh else ConnectionState.IDLE
+        return ConnectionState.FRESH if self.is_fresh else ConnectionState.IDLE
 
-    def check(self, now_ms: float) -> None:
-        """Enforce the limits of the current state; called every `Listener.SWEEP_MS`."""
+    def enforce_time_limits(self, now_ms: float) -> None:
+        """Enforce the limits of the current state; called every `Listener.SWEEP_INTERVAL_MS`."""
         state = self.state
         if state is ConnectionState.SERVING:
             if self.has_disconnected():  # the event loop doesn't notice it while reading is paused
                 self.abort()
         elif state is ConnectionState.RECEIVING_BODY:
             self._check_progress(now_ms)
-        elif now_ms - self.since_ms > self._time_limit_ms(state):
+        elif now_ms - self.state_since_ms > self._time_limit_ms(state):
             self._expire(state)
 
     def _time_limit_ms(self, state: ConnectionState) -> float:
         match state:
             case ConnectionState.CLOSING:
-                return self.LINGER_MS
+                return self.LINGER_TIMEOUT_MS
             case ConnectionState.RESPONSE_UNREAD:
-                return self.REQUEST_MS
+                return self.REQUEST_TIMEOUT_MS
             case ConnectionState.WAITING_FOR_MEMORY:
-                assert self._body_terms is not None  # only a body's terms make a connection wait for memory
-                return self._body_terms.memory_wait_ms
+                assert self._body_limits is not None  # only a body's limits make a connection wait for memory
+                return self._body_limits.memory_wait_ms
             case ConnectionState.READING:
-                return self.FIRST_REQUEST_MS if self.fresh else self.REQUEST_MS
+                return self.FIRST_REQUEST_TIMEOUT_MS if self.is_fresh else self.REQUEST_TIMEOUT_MS
             case ConnectionState.FRESH:
-                return self.FIRST_REQUEST_MS
+                return self.FIRST_REQUEST_TIMEOUT_MS
             case ConnectionState.IDLE:
-                return self.IDLE_MS
+                return self.IDLE_TIMEOUT_MS
         return math.inf  # the remaining states have no fixed time limit
 
     def _expire(self, state: ConnectionState) -> None:
@@ -208,7 +210,7 @@
 
     def is_idle_without_unread_input(self) -> bool:
         """Whether the connection is idle and its socket has no unread data or end of stream."""
-        return self.idle and self._transport is not None and not has_pending_event(self._descriptor)
+        return self.is_idle and self._transport is not None and not has_pending_event(self._descriptor)
 
     # ------------------------------------------------ requests
 
@@ -218,14 +220,14 @@
             return
         self._is_processing = True
         try:
-            while self._current_request is None and not self.ending and not self._write_paused:
+            while self._current_request is None and not self.is_ending and not self._write_paused:
                 if self._queued_requests and self.has_disconnected():
                     self.abort()  # no request is begun for a client that has disconnected
                 elif self._queued_requests:
                     self._begin_request(self._queued_requests.popleft())
                 elif self._parser.fault is not None:
                     self._respond_with_fault(self._parser.fault)
-                elif self._reserved_bytes and self._parser.openable:
+                elif self._reserved_bytes and self._parser.is_openable:
                     self._begin_streamed_request()
                 else:
                     break
@@ -233,11 +235,11 @@
             self._is_processing = False
         self._listener.state_changed(self)
         reading_paused = self._request_flow is not None or self._memory_waiter is not None or self.queue_full
-        if self._body_terms is not None and self._parser.openable:
+        if self._body_limits is not None and self._parser.is_openable:
             reading_paused = True  # a body is buffered no further until its request is the next to begin
             if self._transport is not None:
                 self._transport.pause_reading()
-        if self._transport is not None and not self.ending and not reading_paused:
+        if self._transport is not None and not self.is_ending and not reading_paused:
             self._transport.resume_reading()
 
     def _begin_request(self, message: Message) -> None:
@@ -258,8 +260,8 @@
             message.keep_alive = False
             self.respond(error.status, [], error_body(str(error)))
 
-    def _stream_terms(self, message: Message) -> StreamTerms | None:
-        return self._listener.request_handler.terms(self, message)
+    def _stream_limits(self, message: Message) -> StreamLimits | None:
+        return self._listener.request_handler.limits(self, message)
 
     def _is_next_to_begin(self) -> bool:
         """Whether the request that is being received is the next one to begin."""
@@ -271,9 +273,9 @@
         buffered = message.body
         message.body = b""
         flow = self._open_flow()
-        self.fresh = False
+        self.is_fresh = False
         message.flow = flow
-        self._request_bytes += message.size
+        self._request_bytes += message.approximate_bytes
         self._update_usage()
         flow.push(buffered)
         self._begin_request(message)
@@ -286,15 +288,17 @@
         self._current_request = None
         self._notify_disconnect = None
         # The request handler may have enlarged the head; clamping and resetting keeps the sum from drifting.
-        self._request_bytes = max(0, self._request_bytes - message.size) if self._queued_requests else 0
-        self.since_ms = self._shared.clock.now_ms()
+        self._request_bytes = (
+            max(0, self._request_bytes - message.approximate_bytes) if self._queued_requests else 0
+        )
+        self.state_since_ms = self._shared.clock.now_ms()
         return message
 
     def _respond_with_fault(self, fault: Fault) -> None:
         """Respond to a request that can't be completed; this is the connection's last response."""
         self._current_request = Message()
         self._current_request.keep_alive = False
-        self.fresh = False
+        self.is_fresh = False
         headers = RETRY_AFTER_1_S if fault.status in RETRY_AFTER_STATUSES else []
         self.respond(fault.status, headers, error_body(fault.text))
 
@@ -306,7 +310,7 @@
         self._update_usage()
 
     def _discard_queued(self) -> None:
-        self._request_bytes -= sum(message.size for message in self._queued_requests)
+        self._request_bytes -= sum(message.approximate_bytes for message in self._queued_requests)
         self._queued_requests.clear()
 
     def _discard_received(self, size: int) -> None:
@@ -343,13 +347,13 @@
             Whether the connection was closed.
         """
         if (
-            self.ending
-            or self.undelivered
+            self.is_ending
+            or self.has_unsent_bytes
             or self.has_partial_request
             or not self.is_idle_without_unread_input()
         ):
             return False
-        self.ending = True
+        self.is_ending = True
         assert self._transport is not None
         self._transport.close()
         return True
@@ -364,13 +368,13 @@
 
         A full close with bytes unread would reset the connection, which could discard a response in transit.
         """
-        self.ending = True
+        self.is_ending = True
         # Called first, so that memory released below is not granted to this connection.
         self._stop_buffering()
         self._discard_queued()
         self._close_request_flow()
         self._parser.close()
         self._update_usage()
-        self.since_ms = self._shared.clock.now_ms()
+        self.state_since_ms = self._shared.clock.now_ms()
         self._listener.state_changed(self)
         self._shut_down_sending()
--- a/sandhatch/downstream/client_transport.py
+++ b/sandhatch/downstream/client_transport.py
@@ -25,7 +25,7 @@
     def __init__(self, listener: ConnectionOwner) -> None:
         """Create the socket layer of a connection that `listener` has just accepted."""
         super().__init__()
-        self.ending = False  # no further request is read
+        self.is_ending = False  # no further request is read
         self._listener = listener
         self._transport: asyncio.Transport | None = None
         self._disconnect_poll: select.poll | None = None  # created on first use
@@ -36,7 +36,7 @@
         return int(self._transport.get_extra_info("socket").fileno())
 
     @property
-    def undelivered(self) -> bool:
+    def has_unsent_bytes(self) -> bool:
         """Whether the operating system has not accepted all written bytes yet."""
         return self._transport is not None and self._transport.get_write_buffer_size() > 0
 
@@ -57,7 +57,7 @@
 
     def abort(self) -> None:
         """Close immediately, and discard bytes that the operating system has not accepted."""
-        self.ending = True
+        self.is_ending = True
         if self._transport is not None:
             self._transport.abort()
 
--- a/sandhatch/downstream/connection_state.py
+++ b/sandhatch/downstream/connection_state.py
@@ -15,16 +15,16 @@
     ================== ================================================= =====================================
     state              condition                                         limit and effect
     ================== ================================================= =====================================
-    CLOSING            last response written; received bytes are         aborted after `LINGER_MS`
+    CLOSING            last response written; received bytes are         aborted after `LINGER_TIMEOUT_MS`
                        discarded (lingering close)
-    RESPONSE_UNREAD    the client does not read a response               aborted after `REQUEST_MS`
+    RESPONSE_UNREAD    the client does not read a response               aborted after `REQUEST_TIMEOUT_MS`
     SERVING            a request is in flight or queued                  aborted if the client disconnected
-    WAITING_FOR_MEMORY head of a request with a long body received       503 after the terms' `memory_wait_ms`
+    WAITING_FOR_MEMORY head of a request with a long body received       503 after the limit `memory_wait_ms`
     RECEIVING_BODY     first part of a body is being buffered            408 by its writer's progress limits
-    READING            a request is partially received                   408 after `FIRST_REQUEST_MS`, or for
-                                                                         a later request `REQUEST_MS`
-    FRESH              no request has been received yet                  closed after `FIRST_REQUEST_MS`
-    IDLE               all received requests have their responses        closed after `IDLE_MS`
+    READING            a request is partially received                   408 after `FIRST_REQUEST_TIMEOUT_MS`,
+                                                                         later ones after `REQUEST_TIMEOUT_MS`
+    FRESH              no request has been received yet                  closed by `FIRST_REQUEST_TIMEOUT_MS`
+    IDLE               all received requests have their responses        closed after `IDLE_TIMEOUT_MS`
     ================== ================================================= =====================================
 
     SERVING includes a request whose body is still being streamed to a server; the body's flow has its own
--- a/sandhatch/downstream/eviction.py
+++ b/sandhatch/downstream/eviction.py
@@ -29,8 +29,8 @@
     """
     for group in groups:
         for connection in islice(group, MAX_SCANNED_PER_GROUP):
-            if not connection.undelivered and (
-                connection.ending or connection.is_idle_without_unread_input()
+            if not connection.has_unsent_bytes and (
+                connection.is_ending or connection.is_idle_without_unread_input()
             ):
                 return connection
     return None
--- a/sandhatch/downstream/interfaces.py
+++ b/sandhatch/downstream/interfaces.py
@@ -9,7 +9,7 @@
 
 from sandhatch.http1.message import Message
 from sandhatch.runtime.shared_resources import SharedResources
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 
 if TYPE_CHECKING:  # avoids an import cycle: client_connection imports this module
     from sandhatch.downstream.client_connection import ClientConnection
@@ -34,7 +34,7 @@
     def ready(self) -> bool:
         """Whether requests can be served, which decides the response to `/ready`."""
 
-    def terms(self, client: ClientConnection, message: Message) -> StreamTerms | None:
+    def limits(self, client: ClientConnection, message: Message) -> StreamLimits | None:
         """Return the limits for streaming a request's body and its response, once its head was received.
 
         Returns:
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -28,10 +28,10 @@
     ACCEPT_PAUSE_S = 0.05
     # Accepts in a row; the limit lets requests of accepted clients be read during a flood of connections.
     ACCEPT_BATCH_SIZE = 16
-    SWEEP_MS = 250.0
+    SWEEP_INTERVAL_MS = 250.0
     # Time between two polls for disconnects of clients whose connections are not read. No request may be
     # begun later than 0.1 s after its client has disconnected.
-    DISCONNECT_POLL_MS = 50.0
+    DISCONNECT_POLL_INTERVAL_MS = 50.0
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         return self._listening and not self.closing and self.request_handler.ready
 
     @property
-    def open_count(self) -> int:
+    def unfinished_count(self) -> int:
         """Number of connections that may still owe a response, plus one for an open listening socket.
 
         Counts all connections except those that were closed while idle. After its last response, a connection
@@ -83,7 +83,7 @@
         return (self._socket is not None) + len(self._connections)
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Number of open connections."""
         return len(self._connections)
 
@@ -119,7 +119,7 @@
         self._socket.listen(BACKLOG)
         self._listening = True
         self._loop.add_reader(self._socket, self._accept)
-        self.shared.clock.call_after(self.SWEEP_MS, self._sweep)
+        self.shared.clock.call_after(self.SWEEP_INTERVAL_MS, self._sweep)
 
     def stop_accepting(self) -> None:
         """Accept the backlog, and close the listening socket once the backlog is empty.
@@ -174,7 +174,7 @@
         """Accept one connection if a slot is free; return whether more may be pending."""
         if self._socket is None:
             return False
-        if self.shared.clients >= self.shared.client_budget:
+        if self.shared.client_count >= self.shared.max_clients:
             if not has_pending_event(self._socket.fileno()):
                 return False
             if not self._evict_one():
@@ -198,7 +198,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self)
         self._connections[connection] = None
-        self.shared.clients += 1
+        self.shared.client_count += 1
         self._fresh[connection] = None
         setup = self._loop.create_task(self._set_up_transport(sock, connection))
         self._setup_tasks.add(setup)
@@ -244,21 +244,21 @@
 
     def state_changed(self, connection: ClientConnection) -> None:
         """Update the connection's eviction group after a change of its state."""
-        if connection.ending:
+        if connection.is_ending:
             self._idle.pop(connection, None)
             self._fresh.pop(connection, None)
             if connection in self._connections:
                 self._lingering[connection] = None
-        elif not connection.fresh:
+        elif not connection.is_fresh:
             self._fresh.pop(connection, None)
             self._idle.pop(connection, None)
-            if connection.idle and connection in self._connections:
+            if connection.is_idle and connection in self._connections:
                 self._idle[connection] = None
 
     def on_connection_closed(self, connection: ClientConnection) -> None:
         """Remove the connection and free its descriptor's slot."""
         if connection in self._connections:
-            self.shared.clients -= 1
+            self.shared.client_count -= 1
         for table in (self._connections, self._fresh, self._lingering, self._idle, self._reading_paused):
             table.pop(connection, None)
         if self._accept_paused:
@@ -267,19 +267,19 @@
     def watch_disconnect(self, connection: ClientConnection) -> None:
         """Poll for the client's disconnect while reading from the connection is paused."""
         if not self._reading_paused:
-            self.shared.clock.call_after(self.DISCONNECT_POLL_MS, self._poll_disconnects)
+            self.shared.clock.call_after(self.DISCONNECT_POLL_INTERVAL_MS, self._poll_disconnects)
         self._reading_paused[connection] = None
 
     # ------------------------------------------------ timers
 
     def _poll_disconnects(self) -> None:
         for connection in list(self._reading_paused):
-            if not connection.queue_full or connection.ending:
+            if not connection.queue_full or connection.is_ending:
                 del self._reading_paused[connection]
             elif connection.has_disconnected():
                 connection.abort()
         if self._reading_paused:
-            self.shared.clock.call_after(self.DISCONNECT_POLL_MS, self._poll_disconnects)
+            self.shared.clock.call_after(self.DISCONNECT_POLL_INTERVAL_MS, self._poll_disconnects)
 
     def _sweep(self) -> None:
         """Enforce the time limits of all connections."""
@@ -287,5 +287,5 @@
             return
         now_ms = self.shared.clock.now_ms()
         for connection in list(self._connections):
-            connection.check(now_ms)
-        self.shared.clock.call_after(self.SWEEP_MS, self._sweep)
+            connection.enforce_time_limits(now_ms)
+        self.shared.clock.call_after(self.SWEEP_INTERVAL_MS, self._sweep)
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -47,7 +47,7 @@
         raise FramingError(409, "a request with this id is open, or was until lately")
 
 
-class Requests:
+class RequestHeaderParser:
     """Parses request headers by the names of classes and tenants in one version of the settings."""
 
     def __init__(self, settings: Settings, default_class: str | None = None) -> None:
@@ -62,7 +62,7 @@
         self._class_indices = {spec.name.encode(): index for index, spec in enumerate(settings.classes)}
         self._tenants = {spec.name.encode(): index for index, spec in enumerate(settings.tenants)}
 
-    def read(self, message: Message) -> ParsedRequest:
+    def parse(self, message: Message) -> ParsedRequest:
         """Parse one request's headers.
 
         Raises:
--- a/sandhatch/http1/body_endpoint.py
+++ b/sandhatch/http1/body_endpoint.py
@@ -19,11 +19,11 @@
     """Mixin for an asyncio protocol whose connection is the source and the sink of body flows.
 
     Attributes:
-        ending: Whether reading from the connection has stopped for good.
+        is_ending: Whether reading from the connection has stopped for good.
     """
 
     _transport: asyncio.Transport | None
-    ending: bool
+    is_ending: bool
 
     def __init__(self) -> None:
         """Create an endpoint that neither sends a body nor waits for memory."""
@@ -49,15 +49,15 @@
 
     def resume(self) -> None:
         """Resume reading, unless the connection is ending."""
-        if self._transport is not None and not self.ending and not self._transport.is_closing():
+        if self._transport is not None and not self.is_ending and not self._transport.is_closing():
             self._transport.resume_reading()
 
     # ------------------------------------------------ Sink
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that were written but not yet accepted by the kernel."""
-        return self._socket_writer.unsent if self._socket_writer is not None else 0
+        return self._socket_writer.unsent_bytes if self._socket_writer is not None else 0
 
     def write(self, piece: Piece) -> None:
         """Send a piece of the body with the framing that its head has announced."""
--- a/sandhatch/http1/events.py
+++ b/sandhatch/http1/events.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class End:
+class BodyEnd:
     """The end of a body that was streamed.
 
     Attributes:
@@ -24,4 +24,4 @@
 
 
 # A message that is complete, or a piece of a streamed body, or the end of a streamed body.
-Event = Message | Piece | End
+Event = Message | Piece | BodyEnd
--- a/sandhatch/http1/message.py
+++ b/sandhatch/http1/message.py
@@ -9,7 +9,7 @@
 from sandhatch.http1.errors import FramingError
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.headers import Headers
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 
 # Fields that apply to a single connection and are never forwarded. The framing of the forwarded message is
 # generated anew.
@@ -45,7 +45,7 @@
             often.
         body: Complete body, unless `flow` supplies the body.
         flow: Flow of a streamed body; None if the body is buffered completely.
-        terms: Limits under which the bodies may be streamed; None if streaming is not allowed.
+        limits: Limits under which the bodies may be streamed; None if streaming is not allowed.
         length: Length of the complete body in bytes; None if unknown until the body ends.
         keep_alive: Whether the connection may carry another message.
         is_http_1_0: Whether the client uses HTTP/1.0, which has no chunked transfer coding.
@@ -58,11 +58,11 @@
         "is_http_1_0",
         "keep_alive",
         "length",
+        "limits",
         "lower_names",
         "method",
         "status",
         "target",
-        "terms",
     )
 
     def __init__(self) -> None:
@@ -74,13 +74,13 @@
         self.lower_names: list[bytes] = []
         self.body = b""
         self.flow: Flow | None = None
-        self.terms: StreamTerms | None = None
+        self.limits: StreamLimits | None = None
         self.length: int | None = None
         self.keep_alive = True
         self.is_http_1_0 = False
 
     @property
-    def size(self) -> int:
+    def approximate_bytes(self) -> int:
         """Approximate size of the message in memory, in bytes."""
         fields = sum(len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in self.headers)
         return len(self.body) + len(self.target) + fields
--- a/sandhatch/http1/message_parser.py
+++ b/sandhatch/http1/message_parser.py
@@ -5,15 +5,15 @@
 Theory of operation. `feed` takes the bytes of one read and returns the events that they complete. By default
 a message is returned complete, with its body. The parser's owner may have the body streamed instead: the
 parser calls `on_head` with each head that is followed by a body, the owner calls `stream` from that callback,
-and later `open` once the parser is `openable`. `open` returns the head with the part of the body that is
-buffered. After that each read returns pieces of the body, and finally an `End`.
+and later `open` once the parser is `is_openable`. `open` returns the head with the part of the body that is
+buffered. After that each read returns pieces of the body, and finally an `BodyEnd`.
 
     ========= ============================== ========================= =====================================
     state     destination of body bytes      events                    next state
     ========= ============================== ========================= =====================================
     HEAD      (none)                         (none)                    BUFFERING at the head's end
     BUFFERING the parser's buffer            the message, at its end   HEAD at the end, or OPENED by `open`
-    OPENED    the events, as pieces          each piece, then `End`    HEAD at the end
+    OPENED    the events, as pieces          each piece, then `BodyEnd`    HEAD at the end
     CLOSED    (input is ignored)             (none)                    (none)
     ========= ============================== ========================= =====================================
 
@@ -29,7 +29,7 @@
 import httptools
 
 from sandhatch.http1.errors import Fault, FramingError
-from sandhatch.http1.events import End, Event
+from sandhatch.http1.events import BodyEnd, Event
 from sandhatch.http1.limits import (
     FORBIDDEN_TRAILERS,
     MAX_FIELDS,
@@ -42,7 +42,7 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import Piece
 
-NEVER = -1  # value of `open_at_bytes` for a body that must not be streamed
+NOT_STREAMED = -1  # value of `open_at_bytes` for a body that must not be streamed
 UNKNOWN_LENGTH = -1  # value of `_remaining_bytes` for a body whose end is found by httptools
 
 
@@ -96,7 +96,9 @@
         self._message_bytes = 0  # bytes fed since the last complete message
         self._trailers: Headers = []
         self._bytes_since_body = 0  # bytes fed since the last piece of an opened body
-        self._open_at_bytes = NEVER  # number of buffered body bytes from which the message may be opened
+        self._open_at_bytes = (
+            NOT_STREAMED  # number of buffered body bytes from which the message may be opened
+        )
         self._remaining_bytes = UNKNOWN_LENGTH  # bytes still missing of an opened body of known length
         self.on_head: Callable[[Message], None] | None = None
         self.fault: Fault | None = None
@@ -119,12 +121,12 @@
         return min(self._message_bytes, MAX_HEAD_BYTES) + self._body_bytes
 
     @property
-    def in_body(self) -> bool:
+    def is_in_body(self) -> bool:
         """Whether the head of a message has been received but not its complete body."""
         return self._message_bytes > 0 and (self._state is BUFFERING or self._state is OPENED)
 
     @property
-    def size(self) -> int:
+    def body_bytes(self) -> int:
         """Bytes received of the current body."""
         return self._body_bytes
 
@@ -136,7 +138,7 @@
     # ------------------------------------------------ streaming a body
 
     @property
-    def openable(self) -> bool:
+    def is_openable(self) -> bool:
         """Whether the current message may be streamed and enough of its body is buffered for `open`."""
         return (
             self._state is BUFFERING
@@ -346,7 +348,7 @@
 
     def _finish_opened_body(self) -> None:
         self._remaining_bytes = UNKNOWN_LENGTH
-        self._events.append(End(self._trailers))
+        self._events.append(BodyEnd(self._trailers))
         self._trailers = []
         self._expect_next_message()
 
@@ -356,5 +358,5 @@
         self._message_bytes = 0
         self._body_bytes = 0
         self._state = HEAD
-        self._open_at_bytes = NEVER
+        self._open_at_bytes = NOT_STREAMED
         self._max_body_bytes = self._default_max_body_bytes
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -33,10 +33,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EndSession:
-    """End the session with a planner; the reason, `why`, is sent to the planner."""
+    """End the session with a planner; the reason, `reason`, is sent to the planner."""
 
     planner: str
-    why: str
+    reason: str
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -65,7 +65,7 @@
         planners: Sequence[str],
         now_ms: float,
         terms: ForwarderTerms | None = None,
-        quiet_ms: float | None = None,
+        previous_lease_ms: float | None = None,
     ) -> None:
         """Start without pools and sessions.
 
@@ -74,22 +74,24 @@
             planners: Names of the planners, in order of preference.
             now_ms: Current time.
             terms: The forwarder's settings.
-            quiet_ms: Time after the start in which a lease of an earlier process of this forwarder may still
-                be valid; by default the longest lease that is accepted.
+            previous_lease_ms: Time after the start in which a lease of an earlier process of this forwarder
+                may still be valid; by default the longest lease that is accepted.
         """
         self.name = name
         self.terms = terms or ForwarderTerms()
         self.peers = {planner: PlannerPeer(planner, rank) for rank, planner in enumerate(planners)}
         self.pools: dict[str, _Pool] = {}
-        quiet_ms = self.terms.max_lease_ms * (1.0 + CLOCK_DRIFT) if quiet_ms is None else quiet_ms
-        self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + quiet_ms)
+        previous_lease_ms = (
+            self.terms.max_lease_ms * (1.0 + CLOCK_DRIFT) if previous_lease_ms is None else previous_lease_ms
+        )
+        self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + previous_lease_ms)
         self._last_ramp_shares: dict[str, Sequence[RampShare]] = {}  # most recent grants, by pool
         self._ramp_shares_until_ms = -math.inf
 
     @property
     def leased_to(self) -> str | None:
         """The lease holder of this forwarder's own shares; None if they are not leased."""
-        return self._selection.lessee
+        return self._selection.lease_holder
 
     @property
     def leased_until_ms(self) -> float:
@@ -140,7 +142,7 @@
 
     # ------------------------------------------------ advice
 
-    def advice(self, planner: str, advice: Advice, now_ms: float) -> list[Action]:
+    def handle_advice(self, planner: str, advice: Advice, now_ms: float) -> list[Action]:
         """Apply a planner's advice, unless it is invalid, expired or out of order."""
         peer = self.peers[planner]
         if not peer.connected:
@@ -156,7 +158,7 @@
             return self._record_fault(peer, reason, now_ms)
         valid_until_ms = report_sent_ms + advice.lease_ms * (1.0 - CLOCK_DRIFT)
         if now_ms >= valid_until_ms:
-            peer.expired(advice.version, now_ms - report_sent_ms)
+            peer.record_expired_advice(advice.version, now_ms - report_sent_ms)
             return []
         actions = self._log_note(peer, advice.note) if advice.note else []
         peer.apply(advice, valid_until_ms, now_ms)
@@ -221,7 +223,7 @@
         if backoff_ms is None:
             return actions
         if self.leased_to == peer.name:
-            self._selection.lessee = None
+            self._selection.lease_holder = None
         actions.append(LogLine(f"planner {peer.name}: circuit open for {backoff_ms / 1000.0:g} s"))
         actions.append(EndSession(peer.name, reason))
         return actions
@@ -235,12 +237,12 @@
         for peer in self.peers.values():
             if not peer.connected:
                 continue
-            if peer.report_now or now_ms - peer.reported_ms >= self.terms.report_ms:
+            if peer.report_now or now_ms - peer.last_report_ms >= self.terms.report_ms:
                 actions += self._create_report(peer, now_ms)
         return actions
 
     def _create_report(self, peer: PlannerPeer, now_ms: float) -> list[Action]:
-        span_ms = now_ms - peer.reported_ms
+        span_ms = now_ms - peer.last_report_ms
         serial = peer.next_serial(self.terms.bytes_per_s, now_ms)
         leases_shares = self.leased_to == peer.name
         report = Report(serial, min(span_ms, MAX_SPAN_MS), leases_shares=leases_shares)
@@ -279,8 +281,8 @@
 
         These shares stay valid, so the new incarnation must count them before it grants any.
         """
-        was_lessee = self._selection.last_lessee == peer.name
-        if not (peer.learning and was_lessee and now_ms < self._ramp_shares_until_ms):
+        was_lease_holder = self._selection.last_lease_holder == peer.name
+        if not (peer.learning and was_lease_holder and now_ms < self._ramp_shares_until_ms):
             return []
         shares = self._last_ramp_shares.get(pool, ())
         return [RampShareRow(share.server, share.rate, share.burst) for share in shares]
--- a/sandhatch/planning/keys.py
+++ b/sandhatch/planning/keys.py
@@ -47,7 +47,7 @@
     return PROOF_CONTEXT + role + b"\0" + transcript
 
 
-class SharedKey:
+class SharedKeyIdentity:
     """HMAC-SHA256 with a key that all peers share; any of them can impersonate any other."""
 
     method = "shared"
@@ -73,7 +73,7 @@
         return hmac.compare_digest(self.prove(role, transcript), proof)
 
 
-class OwnKey:
+class Ed25519Identity:
     """Ed25519 with this peer's private key and the public keys of the other peers."""
 
     method = "ed25519"
@@ -160,7 +160,7 @@
         raise BadKeyError(f"not an Ed25519 key: {error}") from None
 
 
-def identity(shared_file: str | None, private_file: str | None, peers: Mapping[str, str]) -> Identity:
+def load_identity(shared_file: str | None, private_file: str | None, peers: Mapping[str, str]) -> Identity:
     """Load this peer's identity from key files.
 
     Args:
@@ -172,8 +172,8 @@
         BadKeyError: No file is given, or a key cannot be used.
     """
     if shared_file is not None:
-        return SharedKey(read_key(shared_file))
+        return SharedKeyIdentity(read_key(shared_file))
     if private_file is None:
         raise BadKeyError("no key file is configured: expected a shared key or a private key")
     keys = {name: parse_key(text, f"public key of {name}") for name, text in peers.items()}
-    return OwnKey(read_key(private_file), keys)
+    return Ed25519Identity(read_key(private_file), keys)
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -41,7 +41,9 @@
     def on_event(self, event: Event, actions: Sequence[BalancerAction]) -> None:
         """The balancer received an event and returned these actions."""
 
-    def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
+    def on_endpoint_list(
+        self, update: ListUpdate, addresses: Sequence[str], failure_reason: str = ""
+    ) -> None:
         """The balancer received an endpoint list."""
 
 
@@ -66,7 +68,9 @@
     def __init__(self, observer: Observer) -> None:
         self.on_event = observer.on_event
 
-    def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
+    def on_endpoint_list(
+        self, update: ListUpdate, addresses: Sequence[str], failure_reason: str = ""
+    ) -> None:
         """Ignore the list: the dispatcher that replaced this one reports its own."""
 
 
@@ -87,7 +91,7 @@
         log: Callable[[str], None],
         terms: ForwarderTerms,
         seed: int = 0,
-        quiet_ms: float | None = None,
+        previous_lease_ms: float | None = None,
     ) -> None:
         """Prepare the links; `start` opens them.
 
@@ -99,13 +103,13 @@
             log: Writes a line to the log.
             terms: The forwarder's settings.
             seed: Seed of the reconnect jitter.
-            quiet_ms: See `Forwarder`.
+            previous_lease_ms: See `Forwarder`.
         """
         self.clock = clock
         self._log = log
         self._identity = identity
         self._addresses = dict(planners)
-        self.forwarder = Forwarder(name, list(planners), clock.now_ms(), terms, quiet_ms)
+        self.forwarder = Forwarder(name, list(planners), clock.now_ms(), terms, previous_lease_ms)
         self._dispatchers: dict[str, GuidedDispatcher] = {}
         self._observers: dict[str, Observer] = {}
         self._connections: dict[str, PlannerConnection] = {}
@@ -198,8 +202,8 @@
     def _end_session(self, action: EndSession) -> None:
         connection = self._connections.get(action.planner)
         if connection is not None:
-            connection.session.send_bye(action.why)
-            connection.close(action.why)
+            connection.session.send_bye(action.reason)
+            connection.close(action.reason)
 
     # ------------------------------------------------ connections
 
@@ -242,7 +246,7 @@
     def on_advice(self, connection: PlannerConnection, advice: Advice) -> None:
         """Apply advice that a connection received."""
         self._backoff[connection.planner].reset()
-        self._execute(self.forwarder.advice(connection.planner, advice, self.clock.now_ms()))
+        self._execute(self.forwarder.handle_advice(connection.planner, advice, self.clock.now_ms()))
 
     def on_protocol_violated(self, connection: PlannerConnection, reason: str) -> None:
         """Record a violation of the protocol; it is the planner's fault only once its key is proven."""
--- a/sandhatch/planning/link_connection.py
+++ b/sandhatch/planning/link_connection.py
@@ -96,7 +96,7 @@
         transport = self._transport
         self._transport = None
         if transport is not None:
-            data = self.session.take_out()
+            data = self.session.take_output()
             if data:
                 transport.write(data)
             transport.abort()
--- a/sandhatch/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -22,7 +22,7 @@
     ServerState,
 )
 from sandhatch.planning.pool_reporter import PoolReporter
-from sandhatch.planning.quantile_sketch import bucket_of
+from sandhatch.planning.quantile_sketch import bucket_index
 from sandhatch.planning.readiness import Readiness
 from sandhatch.planning.server_totals import ServerTotals
 
@@ -108,7 +108,7 @@
         if event.outcome is Outcome.OK:
             totals.ok += 1
             totals.spent_ms += event.spent_ms
-            bucket = bucket_of(event.spent_ms)
+            bucket = bucket_index(event.spent_ms)
             totals.sketch[bucket] = totals.sketch.get(bucket, 0) + 1
         elif event.outcome in NEVER_RAN:
             totals.rejected += 1
@@ -127,13 +127,18 @@
 
     # ------------------------------------------------ endpoint list
 
-    def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:  # noqa: ARG002 - the dispatcher's observer protocol
+    def on_endpoint_list(
+        self,
+        update: ListUpdate,
+        addresses: Sequence[str],
+        failure_reason: str = "",  # noqa: ARG002 - the dispatcher's observer protocol
+    ) -> None:
         """Record an endpoint list that the balancer received.
 
         Args:
             update: The list, or its changes.
             addresses: Addresses of the list's entries, in the same order.
-            why: Origin of the list; not used.
+            failure_reason: Origin of the list; not used.
         """
         if update.kind in (ListKind.FULL, ListKind.CACHED):
             listed_servers = {entry.server for entry in update.entries}
--- a/sandhatch/planning/peer_connection.py
+++ b/sandhatch/planning/peer_connection.py
@@ -82,7 +82,7 @@
     def flush(self) -> None:
         """Write the session's pending output."""
         if self._transport is not None and self.session.has_output:
-            self._transport.write(self.session.take_out())
+            self._transport.write(self.session.take_output())
 
     @property
     def _is_send_buffer_full(self) -> bool:
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -57,11 +57,11 @@
 
     # ------------------------------------------------ input
 
-    def learning(self, now_ms: float) -> bool:
+    def is_learning(self, now_ms: float) -> bool:
         """Whether grants of the previous incarnation may still be valid at some forwarder."""
         return now_ms < self.started_ms + self.terms.share_lease_ms * (1.0 + CLOCK_DRIFT)
 
-    def joined(self, name: str, now_ms: float) -> None:
+    def forwarder_connected(self, name: str, now_ms: float) -> None:
         """Record that a forwarder has opened a session."""
         member = self.members.get(name)
         if member is None:
@@ -130,7 +130,7 @@
             member.conflict = plan.register(member.name, report, self.members)
         plan.load.apply(member.name, report, span_ms)
         has_been_advised = member.version > 0
-        if self.learning(now_ms) and not member.conflict and not has_been_advised:
+        if self.is_learning(now_ms) and not member.conflict and not has_been_advised:
             plan.record_previous_grants(member.name, report, now_ms)
 
     def _remove_from_unreported_pools(self, name: str, report: Report) -> None:
@@ -148,7 +148,7 @@
         if span_ms >= self.terms.weights_interval_ms:
             self._weights_updated_ms = now_ms
             for plan in self.pools.values():
-                plan.load.update_weights(span_ms, unbounded_steps=self.learning(now_ms))
+                plan.load.update_weights(span_ms, unbounded_steps=self.is_learning(now_ms))
         for name, member in list(self.members.items()):
             if now_ms - member.last_report_ms >= self.terms.member_timeout_ms:
                 self._remove(name)
@@ -166,7 +166,7 @@
     # ------------------------------------------------ advice
 
     def _advise(self, member: Member, report: Report, has_lease: bool, now_ms: float) -> Advice:
-        learning = self.learning(now_ms)
+        learning = self.is_learning(now_ms)
         if has_lease and learning and not self._has_capacity_for_grants(member, now_ms):
             # The advice leaves the forwarder's previous grants as they are until enough other forwarders have
             # leased their shares to this incarnation again.
@@ -197,7 +197,7 @@
 
     def _pool_advice(self, plan: PoolPlan, member: Member, has_lease: bool, now_ms: float) -> PoolAdvice:
         load = plan.load.members[member.name]
-        learning = self.learning(now_ms)
+        learning = self.is_learning(now_ms)
         advice = PoolAdvice(plan.load.name)
         version = plan.load.weights_version
         if self._has_enough_reports(plan, now_ms) and load.sent_weights_version != version:
@@ -218,7 +218,7 @@
         Afterwards the configured fraction of forwarders must report, or the time to wait for them must be
         over.
         """
-        if plan.lessors is None or self.learning(now_ms):
+        if plan.lessors is None or self.is_learning(now_ms):
             return False
         is_wait_over = now_ms >= self.started_ms + MAX_WAIT_SHARE_LEASES * self.terms.share_lease_ms
         return (
@@ -247,7 +247,7 @@
         return {
             "name": self.name,
             "epoch": self.epoch,
-            "learning": self.learning(now_ms),
+            "learning": self.is_learning(now_ms),
             "reports": self.reports,
             "refused": self.rejected,
             "forwarders": [member_status(member, now_ms) for member in self.members.values()],
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -62,7 +62,7 @@
         learning: Whether the planner's last advice said that the planner is still learning.
         unacknowledged_reports: Reports of this session for which advice may still arrive.
         reporters: Reporters of this session, by pool.
-        reported_ms: Time of the last report.
+        last_report_ms: Time of the last report.
         credit_bytes: Report bytes that may be sent now.
         fault_times_ms: Times of the faults within the fault window.
         backoffs: Number of times the circuit has opened.
@@ -90,7 +90,7 @@
     learning: bool = True
     unacknowledged_reports: deque[SentReport] = field(default_factory=deque)
     reporters: dict[str, PoolReporter] = field(default_factory=dict)
-    reported_ms: float = -math.inf
+    last_report_ms: float = -math.inf
     credit_bytes: float = 0.0
     fault_times_ms: deque[float] = field(default_factory=deque)
     backoffs: int = 0
@@ -115,7 +115,7 @@
         self.unacknowledged_reports.clear()
         self.reporters = reporters
         self.credit_bytes = MAX_CREDIT_S * bytes_per_s
-        self.reported_ms = now_ms
+        self.last_report_ms = now_ms
         self.report_now = True
         self.learning = True
         self.healthy_since_ms = math.inf
@@ -132,8 +132,8 @@
 
     def next_serial(self, bytes_per_s: float, now_ms: float) -> int:
         """Begin a report and add the byte credit earned since the last one; returns the report's serial."""
-        span_ms = now_ms - self.reported_ms
-        self.reported_ms = now_ms
+        span_ms = now_ms - self.last_report_ms
+        self.last_report_ms = now_ms
         self.report_now = False
         self.serial += 1
         self.reports += 1
@@ -170,7 +170,7 @@
             )
         return None
 
-    def expired(self, version: int, age_ms: float) -> None:
+    def record_expired_advice(self, version: int, age_ms: float) -> None:
         """Record advice that had expired on arrival, `age_ms` after its report was sent."""
         self.late += 1
         self.last_reason = f"advice {version} expired: received {age_ms:.0f} ms after its report was sent"
--- a/sandhatch/planning/planner_selection.py
+++ b/sandhatch/planning/planner_selection.py
@@ -16,8 +16,8 @@
     """Lease of a forwarder's own shares.
 
     Attributes:
-        lessee: Name of the current lease holder; None if there is none.
-        last_lessee: Name of the most recent lease holder, which may still grant from the shares.
+        lease_holder: Name of the current lease holder; None if there is none.
+        last_lease_holder: Name of the most recent lease holder, which may still grant from the shares.
         leased_until_ms: Time until which other forwarders may use the shares.
     """
 
@@ -31,8 +31,8 @@
         """
         self._peers = peers
         self._hold_ms = hold_ms
-        self.lessee: str | None = None
-        self.last_lessee: str | None = None
+        self.lease_holder: str | None = None
+        self.last_lease_holder: str | None = None
         self.leased_until_ms = leased_until_ms
 
     def extend(self, until_ms: float) -> bool:
@@ -44,17 +44,17 @@
 
     def update(self, now_ms: float) -> str | None:
         """Update the selection; returns a log line if it changed."""
-        current = self._peers[self.lessee] if self.lessee is not None else None
+        current = self._peers[self.lease_holder] if self.lease_holder is not None else None
         if current is not None and now_ms >= current.valid_until_ms:
-            self.lessee = None
+            self.lease_holder = None
             current = None
         if current is not None:
             return self._return_to_preferred(current, now_ms)
         selected = self._select(self._peers.values(), now_ms)
         if selected is None:
             return None
-        self.lessee = selected.name
-        self.last_lessee = selected.name
+        self.lease_holder = selected.name
+        self.last_lease_holder = selected.name
         selected.report_now = True
         return f"leases its own shares to planner {selected.name}"
 
@@ -63,7 +63,7 @@
         for peer in self._peers.values():
             is_preferred = peer.rank < current.rank and not peer.learning
             if is_preferred and peer.has_recovered(now_ms, self._hold_ms):
-                self.lessee = None
+                self.lease_holder = None
                 return f"returns its lease from planner {current.name} to {peer.name}"
         return None
 
@@ -74,7 +74,7 @@
                 continue
             # A new incarnation of the last lease holder continues its predecessor's lease; any other planner
             # must wait until that lease has expired.
-            if peer.name == self.last_lessee:
+            if peer.name == self.last_lease_holder:
                 return peer
             if peer.learning:
                 continue
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -236,4 +236,4 @@
         floor = self._terms.own_share_floor
         divisible_share = lessor_count * even_share * (1.0 - floor)
         own = floor * even_share + divisible_share * self._demands.get(forwarder, 0.0) / self._total_demand
-        return min(own, GuidanceState.MAX_PART * even_share, 1.0)
+        return min(own, GuidanceState.MAX_OWN_SHARE_FACTOR * even_share, 1.0)
--- a/sandhatch/planning/quantile_sketch.py
+++ b/sandhatch/planning/quantile_sketch.py
@@ -16,7 +16,7 @@
 _LOG_GAMMA = math.log(GAMMA)
 
 
-def bucket_of(value_ms: float) -> int:
+def bucket_index(value_ms: float) -> int:
     """Index of the bucket for a value; values beyond the last bucket belong to the last one."""
     if value_ms <= MIN_VALUE_MS:
         return 0
@@ -45,7 +45,7 @@
 
     def add(self, value_ms: float) -> None:
         """Add one value."""
-        self.add_count(bucket_of(value_ms), 1.0)
+        self.add_count(bucket_index(value_ms), 1.0)
 
     def add_count(self, bucket: int, value_count: float) -> None:
         """Add a number of values to a bucket."""
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -225,7 +225,7 @@
         self._connections_by_forwarder[connection.name] = connection
         if previous is not None:
             previous.close("another connection has come in its place")
-        self.planner.joined(connection.name, self.clock.now_ms())
+        self.planner.forwarder_connected(connection.name, self.clock.now_ms())
 
     def remove(self, connection: _ForwarderConnection) -> None:
         """Remove a connection that has ended."""
--- a/sandhatch/planning/session.py
+++ b/sandhatch/planning/session.py
@@ -122,7 +122,7 @@
         """Whether there are bytes to send."""
         return bool(self._output)
 
-    def take_out(self) -> bytes:
+    def take_output(self) -> bytes:
         """Remove and return the bytes to send."""
         data = b"".join(self._output)
         self._output.clear()
--- a/sandhatch/platform/graceful_shutdown.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -75,6 +75,6 @@
             # A connection that stays open has a pending request. A request that is still unread in the
             # kernel's receive buffer counts as received.
             listener.close_idle()
-        if not has_pending_requests() and not any(listener.open_count for listener in listeners):
+        if not has_pending_requests() and not any(listener.unfinished_count for listener in listeners):
             break
         await asyncio.sleep(POLL_INTERVAL_S)
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -13,7 +13,7 @@
 from sandhatch.discovery.client import Discovery, DiscoveryPlan
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.dispatch.plan import PoolPlan
-from sandhatch.dispatch.protocols import Decisions
+from sandhatch.dispatch.protocols import BalancerProtocol
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline, drain
 from sandhatch.platform.request_handler import PlatformRequestHandler
@@ -37,7 +37,10 @@
     """
 
     def __init__(
-        self, config: PlatformConfig, loop: asyncio.AbstractEventLoop, decisions: Decisions | None = None
+        self,
+        config: PlatformConfig,
+        loop: asyncio.AbstractEventLoop,
+        decisions: BalancerProtocol | None = None,
     ) -> None:
         """Assembles the program.
 
@@ -76,7 +79,7 @@
         self.listener = Listener(config.listen, self.shared, request_handler)
 
     def _record_events(self, config: PlatformConfig) -> None:
-        scope = requested_record_scope(os.environ, self.shared.logger.line)
+        scope = requested_record_scope(os.environ, self.shared.logger.write_line)
         if scope is None:
             return
         clock = self.shared.clock
--- a/sandhatch/platform/reload.py
+++ b/sandhatch/platform/reload.py
@@ -29,7 +29,7 @@
             # On a thread, so that neither disk reads nor the validation of a long file delay requests.
             config = await asyncio.to_thread(load, is_reload=True)
         except ConfigError as error:
-            self._logger.line(f"reload failed: {error}; the previous configuration stays in use")
+            self._logger.write_line(f"reload failed: {error}; the previous configuration stays in use")
             return
-        self._logger.line(f"reload: discovery address is {format_address(config.discovery)}")
+        self._logger.write_line(f"reload: discovery address is {format_address(config.discovery)}")
         self._discovery.relocate(config.discovery)
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -11,11 +11,11 @@
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.downstream.interfaces import DisconnectCallback
-from sandhatch.downstream.request_parsing import ALLOW, METHODS, Requests, reject_duplicate_id
+from sandhatch.downstream.request_parsing import ALLOW, METHODS, RequestHeaderParser, reject_duplicate_id
 from sandhatch.http1.message import Message
 from sandhatch.platform.graceful_shutdown import ShutdownDeadline
 from sandhatch.runtime.shared_resources import SharedResources
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 
 API_PATH = b"/api"
 
@@ -34,14 +34,14 @@
         self._dispatcher = dispatcher
         self._in_flight_ids = shared.in_flight_ids
         self._shutdown_deadline = shutdown_deadline
-        self._requests = Requests(settings)
+        self._requests = RequestHeaderParser(settings)
 
     @property
     def ready(self) -> bool:
         """Whether the pool can serve requests."""
-        return self._dispatcher.ready
+        return self._dispatcher.has_ready_server
 
-    def terms(self, _client: ClientConnection, _message: Message) -> StreamTerms | None:
+    def limits(self, _client: ClientConnection, _message: Message) -> StreamLimits | None:
         """Returns None, for no streaming: the platform's bodies are small.
 
         A request therefore begins once its last byte is received.
@@ -63,7 +63,7 @@
         if message.method not in METHODS:
             client.respond(405, ALLOW, b"")
             return None
-        parsed = self._requests.read(message)
+        parsed = self._requests.parse(message)
         event = parsed.event
         reject_duplicate_id(self._in_flight_ids, parsed.trace_id)
         time_left_ms = self._shutdown_deadline.limit(event.time_left_ms)
--- a/sandhatch/runtime/address.py
+++ b/sandhatch/runtime/address.py
@@ -17,7 +17,7 @@
 MAX_PORT_DIGITS = 5
 
 
-def read_address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Parses `address:port`.
 
     Raises:
@@ -33,14 +33,14 @@
     return host, int(port)
 
 
-def parse_address(text: object, key: str) -> Address:
-    """Parses the value of a configuration key, as `read_address` does.
+def parse_address_setting(text: object, key: str) -> Address:
+    """Parses the value of a configuration key, as `parse_address` does.
 
     Raises:
         ConfigError: The value is not an address; the message names the key and the value.
     """
     try:
-        return read_address(text if isinstance(text, str) else "")
+        return parse_address(text if isinstance(text, str) else "")
     except ValueError:
         raise ConfigError(f"{key}: {text!r} is not an IPv4 address and port") from None
 
--- a/sandhatch/runtime/descriptor_budget.py
+++ b/sandhatch/runtime/descriptor_budget.py
@@ -12,10 +12,10 @@
     """Connections of one pool."""
 
     @property
-    def sockets(self) -> int:
+    def connection_count(self) -> int:
         """Descriptors in use."""
 
-    def close_oldest(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Closes the connection that has been idle for longest; returns False if none is idle."""
 
 
@@ -35,7 +35,7 @@
     @property
     def used(self) -> int:
         """Descriptors in use by all pools."""
-        return sum(holder.sockets for holder in self.holders)
+        return sum(holder.connection_count for holder in self.holders)
 
     def ensure_one_free(self) -> bool:
         """Ensures that one more descriptor may be used; closes an idle connection of any pool if necessary.
@@ -45,4 +45,4 @@
         """
         if self.used < self.limit:
             return True
-        return any(holder.close_oldest() for holder in self.holders)
+        return any(holder.close_longest_idle() for holder in self.holders)
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -12,37 +12,37 @@
 
     Attributes:
         open: Flows that have not ended.
-        most_open: Maximum number of flows open at the same time.
+        max_open: Maximum number of flows open at the same time.
         opened: Flows opened since the start.
         bytes: Bytes forwarded, in both directions.
         peak_bytes: Maximum number of bytes that one flow has buffered.
-        over: Number of times that a flow buffered more than its ceiling.
+        ceiling_exceeded_count: Number of times that a flow buffered more than its ceiling.
     """
 
-    __slots__ = ("bytes", "most_open", "open", "opened", "over", "peak_bytes")
+    __slots__ = ("bytes", "ceiling_exceeded_count", "max_open", "open", "opened", "peak_bytes")
 
     def __init__(self) -> None:
         """Creates counters that are all 0."""
         self.open = 0
-        self.most_open = 0
+        self.max_open = 0
         self.opened = 0
         self.bytes = 0
         self.peak_bytes = 0
-        self.over = 0
+        self.ceiling_exceeded_count = 0
 
     def count_opened(self) -> None:
         """Counts a flow that has just been opened."""
         self.open += 1
         self.opened += 1
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
 
     def snapshot(self) -> dict[str, int]:
         """Returns the counters by their keys in the status ("bodies" on the operators' page)."""
         return {
             "bytes": self.bytes,
-            "most_open": self.most_open,
+            "most_open": self.max_open,
             "open": self.open,
             "opened": self.opened,
-            "over": self.over,
+            "over": self.ceiling_exceeded_count,
             "peak_bytes": self.peak_bytes,
         }
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -20,7 +20,7 @@
     """The request ids of one process. `id in ids` tells whether a request with that id must be rejected.
 
     Attributes:
-        open: Ids of requests in flight.
+        in_flight: Ids of requests in flight.
         finished: Ids of finished requests, with the time at which each finished in Unix milliseconds.
         retention_ms: How long an id is retained after its request has finished.
     """
@@ -29,7 +29,7 @@
 
     def __init__(self, retention_ms: float) -> None:
         """Creates an empty set of ids."""
-        self.open: set[bytes] = set()
+        self.in_flight: set[bytes] = set()
         self.finished: dict[bytes, float] = {}
         # The entries of `finished`, oldest first. A dict alone would not do: finding its first key takes ever
         # longer as its first keys are deleted.
@@ -38,15 +38,15 @@
 
     def __contains__(self, trace_id: bytes) -> bool:
         """Whether a request with this id is in flight or has finished recently."""
-        return trace_id in self.open or trace_id in self.finished
+        return trace_id in self.in_flight or trace_id in self.finished
 
     def begin(self, trace_id: bytes) -> None:
         """Records that a request with this id is in flight."""
-        self.open.add(trace_id)
+        self.in_flight.add(trace_id)
 
     def end(self, trace_id: bytes, now_ms: float) -> None:
         """Records that the request has finished, and removes ids whose retention time has passed."""
-        self.open.discard(trace_id)
+        self.in_flight.discard(trace_id)
         self.finished[trace_id] = now_ms
         finished_queue = self._finished_queue
         finished_queue.append((now_ms, trace_id))
--- a/sandhatch/runtime/logger.py
+++ b/sandhatch/runtime/logger.py
@@ -27,7 +27,7 @@
         self._line_count = 0
         self._dropped_count = 0
 
-    def line(self, text: str) -> None:
+    def write_line(self, text: str) -> None:
         """Writes one line, `sandhatch NAME: TEXT`, with the text truncated to `MAX_LINE_CHARS`.
 
         Only the first `MAX_LINES_PER_S` lines of a second are written; the number of dropped lines is logged
@@ -67,6 +67,6 @@
         frames = ""
         if error is not None:
             frames = "".join(traceback.format_exception(error, limit=-MAX_TRACEBACK_FRAMES))
-        logger.line(f"{context.get('message')} {frames.strip()}".replace("\n", " | "))
+        logger.write_line(f"{context.get('message')} {frames.strip()}".replace("\n", " | "))
 
     loop.set_exception_handler(report)
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -40,7 +40,7 @@
         self._grant_waiters()
 
     @property
-    def free(self) -> int:
+    def free_bytes(self) -> int:
         """Bytes that may still be reserved; 0 while there are waiters."""
         return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
@@ -62,22 +62,22 @@
             self._grant_waiters()
         return new_bytes <= old_bytes or self.used_bytes <= self.limit_bytes
 
-    def reserve(self, size: int, granted: Callable[[], None]) -> MemoryWaiter | None:
+    def reserve(self, size: int, on_granted: Callable[[], None]) -> MemoryWaiter | None:
         """Reserves `size` bytes before they are buffered, at once or as soon as they are free.
 
         Args:
             size: Number of bytes.
-            granted: Callback for a reservation that has to wait, called once the bytes are reserved. Waiters
-                are served strictly in order: a small reservation does not overtake a large one.
+            on_granted: Callback for a reservation that has to wait, called once the bytes are reserved.
+                Waiters are served strictly in order: a small reservation does not overtake a large one.
 
         Returns:
-            None if the bytes were free and are reserved now; `granted` is not called then. Otherwise a waiter
-            that can be cancelled.
+            None if the bytes were free and are reserved now; `on_granted` is not called then. Otherwise a
+            waiter that can be cancelled.
         """
         if not self._waiters and self.used_bytes + size <= self.limit_bytes:
             self.used_bytes += size
             return None
-        waiter = MemoryWaiter(self, size, granted)
+        waiter = MemoryWaiter(self, size, on_granted)
         self._waiters[waiter] = None
         return waiter
 
@@ -87,7 +87,7 @@
             self._grant_waiters()
 
     def _grant_waiters(self) -> None:
-        if self._is_granting:  # called from a `granted` callback that freed bytes; the loop below uses them
+        if self._is_granting:  # called from an `on_granted` callback; the loop below uses the freed bytes
             return
         self._is_granting = True
         try:
@@ -97,7 +97,7 @@
                     break
                 del self._waiters[waiter]
                 self.used_bytes += waiter.size
-                waiter.granted()
+                waiter.on_granted()
         finally:
             self._is_granting = False
 
@@ -107,16 +107,16 @@
 
     Attributes:
         size: Number of bytes.
-        granted: Callback for when the bytes are reserved.
+        on_granted: Callback for when the bytes are reserved.
     """
 
-    __slots__ = ("_memory_budget", "granted", "size")
+    __slots__ = ("_memory_budget", "on_granted", "size")
 
-    def __init__(self, memory_budget: MemoryBudget, size: int, granted: Callable[[], None]) -> None:
+    def __init__(self, memory_budget: MemoryBudget, size: int, on_granted: Callable[[], None]) -> None:
         """Creates a waiter; called by `MemoryBudget.reserve` alone."""
         self._memory_budget = memory_budget
         self.size = size
-        self.granted = granted
+        self.on_granted = on_granted
 
     def cancel(self) -> None:
         """Cancels the reservation; has no effect if the bytes have been granted."""
--- a/sandhatch/runtime/shared_resources.py
+++ b/sandhatch/runtime/shared_resources.py
@@ -21,12 +21,12 @@
     Attributes:
         loop: Event loop that runs the whole process.
         name: Name of the instance.
-        clients: Number of open client connections, over all listeners.
-        client_budget: Maximum number of open client connections, over all listeners.
+        client_count: Number of open client connections, over all listeners.
+        max_clients: Maximum number of open client connections, over all listeners.
         clock: Clock and timers of the process.
         logger: Log of the process.
         memory_budget: Memory budget for buffered bodies, heads and responses.
-        flows: Statistics of streamed bodies.
+        flow_statistics: Statistics of streamed bodies.
         in_flight_ids: Ids of requests that are in flight or have finished recently.
         descriptors: Descriptor budget for connections to servers.
     """
@@ -50,11 +50,11 @@
         """
         self.loop = loop
         self.name = name
-        self.clients = 0
+        self.client_count = 0
         self.clock = Clock(loop)
         self.logger = Logger(name)
         self.memory_budget = MemoryBudget(memory_mb)
-        self.flows = FlowStatistics()
+        self.flow_statistics = FlowStatistics()
         self.in_flight_ids = InFlightIds(id_retention_ms)
         self.descriptors = DescriptorBudget()
         self.share_descriptors(connection_descriptors)
@@ -64,5 +64,5 @@
 
         If more are in use already, the limits apply to new connections only.
         """
-        self.client_budget = connection_descriptors * 9 // 20
+        self.max_clients = connection_descriptors * 9 // 20
         self.descriptors.limit = connection_descriptors // 2
--- a/sandhatch/runtime/text_table.py
+++ b/sandhatch/runtime/text_table.py
@@ -11,7 +11,7 @@
 COLUMN_GAP = "  "
 
 
-def table(rows: list[dict[str, Any]], columns: Sequence[str]) -> str:
+def format_table(rows: list[dict[str, Any]], columns: Sequence[str]) -> str:
     """Formats a header line and one line per row, each column as wide as its widest cell.
 
     Args:
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -10,7 +10,7 @@
 from sandhatch.config.model import Configuration
 from sandhatch.config.planning_model import Planning
 from sandhatch.config.pool_settings import pool_settings
-from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.address import parse_address_setting
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.running_pool import RunningPool
@@ -47,12 +47,12 @@
     def _read_identity(spec: Planning) -> Identity:
         try:
             from sandhatch.planning.errors import BadKeyError
-            from sandhatch.planning.keys import identity
+            from sandhatch.planning.keys import load_identity
         except ImportError as problem:
             raise StageError(f"planning.planners: {problem}; install the extra `planning`") from None
         peers = {name: peer.public_key for name, peer in spec.planners.items() if peer.public_key is not None}
         try:
-            return identity(spec.shared_key_file, spec.private_key_file, peers)
+            return load_identity(spec.shared_key_file, spec.private_key_file, peers)
         except BadKeyError as problem:
             raise StageError(f"planning: {problem}") from None
 
@@ -82,7 +82,7 @@
         try:
             identity = self._read_identity(spec)
         except StageError as problem:  # a key file that was readable at staging has changed since
-            self._shared.logger.line(f"planning disabled, no planner will be connected: {problem}")
+            self._shared.logger.write_line(f"planning disabled, no planner will be connected: {problem}")
             self._spec = None
             return
         self.link = self._build_link(spec, identity, now_ms)
@@ -93,19 +93,21 @@
 
         # None: this process can't know whether an earlier process has leased its shares. An earlier link of
         # this process, in contrast, knows until when its leases last.
-        quiet_ms = None
+        previous_lease_ms = None
         if self._earlier_leases_until_ms is not None:
-            quiet_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
-        addresses = {name: parse_address(peer.address, "address") for name, peer in spec.planners.items()}
+            previous_lease_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
+        addresses = {
+            name: parse_address_setting(peer.address, "address") for name, peer in spec.planners.items()
+        }
         return ForwarderLink(
             spec.forwarder,
             addresses,
             identity,
             self._shared.clock,
-            self._shared.logger.line,
+            self._shared.logger.write_line,
             _build_link_terms(spec),
             self._seed,
-            quiet_ms,
+            previous_lease_ms,
         )
 
     def close(self) -> None:
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -8,7 +8,7 @@
 
 from sandhatch.config.version import Version
 from sandhatch.downstream.listener import Listener
-from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.address import parse_address_setting
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.errors import StageError
 from sandhatch.service.request_handler import RequestHandler
@@ -65,7 +65,7 @@
         self._staged[version.number] = staged
 
     def _build(self, address: str, name: str) -> Listener:
-        return Listener(parse_address(address, "address"), self._shared, self._request_handler, name)
+        return Listener(parse_address_setting(address, "address"), self._shared, self._request_handler, name)
 
     def unstage(self, version: Version) -> None:
         """Close the listeners that were bound for a version that won't be activated."""
@@ -110,12 +110,14 @@
         try:
             listener.start()
         except OSError as problem:
-            self._shared.logger.line(f"listener {listener.name}: can't listen: {problem.strerror}; retrying")
+            self._shared.logger.write_line(
+                f"listener {listener.name}: can't listen: {problem.strerror}; retrying"
+            )
             self._shared.clock.call_after(REOPEN_DELAY_MS, lambda: self._open(listener, key))
 
     def close_idle_connections(self) -> None:
         """Close idle connections of closing listeners, and remove listeners without connections."""
-        self._closing = [listener for listener in self._closing if listener.connections]
+        self._closing = [listener for listener in self._closing if listener.connection_count]
         for listener in self._closing:
             listener.close_idle()
 
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -15,7 +15,7 @@
 
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
-from sandhatch.balancing.state_transfer import inherit
+from sandhatch.balancing.state_transfer import inherit_state
 from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.pool_model import Pool
 from sandhatch.config.pool_settings import pool_settings
@@ -25,7 +25,7 @@
 from sandhatch.dispatch.dispatcher import Dispatcher
 from sandhatch.dispatch.plan import PoolPlan
 from sandhatch.dispatch.protocols import Source
-from sandhatch.runtime.address import parse_address
+from sandhatch.runtime.address import parse_address_setting
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.running_pool import RunningPool, pool_fingerprints
 from sandhatch.service.server_registry import ServerRegistry
@@ -63,16 +63,16 @@
         """Start without any pool."""
         self._shared = shared
         self.server_registry = ServerRegistry()
-        self.alive: dict[str, RunningPool] = {}  # key: fingerprint
+        self.by_fingerprint: dict[str, RunningPool] = {}  # key: fingerprint
 
     def stage(self, checked: CheckedConfiguration) -> dict[str, RunningPool]:
         """Return the version's pools by name, reused or newly built, and increment their version counts."""
         pools = {}
         for name, fingerprint in pool_fingerprints(checked).items():
-            pool = self.alive.get(fingerprint)
+            pool = self.by_fingerprint.get(fingerprint)
             if pool is None:
                 pool = self._build(name, fingerprint, checked)
-                self.alive[fingerprint] = pool
+                self.by_fingerprint[fingerprint] = pool
             pool.version_count += 1
             pools[name] = pool
         return pools
@@ -90,7 +90,7 @@
     ) -> Source:
         if spec.source is None:
             return StaticSource((), notify)
-        plan = DiscoveryPlan(parse_address(spec.source.discovery, "discovery"))
+        plan = DiscoveryPlan(parse_address_setting(spec.source.discovery, "discovery"))
         return Discovery(plan, notify, lambda text: log(f"pool {name}: {text}"), self.server_registry.names)
 
     def activate(
@@ -137,7 +137,7 @@
         for server in (spec.servers or {}).values():
             since_ms = self.server_registry.listed_since_ms(server.address, now_ms if warms_up else 0.0)
             state = ServerState.READY if server.state == "ready" else ServerState.DRAINING
-            address = parse_address(server.address, "address")
+            address = parse_address_setting(server.address, "address")
             number = self.server_registry.number(server.address)
             servers.append(StaticServer(number, address, state, server.weight, since_ms))
         return servers
@@ -150,14 +150,14 @@
         previous_balancer = previous.dispatcher.balancer
         balancer = successor.dispatcher.balancer
         if isinstance(balancer, Balancer) and isinstance(previous_balancer, Balancer):
-            inherit(balancer, previous_balancer, frozenset(migrated_servers))
+            inherit_state(balancer, previous_balancer, frozenset(migrated_servers))
 
     def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
         """Stop superseded pools from sending to servers that their successors don't list.
 
         Applies to a pool from `WITHDRAW_BEFORE_GRACE_END_MS` before the end of its drain grace period on.
         """
-        for pool in self.alive.values():
+        for pool in self.by_fingerprint.values():
             superseded_at_ms = pool.superseded_at_ms
             if superseded_at_ms is None:
                 continue
@@ -173,15 +173,19 @@
         for pool in pools.values():
             pool.version_count -= 1
             if pool.version_count == 0:
-                del self.alive[pool.fingerprint]
+                del self.by_fingerprint[pool.fingerprint]
                 _stop_pool(pool)
         self.server_registry.retain(
-            {server.address for pool in self.alive.values() for server in (pool.spec.servers or {}).values()}
+            {
+                server.address
+                for pool in self.by_fingerprint.values()
+                for server in (pool.spec.servers or {}).values()
+            }
         )
 
     def close(self) -> None:
         """Stop watching endpoint lists and close all connections to servers."""
-        for pool in self.alive.values():
+        for pool in self.by_fingerprint.values():
             _stop_pool(pool)
 
     def status(self) -> list[PoolStatus]:
@@ -192,11 +196,11 @@
                 name=pool.name,
                 versions=pool.version_count,
                 ready_servers=len(pool.ready_numbers),
-                servers=len(pool.dispatcher.connection_pool.table),
-                connections=pool.dispatcher.connection_pool.sockets,
-                requests=pool.dispatcher.open,
+                servers=len(pool.dispatcher.connection_pool.servers),
+                connections=pool.dispatcher.connection_pool.connection_count,
+                requests=pool.dispatcher.open_exchange_count,
             )
-            for pool in self.alive.values()
+            for pool in self.by_fingerprint.values()
         ]
 
 
--- a/sandhatch/service/readiness.py
+++ b/sandhatch/service/readiness.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from sandhatch.runtime.address import Address, parse_address
+from sandhatch.runtime.address import Address, parse_address_setting
 from sandhatch.service.errors import StageError
 from sandhatch.service.running_pool import RunningPool
 
@@ -40,9 +40,9 @@
 
 def _target_addresses(pool: RunningPool) -> list[Address]:
     if pool.spec.source is not None:
-        return [upstream.address for upstream in pool.dispatcher.connection_pool.table.values()]
+        return [upstream.address for upstream in pool.dispatcher.connection_pool.servers.values()]
     return [
-        parse_address(server.address, "address")
+        parse_address_setting(server.address, "address")
         for server in (pool.spec.servers or {}).values()
         if server.state == "ready"
     ]
@@ -54,7 +54,7 @@
         pool.dispatcher.source.start()
         if pool.spec.source is not None and pool.spec.source.ask:
             pool.dispatcher.source.fetch()
-    while not pool.dispatcher.ready:  # noqa: ASYNC110 - the dispatcher has no event for readiness
+    while not pool.dispatcher.has_ready_server:  # noqa: ASYNC110 - the dispatcher has no event for readiness
         await asyncio.sleep(LIST_POLL_S)
 
 
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -34,9 +34,9 @@
             self._commit(checked)
         except CheckError as failure:
             for problem in failure.problems[:MAX_LOGGED_PROBLEMS]:
-                logger.line(f"reload: {problem}")
+                logger.write_line(f"reload: {problem}")
         except RejectedError as rejected:
-            logger.line(f"reload: {rejected.reason.value}: {rejected.text}")
+            logger.write_line(f"reload: {rejected.reason.value}: {rejected.text}")
 
     def _commit(self, checked: CheckedConfiguration) -> None:
         proposal = self._service.propose_checked(checked, None, AUTHOR, f"reload of {self._path}")
@@ -46,4 +46,4 @@
             if proposal.number in self._service.transactions.proposals:
                 self._service.discard(proposal.number)
             raise
-        self._service.logger.line(f"reload: version {version.number}, {version.changes} keys changed")
+        self._service.logger.write_line(f"reload: version {version.number}, {version.changes} keys changed")
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -23,7 +23,7 @@
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_pool import RunningPool
 from sandhatch.service.running_version import RunningVersion
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 
 
 class RequestHandler:
@@ -50,7 +50,7 @@
         """Whether there is an active version whose pools can serve."""
         return self.current is not None and self.current.ready
 
-    def terms(self, client: ClientConnection, message: Message) -> StreamTerms | None:
+    def limits(self, client: ClientConnection, message: Message) -> StreamLimits | None:
         """Return the limits of a request's body, from the head of the request.
 
         A body that won't be forwarded is rejected before it arrives. The version that the request belongs to
@@ -72,7 +72,7 @@
             raise FramingError(target.status, target.body.decode("utf-8", "replace"))
         parsed = self._read(version, message)
         reject_duplicate_id(self._shared.in_flight_ids, parsed.trace_id)
-        return version.terms[parsed.event.class_index]
+        return version.limits[parsed.event.class_index]
 
     @staticmethod
     def _read(version: RunningVersion, message: Message) -> ParsedRequest:
@@ -82,7 +82,7 @@
             # Servers and logs identify requests by this id. A client that sends none can't repeat one either,
             # so a generated id never conflicts with a client's retry.
             message.add(b"X-Trace-Id", uuid4().hex.encode())
-        return requests.read(message)
+        return requests.parse(message)
 
     def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
         """Respond to a request at once, or dispatch it.
@@ -149,16 +149,16 @@
         trace_id = parsed.trace_id
         time_left_ms = event.time_left_ms
         reject_duplicate_id(self._shared.in_flight_ids, trace_id)
-        terms = version.terms[event.class_index]
-        message.terms = terms
+        limits = version.limits[event.class_index]
+        message.limits = limits
         if message.flow is not None:
             # The class's deadline bounds the servers' work; a streamed body has a time limit of its own.
             expires_in = message.value(b"x-expires-in-ms")
-            time_left_ms = terms.total_ms if expires_in is None else min(terms.total_ms, float(expires_in))
+            time_left_ms = limits.total_ms if expires_in is None else min(limits.total_ms, float(expires_in))
             event.time_left_ms = time_left_ms
         received_at_ms = self._shared.clock.now_ms()
         class_name = version.class_names[event.class_index]
-        version.open += 1
+        version.open_requests += 1
         self.on_request_received(received_at_ms, class_name, pool.name, version)
         finish = partial(self._finish, version, route, pool.name, class_name, received_at_ms)
         exchange = pool.dispatcher.start_request(client, message, time_left_ms, trace_id, event, finish)
@@ -178,14 +178,14 @@
             route,
             pool,
             tuple(exchange.servers),
-            exchange.trace,
+            exchange.trace_id,
             request_class,
             exchange.status,
             received_at_ms,
             exchange.responded_ms,
             exchange.truncated_by,
         )
-        version.open -= 1
+        version.open_requests -= 1
         try:
             self.on_request_finished(record, version)
         finally:
@@ -201,5 +201,5 @@
         self._free_if_unused(version)
 
     def _free_if_unused(self, version: RunningVersion) -> None:
-        if not version.open:
+        if not version.open_requests:
             self.on_version_freed(version)
--- a/sandhatch/service/running_pool.py
+++ b/sandhatch/service/running_pool.py
@@ -59,5 +59,5 @@
     @property
     def ready_numbers(self) -> frozenset[int]:
         """Numbers of the servers that are ready."""
-        table = self.dispatcher.connection_pool.table
+        table = self.dispatcher.connection_pool.servers
         return frozenset(number for number, upstream in table.items() if upstream.state is ServerState.READY)
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.discovery.numbering import EndpointNumbering
 
 
 class ServerRegistry:
@@ -20,13 +20,13 @@
 
     def number(self, address: str) -> int:
         """Return the number of the server at `host:port`; assign one if the address is new."""
-        return self.names.server(address)
+        return self.names.server_number(address)
 
     def name(self, number: int) -> str:
         """Return the server's name in logs: its address, or the id that discovery assigned to it."""
         name = self._name_by_number.get(number)
         if name is None:
-            self._name_by_number = {number: name for name, number in self.names.known()}
+            self._name_by_number = {number: name for name, number in self.names.numbered_ids()}
             name = self._name_by_number.get(number, str(number))
         return name
 
