--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -12,7 +12,7 @@
 
 from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import RejectedError, RejectionReason
-from sandhatch.config.history import History, Saved
+from sandhatch.config.history import History, StoredState
 from sandhatch.config.history_record import HistoryRow
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.transactions import Transactions
@@ -58,7 +58,7 @@
         first: CheckedConfiguration,
         loop: asyncio.AbstractEventLoop,
         history: History | None = None,
-        saved: Saved | None = None,
+        saved: StoredState | None = None,
     ) -> None:
         """Assemble the service around its first version.
 
@@ -86,7 +86,7 @@
         self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
-    def _build_lifecycle(self, first: CheckedConfiguration, saved: Saved | None) -> VersionLifecycle:
+    def _build_lifecycle(self, first: CheckedConfiguration, saved: StoredState | None) -> VersionLifecycle:
         """Build the lifecycle. The first version has the number of the saved confirmed version, if any."""
         number = saved.confirmed if saved else 1
         version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
@@ -134,7 +134,7 @@
             try:
                 await wait_until_ready(pool)
             except StageError as problem:
-                self.logger.line(f"warning: starting with a pool that is not ready: {problem}")
+                self.logger.write_line(f"warning: starting with a pool that is not ready: {problem}")
         self.changes.activate(version, first=True)
         self._store.queue_save(0, None)
         self.clock.call_after(TICK_MS, self._tick)
@@ -143,7 +143,7 @@
         """Shut down gracefully: accept for a while, respond to all received requests, then close."""
         self._begin_shutdown()
         self.lifecycle.stop()
-        self.changes.carry_out()
+        self.changes.execute_actions()
         # Class deadlines don't apply to streamed bodies, so the longest possible request bounds the drain.
         longest_request_ms = max(
             (version.longest_request_ms for version in self.running.values()), default=0.0
@@ -151,7 +151,7 @@
         await drain(
             self.clock,
             self._listener_set.active_and_closing,
-            lambda: any(version.open for version in self.running.values()),
+            lambda: any(version.open_requests for version in self.running.values()),
             longest_request_ms,
         )
         await self.close()
@@ -214,13 +214,13 @@
             RejectedError: The proposal can't be committed.
         """
         version = self.transactions.commit(self.now_ms, proposal, confirm_within_ms, watched)
-        self.changes.carry_out()
+        self.changes.execute_actions()
         return version
 
     def confirm(self, number: int | None = None) -> Version:
         """Confirm the pending version, which must have this number if one is given."""
         version = self.lifecycle.confirm(number)
-        self.changes.carry_out()
+        self.changes.execute_actions()
         return version
 
     def extend(self, within_ms: float, number: int | None = None) -> Version:
@@ -234,7 +234,7 @@
         result = self.transactions.rollback(self.now_ms, author, to)
         if isinstance(result, Proposal):
             return self.commit(result.number)
-        self.changes.carry_out()
+        self.changes.execute_actions()
         return result
 
     def _propose_saved(self, number: int, author: str) -> Proposal:
@@ -264,9 +264,9 @@
         """Return the history of versions, oldest first."""
         return self._store.rows()
 
-    async def wait_until_decided(self, version: Version, over: bool = False) -> Version:
-        """Wait until a version is active or in a terminal state; with `over`, until a terminal state."""
-        while version.state not in TERMINAL_STATES and (over or version.state not in RUNNING):
+    async def wait_until_decided(self, version: Version, until_terminal: bool = False) -> Version:
+        """Wait until a version is active or in a terminal state; with `until_terminal`, for the latter."""
+        while version.state not in TERMINAL_STATES and (until_terminal or version.state not in RUNNING):
             await self.changes.changed.wait()
         return version
 
@@ -285,7 +285,7 @@
                 self.lifecycle.goodput_dropped(self.lifecycle.pending, str(drop))
             self.pools.withdraw_unlisted(current.pools, now_ms)
         self.lifecycle.tick(now_ms)
-        self.changes.carry_out()
+        self.changes.execute_actions()
         self._listener_set.close_idle_connections()
         if not self.stopping:
             self.clock.call_after(TICK_MS, self._tick)
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -71,9 +71,9 @@
         self.running: dict[int, RunningVersion] = {}
         self.changed = asyncio.Event()
         request_handler.on_version_freed = self._free
-        store.on_saved = self.carry_out
+        store.on_saved = self.execute_actions
 
-    def carry_out(self) -> None:
+    def execute_actions(self) -> None:
         """Execute the lifecycle's pending actions, then the actions that result from them."""
         if self._executing_actions:
             return
@@ -93,8 +93,8 @@
                 self._start_task(self._stage(version))
             case DiscardStaged(version=version):
                 self._unstage(version)
-            case Save(step=step, version=saved_version):
-                self._store.queue_save(step, saved_version)
+            case Save(save_number=save_number, version=saved_version):
+                self._store.queue_save(save_number, saved_version)
             case Apply(version=version):
                 self.activate(version)
             case Retire(version=version):
@@ -104,7 +104,7 @@
             case EndWatch(version=version):
                 self._end_watch(version)
             case LogMessage(text=text):
-                self._shared.logger.line(text)
+                self._shared.logger.write_line(text)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = self._shared.loop.create_task(work)
@@ -135,13 +135,13 @@
             running = self.build(version)
             await asyncio.gather(*(_wait_unless_ready(pool) for pool in running.pools.values()))
         except StageError as problem:
-            self._lifecycle.failed(version, str(problem))
+            self._lifecycle.staging_failed(version, str(problem))
         except Exception as problem:
             # An unexpected error must not leave the version half built nor stop the running service.
-            self._lifecycle.failed(version, f"{type(problem).__name__}: {problem}")
+            self._lifecycle.staging_failed(version, f"{type(problem).__name__}: {problem}")
         else:
             self._lifecycle.staged(version)
-        self.carry_out()
+        self.execute_actions()
 
     def _unstage(self, version: Version) -> None:
         self._listeners.unstage(version)
@@ -181,11 +181,11 @@
 
     def _end_watch(self, version: Version) -> None:
         if version.state is State.ROLLED_BACK:
-            self._goodput.watch.forget()
+            self._goodput.watch.discard()
         else:
             self._goodput.watch.end()
 
 
 async def _wait_unless_ready(pool: RunningPool) -> None:
-    if not pool.started or not pool.dispatcher.ready:
+    if not pool.started or not pool.dispatcher.has_ready_server:
         await wait_until_ready(pool)
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from sandhatch.config.history import History, Saved
+from sandhatch.config.history import History, StoredState
 from sandhatch.config.history_record import HistoryRow, Record
 from sandhatch.config.version import State, Version
 from sandhatch.config.version_lifecycle import MAX_RECORDS, VersionLifecycle
@@ -24,12 +24,12 @@
     """One queued state of all versions.
 
     Attributes:
-        step: Number by which the result is reported to the lifecycle.
+        save_number: Number by which the result is reported to the lifecycle.
         record: State of all versions.
         contents: Configurations, by version number.
     """
 
-    step: int
+    save_number: int
     record: Record
     contents: dict[int, dict[str, Any]]
 
@@ -42,7 +42,7 @@
         shared: SharedResources,
         lifecycle: VersionLifecycle,
         history: History | None,
-        saved: Saved | None,
+        saved: StoredState | None,
     ) -> None:
         """Save into `history`, or nowhere if None; `saved` is what the state directory held at the start."""
         self._shared = shared
@@ -68,13 +68,13 @@
             return None
         return self._history.content(number)
 
-    def queue_save(self, step: int, version: Version | None) -> None:
+    def queue_save(self, save_number: int, version: Version | None) -> None:
         """Queue a save of the present state, with the configuration of `version` if one is given."""
         record = self._lifecycle.record()
         contents = {record.confirmed: self._lifecycle.versions[record.confirmed].data}
         if version is not None:
             contents[version.number] = version.data
-        self._queue.append(_QueuedSave(step, record, contents))
+        self._queue.append(_QueuedSave(save_number, record, contents))
         if self._task is None or self._task.done():
             self._task = self._shared.loop.create_task(self._save_queued())
 
@@ -84,13 +84,13 @@
             try:
                 await self._write(save)
             except OSError as problem:
-                self._shared.logger.line(
+                self._shared.logger.write_line(
                     f"versions can't be saved to the state directory: {problem.strerror}"
                 )
                 reason = problem.strerror or str(problem)
-                self._lifecycle.save_failed(save.step, reason)
+                self._lifecycle.save_failed(save.save_number, reason)
             else:
-                self._lifecycle.saved(self._shared.clock.now_ms(), save.step)
+                self._lifecycle.saved(self._shared.clock.now_ms(), save.save_number)
             self.on_saved()
 
     async def _write(self, save: _QueuedSave) -> None:
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -27,8 +27,8 @@
 from sandhatch.streaming.flow_memory import MIN_CREDIT_BYTES, FlowMemory
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import FlowObserver, FlowResources, Piece, Sink, Source
+from sandhatch.streaming.limits import BodyLimits
 from sandhatch.streaming.progress import ProgressMonitor
-from sandhatch.streaming.terms import BodyTerms
 
 
 class Side(Enum):
@@ -55,7 +55,7 @@
     """Flow of one body from a source to a sink; see the module docstring.
 
     Attributes:
-        terms: Limits of the body.
+        limits: Limits of the body.
         source: Source of the body; None once the body has ended or the flow is closed.
         ended: Whether the source has pushed the complete body.
         sent: Whether the current sink has sent the complete body.
@@ -79,15 +79,15 @@
         "_unsent_bytes",
         "closed",
         "ended",
+        "limits",
         "sent",
         "source",
-        "terms",
         "trailers",
     )
 
     def __init__(
         self,
-        terms: BodyTerms,
+        limits: BodyLimits,
         resources: FlowResources,
         source: Source,
         reserved_bytes: int,
@@ -96,23 +96,27 @@
         """Open a flow without a sink.
 
         Args:
-            terms: Limits of the body.
+            limits: Limits of the body.
             resources: Clock, memory budget and flow statistics of the process.
             source: Source of the body.
             reserved_bytes: Bytes that are already reserved in the memory budget; see `FlowMemory`.
             leases_to_response: Whether a part of the reserved bytes is for the body of the response; False
                 for the flow of a response.
         """
-        self.terms = terms
+        self.limits = limits
         self.source: Source | None = source
         self.ended = False
         self.sent = False
         self.closed = False
         self.trailers: Headers = []
         self._clock = resources.clock
-        self._statistics = resources.flows
+        self._statistics = resources.flow_statistics
         self._memory = FlowMemory(
-            resources.memory_budget, resources.flows, terms.ceiling_bytes, reserved_bytes, leases_to_response
+            resources.memory_budget,
+            resources.flow_statistics,
+            limits.ceiling_bytes,
+            reserved_bytes,
+            leases_to_response,
         )
         self._observer: FlowObserver | None = None
         self._sink: Sink | None = None
@@ -121,23 +125,23 @@
         self._replay_buffer: list[bytes] | None = []
         self._replay_bytes = 0
         self._source_paused = False
-        self._sink_progress = ProgressMonitor(terms.reader)
-        self._source_progress = ProgressMonitor(terms.writer)
+        self._sink_progress = ProgressMonitor(limits.reader)
+        self._source_progress = ProgressMonitor(limits.writer)
         self._source_progress.start_waiting(self._clock.now_ms())
         self._statistics.count_opened()
 
     # ------------------------------------------------ called by the source
 
     @property
-    def credit(self) -> int:
+    def credit_bytes(self) -> int:
         """Bytes that the source may push now.
 
         The body's ceiling and the free memory limit the credit. The credit for the reserved bytes remains
         even if no memory is free.
         """
         # Repeats the sum in `memory_bytes` to save a call, because every read from a socket needs the credit.
-        unsent_bytes = self._sink.unsent if self._sink is not None else 0
-        max_bytes = min(self.terms.ceiling_bytes, self._memory.available_bytes)
+        unsent_bytes = self._sink.unsent_bytes if self._sink is not None else 0
+        max_bytes = min(self.limits.ceiling_bytes, self._memory.available_bytes)
         return max(0, max_bytes - self._replay_bytes - unsent_bytes)
 
     def push(self, piece: Piece) -> None:
@@ -149,7 +153,7 @@
         self._statistics.bytes += size
         self._source_progress.record_bytes(size, now_ms)
         if self._replay_buffer is not None:
-            if self._sink is None or self._replay_bytes + size <= self.terms.replay_bytes:
+            if self._sink is None or self._replay_bytes + size <= self.limits.replay_bytes:
                 piece = bytes(piece)
                 self._replay_buffer.append(piece)
                 self._replay_bytes += size
@@ -181,10 +185,10 @@
     @property
     def memory_bytes(self) -> int:
         """Bytes of the body in memory: the replay buffer and what the sink has not sent."""
-        return self._replay_bytes + (self._sink.unsent if self._sink is not None else 0)
+        return self._replay_bytes + (self._sink.unsent_bytes if self._sink is not None else 0)
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Whether the complete body can still be written to another sink."""
         return self._replay_buffer is not None
 
@@ -204,7 +208,7 @@
             sink.write(piece)
             if self._sink is not sink:  # the sink has failed during the write and was detached
                 return
-        if self._replay_bytes > self.terms.replay_bytes:
+        if self._replay_bytes > self.limits.replay_bytes:
             self._release_replay_buffer()
         if self.ended:
             sink.finish(self.trailers)
@@ -230,7 +234,7 @@
         self._memory.release()
         self._statistics.open -= 1
 
-    def slow_side(self, now_ms: float) -> SlowSide | None:
+    def find_slow_side(self, now_ms: float) -> SlowSide | None:
         """Returns the side that violates its progress limits, or None."""
         if self.closed:
             return None
@@ -268,7 +272,7 @@
             self._observer.on_unrepeatable()
 
     def _record_sink_progress(self, now_ms: float) -> None:
-        unsent_bytes = self._sink.unsent if self._sink is not None else 0
+        unsent_bytes = self._sink.unsent_bytes if self._sink is not None else 0
         if unsent_bytes < self._unsent_bytes:
             self._sink_progress.record_bytes(self._unsent_bytes - unsent_bytes, now_ms)
         self._unsent_bytes = unsent_bytes
@@ -289,7 +293,7 @@
             self._source_progress.stop_waiting(now_ms)
         else:
             self._source_progress.start_waiting(now_ms)
-        paused = self._sink is None or is_sink_behind or not self.credit
+        paused = self._sink is None or is_sink_behind or not self.credit_bytes
         if paused != self._source_paused:
             self._set_source_paused(paused)
         if self.ended and not is_sink_behind and self._sink is not None and not self.sent:
--- a/sandhatch/streaming/flow_memory.py
+++ b/sandhatch/streaming/flow_memory.py
@@ -55,7 +55,7 @@
     @property
     def available_bytes(self) -> int:
         """Bytes that the flow may buffer: its reservation, or more if the budget has free memory."""
-        return max(self._reserved_bytes, self._accounted_bytes + self._budget.free)
+        return max(self._reserved_bytes, self._accounted_bytes + self._budget.free_bytes)
 
     def update(self, buffered_bytes: int) -> None:
         """Account for the bytes that the flow buffers now, or for its reservation if that is larger."""
@@ -63,7 +63,7 @@
         if buffered_bytes > statistics.peak_bytes:
             statistics.peak_bytes = buffered_bytes
         if buffered_bytes > self._ceiling_bytes:
-            statistics.over += 1
+            statistics.ceiling_exceeded_count += 1
         accounted_bytes = max(buffered_bytes, self._reserved_bytes)
         if accounted_bytes != self._accounted_bytes:
             accounted_before = self._accounted_bytes
--- a/sandhatch/streaming/interfaces.py
+++ b/sandhatch/streaming/interfaces.py
@@ -34,7 +34,7 @@
         """Memory budget in which the memory of flows is counted."""
 
     @property
-    def flows(self) -> FlowStatistics:
+    def flow_statistics(self) -> FlowStatistics:
         """Statistics of all flows."""
 
 
@@ -52,7 +52,7 @@
     """Consumer of a body, for example a connection that is written to."""
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that were written but not yet accepted by the kernel."""
 
     def write(self, piece: Piece) -> None:
--- a/sandhatch/streaming/terms.py
+++ b/sandhatch/streaming/limits.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class BodyTerms:
+class BodyLimits:
     """Limits of the body in one direction.
 
     Attributes:
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StreamTerms:
+class StreamLimits:
     """Limits of a request in both directions.
 
     Attributes:
@@ -46,8 +46,8 @@
             `hold_bytes` have been received; the configuration key is `answer_hold_ms`.
     """
 
-    request: BodyTerms
-    response: BodyTerms
+    request: BodyLimits
+    response: BodyLimits
     total_ms: float
     memory_wait_ms: float
     response_hold_ms: float
--- a/sandhatch/streaming/socket_writer.py
+++ b/sandhatch/streaming/socket_writer.py
@@ -12,10 +12,10 @@
 
 from sandhatch.streaming.interfaces import Piece
 
-READ_BYTES = 256 * 1024
+READ_BUFFER_BYTES = 256 * 1024
 # Read buffer shared by all connections of the process. The data of each read is processed before the next
 # read; data that is needed longer is copied.
-SCRATCH = memoryview(bytearray(READ_BYTES))
+READ_BUFFER = memoryview(bytearray(READ_BUFFER_BYTES))
 
 
 class SocketWriter:
@@ -29,7 +29,7 @@
         self._file_descriptor: int = transport.get_extra_info("socket").fileno()
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that were written but not yet accepted by the kernel."""
         transport = self._transport
         return 0 if transport.is_closing() else transport.get_write_buffer_size()
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -91,11 +91,11 @@
         self,
         update: ListUpdate,  # noqa: ARG002 - part of the observer protocol; `on_event` receives it too
         addresses: Sequence[str],
-        why: str = "",
+        failure_reason: str = "",
     ) -> None:
         """Stores the addresses of the list that `on_event` receives next, and the reason of a failed poll."""
         self._addresses = addresses
-        self._list_failure = why
+        self._list_failure = failure_reason
 
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
         """Records an event with the resulting actions."""
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from sandhatch.balancing.events import ListKind, Outcome
-from sandhatch.runtime.text_table import table
+from sandhatch.runtime.text_table import format_table
 from sandhatch.telemetry.record_format import (
     ATTEMPT_EVENT,
     LIST_EVENT,
@@ -186,7 +186,7 @@
         {"s": second, **{column.value: count[column] for column in used}}
         for second, count in sorted(fleet.seconds.items())
     ]
-    return table(rows, ("s", *used))
+    return format_table(rows, ("s", *used))
 
 
 def main(paths: Sequence[str]) -> int:
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -24,7 +24,7 @@
 from sandhatch.http1.message import Message
 from sandhatch.runtime.clock import Timer
 from sandhatch.streaming.flow import Flow
-from sandhatch.streaming.terms import StreamTerms
+from sandhatch.streaming.limits import StreamLimits
 from sandhatch.upstream.server import UpstreamServer
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         """Return the outcome of an attempt that may no longer be written, None if it may be written."""
 
     def on_response_started(self, attempt: Attempt, response: Message, reserved_bytes: int) -> Flow | None:
-        """Handle the head of a response that can be streamed; called only for an attempt with `terms`.
+        """Handle the head of a response that can be streamed; called only for an attempt with `limits`.
 
         Args:
             attempt: The attempt that received the response.
@@ -67,7 +67,7 @@
             streamed request the time when all of it had been sent.
         probe: Whether the attempt is a probe.
         flow: The request's body if that is streamed as it arrives, else None.
-        terms: Limits for streaming the response as it arrives, None if it must be read completely.
+        limits: Limits for streaming the response as it arrives, None if it must be read completely.
         timeout_ms: Time allowed for the response.
         timer: The running timeout, None before it is started.
         connection: The connection that carries the attempt, None before it is written and after its end.
@@ -80,7 +80,7 @@
     sent_ms: float
     probe: bool = False
     flow: Flow | None = None
-    terms: StreamTerms | None = None
+    limits: StreamLimits | None = None
     timeout_ms: float = 0.0
     timer: Timer | None = None
     connection: ServerConnection | None = None
@@ -99,15 +99,15 @@
 
     @property
     def bytes_before_streaming(self) -> int:
-        """Bytes of a long response that are buffered before it is streamed; only for an attempt with `terms`.
+        """Bytes of a long response that are buffered before it is streamed; only for attempts with `limits`.
 
         The response to a streamed request uses memory leased from the request's flow, and never waits for it.
         """
-        assert self.terms is not None
+        assert self.limits is not None
         return (
             Flow.MIN_CREDIT_BYTES
             if self.flow is not None
-            else max(Flow.MIN_CREDIT_BYTES, self.terms.response.hold_bytes)
+            else max(Flow.MIN_CREDIT_BYTES, self.limits.response.hold_bytes)
         )
 
     def write(self, connection: ServerConnection) -> bool:
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -18,7 +18,7 @@
 from sandhatch.http1.message import Message
 from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.streaming.flow import Flow
-from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
+from sandhatch.streaming.socket_writer import READ_BUFFER, SocketWriter
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.outcomes import classify_response
 from sandhatch.upstream.response_receiver import BUFFERING, STREAMING, ResponseReceiver
@@ -89,7 +89,7 @@
             self._move_to_new_connection(attempt)
             return
         attempt.response_started = True
-        events = self._parser.feed(SCRATCH[:nbytes])
+        events = self._parser.feed(READ_BUFFER[:nbytes])
         if self._response_state is STREAMING:
             self._on_streamed_events(attempt, events)
             return
@@ -101,7 +101,7 @@
             attempt.on_connection_failed()
         elif self._response_state is BUFFERING:
             self._reserve_memory(attempt)
-            if self._reserved_bytes and self._parser.openable:
+            if self._reserved_bytes and self._parser.is_openable:
                 self._start_streaming(attempt)
 
     def eof_received(self) -> None:
@@ -131,7 +131,7 @@
     def send(self, attempt: Attempt, request: Message) -> None:
         """Write the request of an attempt, and carry the attempt until it ends."""
         self._attempt = attempt
-        if attempt.terms is not None:
+        if attempt.limits is not None:
             self._parser.on_head = self._on_response_head
         if attempt.flow is not None:
             self._send_streamed(attempt, attempt.flow, request)
@@ -139,7 +139,7 @@
         payload = encode_request(request.method, request.target, request.headers, request.body)
         if self._has_carried_attempt:
             self._withheld_byte = payload[-1:]
-            self._pool.later(partial(self._send_withheld_byte, attempt))
+            self._pool.schedule_last_byte(partial(self._send_withheld_byte, attempt))
             payload = payload[:-1]
         self._has_carried_attempt = True
         self._write(payload)
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -45,7 +45,7 @@
     Attributes:
         clock: Clock of the process.
         memory_budget: Memory budget shared by all connections of the process.
-        table: Servers of the endpoint list, by number.
+        servers: Servers of the endpoint list, by number.
     """
 
     SWEEP_INTERVAL_MS = 1_000.0
@@ -82,20 +82,20 @@
         self._descriptors = descriptors
         descriptors.holders[self] = None
         self.memory_budget = memory_budget
-        self._budget = limits.max_connections
+        self._max_connections = limits.max_connections
         # The margin avoids writing a request to a connection while the server closes it as idle.
         margin_ms = min(self.IDLE_MARGIN_MS, self.IDLE_MARGIN_FRACTION * limits.server_idle_timeout_ms)
         self._max_idle_ms = limits.server_idle_timeout_ms - margin_ms
         self._connect_timeout_ms = limits.connect_timeout_ms
         self._drain_grace_ms = max(0.0, limits.drain_grace_ms - self.CONNECT_MARGIN_MS)
-        self.table: dict[int, UpstreamServer] = {}
+        self.servers: dict[int, UpstreamServer] = {}
         self._idle: dict[int, list[ServerConnection]] = {}  # by server number, most recently used last
         self._open: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
         self._is_sweeping = False
 
     @property
-    def sockets(self) -> int:
+    def connection_count(self) -> int:
         """Number of connections, including those being established."""
         return len(self._open) + len(self._connecting)
 
@@ -113,17 +113,17 @@
             started_ms: Start time of the server process in Unix milliseconds.
             notified_ms: Time in Unix milliseconds at which the entry counted as received.
         """
-        server = self.table.get(number)
+        server = self.servers.get(number)
         if server is None:
             if state is not ServerState.GONE:
                 first_notice_ms = 0.0 if state is ServerState.READY else notified_ms
-                self.table[number] = UpstreamServer(number, address, state, started_ms, first_notice_ms)
+                self.servers[number] = UpstreamServer(number, address, state, started_ms, first_notice_ms)
             return
         same_process = server.update(address, state, started_ms, notified_ms)
         if not same_process or state is ServerState.GONE:
             self.close_idle(number)
         if state is ServerState.GONE:
-            del self.table[number]  # attempts to this server keep a reference and see its state
+            del self.servers[number]  # attempts to this server keep a reference and see its state
 
     def has_drain_grace_expired(self, server: UpstreamServer) -> bool:
         """Return whether a server's drain grace period is over, so that nothing new may be sent to it."""
@@ -157,7 +157,7 @@
             attempt.sent_ms = self.clock.now_ms()
             attempt.timer = self.clock.call_after(attempt.timeout_ms, attempt.time_out)
 
-    def later(self, callback: Callable[[], None]) -> None:
+    def schedule_last_byte(self, callback: Callable[[], None]) -> None:
         """Schedule a callback for the time when a withheld last byte is due."""
         self.clock.call_after(self.LAST_BYTE_DELAY_MS, callback)
 
@@ -167,7 +167,7 @@
         The attempt ends as CONNECT_FAILED if the limits on connections and descriptors allow no new one.
         """
         if (
-            self.sockets >= self._budget and not self.close_oldest()
+            self.connection_count >= self._max_connections and not self.close_longest_idle()
         ) or not self._descriptors.ensure_one_free():
             attempt.end(Outcome.CONNECT_FAILED)
             return
@@ -212,7 +212,7 @@
         """Cache an idle connection for reuse, or close it if its server takes no new requests."""
         server = connection.server
         leads_to_server = (
-            self.table.get(server.number) is server
+            self.servers.get(server.number) is server
             and server.address == connection.address
             and server.started_ms == connection.started_ms
         )
@@ -243,7 +243,7 @@
         if self._is_sweeping:
             self.clock.call_after(self.SWEEP_INTERVAL_MS, self._sweep)
 
-    def close_oldest(self) -> bool:
+    def close_longest_idle(self) -> bool:
         """Close the connection that has been idle the longest; return False if none is idle."""
         idle = [connection for connections in self._idle.values() for connection in connections]
         if not idle:
@@ -279,7 +279,7 @@
         """
         numbers = []
         for number, idle in list(self._idle.items()):
-            server = successor.table.get(number)
+            server = successor.servers.get(number)
             if server is None or server.state is not ServerState.READY:
                 continue
             for connection in [candidate for candidate in idle if candidate.address == server.address]:
--- a/sandhatch/upstream/response_receiver.py
+++ b/sandhatch/upstream/response_receiver.py
@@ -13,8 +13,8 @@
     STREAMING  the head was forwarded, pieces of the body    end of the response: READING, the attempt ends
                are pushed to a flow as they arrive
 
-A response enters BUFFERING only if the attempt allows streaming (`Attempt.terms`) and the body is longer than
-the limit up to which a body is always read completely. If an attempt ends without its response, its
+A response enters BUFFERING only if the attempt allows streaming (`Attempt.limits`) and the body is longer
+than the limit up to which a body is always read completely. If an attempt ends without its response, its
 connection is closed.
 """
 
@@ -27,12 +27,12 @@
 from typing import TYPE_CHECKING
 
 from sandhatch.http1.body_endpoint import BodyEndpoint
-from sandhatch.http1.events import End, Event
+from sandhatch.http1.events import BodyEnd, Event
 from sandhatch.http1.message import Message
-from sandhatch.http1.message_parser import NEVER
+from sandhatch.http1.message_parser import NOT_STREAMED
 from sandhatch.http1.parser import ResponseParser
 from sandhatch.streaming.flow import Flow
-from sandhatch.streaming.socket_writer import SCRATCH
+from sandhatch.streaming.socket_writer import READ_BUFFER
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.outcomes import classify_response
 
@@ -65,7 +65,7 @@
             pool: The pool that opens the connection.
         """
         super().__init__()
-        self.ending = False
+        self.is_ending = False
         self._pool = pool
         self._transport: asyncio.Transport | None = None
         self._parser = ResponseParser()
@@ -95,38 +95,38 @@
     def get_buffer(self, sizehint: int) -> memoryview:  # noqa: ARG002 - part of the protocol
         """Provide the buffer for the next read, no larger than what may be buffered or streamed now."""
         if self._response_flow is not None:
-            return SCRATCH[: max(1, self._response_flow.credit)]
+            return READ_BUFFER[: max(1, self._response_flow.credit_bytes)]
         attempt = self._attempt
-        if attempt is not None and attempt.terms is not None:
+        if attempt is not None and attempt.limits is not None:
             if self._response_state is BUFFERING:
-                return SCRATCH[: max(1, attempt.bytes_before_streaming - self._parser.size)]
-            return SCRATCH[: Flow.MIN_CREDIT_BYTES]
-        return SCRATCH
+                return READ_BUFFER[: max(1, attempt.bytes_before_streaming - self._parser.body_bytes)]
+            return READ_BUFFER[: Flow.MIN_CREDIT_BYTES]
+        return READ_BUFFER
 
     def _on_response_head(self, response: Message) -> None:
         """Decide whether a response with a body may be streamed, once its head has arrived."""
         attempt = self._attempt
-        if attempt is None or attempt.terms is None or response.status != 200:
+        if attempt is None or attempt.limits is None or response.status != 200:
             return
         if self._response_state is STREAMING:
             return  # a second, unsolicited response after the one that is being streamed
-        terms = attempt.terms.response
-        if response.length is not None and response.length <= terms.hold_bytes:
-            self._parser.stream(NEVER, terms.hold_bytes)
+        limits = attempt.limits.response
+        if response.length is not None and response.length <= limits.hold_bytes:
+            self._parser.stream(NOT_STREAMED, limits.hold_bytes)
             return
-        self._parser.stream(attempt.bytes_before_streaming, terms.max_bytes)
+        self._parser.stream(attempt.bytes_before_streaming, limits.max_bytes)
         self._response_state = BUFFERING
         self._pool.clock.call_after(
-            attempt.terms.response_hold_ms, partial(self._on_buffering_timeout, attempt)
+            attempt.limits.response_hold_ms, partial(self._on_buffering_timeout, attempt)
         )
 
     # ------------------------------------------------ buffering
 
     def _on_buffering_timeout(self, attempt: Attempt) -> None:
         """Stream a response whose buffering time is over, however little of it has arrived."""
-        if self._attempt is attempt and self._response_state is not STREAMING and self._parser.in_body:
+        if self._attempt is attempt and self._response_state is not STREAMING and self._parser.is_in_body:
             self._parser.stream(0, self._parser.max_body_bytes)
-            if self._reserved_bytes and self._parser.openable:
+            if self._reserved_bytes and self._parser.is_openable:
                 self._start_streaming(attempt)
 
     def _reserve_memory(self, attempt: Attempt) -> None:
@@ -150,7 +150,7 @@
         self._memory_waiter = None
         self._on_reserved(attempt.bytes_before_streaming)
         self.resume()
-        if self._parser.openable:
+        if self._parser.is_openable:
             self._start_streaming(attempt)
 
     def _on_reserved(self, reserved_bytes: int) -> None:
@@ -201,7 +201,7 @@
         for index, event in enumerate(events):
             if flow is None or self._response_flow is not flow:
                 return  # the response was aborted while an earlier event was handled
-            if isinstance(event, End):
+            if isinstance(event, BodyEnd):
                 self._on_streamed_end(attempt, flow, event, nothing_follows=index == last_index)
                 return
             if not isinstance(event, Message):  # always true: only pieces precede the end
@@ -210,7 +210,7 @@
             self.abort()
             attempt.on_connection_failed()
 
-    def _on_streamed_end(self, attempt: Attempt, flow: Flow, end: End, nothing_follows: bool) -> None:
+    def _on_streamed_end(self, attempt: Attempt, flow: Flow, end: BodyEnd, nothing_follows: bool) -> None:
         """Complete a streamed response."""
         response = self._streamed_response
         assert response is not None  # the head precedes the end
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -33,7 +33,7 @@
         generation: Generation of the endpoint list.
         entries: Current entries, by instance id.
         calls: Queue of the targets of all requests.
-        garbage: Raw responses that replace regular ones, one per request.
+        raw_responses: Raw responses that replace regular ones, one per request.
         delay_s: Delay of each complete list, in seconds.
         silent: Whether watches get no response.
     """
@@ -44,7 +44,7 @@
         self.generation = 1
         self.entries = {entry["instanceId"]: entry for entry in entries}
         self.calls: asyncio.Queue[str] = asyncio.Queue()
-        self.garbage: list[bytes] = []
+        self.raw_responses: list[bytes] = []
         self.delay_s = 0.0
         self.silent = False
         self._changes: list[PublishedChange] = []
@@ -77,8 +77,8 @@
             while (head := await read_head(reader)) is not None:
                 target = head.start_line.split()[1]
                 self.calls.put_nowait(target)
-                if self.garbage:
-                    writer.write(self.garbage.pop(0))
+                if self.raw_responses:
+                    writer.write(self.raw_responses.pop(0))
                     continue
                 endpoint_list = await (self._delta(target) if "after=" in target else self._full_list())
                 writer.write(ok(json.dumps(endpoint_list).encode()))
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -92,7 +92,7 @@
             writer.write(self._request(request_class, target, trace))
             response = await read_http_response(reader)
         except (OSError, AssertionError, asyncio.IncompleteReadError) as error:
-            entry.lost = repr(error)
+            entry.failure = repr(error)
             return False
         entry.responses.append(response)
         entry.responded_s = asyncio.get_running_loop().time()
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -58,7 +58,7 @@
         for event, _ in self.session.feed(data):
             if isinstance(event, Report):
                 self._reports.append(event)
-        await self.send_raw(self.session.take_out())
+        await self.send_raw(self.session.take_output())
 
     def advice(self, report: Report, *pools: PoolAdvice, **more: object) -> Advice:
         """Creates the advice of a planner without faults for a report; `more` replaces fields."""
@@ -73,7 +73,7 @@
     async def send_advice(self, advice: Advice) -> None:
         """Sends advice."""
         self.session.send(advice)
-        await self.send_raw(self.session.take_out())
+        await self.send_raw(self.session.take_output())
 
     async def send_raw(self, data: bytes) -> None:
         """Writes bytes unchanged, sealed or not."""
--- a/testkit/request_log.py
+++ b/testkit/request_log.py
@@ -23,7 +23,7 @@
     responses: list[Response] = field(default_factory=list)
     responded_s: float = 0.0
     ran: list[str] = field(default_factory=list)  # servers that have received the complete request
-    lost: str = ""  # reason why there was no response
+    failure: str = ""  # reason why there was no response
 
 
 class RequestLog:
@@ -58,7 +58,7 @@
         faults = []
         for trace, entry in self.entries.items():
             if len(entry.responses) != 1:
-                faults.append(f"{trace}: {len(entry.responses)} responses {entry.lost}")
+                faults.append(f"{trace}: {len(entry.responses)} responses {entry.failure}")
             if entry.request_class in non_idempotent:
                 if len(entry.ran) > 1:
                     faults.append(f"{trace}: non-idempotent, ran at {entry.ran}")
--- a/testkit/simulation/discovery.py
+++ b/testkit/simulation/discovery.py
@@ -30,11 +30,11 @@
 
     Each poll occupies the service for `call_ms`, and fails if it has waited longer than
     `response_timeout_ms`. A successful poll begins a subscription, which is notified of each change
-    `notice_ms` later, until `fall_silent`.
+    `notice_ms` later, until `drop_subscriptions`.
 
     Attributes:
         up: Whether the service is up; set by tests.
-        calls_ms: Arrival time of each poll.
+        poll_times_ms: Arrival time of each poll.
         notified_ms: Time at which each forwarder last received all changes, by its number.
     """
 
@@ -53,7 +53,7 @@
         self._notice_ms = notice_ms
         self._response_timeout_ms = response_timeout_ms
         self.up = True
-        self.calls_ms: list[float] = []
+        self.poll_times_ms: list[float] = []
         self.notified_ms: dict[int, float] = {}
         self._queue: deque[QueuedPoll] = deque()
         self._is_busy = False
@@ -70,13 +70,13 @@
         for forwarder in list(self._subscribers.values()):
             self._clock.after(self._notice_ms, partial(self._notify, forwarder))
 
-    def fall_silent(self) -> None:
+    def drop_subscriptions(self) -> None:
         """Drops all subscriptions without notice to the subscribers."""
         self._subscribers.clear()
 
     def poll(self, forwarder: ForwarderPort) -> None:
         """Queues a forwarder's poll, which suspends its subscription until the response."""
-        self.calls_ms.append(self._clock.now_ms)
+        self.poll_times_ms.append(self._clock.now_ms)
         self._subscribers.pop(forwarder.number, None)
         if not self.up:
             self._clock.after(UNREACHABLE_MS, partial(self._fail, forwarder))
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -57,17 +57,19 @@
         sessions: Number of the session with each planner, by the planner's name.
         alter_report: Function that changes reports on their way to a planner; set by tests.
         guidance_rejections: Reasons why the balancer rejected advice.
-        notes: Log lines of the planning state machine, each preceded by its time.
+        log_lines: Log lines of the planning state machine, each preceded by its time.
     """
 
-    def __init__(self, components: TierComponents, number: int, balancer_seed: int, quiet_ms: float) -> None:
+    def __init__(
+        self, components: TierComponents, number: int, balancer_seed: int, previous_lease_ms: float
+    ) -> None:
         """Creates a forwarder without an endpoint list.
 
         Args:
             components: Components shared with the tier's other forwarders.
             number: Number of the forwarder in its tier.
             balancer_seed: Seed of the balancer's random choices.
-            quiet_ms: How long ramp shares of an earlier incarnation may still be leased.
+            previous_lease_ms: How long ramp shares of an earlier incarnation may still be leased.
         """
         settings = components.settings
         plan = components.plan
@@ -83,11 +85,11 @@
         self.sessions: dict[str, int] = {}
         self.alter_report: Callable[[Report], Report] = lambda report: report
         self.guidance_rejections: list[str] = []
-        self.notes: list[str] = []
+        self.log_lines: list[str] = []
         if plan.planners:
             names = planner_names(plan)
             self.machine = Forwarder(
-                forwarder_name(number), names, clock.now_ms, plan.forwarder_terms, quiet_ms
+                forwarder_name(number), names, clock.now_ms, plan.forwarder_terms, previous_lease_ms
             )
             self.perform_planning_actions(self.machine.add_pool(POOL, self.settings, self.observer))
 
@@ -154,4 +156,4 @@
                 case EndSession():
                     self._components.link.disconnect(self, action.planner)
                 case LogLine():
-                    self.notes.append(f"{self._clock.now_ms:.0f} {action.text}")
+                    self.log_lines.append(f"{self._clock.now_ms:.0f} {action.text}")
--- a/testkit/simulation/plan.py
+++ b/testkit/simulation/plan.py
@@ -36,7 +36,7 @@
         link_loss: Share of messages that are lost; the loss of a message ends its session.
         reconnect_ms: Maximum random delay before a connection to a planner is established.
         demand: Relative share of the requests that each forwarder receives, by number; 1 by default.
-        queue: Number of attempts that may wait at a server before it rejects further ones.
+        max_queued: Number of attempts that may wait at a server before it rejects further ones.
         max_attempts: Maximum number of attempts of a request.
         list_call_ms: Time that a poll occupies discovery; 0 if lists are pushed to all forwarders at once.
         list_notice_ms: Time from a change until subscribers are notified.
@@ -67,7 +67,7 @@
     link_loss: float = 0.0
     reconnect_ms: float = 200.0
     demand: dict[int, float] = field(default_factory=dict)
-    queue: int = 64
+    max_queued: int = 64
     max_attempts: int = 2
     list_call_ms: float = 0.0
     list_notice_ms: float = 1_000.0
--- a/testkit/simulation/planning_link.py
+++ b/testkit/simulation/planning_link.py
@@ -95,7 +95,7 @@
             forwarder.sessions.pop(planner, None)
             return
         now_ms = self._clock.now_ms
-        planner_machine.joined(forwarder_name(forwarder.number), now_ms)
+        planner_machine.forwarder_connected(forwarder_name(forwarder.number), now_ms)
         assert forwarder.machine is not None
         actions = forwarder.machine.connected(planner, planner_machine.epoch, now_ms)
         forwarder.perform_planning_actions(actions)
@@ -166,7 +166,7 @@
             )
             self.disconnect(forwarder, planner)
             return
-        forwarder.perform_planning_actions(forwarder.machine.advice(planner, advice, now_ms))
+        forwarder.perform_planning_actions(forwarder.machine.handle_advice(planner, advice, now_ms))
 
     def _loses_message(self, forwarder: ForwarderPort, planner: str) -> bool:
         """Decides at random whether a message is lost; ends its session if so."""
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -29,13 +29,13 @@
 class SimServer:
     """A server that runs attempts first come, first served on its cores.
 
-    Tests set its faults: `slow`, `broken` and `up`. With `TierPlan.overload_attempts` the server also becomes
-    slow by itself under overload.
+    Tests set its faults: `slowdown`, `broken` and `up`. With `TierPlan.overload_attempts` the server also
+    becomes slow by itself under overload.
 
     Attributes:
         number: Number of the server in its tier.
         address: Address of the server as `host:port`.
-        slow: Factor by which the server is slower than normal.
+        slowdown: Factor by which the server is slower than normal.
         started_ms: Start time; 0 if the server started long ago.
         up: Whether the server accepts connections.
         broken: Whether each attempt immediately gets an error response.
@@ -51,7 +51,7 @@
         """Creates a server that started long ago and is warm."""
         self.number: int = number
         self.address = f"10.0.{number // 250}.{number % 250 + 1}:9000"
-        self.slow = 1.0
+        self.slowdown = 1.0
         self.started_ms: float = 0.0
         self.up: bool = True
         self.broken = False
@@ -71,7 +71,7 @@
 
     def is_queue_full(self) -> bool:
         """Whether the server rejects further attempts."""
-        return len(self._queue) >= self._plan.queue
+        return len(self._queue) >= self._plan.max_queued
 
     def accept(self, attempt: QueuedAttempt) -> None:
         """Queues an attempt, which runs once a core is free."""
@@ -136,4 +136,4 @@
         if self.started_ms:
             share = min(1.0, (self._clock.now_ms - self.started_ms) / self._plan.warm_up_ms)
             share = self._plan.initial_capacity_share + (1.0 - self._plan.initial_capacity_share) * share
-        return share / self.slow / (self.OVERLOAD_SLOWDOWN if self._overloaded else 1.0)
+        return share / self.slowdown / (self.OVERLOAD_SLOWDOWN if self._overloaded else 1.0)
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -26,13 +26,13 @@
 class Tier:
     """One run of a tier. Usage: create it, schedule faults with `at`, then call `run`."""
 
-    def __init__(self, plan: TierPlan, seed: int = 1, quiet_ms: float = 0.0) -> None:
+    def __init__(self, plan: TierPlan, seed: int = 1, previous_lease_ms: float = 0.0) -> None:
         """Creates a tier at the start of a run.
 
         Args:
             plan: Description of the tier.
             seed: Seed of all random choices.
-            quiet_ms: How long ramp shares of an earlier incarnation may still be leased.
+            previous_lease_ms: How long ramp shares of an earlier incarnation may still be leased.
         """
         self.plan = plan
         self.rng = Random(seed)
@@ -53,7 +53,7 @@
             discovery=self.discovery,
             link=self.link,
         )
-        self._quiet_ms = quiet_ms
+        self._previous_lease_ms = previous_lease_ms
         self._list_version = 0
         for _ in range(plan.forwarders):
             self.join()
@@ -81,7 +81,7 @@
     def join(self) -> SimForwarder:
         """Adds a forwarder whose endpoint list has the servers that are up now."""
         number = len(self.forwarders)
-        forwarder = SimForwarder(self._components, number, self.rng.getrandbits(32), self._quiet_ms)
+        forwarder = SimForwarder(self._components, number, self.rng.getrandbits(32), self._previous_lease_ms)
         self.forwarders.append(forwarder)
         kind = ListKind.CACHED if self.plan.list_call_ms else ListKind.FULL
         forwarder.on_endpoint_list(self._list([server for server in self.servers if server.up], kind))
--- a/testkit/streaming_server.py
+++ b/testkit/streaming_server.py
@@ -45,10 +45,10 @@
 
     Attributes:
         serve: Function that serves a request; may be changed at any time.
-        seen: All requests received.
-        arrived: Queue of the requests received, for tests to wait on.
+        received_requests: All requests received.
+        arrivals: Queue of the requests received, for tests to wait on.
         open: Number of open connections.
-        most_open: Maximum number of connections open at the same time.
+        max_open: Maximum number of connections open at the same time.
     """
 
     BACKLOG: ClassVar[int] = 1024
@@ -57,22 +57,22 @@
         """Creates a server that does not listen yet."""
         super().__init__()
         self.serve = serve
-        self.seen: list[StreamedRequest] = []
-        self.arrived: asyncio.Queue[StreamedRequest] = asyncio.Queue()
+        self.received_requests: list[StreamedRequest] = []
+        self.arrivals: asyncio.Queue[StreamedRequest] = asyncio.Queue()
         self.open = 0
-        self.most_open = 0
+        self.max_open = 0
 
     async def serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """Serves one request after another."""
         self.open += 1
-        self.most_open = max(self.most_open, self.open)
+        self.max_open = max(self.max_open, self.open)
         connection = FakeConnection(reader, writer)
         try:
             while (head := await read_head(reader)) is not None:
                 method, target, _ = head.start_line.split()
                 request = StreamedRequest(method, target, head.headers, connection)
-                self.seen.append(request)
-                self.arrived.put_nowait(request)
+                self.received_requests.append(request)
+                self.arrivals.put_nowait(request)
                 await self.serve(request)
         finally:
             self.open -= 1
--- a/tests/balancing/endpoint_freshness/test_settings.py
+++ b/tests/balancing/endpoint_freshness/test_settings.py
@@ -17,7 +17,7 @@
     MIN_NOTIFIED_MS,
     NOTIFIED_MS,
     Freshness,
-    notified_after_ms,
+    list_age_bound_ms,
 )
 from sandhatch.balancing.events import ListKind, ListUpdate
 from sandhatch.config.platform import decode
@@ -78,7 +78,7 @@
     if key == "PeersTotal" and value is not ...:
         value = int(value)
     settings = decode(text_of(settings_with(key, value)), {}).settings
-    assert MIN_NOTIFIED_MS <= notified_after_ms(settings) <= NOTIFIED_MS
+    assert MIN_NOTIFIED_MS <= list_age_bound_ms(settings) <= NOTIFIED_MS
     freshness = Freshness(settings, Random(1))
     now = 0.0
     requests = []
--- a/tests/balancing/guidance/harness.py
+++ b/tests/balancing/guidance/harness.py
@@ -52,9 +52,9 @@
         self.state = GuidanceState(SETTINGS, Random(1))
         self.servers = {number: FakeServer(number, 0.0) for number in range(count)}
 
-    def take(self, event: Guidance, now_ms: float) -> GuidanceRejected | None:
+    def apply(self, event: Guidance, now_ms: float) -> GuidanceRejected | None:
         """Apply guidance with all servers warm; return the rejection if there is one."""
-        return self.state.take(event, self.servers, list(self.servers), now_ms)
+        return self.state.apply(event, self.servers, list(self.servers), now_ms)
 
     def weights(self, now_ms: float) -> list[float]:
         """Return the weight of each server."""
--- a/tests/balancing/guidance/test_in_balancer.py
+++ b/tests/balancing/guidance/test_in_balancer.py
@@ -18,7 +18,7 @@
     ServerState,
 )
 from sandhatch.balancing.settings import Effect
-from sandhatch.balancing.state_transfer import inherit
+from sandhatch.balancing.state_transfer import inherit_state
 from tests.balancing.guidance.harness import CLASS, SETTINGS, make_guidance
 
 
@@ -79,7 +79,7 @@
     balancer.handle(1_000.0, OwnSharesLeased(9_000.0))
     assert serve_request(balancer, 8_999.0, 1) is None
     successor.handle(9_000.0, update)
-    inherit(successor, balancer)
+    inherit_state(successor, balancer)
     both = [serve_request(b, 9_900.0, n) for n, b in enumerate((balancer, successor), 10)]
     assert sorted(both, key=str) == [0, None]
 
--- a/tests/balancing/guidance/test_state.py
+++ b/tests/balancing/guidance/test_state.py
@@ -13,7 +13,7 @@
 
 def test_weights_change_gradually_and_return_to_one_after_expiry() -> None:
     guided = GuidedServers(4)
-    assert guided.take(make_guidance({2: 0.2}), 1_000.0) is None
+    assert guided.apply(make_guidance({2: 0.2}), 1_000.0) is None
     assert guided.state.weight(2, 1_000.0) == 1.0
     assert guided.state.weight(2, 1_200.0) == pytest.approx(0.6)
     assert guided.state.weight(2, 2_999.0) == pytest.approx(0.2)
@@ -23,17 +23,17 @@
 
 def test_drawn_server_is_passed_over_with_probability_one_minus_its_weight() -> None:
     guided = GuidedServers(4)
-    guided.take(make_guidance({2: 0.25}, until_ms=10_000.0), 1_000.0)
-    passed_over = sum(guided.state.declines(2, 9_000.0) for _ in range(4_000))
+    guided.apply(make_guidance({2: 0.25}, until_ms=10_000.0), 1_000.0)
+    passed_over = sum(guided.state.is_passed_over(2, 9_000.0) for _ in range(4_000))
     assert 2_850 < passed_over < 3_150
-    assert not any(guided.state.declines(1, 9_000.0) for _ in range(100))
+    assert not any(guided.state.is_passed_over(1, 9_000.0) for _ in range(100))
 
 
 def test_opposite_weights_of_two_planners_cancel_out() -> None:
     guided = GuidedServers(4)
     for now_ms in (1_000.0, 5_000.0):
-        guided.take(make_guidance({0: 0.2, 1: 0.2}, until_ms=9_000.0), now_ms)
-        guided.take(make_guidance({2: 0.2, 3: 0.2}, planner="two", until_ms=9_000.0), now_ms)
+        guided.apply(make_guidance({0: 0.2, 1: 0.2}, until_ms=9_000.0), now_ms)
+        guided.apply(make_guidance({2: 0.2, 3: 0.2}, planner="two", until_ms=9_000.0), now_ms)
     weights = guided.weights(8_500.0)
     assert max(weights) - min(weights) < 1e-9
 
@@ -41,21 +41,21 @@
 def test_one_faulty_planner_of_three_does_not_change_the_weights() -> None:
     guided = GuidedServers(4)
     for planner in ("one", "two"):
-        guided.take(make_guidance({3: 0.5}, planner=planner, until_ms=9_000.0), 1_000.0)
-    guided.take(make_guidance({0: 0.0}, planner="three", until_ms=9_000.0), 1_000.0)
+        guided.apply(make_guidance({3: 0.5}, planner=planner, until_ms=9_000.0), 1_000.0)
+    guided.apply(make_guidance({0: 0.0}, planner="three", until_ms=9_000.0), 1_000.0)
     assert guided.weights(8_000.0) == [1.0, 1.0, 1.0, 0.5]
 
 
 def test_equally_low_weights_of_all_servers_have_no_effect() -> None:
     guided = GuidedServers(4)
-    assert guided.take(make_guidance(dict.fromkeys(range(4), 0.05)), 1_000.0) is None
+    assert guided.apply(make_guidance(dict.fromkeys(range(4), 0.05)), 1_000.0) is None
     assert guided.weights(2_900.0) == [1.0] * 4
 
 
 def test_guidance_without_weights_extends_the_previous_weights() -> None:
     guided = GuidedServers(4)
-    guided.take(make_guidance({2: 0.5}), 1_000.0)
-    guided.take(make_guidance(None, until_ms=20_000.0), 2_900.0)
+    guided.apply(make_guidance({2: 0.5}), 1_000.0)
+    guided.apply(make_guidance(None, until_ms=20_000.0), 2_900.0)
     assert guided.state.weight(2, 9_000.0) == 0.5
 
 
@@ -63,10 +63,12 @@
     guided = GuidedServers(4)
     guided.servers[2].started_ms = 900.0
     share = RampShare(2, 0.9, 3.0)
-    guided.take(make_guidance(leased=True, parts=[share], leased_until_ms=9_000.0, until_ms=5_000.0), 1_000.0)
-    guided.take(make_guidance(leased=True, leased_until_ms=9_000.0), 3_500.0)
+    guided.apply(
+        make_guidance(leased=True, parts=[share], leased_until_ms=9_000.0, until_ms=5_000.0), 1_000.0
+    )
+    guided.apply(make_guidance(leased=True, leased_until_ms=9_000.0), 3_500.0)
     assert guided.state.ramp is not None
-    assert guided.state.ramp.part(guided.servers[2], 2_000.0) == RampAllocation(0.9, 3.0)
+    assert guided.state.ramp.allocation(guided.servers[2], 2_000.0) == RampAllocation(0.9, 3.0)
 
 
 @pytest.mark.parametrize(
@@ -87,32 +89,32 @@
 def test_out_of_bounds_guidance_is_rejected_completely_with_a_reason(event: Guidance, reason: str) -> None:
     guided = GuidedServers(4)
     event.leased = True
-    rejected = guided.take(event, 1_000.0)
+    rejected = guided.apply(event, 1_000.0)
     assert rejected is not None
     assert rejected.planner == "one"
     assert reason in rejected.why
     assert guided.weights(2_500.0) == [1.0] * 4
-    assert guided.state.own_part(2_500.0) == 0.25
+    assert guided.state.own_share(2_500.0) == 0.25
 
 
 def test_guidance_received_after_its_expiry_is_ignored() -> None:
     guided = GuidedServers(4)
-    assert guided.take(make_guidance({2: 0.5}), 3_000.0) is None
+    assert guided.apply(make_guidance({2: 0.5}), 3_000.0) is None
     assert guided.state.weight(2, 9_000.0) == 1.0
 
 
 def test_capacity_share_changes_gradually_and_returns_to_an_even_share_after_expiry() -> None:
     guided = GuidedServers(4)
-    guided.take(make_guidance(leased=True, own_part=0.5, until_ms=9_000.0), 1_000.0)
-    assert guided.state.own_part(2_500.0) == pytest.approx(0.375)
-    assert guided.state.own_part(8_999.0) == 0.5
-    assert guided.state.own_part(10_500.0) == pytest.approx(0.375)
-    assert guided.state.own_part(12_000.0) == 0.25
+    guided.apply(make_guidance(leased=True, own_part=0.5, until_ms=9_000.0), 1_000.0)
+    assert guided.state.own_share(2_500.0) == pytest.approx(0.375)
+    assert guided.state.own_share(8_999.0) == 0.5
+    assert guided.state.own_share(10_500.0) == pytest.approx(0.375)
+    assert guided.state.own_share(12_000.0) == 0.25
 
 
 def test_capacity_share_is_retained_while_its_planner_extends_the_guidance() -> None:
     guided = GuidedServers(4)
-    guided.take(make_guidance(leased=True, own_part=0.5, until_ms=3_000.0), 1_000.0)
-    guided.take(make_guidance(leased=True, until_ms=9_000.0), 2_900.0)
-    assert guided.state.own_part(8_900.0) == 0.5
-    assert guided.state.own_part(12_000.0) == 0.25
+    guided.apply(make_guidance(leased=True, own_part=0.5, until_ms=3_000.0), 1_000.0)
+    guided.apply(make_guidance(leased=True, until_ms=9_000.0), 2_900.0)
+    assert guided.state.own_share(8_900.0) == 0.5
+    assert guided.state.own_share(12_000.0) == 0.25
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_attempts_at_removed_servers_reveal_silent_subscriptions(instances: int, seed: int) -> None:
     tier = Tier(replace(PLAN, forwarders=instances), seed)
-    tier.at(9_000.0, tier.discovery.fall_silent)
+    tier.at(9_000.0, tier.discovery.drop_subscriptions)
     for number in range(0, 60, 3):
         tier.at(10_000.0 + 100.0 * number, lambda number=number: tier.replace(number))  # type: ignore[misc]
     tier.run(30_000.0)
@@ -44,7 +44,7 @@
         listed = forwarder.balancer.server_list.servers
         assert all(tier.servers[number].up for number in listed)
         assert len(listed) == 60
-    later = [at for at in tier.discovery.calls_ms if at > 1_009_000.0]
+    later = [at for at in tier.discovery.poll_times_ms if at > 1_009_000.0]
     assert len(later) <= 2 * instances
     assert tier.goodput_share(10_000.0, 30_000.0) > 0.97
 
@@ -60,14 +60,14 @@
 
     tier.at(10_000.0, disconnect)
     tier.run(70_000.0)
-    polls_per_instance = len([at for at in tier.discovery.calls_ms if at > 1_010_000.0]) / 40
+    polls_per_instance = len([at for at in tier.discovery.poll_times_ms if at > 1_010_000.0]) / 40
     # Within a minute: each poll that brings nothing new doubles the time to the next one.
     assert 1.0 <= polls_per_instance <= 5.0
 
 
 def test_rejections_by_a_full_server_that_still_serves_do_not_cause_polls() -> None:
     """Overload causes rejections too, but does not mean that the list is out of date."""
-    tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, queue=1), 1)
+    tier = Tier(replace(PLAN, forwarders=3, servers=4, rate_per_s=120.0, cores=2, max_queued=1), 1)
     tier.run(20_000.0)
     rejected = [
         server
@@ -75,7 +75,7 @@
         for server in forwarder.balancer.server_list.servers.values()
         if server.ejections
     ]
-    assert len(tier.discovery.calls_ms) - 3 <= 6, rejected
+    assert len(tier.discovery.poll_times_ms) - 3 <= 6, rejected
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -89,7 +89,7 @@
         tier.replace(number)
     tier.at(5_000.0, lambda: setattr(tier.discovery, "up", True))
     tier.run(30_000.0)
-    calls = tier.discovery.calls_ms
+    calls = tier.discovery.poll_times_ms
     assert max_in_one_second(calls) <= 40  # one per instance
     assert len(tier.discovery.notified_ms) == 40
     assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.poll_interval_ms
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -23,7 +23,7 @@
     ramp_per_s=0.0,
     initial_capacity_share=0.15,
     warm_up_ms=22_000.0,
-    queue=600,
+    max_queued=600,
     overload_attempts=10,
     tier=0,
 )
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -31,7 +31,7 @@
     warm_up_ms=15_000.0,
     max_attempts=4,
     tier=0,
-    queue=600,
+    max_queued=600,
     overload_attempts=14,
 )
 # Slow servers of one core: the budget of a window is a few requests, so that each further one matters.
@@ -147,18 +147,18 @@
     slow_starts = [SlowStart(settings, rng) for _ in range(instances)]
     requests = 60_000 // instances  # requests per instance before the late server starts
     for slow_start in slow_starts:
-        slow_start.watch([Server.from_entry(ServerEntry(n, started_ms=1.0)) for n in range(12)], 1.0)
+        slow_start.add_servers([Server.from_entry(ServerEntry(n, started_ms=1.0)) for n in range(12)], 1.0)
         for _ in range(requests):
-            slow_start.earn(20, 100.0)
+            slow_start.earn_credit(20, 100.0)
     late = Server.from_entry(ServerEntry(99, started_ms=16_000.0))
     for slow_start in slow_starts:
-        slow_start.watch([late], 16_000.0)
+        slow_start.add_servers([late], 16_000.0)
     sent, rate_per_s = 0, 600.0  # a tier of 20 servers with a capacity of 33 requests per second each
     for _ in range(int(rate_per_s * WINDOW_MS / 1_000.0)):
         slow_start = rng.choice(slow_starts)
-        slow_start.earn(20, 16_000.0)
+        slow_start.earn_credit(20, 16_000.0)
         if slow_start.admits(late, 16_000.0):
-            slow_start.spend(late, 16_000.0)
+            slow_start.spend_credit(late, 16_000.0)
             sent += 1
     budget = MULTIPLE * 0.15 * rate_per_s / 20 * WINDOW_MS / 1_000.0
     assert 0 < sent <= max_sends(budget) / 2.0  # sends are planned for half the budget
--- a/tests/balancing/test_state_transfer.py
+++ b/tests/balancing/test_state_transfer.py
@@ -9,7 +9,7 @@
 from sandhatch.balancing.events import ListKind, Outcome, ServerEntry
 from sandhatch.balancing.policy.slow_start import SlowStart
 from sandhatch.balancing.settings import Tenant
-from sandhatch.balancing.state_transfer import inherit
+from sandhatch.balancing.state_transfer import inherit_state
 from tests.balancing.driver import Driver
 from tests.balancing.policy.harness import IDEMPOTENT, PLAIN, make_driver
 
@@ -27,7 +27,7 @@
     failed = driver.requests[1].attempts[0].server
     driver.end_attempt(1, 0, Outcome.ERROR)
     successor = successor_of(driver, 4)
-    assert inherit(successor.balancer, driver.balancer) == 3
+    assert inherit_state(successor.balancer, driver.balancer) == 3
     server = successor.balancer.server_list.servers[failed]
     assert server.consecutive_failures == 1
     assert not server.has_token
@@ -39,7 +39,7 @@
     driver.request(1)
     busy = driver.requests[1].attempts[0].server
     successor = successor_of(driver, 2)
-    inherit(successor.balancer, driver.balancer)
+    inherit_state(successor.balancer, driver.balancer)
     server = successor.balancer.server_list.servers[busy]
     assert server.withheld_until_ms == successor.now + max(successor.balancer.latency.mean_ms)
     assert not server.has_token
@@ -51,7 +51,7 @@
     driver.end_attempt(1, 0, Outcome.ERROR)
     successor = Driver(driver.settings, 2, driver.now)
     successor.update_list(ListKind.CACHED, (ServerEntry(0, started_ms=5.0),))
-    assert inherit(successor.balancer, driver.balancer) == 0
+    assert inherit_state(successor.balancer, driver.balancer) == 0
     assert successor.balancer.server_list.servers[0].consecutive_failures == 0
 
 
@@ -59,7 +59,7 @@
 def test_window_is_scaled_by_the_number_of_ready_servers(servers: int) -> None:
     driver = make_driver(servers=4)
     successor = successor_of(driver, servers)
-    inherit(successor.balancer, driver.balancer)
+    inherit_state(successor.balancer, driver.balancer)
     assert successor.balancer.admission.window == driver.balancer.admission.window * servers / 4
 
 
@@ -69,11 +69,11 @@
     driver.advance(10.0)
     driver.end_attempt(1, 0, Outcome.OK)
     same = successor_of(driver, 2)
-    inherit(same.balancer, driver.balancer)
+    inherit_state(same.balancer, driver.balancer)
     assert same.balancer.latency.mean_ms == driver.balancer.latency.mean_ms
     assert same.balancer.latency.mean_ms is not driver.balancer.latency.mean_ms
     other = successor_of(driver, 2, classes=(IDEMPOTENT,))
-    inherit(other.balancer, driver.balancer)
+    inherit_state(other.balancer, driver.balancer)
     assert other.balancer.latency.responses == [0]
 
 
@@ -83,10 +83,10 @@
     for _ in range(10):
         driver.request(0, tenant=1)
     same = successor_of(driver, 10)
-    inherit(same.balancer, driver.balancer)
+    inherit_state(same.balancer, driver.balancer)
     assert same.balancer.quotas.shares == driver.balancer.quotas.shares
     other = successor_of(driver, 10, tenants=(Tenant(100.0),))
-    inherit(other.balancer, driver.balancer)
+    inherit_state(other.balancer, driver.balancer)
     assert other.balancer.quotas.shares == [1.0]
 
 
@@ -96,7 +96,7 @@
         driver.request(0)
         driver.end_attempt(request, 0, Outcome.OK)
     successor = successor_of(driver, 2)
-    inherit(successor.balancer, driver.balancer, frozenset([1]))
+    inherit_state(successor.balancer, driver.balancer, frozenset([1]))
     connected = {s.id for s in successor.balancer.server_list.servers.values() if s.connected}
     assert connected == {1}
 
@@ -107,10 +107,10 @@
     driver.update_list(ListKind.FULL, entries)
     before = driver.balancer.slow_start
     assert isinstance(before, SlowStart)
-    before.credits[0] = (0.125, before.earned)
+    before.credits[0] = (0.125, before.earned_credit)
     successor = Driver(replace(driver.settings, instances=3), 2, driver.now)
     successor.update_list(ListKind.FULL, entries)
-    inherit(successor.balancer, driver.balancer)
+    inherit_state(successor.balancer, driver.balancer)
     after = successor.balancer.slow_start
     assert isinstance(after, SlowStart)
     assert after.credits[0][0] == 0.125
--- a/tests/benchmarks/test_admission.py
+++ b/tests/benchmarks/test_admission.py
@@ -19,10 +19,10 @@
 
 
 def test_fixed_limit_applies_only_within_its_block() -> None:
-    before = admission_control.SERVER_CAPACITY
+    before = admission_control.MAX_ATTEMPTS_PER_SERVER
     with fixed_limit(before + 1.0):
-        within = admission_control.SERVER_CAPACITY
-    assert (within, admission_control.SERVER_CAPACITY) == (before + 1.0, before)
+        within = admission_control.MAX_ATTEMPTS_PER_SERVER
+    assert (within, admission_control.MAX_ATTEMPTS_PER_SERVER) == (before + 1.0, before)
 
 
 def test_same_seeds_give_the_same_goodput() -> None:
--- a/tests/config/fake_owner.py
+++ b/tests/config/fake_owner.py
@@ -49,7 +49,7 @@
                     self.staging.append(action.version)
                 case Save():
                     record = self.lifecycle.record()
-                    self.saves.append(action.step)
+                    self.saves.append(action.save_number)
                     self.disk = (record.confirmed, record.pending)
                 case Apply():
                     self.active_version = action.version
@@ -63,8 +63,8 @@
                     self.log_lines.append(action.text)
         assert self.active_version is self.lifecycle.active
 
-    def propose(self, data: dict[str, Any], base: int = 1, merged: bool = False) -> int:
-        return self.transactions.propose(self.now_ms, base, checked(data), merged=merged).number
+    def propose(self, data: dict[str, Any], base: int = 1, may_merge: bool = False) -> int:
+        return self.transactions.propose(self.now_ms, base, checked(data), may_merge=may_merge).number
 
     def commit(self, data: dict[str, Any], base: int = 1, **options: Any) -> Version:
         version = self.transactions.commit(self.now_ms, self.propose(data, base), **options)
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -48,7 +48,7 @@
 def test_a_change_of_other_keys_is_rejected_as_busy_until_the_first_ends_then_merged() -> None:
     owner = FakeOwner()
     other = owner.propose(ORDERS3)
-    merged = owner.propose(ORDERS3, merged=True)
+    merged = owner.propose(ORDERS3, may_merge=True)
     owner.commit(WEB3, watched=False)
     with expect_rejection(RejectionReason.BUSY):
         owner.transactions.commit(owner.now_ms, other)
@@ -71,7 +71,7 @@
     owner.activate_and_confirm(with_spare_pool)
     with_route = json.loads(json.dumps(with_spare_pool))
     with_route["routes"].append({"name": "beta", "to": {"pool": "spare"}})
-    late = owner.propose(with_route, 2, merged=True)
+    late = owner.propose(with_route, 2, may_merge=True)
     owner.activate_and_confirm(BASE, 2)
     with expect_rejection(RejectionReason.CONFLICT) as info:
         owner.transactions.commit(owner.now_ms, late)
--- a/tests/config/test_version_lifecycle.py
+++ b/tests/config/test_version_lifecycle.py
@@ -152,7 +152,7 @@
     call = rng.randrange(10)
     if call <= 1:
         base = rng.choice(list(lifecycle.versions))
-        transactions.propose(owner.now_ms, base, rng.choice(configurations), merged=rng.random() < 0.5)
+        transactions.propose(owner.now_ms, base, rng.choice(configurations), may_merge=rng.random() < 0.5)
     elif call <= 3 and transactions.proposals:
         within = rng.choice([None, 3_000.0])
         transactions.commit(
@@ -178,7 +178,7 @@
     if succeeds:
         owner.lifecycle.staged(version)
     else:
-        owner.lifecycle.failed(version, "no")
+        owner.lifecycle.staging_failed(version, "no")
 
 
 def end_save(owner: FakeOwner, succeeds: bool) -> None:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -56,35 +56,35 @@
 async def service_with_control_socket(
     tmp: Path, call_timeout_s: float = 10.0
 ) -> AsyncIterator[tuple[RunningService, FakeServers, str]]:
-    farm = await FakeServers().start("a1", "b1", "o1")
-    async with serving(farm.config(farm.pool("a1"), farm.pool("o1"))) as running:
+    fake_servers = await FakeServers().start("a1", "b1", "o1")
+    async with serving(fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))) as running:
         path = str(tmp / SOCKET_NAME)
         server = ControlServer(Calls(running.service), running.service.logger, path, call_timeout_s)
         await server.start()
         try:
-            yield running, farm, path
+            yield running, fake_servers, path
         finally:
             await server.stop()
-    farm.close()
+    fake_servers.close()
 
 
 def file_mode(path: str) -> int:
     return Path(path).stat().st_mode
 
 
-def changed_config(farm: FakeServers, **more: Any) -> str:
-    return json.dumps(farm.config(farm.pool("b1", **more), farm.pool("o1")))
+def changed_config(fake_servers: FakeServers, **more: Any) -> str:
+    return json.dumps(fake_servers.config(fake_servers.pool("b1", **more), fake_servers.pool("o1")))
 
 
 def test_calls_propose_commit_and_roll_back_a_change(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
-            service_with_control_socket(tmp_path) as (running, farm, path),
+            service_with_control_socket(tmp_path) as (running, fake_servers, path),
             Peer(path) as peer,
             HttpClient(running.port) as client,
         ):
             assert stat.S_IMODE(file_mode(path)) == 0o600
-            proposed = await peer.call("propose", text=changed_config(farm), base=1, comment="to b")
+            proposed = await peer.call("propose", text=changed_config(fake_servers), base=1, comment="to b")
             assert proposed["ok"]
             assert proposed["changes"] == 2
             diff = await peer.call("diff", proposal=proposed["proposal"])
@@ -105,7 +105,7 @@
             shown = yaml.safe_load((await peer.call("show"))["text"])
             assert list(shown["pools"]["web"]["servers"]) == ["a1"]
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -137,7 +137,7 @@
 def test_invalid_call_is_rejected_with_a_reason_and_changes_nothing(
     tmp_path: Path, call: dict[str, Any]
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with service_with_control_socket(tmp_path) as (running, _, path), Peer(path) as peer:
             peer.writer.write(encode(call))
             response = await peer.read_response()
@@ -147,7 +147,7 @@
             assert (await peer.call("status"))["ok"]  # the connection stays usable
             assert running.service.transactions.active.number == 1
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -156,7 +156,7 @@
 def test_malformed_input_gets_an_error_response_and_closes_the_connection(
     tmp_path: Path, malformed: bytes
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with service_with_control_socket(tmp_path) as (_, _, path), Peer(path) as peer:
             peer.writer.write(malformed)
             response = await peer.read_response()
@@ -164,11 +164,11 @@
             assert response["why"] == "invalid"
             assert await peer.reader.read() == b""
 
-    run(work())
+    run(scenario())
 
 
 def test_stalled_peer_is_disconnected_and_delays_no_other_peer(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             service_with_control_socket(tmp_path, call_timeout_s=0.2) as (_, _, path),
             Peer(path) as stalled,
@@ -178,7 +178,7 @@
             assert (await peer.call("status"))["ok"]
             assert await stalled.reader.read() == b""
 
-    run(work())
+    run(scenario())
 
 
 def test_line_over_the_size_limit_is_rejected_and_not_buffered() -> None:
@@ -194,12 +194,12 @@
 def test_exactly_one_of_two_hundred_concurrent_commits_succeeds(tmp_path: Path) -> None:
     """Each commit has its own connection and proposes a different value for the same key."""
 
-    async def work() -> None:
-        async with service_with_control_socket(tmp_path) as (running, farm, path):
+    async def scenario() -> None:
+        async with service_with_control_socket(tmp_path) as (running, fake_servers, path):
 
             async def propose_and_commit(number: int) -> dict[str, Any]:
                 async with Peer(path) as peer:
-                    text = changed_config(farm, max_connections=50 + number)
+                    text = changed_config(fake_servers, max_connections=50 + number)
                     proposed = await peer.call("propose", text=text, base=1)
                     if not proposed["ok"]:
                         return proposed
@@ -217,19 +217,19 @@
             assert data["pools"]["web"]["max_connections"] == 50 + succeeded[0]
             assert running.service.transactions.active.number == 2
 
-    run(work())
+    run(scenario())
 
 
 def test_other_calls_get_responses_while_ten_thousand_routes_are_checked(tmp_path: Path) -> None:
     """A long configuration is checked on a thread, which leaves the event loop free, and then committed."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
-            service_with_control_socket(tmp_path) as (running, farm, path),
+            service_with_control_socket(tmp_path) as (running, fake_servers, path),
             Peer(path) as peer,
             Peer(path) as other,
         ):
-            data = json.loads(changed_config(farm))
+            data = json.loads(changed_config(fake_servers))
             data["routes"] += [
                 {"name": f"r{n}", "match": {"path": {"exact": f"/p/{n}"}}, "to": {"pool": "orders"}}
                 for n in range(10_000)
@@ -247,11 +247,11 @@
                 client.send_request(target="/p/9999")
                 assert (await client.read_response()).body == b"o1"
 
-    run(work())
+    run(scenario())
 
 
 def test_peer_of_another_user_is_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with service_with_control_socket(tmp_path) as (_, _, path):
             monkeypatch.setattr("sandhatch.control.server.peer_uid", lambda _socket: os.geteuid() + 4711)
             async with Peer(path) as peer:
@@ -260,11 +260,11 @@
             async with Peer(path) as peer:
                 assert (await peer.call("status"))["ok"]
 
-    run(work())
+    run(scenario())
 
 
 def test_start_does_not_replace_a_socket_in_use_or_another_file(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with service_with_control_socket(tmp_path) as (running, _, path):
             with pytest.raises(ControlError, match="another process listens"):
                 await ControlServer(Calls(running.service), running.service.logger, path).start()
@@ -275,7 +275,7 @@
                 ).start()
             assert (tmp_path / "file").read_text() == "mine"
 
-    run(work())
+    run(scenario())
     assert not (tmp_path / SOCKET_NAME).exists()
 
 
@@ -323,8 +323,8 @@
 
 
 def test_verbs_make_their_calls_and_return_their_exit_codes(tmp_path: Path) -> None:
-    async def work() -> None:
-        async with service_with_control_socket(tmp_path) as (running, farm, path):
+    async def scenario() -> None:
+        async with service_with_control_socket(tmp_path) as (running, fake_servers, path):
 
             async def run_verb(*arguments: str) -> CommandResult:
                 verb, *rest = arguments
@@ -332,8 +332,8 @@
 
             first = tmp_path / "first.yaml"
             second = tmp_path / "second.yaml"
-            first.write_text(changed_config(farm, max_attempts=3))
-            second.write_text(changed_config(farm, max_attempts=4))
+            first.write_text(changed_config(fake_servers, max_attempts=3))
+            second.write_text(changed_config(fake_servers, max_attempts=4))
             assert (await run_verb("propose", str(first), "--base", "1")).out.startswith("proposal 1: 3 keys")
             assert (await run_verb("propose", str(second), "--base", "1")).code == 0
             assert "max_attempts" in (await run_verb("diff", "--proposal", "1")).out
@@ -347,7 +347,7 @@
             assert (await run_verb("status")).out.startswith("sandhatch: version 2 in force, 1 confirmed")
             assert (await run_verb("confirm"))[:2] == (0, "version 2: confirmed\n")
             assert (await run_verb("rollback")).code == 0
-            await running.until(lambda: running.service.transactions.active.number == 3)
+            await running.wait_until(lambda: running.service.transactions.active.number == 3)
             assert "confirmed" in (await run_verb("history")).out
             assert json.loads((await run_verb("status", "--json")).out)["in_force"] == 3
             assert (await run_verb("abort", "2")).code == 0
@@ -355,4 +355,4 @@
             assert "web:" in (await run_verb("show")).out
             assert running.service.lifecycle.versions[3].state is State.CONFIRMED
 
-    run(work())
+    run(scenario())
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -20,7 +20,7 @@
     ScriptedBalancer,
     fake_servers,
     loopback,
-    served,
+    request_ok,
 )
 
 POLLED_SETTINGS = SETTINGS | {"Discovery": "on_request"}
@@ -37,7 +37,7 @@
 
 def received_updates(script: ScriptedBalancer, kind: ListKind) -> list[ListUpdate]:
     """All list events of that kind that have been received so far."""
-    return [event for event in script.received(ListUpdate) if is_update(event, kind)]
+    return [event for event in script.received_events(ListUpdate) if is_update(event, kind)]
 
 
 async def next_call(balancer: RunningBalancer, part: str) -> str:
@@ -56,7 +56,7 @@
 
 def order_watch(balancer: RunningBalancer, number: int) -> None:
     """Order a watch from generation 1 on, as the balancer does where discovery is polled."""
-    balancer.dispatcher._act(WatchList(True, number, 1, 20_000.0, 20_000.0))
+    balancer.dispatcher._execute(WatchList(True, number, 1, 20_000.0, 20_000.0))
 
 
 def server_numbers(update: ListUpdate) -> list[int]:
@@ -66,7 +66,7 @@
 def test_known_list_is_published_first_and_changes_follow() -> None:
     """After the start the `known` list is used, and the watch continues from its generation."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, clients=0, script=script) as network:
             balancer = network.balancer
@@ -77,43 +77,43 @@
             assert [(row.server, row.zone, row.started_ms) for row in change.entries] == [(2, 1, 123.0)]
             assert "after=2&" in await next_call(balancer, "after=")
 
-    run(work())
+    run(scenario())
 
 
 def test_server_number_is_retained_when_the_address_changes() -> None:
     """After a server's address has changed, requests go to the new address only."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with fake_servers(serve_ok) as (new,), loopback(serve_ok, script=script) as network:
-            await served(network.client)
+            await request_ok(network.client)
             network.balancer.discovery.change(new.entry("a"))
             await next_update(script, ListKind.DELTA)
-            await served(network.client)
+            await request_ok(network.client)
             assert len(network.server.requests) == len(new.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_restarted_server_gets_new_connections() -> None:
     """A later start time means that pooled connections lead to a process that has ended."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, script=script) as network:
-            await served(network.client)
+            await request_ok(network.client)
             network.balancer.discovery.change(network.server.entry("a", startedAtMs=5000))
             await next_update(script, ListKind.DELTA)
-            await served(network.client)
+            await request_ok(network.client)
             assert network.server.connections == 2
 
-    run(work())
+    run(scenario())
 
 
 def test_ready_is_503_until_a_list_with_a_server_is_received() -> None:
     """`/ready` returns 503 while the list is empty, and 200 once discovery has listed a server."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(script=script, known={}) as network:
             await next_update(script, ListKind.FULL)
@@ -121,34 +121,34 @@
             assert (await network.client.read_response()).status == 503
             network.balancer.discovery.change(entry("a", 9))
             await next_update(script, ListKind.DELTA)
-            await served(network.client, target="/ready")
+            await request_ok(network.client, target="/ready")
 
-    run(work())
+    run(scenario())
 
 
 def test_server_absent_from_a_complete_list_is_removed() -> None:
     """A server that a complete list no longer contains is removed from the pool."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, serve_ok, clients=0, script=script) as network:
             await next_call(network.balancer, "after=")
             discovery = network.balancer.discovery
             only_b = {"generation": 9, "reset": True, "instances": [network.servers[1].entry("b")]}
-            discovery.garbage.append(ok(json.dumps(only_b).encode()))
+            discovery.raw_responses.append(ok(json.dumps(only_b).encode()))
             discovery.generation = 9
             discovery.wake()
             # The pending watch receives no changes, the next one the complete list.
             assert server_numbers(await next_update(script, ListKind.FULL)) == [2]
-            assert set(network.pool.table) == {2}
+            assert set(network.pool.servers) == {2}
 
-    run(work())
+    run(scenario())
 
 
 def test_generation_that_goes_back_causes_a_fetch_of_the_complete_list() -> None:
     """Changes must not be applied to a list other than the one that they belong to."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, clients=0, script=script, generation=40) as network:
             await next_call(network.balancer, "after=40")
@@ -158,7 +158,7 @@
             assert full.version == 3
             assert not received_updates(script, ListKind.DELTA)
 
-    run(work())
+    run(scenario())
 
 
 PARTLY_VALID_LIST = {"generation": 2, "reset": True, "instances": [entry("b", 1), {"instanceId": "c"}]}
@@ -175,32 +175,32 @@
 def test_malformed_responses_are_failed_calls_and_the_list_is_retained() -> None:
     """No part of a malformed response is applied, even if other parts are valid; the watch continues."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, script=script) as network:
             discovery = network.balancer.discovery
             await next_call(network.balancer, "after=")
-            discovery.garbage += MALFORMED_RESPONSES
+            discovery.raw_responses += MALFORMED_RESPONSES
             discovery.stop()
             await discovery.start()
-            await wait_until(lambda: not discovery.garbage)
-            await served(network.client)
+            await wait_until(lambda: not discovery.raw_responses)
+            await request_ok(network.client)
             discovery.change(entry("b", 9))
             change = await next_update(script, ListKind.DELTA)
             assert server_numbers(change) == [2]  # malformed responses have not used up a number
 
-    run(work())
+    run(scenario())
 
 
 def test_changes_during_a_discovery_outage_are_received_after_it() -> None:
     """Requests are served while discovery is down; later the watch receives the missed changes."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, script=script) as network:
             await next_call(network.balancer, "after=")
             network.balancer.discovery.stop()
-            await served(network.client)
+            await request_ok(network.client)
             network.balancer.discovery.change(entry("b", 9))
             await network.balancer.discovery.start()
             assert server_numbers(await next_update(script, ListKind.DELTA)) == [2]
@@ -208,14 +208,14 @@
         assert failed
         assert all(event.version == 1 and not event.entries and event.call for event in failed)
 
-    run(work())
+    run(scenario())
 
 
 def test_polled_discovery_publishes_a_failure_and_accepts_another_poll() -> None:
     """Polled discovery makes no call before one is ordered, and publishes FAILED when the call fails."""
 
-    async def work() -> None:
-        script = ScriptedBalancer([1], follows=False)
+    async def scenario() -> None:
+        script = ScriptedBalancer([1], watches_lists=False)
         async with loopback(serve_ok, clients=0, script=script, base=POLLED_SETTINGS) as network:
             discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
@@ -228,14 +228,14 @@
             order_watch(network.balancer, 2)
             await next_call(network.balancer, "after=1")
 
-    run(work())
+    run(scenario())
 
 
 async def relocate_while_a_change_is_sent(network: Loopback, new: FakeDiscovery) -> None:
     """Switch to discovery at another address while the previous one is sending a change."""
     await next_call(network.balancer, "after=1")
     network.balancer.discovery.change(entry("late", 9))
-    network.balancer.watch.relocate(("127.0.0.1", new.port))
+    network.balancer.discovery_client.relocate(("127.0.0.1", new.port))
 
 
 def test_late_response_from_the_previous_address_is_dropped() -> None:
@@ -243,26 +243,28 @@
     received, the old connection is closed, and a change that the old service is just sending is dropped.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with fake_servers(serve_ok) as (b,), loopback(serve_ok, script=script) as network:
             old = network.balancer.discovery
             new = await FakeDiscovery([b.entry("b")]).start()
             await relocate_while_a_change_is_sent(network, new)
-            await served(network.client)
+            await request_ok(network.client)
             full = await next_update(script, ListKind.FULL)
-            assert set(network.pool.table) == set(server_numbers(full)) == {2}
+            assert set(network.pool.servers) == set(server_numbers(full)) == {2}
             await wait_until(lambda: not old._writers)  # the old connection is closed
             new.change(b.entry("b", lifecycle="leaving"))
             change = await next_update(script, ListKind.DELTA)
             assert server_numbers(change) == [2]
             assert received_updates(script, ListKind.DELTA) == [change]
-            network.balancer.watch.stop()
-            network.balancer.watch.relocate(("127.0.0.1", old.port))  # ignored after stop: no call is made
+            network.balancer.discovery_client.stop()
+            network.balancer.discovery_client.relocate(
+                ("127.0.0.1", old.port)
+            )  # ignored after stop: no call is made
         assert all("after=" in call for call in remaining_calls(old))
         new.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_fetch_of_the_complete_list_waits_as_long_as_discovery_holds_a_call() -> None:
@@ -270,19 +272,19 @@
     the repeated call would receive the changes too late.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         slow = await FakeDiscovery([entry("late", 9)]).start()
         slow.delay_s = 2.2
         async with loopback(clients=0, script=script) as network:
-            network.balancer.watch.relocate(("127.0.0.1", slow.port))
+            network.balancer.discovery_client.relocate(("127.0.0.1", slow.port))
             listing = await next_update(script, ListKind.FULL)
             assert len(listing.entries) == 1
             assert slow.calls.get_nowait() == "/v1/endpoints"
             assert slow.calls.empty() or "after=" in slow.calls.get_nowait()
         slow.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_new_watch_replaces_a_watch_without_response_and_its_connection() -> None:
@@ -290,8 +292,8 @@
     the same connection and waited behind the missing response.
     """
 
-    async def work() -> None:
-        script = ScriptedBalancer([1], follows=False)
+    async def scenario() -> None:
+        script = ScriptedBalancer([1], watches_lists=False)
         async with loopback(serve_ok, clients=0, script=script, base=POLLED_SETTINGS) as network:
             discovery = network.balancer.discovery
             await next_update(script, ListKind.CACHED)
@@ -304,4 +306,4 @@
             assert server_numbers(await next_update(script, ListKind.DELTA)) == [2]
             assert not received_updates(script, ListKind.FAILED)
 
-    run(work())
+    run(scenario())
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -9,14 +9,20 @@
 from sandhatch.balancing.events import ListKind
 from sandhatch.discovery.endpoint_list import parse_listing
 from sandhatch.discovery.errors import DiscoveryError, MalformedListError
-from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.discovery.numbering import EndpointNumbering
 from testkit.platform import entry
 
 
 def test_server_id_keeps_its_number() -> None:
     """The balancer recognizes a server that was removed and listed again by its number."""
     numbering = EndpointNumbering(("north",), ("box",))
-    assert [numbering.server(instance_id) for instance_id in ("a", "b", "a", "c", "b")] == [1, 2, 1, 3, 2]
+    assert [numbering.server_number(instance_id) for instance_id in ("a", "b", "a", "c", "b")] == [
+        1,
+        2,
+        1,
+        3,
+        2,
+    ]
 
 
 @pytest.mark.parametrize(
@@ -62,7 +68,7 @@
     data = {"generation": 1, "reset": False, "instances": [entry("a", 80), entry("b", 81, weight=-1)]}
     with pytest.raises(MalformedListError):
         parse_listing(data, numbering)
-    assert numbering.known() == []
+    assert numbering.numbered_ids() == []
 
 
 def test_removed_server_needs_no_address() -> None:
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -15,7 +15,7 @@
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
 from sandhatch.discovery.connection import MAX_LIST_BYTES
 from sandhatch.discovery.endpoint_list import parse_listing
-from sandhatch.discovery.names import EndpointNumbering
+from sandhatch.discovery.numbering import EndpointNumbering
 from sandhatch.http1.parser import ResponseParser
 from testkit.clients import HttpClient
 from testkit.discovery import FakeDiscovery
@@ -25,7 +25,7 @@
 from testkit.servers import FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ok
 from tests.event_loop import run
-from tests.fakes import fake_servers, running, served
+from tests.fakes import fake_servers, request_ok, running
 from tests.platform.harness import ready, spawn
 
 SERVER_COUNT = 1_500
@@ -67,18 +67,18 @@
 
 
 def test_change_within_a_large_list_is_applied() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with fake_servers(serve_ok) as (upstream,):
             listed = make_rows(SERVER_COUNT, upstream.entry("a"))
             async with running(*listed, known={}) as balancer, HttpClient(balancer.port) as client:
-                table = balancer.dispatcher.connection_pool.table
-                await wait_until(lambda: balancer.dispatcher.ready)
+                table = balancer.dispatcher.connection_pool.servers
+                await wait_until(lambda: balancer.dispatcher.has_ready_server)
                 assert len(table) == SERVER_COUNT
                 balancer.discovery.change(upstream.entry("a", lifecycle="leaving"), upstream.entry("late"))
                 await wait_until(lambda: len(table) > SERVER_COUNT)
-                await served(client)
+                await request_ok(client)
 
-    run(work())
+    run(scenario())
 
 
 def write_config(path: Path, listed: list[dict[str, Any]], discovery: FakeDiscovery, port: int) -> Path:
@@ -111,14 +111,14 @@
 def test_large_list_stays_within_the_memory_of_a_small_instance(tmp_path: Path) -> None:
     """Holds both for the list known at the start and for the complete list in discovery's response."""
 
-    async def work(server: FakeServer, discovery: FakeDiscovery, listed: list[dict[str, Any]]) -> None:
+    async def scenario(server: FakeServer, discovery: FakeDiscovery, listed: list[dict[str, Any]]) -> None:
         port = free_port()
         process = await spawn(write_config(tmp_path / "config.json", listed, discovery, port))
         try:
             await ready(port)
             await wait_for_watch(discovery)
             async with HttpClient(port) as client:
-                await served(client)
+                await request_ok(client)
             assert len(server.requests) == 1
             assert peak_memory_mb(process.pid) <= MAX_MEMORY_MB
         finally:
@@ -131,7 +131,7 @@
             discovery = await FakeDiscovery(listed).start()
             discovery.generation = 3  # later than the generation of the known list
             try:
-                await work(server, discovery, listed)
+                await scenario(server, discovery, listed)
             finally:
                 discovery.stop()
 
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -20,7 +20,7 @@
 from testkit.polling import wait_until
 from testkit.servers import serve_ok
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, loopback, served
+from tests.fakes import ScriptedBalancer, loopback, request_ok
 
 
 def delay_connections_until(notified: asyncio.Event, pool: ConnectionPool) -> None:
@@ -38,7 +38,7 @@
 def test_expired_drain_grace_period_discards_an_attempt_that_is_connecting(change: str) -> None:
     """Guards against writing to a server whose grace period ends while a connection is established."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, script=script) as network:
             network.pool._drain_grace_ms = 0.0  # expires the grace period without a wait
@@ -49,11 +49,11 @@
             network.balancer.discovery.change(network.server.entry("a", lifecycle=change))
             await script.next_event(ListUpdate)
             notified.set()
-            assert (await script.ended()).outcome is Outcome.DISCARDED
+            assert (await script.next_attempt_end()).outcome is Outcome.DISCARDED
             assert (await network.client.read_response()).status == 502
         assert network.server.requests == []
 
-    run(work())
+    run(scenario())
 
 
 def test_drain_grace_period_starts_when_the_notice_counts_as_received() -> None:
@@ -61,7 +61,7 @@
     not restart the period for an attempt that is connecting.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok, clients=0, script=ScriptedBalancer([1])) as network:
             dispatcher = network.balancer.dispatcher
             clock = network.balancer.shared.clock
@@ -71,24 +71,24 @@
                 dispatcher._endpoints.current_since_ms = clock.now_ms() - 1_000.0 * age_s
                 draining = ServerEntry(1, ServerState.DRAINING)
                 dispatcher.on_listing(Listing(ListKind.DELTA, 2, (draining,), (address,)))
-                assert network.pool.has_drain_grace_expired(network.pool.table[1]) is expired
+                assert network.pool.has_drain_grace_expired(network.pool.servers[1]) is expired
                 ready = ServerEntry(1, ServerState.READY)
                 dispatcher.on_listing(Listing(ListKind.DELTA, 3, (ready,), (address,)))
 
-    run(work())
+    run(scenario())
 
 
 def test_new_requests_are_not_sent_to_a_draining_server() -> None:
     """Guards draining with the real balancer: all further requests go to the other server."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok, serve_ok) as network:
             draining, other = network.servers
             network.balancer.discovery.change(draining.entry("a", lifecycle="leaving"))
-            await wait_until(lambda: network.pool.table[1].notified_ms)
+            await wait_until(lambda: network.pool.servers[1].notified_ms)
             for _ in range(20):
-                await served(network.client)
+                await request_ok(network.client)
         assert draining.requests == []
         assert len(other.requests) == 20
 
-    run(work())
+    run(scenario())
--- a/tests/dispatch/test_endpoint_updates.py
+++ b/tests/dispatch/test_endpoint_updates.py
@@ -41,7 +41,7 @@
 
 
 def states(updates: EndpointUpdates) -> dict[int, ServerState]:
-    return {number: server.state for number, server in updates._connection_pool.table.items()}
+    return {number: server.state for number, server in updates._connection_pool.servers.items()}
 
 
 def test_complete_list_removes_absent_servers_and_a_delta_does_not(updates: EndpointUpdates) -> None:
@@ -67,7 +67,7 @@
     updates.apply(listing(ListKind.FULL, (1, READY), (2, READY)), 0.0)
     drained = updates.withdraw(frozenset((2,)), 50.0)
     assert [(entry.server, entry.state) for entry in drained] == [(1, DRAINING)]
-    assert updates._connection_pool.table[1].notified_ms == 50.0
+    assert updates._connection_pool.servers[1].notified_ms == 50.0
     for_balancer = updates.apply(listing(ListKind.FULL, (1, READY), (2, READY), (3, READY)), 60.0)
     assert [entry.state for entry in for_balancer.entries] == [DRAINING, READY, DRAINING]
     assert states(updates) == {1: DRAINING, 2: READY, 3: DRAINING}
@@ -80,7 +80,7 @@
     assert updates.restore()
     updates.apply(listing(ListKind.FULL, (1, READY)), 60.0)
     assert states(updates) == {1: READY}
-    assert updates._connection_pool.table[1].notified_ms == 0.0
+    assert updates._connection_pool.servers[1].notified_ms == 0.0
 
 
 def test_snapshot_has_the_addresses_of_its_entries(updates: EndpointUpdates) -> None:
--- a/tests/dispatch/test_exchange.py
+++ b/tests/dispatch/test_exchange.py
@@ -49,22 +49,22 @@
         deadline_ms = shared.clock.now_ms() + 500.0
         self.exchange = Exchange(1, self.client, Message(), deadline_ms, b"id", self.done.append)
         self.table.add(self.exchange)
-        assert b"id" in shared.in_flight_ids.open
+        assert b"id" in shared.in_flight_ids.in_flight
 
 
 def test_second_response_is_dropped() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         open_exchange = OpenExchange()
         open_exchange.table.respond(open_exchange.exchange, 200, [(b"A", b"1")], b"first")
         open_exchange.table.respond(open_exchange.exchange, 502)
         assert open_exchange.client.responses == [(200, [(b"A", b"1")], b"first")]
         assert open_exchange.exchange.status == 200
 
-    run(work())
+    run(scenario())
 
 
 def test_exchange_with_a_response_stays_open_while_an_attempt_is_pending() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         open_exchange = OpenExchange()
         open_exchange.exchange.pending_attempts = 1
         open_exchange.table.respond(open_exchange.exchange, 200)
@@ -78,4 +78,4 @@
         open_exchange.table.remove_if_done(open_exchange.exchange)
         assert (len(open_exchange.table), open_exchange.done) == (0, [open_exchange.exchange])
 
-    run(work())
+    run(scenario())
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -11,18 +11,20 @@
 from testkit.servers import FakeConnection, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest
 from tests.event_loop import run
-from tests.fakes import ScriptedBalancer, loopback, served
+from tests.fakes import ScriptedBalancer, loopback, request_ok
 
 
 def test_request_is_forwarded_unchanged_except_hop_by_hop_headers_and_remaining_time() -> None:
     """Guards against changes of method, target, body and ids, and against a longer remaining time."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         body = bytes(range(256)) * 8
         headers = {"Connection": "X-Hop", "X_Hop": "1", "X_Trace_Id": "77aa03aa5c7e2d41"}
         async with loopback(serve_ok, script=ScriptedBalancer([1])) as network:
             target = "/api?obj=%2f&x=1"
-            response = await served(network.client, "post", body, target, X_Expires_In_Ms="7000", **headers)
+            response = await request_ok(
+                network.client, "post", body, target, X_Expires_In_Ms="7000", **headers
+            )
             assert response.body == b"served"
         (received,) = network.server.requests
         assert (received.method, received.target, received.body) == ("POST", "/api?obj=%2f&x=1", body)
@@ -32,7 +34,7 @@
         assert "x-hop" not in received.headers
         assert "connection" not in received.headers
 
-    run(work())
+    run(scenario())
 
 
 def test_large_response_is_forwarded_unchanged() -> None:
@@ -40,17 +42,17 @@
     servers in the past, and against leaking the memory that they use.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         body = bytes(range(256)) * 4 * 400
         async with loopback(serves(body), script=ScriptedBalancer([1])) as network:
             for _ in range(3):
-                assert (await served(network.client, "move", b"x")).body == body
+                assert (await request_ok(network.client, "move", b"x")).body == body
             network.client.writer.close()
             await wait_until(lambda: not network.balancer.listener._connections)
             assert network.balancer.dispatcher.memory_budget.used_bytes == 0
         assert len(network.server.requests) == 3
 
-    run(work())
+    run(scenario())
 
 
 def send_to_both(event: Event) -> list[Action] | None:
@@ -63,11 +65,11 @@
 def test_hedged_requests_produce_one_response() -> None:
     """Guards against a second response: both attempts succeed, but only the first response is forwarded."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         may_respond = [asyncio.Event(), asyncio.Event()]
         behaviours = [waits_for(event, serves(b"answer %d" % n)) for n, event in enumerate(may_respond)]
         script = ScriptedBalancer([1, 2])
-        script.more = send_to_both
+        script.override = send_to_both
         async with loopback(*behaviours, script=script) as network:
             network.client.send_request()
             for server in network.servers:
@@ -75,21 +77,23 @@
             may_respond[1].set()
             assert (await network.client.read_response()).body == b"answer 1"
             may_respond[0].set()
-            ends = [await script.ended(), await script.ended()]
+            ends = [await script.next_attempt_end(), await script.next_attempt_end()]
             assert [(end.attempt, end.outcome, end.final) for end in ends] == [
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
-            await served(network.client, target="/ready")  # nothing of the second response precedes this one
+            await request_ok(
+                network.client, target="/ready"
+            )  # nothing of the second response precedes this one
             assert not network.balancer.dispatcher._exchanges
 
-    run(work())
+    run(scenario())
 
 
 def test_cancel_closes_the_connection_and_ends_the_attempt_once() -> None:
     """Guards the Cancel action: the attempt has one outcome, and the server's connection is closed."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         ended = asyncio.Event()
 
         async def waits_for_disconnect(_request: ReceivedRequest, connection: FakeConnection) -> None:
@@ -100,20 +104,20 @@
         async with loopback(waits_for_disconnect, script=script) as network:
             network.client.send_request()
             await network.server.arrived.get()
-            network.balancer.dispatcher._act(Cancel(1, 0))
-            assert (await script.ended()).outcome is Outcome.CANCELLED
+            network.balancer.dispatcher._execute(Cancel(1, 0))
+            assert (await script.next_attempt_end()).outcome is Outcome.CANCELLED
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await ended.wait()
             assert (await network.client.read_response()).status == 502
-            assert len(script.ends()) == 1
+            assert len(script.attempt_ends()) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_client_disconnect_is_delivered_to_the_balancer_and_its_attempt_still_ends() -> None:
     """Guards ClientDisconnected: the request is closed, and its attempt still ends once, marked as final."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         may_respond = asyncio.Event()
         script = ScriptedBalancer([1])
         async with loopback(waits_for(may_respond, serve_ok), script=script) as network:
@@ -122,28 +126,28 @@
             network.client.writer.close()
             await script.next_event(ClientDisconnected)
             may_respond.set()
-            event = await script.ended()
+            event = await script.next_attempt_end()
             assert (event.outcome, event.final) == (Outcome.OK, True)
             assert not network.balancer.dispatcher._exchanges
 
-    run(work())
+    run(scenario())
 
 
 def test_dispatcher_responds_once_when_the_deadline_expires() -> None:
     """Guards against a balancer that never responds: the pending attempt ends, then one response is sent."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
-        script.more = lambda event: [] if isinstance(event, AttemptEnded) else None
+        script.override = lambda event: [] if isinstance(event, AttemptEnded) else None
         async with loopback(never_responds, script=script) as network:
             network.client.send_request("move", b"x", X_Expires_In_Ms="1000")
             assert (await network.client.read_response()).status == 504
-            event = await script.ended()
+            event = await script.next_attempt_end()
             assert (event.outcome, event.final) == (Outcome.TIMEOUT, False)
-            await served(network.client, target="/ready")
+            await request_ok(network.client, target="/ready")
             assert not network.balancer.dispatcher._exchanges
 
-    run(work())
+    run(scenario())
 
 
 def send_after_response(event: Event) -> list[Action] | None:
@@ -156,14 +160,14 @@
 def test_sends_beyond_max_attempts_or_after_the_response_are_discarded() -> None:
     """Guards against attempts beyond the limit or after the response: they end as DISCARDED, unwritten."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1] * 6)
-        script.more = send_after_response
+        script.override = send_after_response
         async with loopback(disconnects, script=script) as network:
             network.client.send_request()
             assert (await network.client.read_response()).status == 502
-        ends = [(end.attempt, end.outcome) for end in script.ends()]
+        ends = [(end.attempt, end.outcome) for end in script.attempt_ends()]
         assert ends[:5] == [(number, Outcome.RESET) for number in range(4)] + [(4, Outcome.DISCARDED)]
         assert len(network.server.requests) == 4
 
-    run(work())
+    run(scenario())
--- a/tests/dispatch/test_keyed_retries.py
+++ b/tests/dispatch/test_keyed_retries.py
@@ -29,7 +29,7 @@
 def test_request_with_a_key_that_may_have_run_is_not_retried_in_another_zone() -> None:
     """Guards against retrying a request with a key in another zone once it may have run."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with fake_servers(fails_with(500), fails_with(500), serve_ok) as servers:
             north, south = servers[:2], servers[2]
             entries = [server.entry(f"n{index}") for index, server in enumerate(north)]
@@ -46,13 +46,13 @@
                         assert len(south.requests) == south_before + 1
             assert count_requests(north) > 0
 
-    run(work())
+    run(scenario())
 
 
 def test_request_with_a_key_is_not_retried_after_the_servers_have_forgotten_the_key() -> None:
     """Guards against a second run: the servers have forgotten the key when the first attempt fails."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         categories = [dict(category) for category in SETTINGS["Categories"]]
         categories[1]["MemorySpanMs"] = 50
         key_forgotten = asyncio.Event()
@@ -65,4 +65,4 @@
             assert (await network.client.read_response()).status == 502
             assert count_requests(network.servers) == 1
 
-    run(work())
+    run(scenario())
--- a/tests/dispatch/test_probes.py
+++ b/tests/dispatch/test_probes.py
@@ -21,12 +21,12 @@
 def test_probe_delivers_the_load_report_and_its_timeout_delivers_none() -> None:
     """Guards probes: the values are in the order of the settings, and a late report is ignored."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         stats = {"How": "on_probe", "Fields": ["queue", "inflight"]}
         async with loopback(reports_load, never_responds, clients=0, script=script, stats=stats) as network:
             for server in (1, 2, UNKNOWN_SERVER):
-                network.balancer.dispatcher._act(Probe(server))
+                network.balancer.dispatcher._execute(Probe(server))
             ends = [await script.next_event(ProbeEnded) for _ in range(3)]
         assert {end.server: (end.outcome, tuple(end.report)) for end in ends} == {
             1: (Outcome.OK, (2.0, 7.0)),
@@ -34,20 +34,20 @@
             UNKNOWN_SERVER: (Outcome.CONNECT_FAILED, ()),
         }
 
-    run(work())
+    run(scenario())
 
 
 def test_probe_timeout_includes_the_connect_timeout() -> None:
     """Guards probes with slow handshakes: a probe must not end while its connection may still come up."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         stats = {"How": "on_probe", "Fields": ["queue"]}
         limits = {"ConnectTimeoutMs": 700}
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, clients=0, script=script, stats=stats, limits=limits) as network:
             timeouts_ms: list[float] = []
             network.pool.start = lambda _attempt, timeout_ms: timeouts_ms.append(timeout_ms)  # type: ignore[method-assign]
-            network.balancer.dispatcher._act(Probe(1))
+            network.balancer.dispatcher._execute(Probe(1))
             assert timeouts_ms == [750.0]
 
-    run(work())
+    run(scenario())
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -23,7 +23,7 @@
 from testkit.servers import Behaviour, FakeConnection, serve_ok
 from testkit.wire import ReceivedRequest, ok
 from tests.event_loop import run
-from tests.fakes import Loopback, ScriptedBalancer, loopback, served
+from tests.fakes import Loopback, ScriptedBalancer, loopback, request_ok
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 FEW_DESCRIPTORS = {"cores": 1.0, "memory_mb": 192, "sockets": 64}
@@ -34,10 +34,10 @@
 def delays_until(released: asyncio.Event) -> Behaviour:
     """Respond to requests for `DELAYED_TARGET` once the event is set, to all others immediately."""
 
-    async def behave(request: ReceivedRequest, talk: FakeConnection) -> None:
+    async def behave(request: ReceivedRequest, connection: FakeConnection) -> None:
         if request.target == DELAYED_TARGET:
             await released.wait()
-        await talk.send(ok())
+        await connection.send(ok())
 
     return behave
 
@@ -64,7 +64,7 @@
 def test_client_that_does_not_read_takes_bounded_memory() -> None:
     """No further request is begun for a client until it has read its responses."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         sent = 400
         async with loopback(serves(b"x" * 64_000), clients=0) as network:
             writer = await connect_with_small_buffers(network)
@@ -82,10 +82,10 @@
             assert connection._transport is not None
             assert connection._transport.get_write_buffer_size() < 512 * 1024
             assert len(network.server.requests) < sent
-            await served(await network.connect())
+            await request_ok(await network.connect())
             writer.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_longest_idle_connection_is_evicted_when_the_descriptor_budget_is_exhausted() -> None:
@@ -93,49 +93,51 @@
     client is served.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok, clients=0, machine=FEW_DESCRIPTORS) as network:
-            budget = network.balancer.shared.client_budget
+            budget = network.balancer.shared.max_clients
             for _ in range(budget + 10):
-                await served(await network.connect())
+                await request_ok(await network.connect())
             assert len(network.balancer.listener._connections) <= budget + 1
 
-    run(work())
+    run(scenario())
 
 
 def test_connections_with_an_incomplete_request_can_be_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that never complete their requests must not be able to occupy every connection."""
-    monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_MS", 1e9)  # none times out before it can be evicted
+    monkeypatch.setattr(
+        ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1e9
+    )  # none times out before it can be evicted
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok, clients=0, machine=FEW_DESCRIPTORS) as network:
-            incomplete = await connect_many(network, network.balancer.shared.client_budget)
+            incomplete = await connect_many(network, network.balancer.shared.max_clients)
             for client in incomplete:
                 client.send(request_bytes()[:-2])
             connections = network.balancer.listener._connections
             await wait_until(lambda: sum(c.has_partial_request for c in connections) >= len(incomplete))
-            await served(await network.connect())
+            await request_ok(await network.connect())
 
-    run(work())
+    run(scenario())
 
 
 def test_server_connections_stay_within_their_descriptor_budget() -> None:
     """When the budget is exhausted, an attempt ends immediately as not sent."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(never_responds, clients=3, script=script, machine=FEW_DESCRIPTORS) as network:
-            network.pool._budget = 3
+            network.pool._max_connections = 3
             for client in network.clients:
                 client.send_request("move", b"x")
                 await network.server.arrived.get()
             last = await network.connect()
             last.send_request("move", b"x")
             assert (await last.read_response()).status == 502
-            assert network.pool.sockets == 3
+            assert network.pool.connection_count == 3
             assert network.server.connections == 3
 
-    run(work())
+    run(scenario())
 
 
 async def trickle(client: HttpClient) -> None:
@@ -160,17 +162,17 @@
     """A silent connection is closed. An incomplete request gets 408 even if further bytes keep arriving, on a
     new and on a reused connection. A client that waits for its response is not affected.
     """
-    monkeypatch.setattr(Listener, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(Listener, "SWEEP_INTERVAL_MS", 10.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         async with loopback(delays_until(released), clients=2) as network:
             waiting, reused = network.clients
             waiting.send_request(target=DELAYED_TARGET)
-            await served(reused)
+            await request_ok(reused)
             # Set only now, so that the requests above are not limited.
-            monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_MS", 1_000.0)
-            monkeypatch.setattr(ClientConnection, "REQUEST_MS", 1_000.0)
+            monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1_000.0)
+            monkeypatch.setattr(ClientConnection, "REQUEST_TIMEOUT_MS", 1_000.0)
             silent = await network.connect()
             slow = await network.connect()
             async with trickling(slow, reused):
@@ -180,7 +182,7 @@
             released.set()
             assert (await waiting.read_response()).status == 200
 
-    run(work())
+    run(scenario())
 
 
 async def fill_with_requests(network: Loopback, count: int, budget: int) -> list[HttpClient]:
@@ -201,17 +203,17 @@
     is free. Silent connections are evicted before idle ones that have had a request.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         script = ScriptedBalancer([1])
         async with loopback(delays_until(released), script=script, machine=FEW_DESCRIPTORS) as network:
-            listener, budget = network.balancer.listener, network.balancer.shared.client_budget
-            network.pool._budget = 200
+            listener, budget = network.balancer.listener, network.balancer.shared.max_clients
+            network.pool._max_connections = 200
             reused = network.client
-            await served(reused)
+            await request_ok(reused)
             await connect_many(network, 60)  # silent
             busy = await fill_with_requests(network, budget - 1, budget)
-            await served(reused)  # the silent connections were evicted, this one was not
+            await request_ok(reused)  # the silent connections were evicted, this one was not
             reused.send_request(target=DELAYED_TARGET)
             late = await connect_many(network, 5)
             for client in late:
@@ -222,13 +224,13 @@
             for client in [*busy, reused, *late]:
                 assert (await client.read_response()).status == 200
 
-    run(work())
+    run(scenario())
 
 
 def test_connections_share_one_memory_budget() -> None:
     """A request beyond the budget gets 503 with Retry-After, others are served; all memory is released."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         async with loopback(delays_until(released), clients=3) as network:
             one, two, three = network.clients
@@ -241,7 +243,7 @@
             response = await two.read_response()
             assert (response.status, response.headers["retry-after"]) == (503, "1")
             assert await two.read_to_end() == b""
-            await served(three)
+            await request_ok(three)
             released.set()
             assert (await one.read_response()).status == 200
             for client in network.clients:
@@ -249,14 +251,14 @@
             await wait_until(lambda: not network.balancer.listener._connections)
             assert memory_budget.used_bytes == 0
 
-    run(work())
+    run(scenario())
 
 
-async def reset_or_serve(request: ReceivedRequest, talk: FakeConnection) -> None:
+async def reset_or_serve(request: ReceivedRequest, connection: FakeConnection) -> None:
     if request.target == "/api?reset":
-        talk.reset()
+        connection.reset()
     else:
-        await talk.send(ok())
+        await connection.send(ok())
 
 
 # Served, reset by the server, of an unknown class, malformed, too long, and pipelined.
@@ -297,7 +299,7 @@
     ones and those with a parse error.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         kinds = (ClientConnection, RequestParser, ServerConnection, ResponseParser, Exchange, Attempt)
         async with loopback(reset_or_serve, clients=0, script=ScriptedBalancer([1, 1])) as network:
             with without_garbage_collector():
@@ -305,4 +307,4 @@
                 left = [type(item).__name__ for item in gc.get_objects() if isinstance(item, kinds)]
         assert left == ["ResponseParser"]  # parser of the connection to discovery
 
-    run(work())
+    run(scenario())
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -12,7 +12,7 @@
 from testkit.clients import request_bytes
 from testkit.servers import serve_ok
 from tests.event_loop import run
-from tests.fakes import Loopback, ScriptedBalancer, loopback, served
+from tests.fakes import Loopback, ScriptedBalancer, loopback, request_ok
 
 HEAD = b"POST /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\n"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
@@ -80,7 +80,7 @@
 def test_malformed_input_is_rejected_without_effect_on_other_requests(data: bytes, code: int) -> None:
     """Malformed input receives an error response, and a request on another connection completes."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         async with loopback(waits_for(released, serve_ok), clients=2) as network:
             good, bad = network.clients
@@ -92,27 +92,27 @@
             assert (await good.read_response()).status == 200
         assert len(network.server.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_missing_or_longer_deadline_becomes_that_of_the_class() -> None:
     """Clients need not state a deadline, and can't exceed the one of the class."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, script=script) as network:
             network.client.send(b"GET /api HTTP/1.1\r\nHost: x\r\nX-Qos: look\r\nX-Trace-Id: 1\r\n\r\n")
             assert (await network.client.read_response()).status == 200
-            await served(network.client, X_Expires_In_Ms="999999999")
-        assert [event.time_left_ms for event in script.received(RequestArrived)] == [8000.0, 8000.0]
+            await request_ok(network.client, X_Expires_In_Ms="999999999")
+        assert [event.time_left_ms for event in script.received_events(RequestArrived)] == [8000.0, 8000.0]
 
-    run(work())
+    run(scenario())
 
 
 def test_pipelined_requests_get_one_response_each_in_order() -> None:
     """Order and exactly one response are guaranteed even if a client does not wait for responses."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(echoes_target) as network:
             requests = [request_bytes(target=f"/api?n={n}") for n in range(3)]
             network.client.send(b"".join(requests) + b"garbage\r\n\r\n")
@@ -121,13 +121,13 @@
             assert (await network.client.read_response()).status == 400
             assert await network.client.read_to_end() == b""
 
-    run(work())
+    run(scenario())
 
 
 def test_client_that_expects_100_continue_receives_it() -> None:
     """Without 100 (Continue) such a client would never send the body."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok) as network:
             head, _, _ = request_bytes("move", b"body", Expect="100-continue").partition(b"\r\n\r\n")
             network.client.send(head + b"\r\n\r\n")
@@ -137,32 +137,32 @@
             assert (await network.client.read_response()).status == 200
         assert network.server.requests[0].body == b"body"
 
-    run(work())
+    run(scenario())
 
 
 def test_connection_close_of_the_client_is_honoured() -> None:
     """A client may request that the connection ends with the next response."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok) as network:
-            response = await served(network.client, Connection="close")
+            response = await request_ok(network.client, Connection="close")
             assert response.headers["connection"] == "close"
             assert await network.client.read_to_end() == b""
 
-    run(work())
+    run(scenario())
 
 
 def test_rejections_carry_retry_after_in_decimal_seconds() -> None:
     """Reject causes an immediate 503, with Retry-After only if the balancer's action states a delay."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         waits_ms = [1250.0, 0.0]
 
         def reject(event: Event) -> list[Action] | None:
             return [Reject(event.request, waits_ms.pop(0))] if isinstance(event, RequestArrived) else None
 
         script = ScriptedBalancer([1])
-        script.more = reject
+        script.override = reject
         async with loopback(serve_ok, script=script) as network:
             network.client.send_request()
             first = await network.client.read_response()
@@ -171,7 +171,7 @@
         assert (first.status, first.headers.get("retry-after")) == (503, "1.250")
         assert (second.status, second.headers.get("retry-after")) == (503, None)
 
-    run(work())
+    run(scenario())
 
 
 def raise_for_class_2(event: Event) -> list[Action] | None:
@@ -185,15 +185,15 @@
 ) -> None:
     """An exception in the balancer ends only the request that caused it, and the log names the request."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
-        script.more = raise_for_class_2
+        script.override = raise_for_class_2
         async with loopback(serve_ok, script=script) as network:
             network.client.send_request("move", b"x", X_Trace_Id="9b1f03aa5c7e2d41")
             assert (await network.client.read_response()).status == 500
-            await served(network.client)
+            await request_ok(network.client)
 
-    run(work())
+    run(scenario())
     assert "9b1f03aa5c7e2d41" in capfd.readouterr().err
 
 
@@ -209,23 +209,23 @@
     client's next request in place of a server.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([2])
-        script.more = respond_to_class_2_twice
+        script.override = respond_to_class_2_twice
         async with loopback(never_responds, serve_ok, script=script) as network:
             network.client.send(request_bytes("move", b"x") + request_bytes())
             assert [(await network.client.read_response()).status for _ in range(2)] == [502, 200]
-            first = script.received(RequestArrived)[0]
+            first = script.received_events(RequestArrived)[0]
             end = await script.next_event(AttemptEnded, lambda event: event.request == first.request)
             assert end.final  # the balancer is still notified of the attempt's end
 
-    run(work())
+    run(scenario())
 
 
 def test_incomplete_request_is_not_forwarded() -> None:
     """A client that shuts down its sending side before the last byte gets no response."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(serve_ok, clients=2, script=script) as network:
             incomplete, other = network.clients
@@ -233,12 +233,12 @@
             await incomplete.writer.drain()
             incomplete.writer.write_eof()
             assert await incomplete.read_to_end() == b""
-            await served(other, target="/ready")
+            await request_ok(other, target="/ready")
         assert network.server.requests == []
-        assert not script.received(RequestArrived)
-        assert not script.received(ClientDisconnected)
+        assert not script.received_events(RequestArrived)
+        assert not script.received_events(ClientDisconnected)
 
-    run(work())
+    run(scenario())
 
 
 async def assert_id_rejected(network: Loopback, class_name: str, body: bytes, trace_id: str) -> None:
@@ -254,7 +254,7 @@
     after the response to the first one is not forwarded either.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         script = ScriptedBalancer([1])
         async with loopback(waits_for(released, serve_ok), script=script) as network:
@@ -266,21 +266,21 @@
             released.set()
             assert (await good.read_response()).status == 200
             await assert_id_rejected(network, "move", b"x", "aa")
-            await served(good, "move", b"x", X_Trace_Id="ab")
-            assert not ids.open
+            await request_ok(good, "move", b"x", X_Trace_Id="ab")
+            assert not ids.in_flight
             ids.MAX_FINISHED = 1
-            await served(good, "move", b"x", X_Trace_Id="ac")
+            await request_ok(good, "move", b"x", X_Trace_Id="ac")
             assert list(ids.finished) == [b"ac"]
         assert [item.headers["x-trace-id"] for item in network.server.requests] == ["aa", "ab", "ac"]
-        assert [event.outcome for event in script.ends()] == [Outcome.OK] * 3
+        assert [event.outcome for event in script.attempt_ends()] == [Outcome.OK] * 3
 
-    run(work())
+    run(scenario())
 
 
 def test_bytes_after_a_rejected_message_are_never_parsed() -> None:
     """Prevents request smuggling: two parsers might disagree about the end of such a message."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with loopback(serve_ok) as network:
             inner = request_bytes("move", b"x")
             outer = b"Content-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" % (len(inner) + 5)
@@ -290,4 +290,4 @@
             assert await network.client.read_to_end() == b""
         assert network.server.requests == []
 
-    run(work())
+    run(scenario())
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -21,7 +21,7 @@
 from testkit.servers import FakeServer, serve_ok
 from testkit.wire import RESPONSE_TIMEOUT_S
 from tests.event_loop import run
-from tests.fakes import fake_servers, loopback, served
+from tests.fakes import fake_servers, loopback, request_ok
 from tests.platform.harness import ready, spawn
 from tests.race_conditions.skipping_clock import SkippingLoop
 from tests.race_conditions.skipping_clock import run as skip
@@ -58,13 +58,13 @@
     if fault == "down":
         discovery.stop()
     elif fault == "refusing":
-        discovery.garbage = [BUSY_RESPONSE] * 1000
+        discovery.raw_responses = [BUSY_RESPONSE] * 1000
     else:
         discovery.silent = True
 
 
 async def restore_discovery(discovery: FakeDiscovery, fault: str) -> None:
-    discovery.garbage, discovery.silent = [], False
+    discovery.raw_responses, discovery.silent = [], False
     if fault == "down":
         await discovery.start()
 
@@ -123,7 +123,7 @@
     """The client is served throughout, and finally by the second server."""
     async with asyncio.timeout(4.0 * RESPONSE_TIMEOUT_S):
         while not second.requests:
-            await served(client)
+            await request_ok(client)
             await asyncio.sleep(0.05)
 
 
@@ -131,12 +131,12 @@
     """Service continues during and after discovery's failure, with more silent clients than descriptors."""
     await ready(port)
     async with HttpClient(port) as reused:
-        await served(reused)
+        await request_ok(reused)
         failing.fail_with_a_change()
         async with connect_silent_clients(port, limit + 100) as peers, HttpClient(port) as fresh:
             await ready(port)
             for client in (reused, fresh):
-                await served(client)
+                await request_ok(client)
             # The same number of silent clients connects again just when discovery recovers.
             await failing.restore()
             async with connect_silent_clients(port, limit + 100):
@@ -155,7 +155,7 @@
     connections are served, the endpoint list is received, and silent connections are closed.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         assert raise_descriptor_limit(2 * limit + 500) >= 2 * limit + 500  # this process has both ends
         async with fake_servers(serve_ok, serve_ok) as servers:
             failing = FailingDiscovery(servers, fault)
@@ -168,13 +168,13 @@
             finally:
                 failing.discovery.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_silent_clients_time_out_while_discovery_is_down(monkeypatch: pytest.MonkeyPatch) -> None:
     """Uses a clock that advances only by the program's timers, so that a busy machine adds no time."""
 
-    async def work(loop: SkippingLoop) -> None:
+    async def scenario(loop: SkippingLoop) -> None:
         async with loopback(serve_ok, clients=0, base=POLLED_SETTINGS, machine={"sockets": 256}) as network:
             network.balancer.discovery.stop()
             async with connect_silent_clients(network.balancer.port, 60) as peers:
@@ -182,4 +182,4 @@
                 await asyncio.gather(*map(expect_close, peers))
                 assert loop.time() - started_s <= SILENCE_LIMIT_S
 
-    skip(monkeypatch, work)
+    skip(monkeypatch, scenario)
--- a/tests/event_loop.py
+++ b/tests/event_loop.py
@@ -11,6 +11,6 @@
 TEST_LIMIT_S = 60
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
+def run(scenario: Coroutine[Any, Any, None]) -> None:
     """Runs a test's coroutine to its end, or fails the test after `TEST_LIMIT_S`."""
-    uvloop.run(asyncio.wait_for(work, TEST_LIMIT_S))
+    uvloop.run(asyncio.wait_for(scenario, TEST_LIMIT_S))
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -21,7 +21,7 @@
 from sandhatch.config.platform import decode
 from sandhatch.discovery.client import Discovery
 from sandhatch.dispatch.dispatcher import Dispatcher
-from sandhatch.dispatch.protocols import Decisions
+from sandhatch.dispatch.protocols import BalancerProtocol
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.program import PlatformProgram
 from sandhatch.runtime.shared_resources import SharedResources
@@ -40,18 +40,19 @@
     """Scripted decisions: each request's attempts go to the given servers in order, then the request fails.
 
     Every event is recorded, so that a test sees exactly what the balancer's decisions would receive. Endpoint
-    lists are watched as the balancer does, unless `follows` is false because the test makes each poll itself.
-    A test may set `more` to decide on events before the script does; if it returns None, the script decides.
+    lists are watched as the balancer does, unless `watches_lists` is false because the test makes each poll
+    itself. A test may set `override` to decide on events before the script does; if it returns None, the
+    script decides.
     """
 
-    def __init__(self, servers: list[int], timeout_ms: float = 0.0, follows: bool = True) -> None:
-        settings = Settings([RequestClass(1.0, 1.0, Effect.IDEMPOTENT)], one_shot_watches=follows)
+    def __init__(self, servers: list[int], timeout_ms: float = 0.0, watches_lists: bool = True) -> None:
+        settings = Settings([RequestClass(1.0, 1.0, Effect.IDEMPOTENT)], one_shot_watches=watches_lists)
         self.freshness = Freshness(settings, Random(1))
         self.servers = servers
         self.timeout_ms = timeout_ms
         self.events: list[Event] = []
         self.notifications: asyncio.Queue[Event] = asyncio.Queue()
-        self.more: Callable[[Event], list[Action] | None] = lambda _event: None
+        self.override: Callable[[Event], list[Action] | None] = lambda _event: None
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
         self.events.append(event)
@@ -60,7 +61,7 @@
             return self.freshness.on_list_update(event, now_ms)
         if isinstance(event, TimerFired) and event.cookie in COOKIES:
             return self.freshness.on_timer(event.cookie, now_ms)
-        actions = self.more(event)
+        actions = self.override(event)
         if actions is not None:
             return actions
         return self._next_attempt(event)
@@ -84,17 +85,17 @@
                 if isinstance(event, kind) and matches(event):
                     return event
 
-    async def ended(self) -> AttemptEnded:
+    async def next_attempt_end(self) -> AttemptEnded:
         """Waits for the next end of an attempt."""
         return await self.next_event(AttemptEnded)
 
-    def received(self, kind: type[EventT]) -> list[EventT]:
+    def received_events(self, kind: type[EventT]) -> list[EventT]:
         """Returns all events of a kind received so far."""
         return [event for event in self.events if isinstance(event, kind)]
 
-    def ends(self) -> list[AttemptEnded]:
+    def attempt_ends(self) -> list[AttemptEnded]:
         """Returns all ends of attempts received so far."""
-        return self.received(AttemptEnded)
+        return self.received_events(AttemptEnded)
 
 
 @dataclass
@@ -106,7 +107,7 @@
     discovery: FakeDiscovery
     port: int
     shared: SharedResources
-    watch: Discovery
+    discovery_client: Discovery
 
     def stop(self) -> None:
         """Stops the balancer and the fake discovery, without waiting for attempts in flight."""
@@ -142,13 +143,13 @@
 @asynccontextmanager
 async def running(
     *entries: dict[str, Any],
-    script: Decisions | None = None,
+    script: BalancerProtocol | None = None,
     limits: dict[str, Any] | None = None,
     stats: dict[str, Any] | None = None,
     categories: list[dict[str, Any]] | None = None,
     base: dict[str, Any] | None = None,
     generation: int = 1,
-    rest_ms: float = 0.0,
+    cooldown_ms: float = 0.0,
     **more: Any,
 ) -> AsyncIterator[RunningBalancer]:
     """Runs the balancer's real components with a fake discovery that lists the entries.
@@ -161,7 +162,7 @@
         categories: The settings' `Categories`.
         base: Settings to which the arguments above are applied; the default is `SETTINGS`.
         generation: Generation of the endpoint list that is known at the start.
-        rest_ms: Minimum idle time of a server connection between two attempts, in milliseconds.
+        cooldown_ms: Minimum idle time of a server connection between two attempts, in milliseconds.
         more: Further keys of the configuration; `machine` stands for its key `limits`.
     """
     listed = list(entries)
@@ -173,7 +174,7 @@
     settings = _merge_settings(base, limits, stats, categories)
     config = decode(json.dumps(config_data(listed, discovery.port, settings=settings, **more)), {})
     program = PlatformProgram(config, asyncio.get_running_loop(), script)
-    program.dispatcher.connection_pool.COOLDOWN_MS = rest_ms
+    program.dispatcher.connection_pool.COOLDOWN_MS = cooldown_ms
     balancer = start_components(program, discovery)
     try:
         yield balancer
@@ -254,7 +255,7 @@
             yield network
 
 
-async def served(client: HttpClient, *request: Any, **headers: str) -> Response:
+async def request_ok(client: HttpClient, *request: Any, **headers: str) -> Response:
     """Sends a request by `HttpClient.send_request`; returns its response, whose status must be 200."""
     client.send_request(*request, **headers)
     response = await client.read_response()
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from sandhatch.http1.errors import Fault, FramingError
-from sandhatch.http1.events import End
+from sandhatch.http1.events import BodyEnd
 from sandhatch.http1.message import Message
 from sandhatch.http1.parser import RequestParser, ResponseParser
 from sandhatch.http1.serializer import encode_chunk, encode_last_chunk
@@ -49,7 +49,7 @@
         for event in self.parser.feed(data):
             if isinstance(event, Message):
                 self._add(event, event.body, True, [])
-            elif isinstance(event, End):
+            elif isinstance(event, BodyEnd):
                 assert self._opened_message is not None
                 self._add(self._opened_message, b"".join(self._body_parts), True, event.trailers)
                 self._opened_message = None
@@ -57,7 +57,7 @@
                 assert self._opened_message is not None, "piece of a body that was not opened"
                 assert len(event)
                 self._body_parts.append(bytes(event))
-        if self.parser.openable:
+        if self.parser.is_openable:
             self._opened_message = self.parser.open()
             self._body_parts = [self._opened_message.body]
 
@@ -296,14 +296,14 @@
     parser = RequestParser()
     parser.on_head = lambda _message: parser.stream(0, MAX_BODY_BYTES)
     assert parser.feed(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab") == []
-    assert parser.openable
+    assert parser.is_openable
     assert parser.open().body == b"ab"
     buffer = bytearray(b"cdefghij" + b"GET /b HTTP/1.1\r\n\r\n")
     piece, end, following = parser.feed(memoryview(buffer))
     assert isinstance(piece, memoryview)
     assert piece.obj is buffer
     assert bytes(piece) == b"cdefghij"
-    assert isinstance(end, End)
+    assert isinstance(end, BodyEnd)
     assert isinstance(following, Message)
     assert following.target == b"/b"
     piece.release()
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -11,14 +11,14 @@
 from sandhatch.balancing.actions import GuidanceRejected
 from sandhatch.balancing.events import Guidance, ListKind, ListUpdate, OwnSharesLeased, ServerEntry
 from sandhatch.balancing.settings import Effect, RequestClass, Settings
-from sandhatch.planning.keys import SharedKey
+from sandhatch.planning.keys import SharedKeyIdentity
 from sandhatch.planning.link import BalancerObserver, ForwarderLink
 from sandhatch.planning.server import PlannerServer
 from sandhatch.planning.terms import ForwarderTerms, PlannerTerms
 from sandhatch.runtime.clock import Clock
 from testkit.planners import Script, ScriptedPlanner
 
-KEY = SharedKey(b"k" * 32)
+KEY = SharedKeyIdentity(b"k" * 32)
 ADDRESSES = [f"10.0.0.{n}:80" for n in range(1, 5)]
 CLASS = RequestClass(objective_ms=100.0, deadline_ms=1000.0, effect=Effect.IDEMPOTENT, name="view")
 SETTINGS = Settings(classes=[CLASS], instances=4, ramp_per_s=100.0, tier=1, max_attempts=2)
@@ -54,7 +54,7 @@
         observer.on_endpoint_list(self.update, ADDRESSES)
 
     @property
-    def guidances(self) -> list[Guidance]:
+    def received_guidance(self) -> list[Guidance]:
         return [event for event in self.events if isinstance(event, Guidance)]
 
 
@@ -73,7 +73,7 @@
     @property
     def has_lease_guidance(self) -> bool:
         """Whether guidance of a planner that holds the lease was received."""
-        return any(guidance.leased for guidance in self.dispatcher.guidances)
+        return any(guidance.leased for guidance in self.dispatcher.received_guidance)
 
     def has_logged(self, text: str) -> bool:
         return any(text in line for line in self.log_lines)
@@ -81,13 +81,13 @@
 
 @asynccontextmanager
 async def connected_forwarder(
-    ports: dict[str, int], terms: ForwarderTerms = TERMS, quiet_ms: float = 0.0
+    ports: dict[str, int], terms: ForwarderTerms = TERMS, previous_lease_ms: float = 0.0
 ) -> AsyncIterator[ConnectedForwarder]:
     """A forwarder that connects to planners at these ports, by planner name."""
     clock = Clock(asyncio.get_running_loop())
     log_lines: list[str] = []
     addresses = {name: ("127.0.0.1", port) for name, port in ports.items()}
-    link = ForwarderLink("f0", addresses, KEY, clock, log_lines.append, terms, 1, quiet_ms)
+    link = ForwarderLink("f0", addresses, KEY, clock, log_lines.append, terms, 1, previous_lease_ms)
     dispatcher = FakeDispatcher(clock)
     link.attach("core", dispatcher, SETTINGS)
     link.start()
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -22,22 +22,22 @@
 class ForwarderDriver:
     """Drives a forwarder's state machine and responds to its reports in place of the planners."""
 
-    def __init__(self, *planners: str, quiet_ms: float = 0.0, **terms: Any) -> None:
+    def __init__(self, *planners: str, previous_lease_ms: float = 0.0, **terms: Any) -> None:
         self.now = 0.0
-        self.machine = Forwarder("f2", planners, 0.0, ForwarderTerms(**terms), quiet_ms)
+        self.machine = Forwarder("f2", planners, 0.0, ForwarderTerms(**terms), previous_lease_ms)
         observer = Observer(["view"], 10_000.0)
         rows = [ServerEntry(n) for n in range(2)]
         observer.on_endpoint_list(ListUpdate(ListKind.FULL, 1, rows), ADDRESSES[:2])
         self.versions = dict.fromkeys(planners, 0)
         self.epochs = dict.fromkeys(planners, 0)
         self.reports: dict[str, Report] = {}
-        self.guidances: list[Guidance] = []
+        self.received_guidance: list[Guidance] = []
         self.lease_ends_ms: list[float] = []
         self.ended_sessions: list[EndSession] = []
         self.notes: list[str] = []
-        self.carry_out(self.machine.add_pool(POOL, SETTINGS, observer))
+        self.execute(self.machine.add_pool(POOL, SETTINGS, observer))
 
-    def carry_out(self, actions: list[Action]) -> None:
+    def execute(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case SendReport():
@@ -47,19 +47,19 @@
                 case LogLine():
                     self.notes.append(action.text)
                 case NotifyBalancer(event=Guidance() as guidance):
-                    self.guidances.append(guidance)
+                    self.received_guidance.append(guidance)
                 case NotifyBalancer(event=OwnSharesLeased() as leased):
                     self.lease_ends_ms.append(leased.until_ms)
 
     def connect(self, planner: str, epoch: int = 1) -> None:
         self.epochs[planner] = epoch
         self.versions[planner] = 0
-        self.carry_out(self.machine.connected(planner, epoch, self.now))
+        self.execute(self.machine.connected(planner, epoch, self.now))
         self.tick(0.0)
 
     def tick(self, span_ms: float) -> None:
         self.now += span_ms
-        self.carry_out(self.machine.tick(self.now))
+        self.execute(self.machine.tick(self.now))
 
     def respond(self, planner: str, after_ms: float = 1.0, **fields: Any) -> None:
         """Let a planner respond to the forwarder's last report; `fields` override fields of the advice."""
@@ -70,7 +70,7 @@
         for name, value in ({"has_lease": True, "pools": [PoolAdvice(POOL)]} | fields).items():
             assert hasattr(advice, name)
             setattr(advice, name, value)
-        self.carry_out(self.machine.advice(planner, advice, self.now))
+        self.execute(self.machine.handle_advice(planner, advice, self.now))
 
     def rounds(self, count: int, *planners: str, **fields: Any) -> None:
         """Run `count` report intervals, after each of which these planners respond at once."""
@@ -92,7 +92,7 @@
         self.epoch = 0
         self.version = 0
         self.has_named_servers = False
-        planner.joined(self.name, 0.0)
+        planner.forwarder_connected(self.name, 0.0)
 
     def report(self, now: float, **fields: object) -> Advice:
         """Send a report on one pool of ten servers; `fields` override fields of the pool's report."""
--- a/tests/planning/test_command_line.py
+++ b/tests/planning/test_command_line.py
@@ -120,7 +120,7 @@
     planner_control = str(tmp_path / "p.sock")
     forwarder_control = str(tmp_path / "f.sock")
 
-    async def work() -> None:
+    async def scenario() -> None:
         fake_servers = await FakeServers().start("w1", "w2", "o1")
         forwarder_file = write_forwarder_file(
             tmp_path, fake_servers, listen_port, planner_port, planner_public_key
@@ -147,7 +147,7 @@
         assert (planner.returncode, forwarder.returncode) == (0, 0)
         fake_servers.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_errors_in_a_planners_configuration_name_file_line_and_key(tmp_path: Path) -> None:
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -33,7 +33,7 @@
 
 
 def test_a_version_with_an_unreadable_key_file_is_not_applied_and_states_the_reason(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         fake_servers = await FakeServers().start("w1", "w2", "o1")
         plain = fake_servers.config(fake_servers.pool("w1", "w2"), fake_servers.pool("o1"))
         async with serving(plain) as running, HttpClient(running.port) as client:
@@ -45,7 +45,7 @@
             assert (await client.read_response()).status == 200
         fake_servers.close()
 
-    run(work())
+    run(scenario())
 
 
 async def check_request_is_served(client: HttpClient) -> None:
@@ -61,7 +61,7 @@
     data = with_planner(fake_servers, key, planner.port)
     data["pools"]["web"]["max_attempts"] = 3
     data["pools"]["orders"]["planned"] = False
-    await running.confirmed(data)
+    await running.commit_and_confirm(data)
     assert link is not None
     assert running.service.forwarding.link is link
     assert link.pools == ["web"]
@@ -79,7 +79,7 @@
     assert link is not None
     await wait_until(lambda: link.forwarder.leased_to == "p0")
     lease_end_ms = link.forwarder.leased_until_ms
-    await running.confirmed(with_planner(fake_servers, key, planner.port, name="other"))
+    await running.commit_and_confirm(with_planner(fake_servers, key, planner.port, name="other"))
     replacement = running.service.forwarding.link
     assert replacement is not None
     assert replacement is not link
@@ -90,14 +90,14 @@
 def test_planners_are_added_changed_and_removed_while_requests_are_served(tmp_path: Path) -> None:
     key = key_file(tmp_path)
 
-    async def work() -> None:
+    async def scenario() -> None:
         fake_servers = await FakeServers().start("w1", "w2", "o1")
         plain = fake_servers.config(fake_servers.pool("w1", "w2"), fake_servers.pool("o1"))
         async with planner_server() as planner, serving(plain) as running, HttpClient(running.port) as client:
             forwarding = running.service.forwarding
             await check_request_is_served(client)
             assert forwarding.status() is None
-            await running.confirmed(with_planner(fake_servers, key, planner.port))
+            await running.commit_and_confirm(with_planner(fake_servers, key, planner.port))
             assert forwarding.link is not None
             assert set(forwarding.link.pools) == {"web", "orders"}
             await wait_until(lambda: "web" in planner.planner.pools)
@@ -107,9 +107,9 @@
             await wait_until(lambda: sum(view.attempts for view in load.servers.values()) > 0.0)
             await change_a_pool(fake_servers, key, planner, running, client)
             await replace_the_link(fake_servers, key, planner, running)
-            await running.confirmed(plain)
+            await running.commit_and_confirm(plain)
             assert forwarding.link is None
             await check_request_is_served(client)
         fake_servers.close()
 
-    run(work())
+    run(scenario())
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -13,8 +13,8 @@
     driver.connect("p0")
     sent_ms = driver.now
     driver.respond("p0", 900.0, pools=[PoolAdvice(POOL, [WeightRow(0, 0.5)])])
-    assert driver.guidances[0].report_sent_ms == sent_ms
-    assert driver.guidances[0].until_ms == sent_ms + 1_980.0
+    assert driver.received_guidance[0].report_sent_ms == sent_ms
+    assert driver.received_guidance[0].until_ms == sent_ms + 1_980.0
 
 
 def test_shares_are_leased_only_after_advice_and_the_balancer_is_notified_before_they_are_used() -> None:
@@ -27,10 +27,10 @@
     assert driver.reports["p0"].leases_shares
     assert driver.reports["p0"].version == 1
     assert driver.lease_ends_ms[-1] == received_ms + 3_030.0
-    assert not driver.guidances[0].leased
+    assert not driver.received_guidance[0].leased
     driver.respond("p0", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 0.5, 2.0)], 0.3)])
-    assert driver.guidances[-1].leased
-    assert driver.guidances[-1].parts[0].rate == 0.5
+    assert driver.received_guidance[-1].leased
+    assert driver.received_guidance[-1].parts[0].rate == 0.5
 
 
 def test_shares_granted_by_a_planner_without_the_lease_are_ignored() -> None:
@@ -40,8 +40,8 @@
     driver.rounds(4, "p0", "p1")
     assert driver.machine.leased_to == "p0"
     driver.respond("p1", pools=[PoolAdvice(POOL, None, [RampShareRow(0, 1.0, 4.0)], 0.5)])
-    assert not driver.guidances[-1].leased
-    assert driver.guidances[-1].own_part is None
+    assert not driver.received_guidance[-1].leased
+    assert driver.received_guidance[-1].own_part is None
 
 
 def test_a_new_incarnation_of_the_lease_holder_receives_the_previous_grants() -> None:
@@ -65,10 +65,10 @@
         driver = ForwarderDriver("p0")
         driver.connect("p0")
         driver.respond("p0", has_lease=False)
-        count = len(driver.guidances)
+        count = len(driver.received_guidance)
         driver.tick(250.0)
         driver.respond("p0", **fields)
-        assert len(driver.guidances) == count
+        assert len(driver.received_guidance) == count
         assert driver.machine.peers["p0"].faults == 1
         return driver.machine.peers["p0"].last_reason
 
@@ -84,7 +84,7 @@
     driver.connect("p0")
     driver.respond("p0", 5_000.0)
     peer = driver.machine.peers["p0"]
-    assert (peer.late, peer.faults, driver.guidances) == (1, 0, [])
+    assert (peer.late, peer.faults, driver.received_guidance) == (1, 0, [])
     driver.tick(250.0)
     assert driver.reports["p0"].version == 0
 
@@ -114,7 +114,7 @@
     driver.respond("p0")
     driver.tick(250.0)
     driver.respond("p0")
-    driver.carry_out(driver.machine.guidance_rejected("p0", "out of bounds", driver.now))
+    driver.execute(driver.machine.guidance_rejected("p0", "out of bounds", driver.now))
     driver.tick(250.0)
     assert driver.reports["p0"].version == 1
 
@@ -125,7 +125,7 @@
     driver.machine.disconnected("p0")
     driver.connect("p0", 4)
     assert driver.ended_sessions
-    assert driver.ended_sessions[0].why == "epoch 4 is before 5"
+    assert driver.ended_sessions[0].reason == "epoch 4 is before 5"
 
 
 def test_a_planners_repeated_note_is_logged_once() -> None:
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -58,7 +58,7 @@
 
     def simulate(restart: bool) -> Tier:
         tier = Tier(plan, seed)
-        tier.servers[0].slow = tier.servers[1].slow = 3.0  # gives the planner reduced weights to lose
+        tier.servers[0].slowdown = tier.servers[1].slowdown = 3.0  # gives the planner reduced weights to lose
         if restart:
             tier.at(20_000.0, lambda: tier.kill_planner("p0"))
             tier.at(20_300.0, lambda: tier.start_planner("p0"))
@@ -88,13 +88,13 @@
         for forwarder in tier.forwarders:
             ramp = forwarder.balancer.guidance_state.ramp
             assert ramp is not None
-            rates.append(ramp.part(forwarder.balancer.server_list.servers[0], tier.now).rate)
+            rates.append(ramp.allocation(forwarder.balancer.server_list.servers[0], tier.now).rate)
         granted[tier.now - START_MS] = rates
 
     for at in (13_900.0, 15_000.0, 16_500.0):
         tier.at(at, record_shares)
     learning: list[bool] = []
-    tier.at(15_000.0, lambda: learning.append(tier.planners["p0"].machine.learning(tier.now)))
+    tier.at(15_000.0, lambda: learning.append(tier.planners["p0"].machine.is_learning(tier.now)))
     tier.run(20_000.0)
     assert learning == [True]
     before = granted[13_900.0]
@@ -146,7 +146,7 @@
     correct = simulate(False)
     misreported = simulate(True)
     assert misreported.goodput_share(10_000.0, 28_000.0) > correct.goodput_share(10_000.0, 28_000.0) - 0.03
-    own_shares = [f.balancer.guidance_state.own_part(misreported.now) for f in misreported.forwarders]
+    own_shares = [f.balancer.guidance_state.own_share(misreported.now) for f in misreported.forwarders]
     assert min(own_shares) > 0.6 / 8
 
 
--- a/tests/planning/test_keys.py
+++ b/tests/planning/test_keys.py
@@ -11,9 +11,9 @@
 
 from sandhatch.planning.errors import BadKeyError
 from sandhatch.planning.keys import (
-    OwnKey,
-    SharedKey,
-    identity,
+    Ed25519Identity,
+    SharedKeyIdentity,
+    load_identity,
     new_private_key,
     parse_key,
     public_key,
@@ -47,23 +47,23 @@
 
 def test_the_authentication_method_follows_from_which_key_file_is_given(key_file: Path) -> None:
     peers = {"p": public_key(new_private_key()).hex()}
-    assert identity(str(key_file), None, {}).method == "shared"
-    assert identity(None, str(key_file), peers).method == "ed25519"
+    assert load_identity(str(key_file), None, {}).method == "shared"
+    assert load_identity(None, str(key_file), peers).method == "ed25519"
 
 
 def test_malformed_keys_are_rejected_with_the_reason() -> None:
     with pytest.raises(BadKeyError, match="key is not hexadecimal"):
         parse_key("zz", "source")
     with pytest.raises(BadKeyError, match="at least 16 are required"):
-        SharedKey(b"short")
+        SharedKeyIdentity(b"short")
     with pytest.raises(BadKeyError, match="not an Ed25519 key"):
-        OwnKey(b"short", {})
+        Ed25519Identity(b"short", {})
 
 
 def test_proofs_cover_the_context_string_of_the_wire_protocol() -> None:
     covered = b"larkweir planner\0transcript"
     key = b"k" * 32
-    assert SharedKey(key).prove(b"planner", b"transcript") == hmac.digest(key, covered, sha256)
+    assert SharedKeyIdentity(key).prove(b"planner", b"transcript") == hmac.digest(key, covered, sha256)
     private = new_private_key()
-    proof = OwnKey(private, {}).prove(b"planner", b"transcript")
+    proof = Ed25519Identity(private, {}).prove(b"planner", b"transcript")
     Ed25519PublicKey.from_public_bytes(public_key(private)).verify(proof, covered)
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -51,13 +51,13 @@
         await connection.send_advice(connection.advice(reports[0], weights_advice(1.0, 0.5)))
         await connection.wait_closed()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await wait_until(lambda: forwarder.dispatcher.guidances)
-            (guidance,) = forwarder.dispatcher.guidances
+            await wait_until(lambda: forwarder.dispatcher.received_guidance)
+            (guidance,) = forwarder.dispatcher.received_guidance
             assert guidance.weights is not None
             assert [(w.server, w.weight) for w in guidance.weights] == [(0, 1.0), (1, 0.5)]
             assert not guidance.leased
@@ -68,19 +68,19 @@
             assert not pool.warming_up
             assert not reports[0].leases_shares
 
-    run(work())
+    run(scenario())
 
 
 def test_a_forwarder_leases_its_shares_to_a_planner_and_receives_its_grants() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             assert forwarder.link.status()["lends_to"] == "p0"
             dispatcher = forwarder.dispatcher
-            assert dispatcher.guidances[-1].leased_until_ms > dispatcher.clock.now_ms() + 2_000.0
+            assert dispatcher.received_guidance[-1].leased_until_ms > dispatcher.clock.now_ms() + 2_000.0
             assert planner.status()["forwarders"][0]["name"] == "f0"
 
-    run(work())
+    run(scenario())
 
 
 def test_unauthenticated_frames_open_the_circuit_and_do_not_reach_the_balancer() -> None:
@@ -89,7 +89,7 @@
         await connection.send_raw(b"\0\0\0\x20" + b"garbage!" * 4)
         await connection.wait_closed()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -97,9 +97,9 @@
             await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             assert planner.connections == TERMS.fault_limit
             assert "can't be opened" in forwarder.planner_status("p0")["last"]
-            assert forwarder.dispatcher.guidances == []
+            assert forwarder.dispatcher.received_guidance == []
 
-    run(work())
+    run(scenario())
 
 
 def test_a_planner_sending_a_100_mb_frame_is_disconnected_on_its_length_prefix() -> None:
@@ -113,7 +113,7 @@
             await connection.send_raw(b"x" * 65536)
             sent_bytes += 65536
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -124,7 +124,7 @@
             assert "a frame of 100000000 bytes; 1048576 are the most" in reason
             assert sent_bytes < 50_000_000
 
-    run(work())
+    run(scenario())
 
 
 def test_a_planner_that_exceeds_the_message_rate_is_disconnected() -> None:
@@ -134,7 +134,7 @@
         while True:
             await connection.send_advice(connection.advice(report, answered_serial=report.serial))
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -142,7 +142,7 @@
             await wait_until(lambda: forwarder.planner_status("p0")["refused"] > 0)
             assert "more messages than a planner may send" in forwarder.planner_status("p0")["last"]
 
-    run(work())
+    run(scenario())
 
 
 def test_replayed_advice_is_rejected_and_opens_the_circuit() -> None:
@@ -153,20 +153,20 @@
             await connection.send_advice(first)
             await connection.next_report()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             assert forwarder.planner_status("p0")["last"] == "advice 1 after 1"
-            assert len(forwarder.dispatcher.guidances) == 1
+            assert len(forwarder.dispatcher.received_guidance) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_advice_of_an_old_epoch_is_rejected_and_opens_the_circuit() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(responds_to_each_report(epoch=3), epoch=5) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -174,29 +174,29 @@
             await wait_until(lambda: forwarder.planner_status("p0")["state"] == "shunned")
             reason = forwarder.planner_status("p0")["last"]
             assert reason == "advice of epoch 3 in a session of epoch 5"
-            assert forwarder.dispatcher.guidances == []
+            assert forwarder.dispatcher.received_guidance == []
 
-    run(work())
+    run(scenario())
 
 
 def test_a_planner_that_reconnects_with_an_earlier_epoch_is_rejected() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(responds_to_each_report(weights_advice(1.0, 0.5)), epoch=5) as planner,
             connected_forwarder({"p0": planner.port}, replace(TERMS, fault_limit=100)) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
-            await wait_until(lambda: dispatcher.guidances)
-            count = len(dispatcher.guidances)
+            await wait_until(lambda: dispatcher.received_guidance)
+            count = len(dispatcher.received_guidance)
             planner.epoch = 4
             for task in list(planner._tasks):
                 task.cancel()
             await wait_until(lambda: "epoch 4 is before 5" in forwarder.planner_status("p0")["last"])
             dispatcher.events = dispatcher.events[:count]
             await wait_until(lambda: planner.connections >= 4)
-            assert len(dispatcher.guidances) <= count
+            assert len(dispatcher.received_guidance) <= count
 
-    run(work())
+    run(scenario())
 
 
 def test_late_advice_is_not_applied_and_its_planner_does_not_get_the_lease() -> None:
@@ -210,36 +210,36 @@
             advice = connection.advice(report, weights_advice(1.0, 0.5), lease_ms=40.0, share_lease_ms=60.0)
             await connection.send_advice(advice)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: forwarder.planner_status("p0")["late"] >= 3)
-            assert forwarder.dispatcher.guidances == []
+            assert forwarder.dispatcher.received_guidance == []
             assert forwarder.link.status()["lends_to"] is None
             assert forwarder.planner_status("p0")["refused"] == 0  # late advice is not a fault
 
-    run(work())
+    run(scenario())
 
 
 def test_advice_that_every_server_is_slow_changes_no_weight() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(responds_to_each_report(weights_advice(0.1, 0.1, 0.1, 0.1))) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             dispatcher = forwarder.dispatcher
-            await wait_until(lambda: len(dispatcher.guidances) > 3)
+            await wait_until(lambda: len(dispatcher.received_guidance) > 3)
             now_ms = dispatcher.clock.now_ms() + 60_000.0
             assert [dispatcher.balancer.guidance_state.weight(n, now_ms) for n in range(4)] == [1.0] * 4
             assert dispatcher.rejected == []
 
-    run(work())
+    run(scenario())
 
 
 def test_advice_that_would_empty_a_pool_is_rejected_counted_and_opens_the_circuit() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(responds_to_each_report(weights_advice(0.0, 0.0, 0.0, 1.0))) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -253,29 +253,29 @@
             until_ms = dispatcher.clock.now_ms() + 5_000.0
             assert dispatcher.balancer.guidance_state.weight(0, until_ms) == 1.0
 
-    run(work())
+    run(scenario())
 
 
 def test_advice_on_servers_not_named_in_the_session_is_ignored() -> None:
     rows = [WeightRow(n, 0.5) for n in (0, 17, 2**40)]
     advice = PoolAdvice("core", rows, [RampShareRow(99, 1.0, 4.0)])
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(responds_to_each_report(advice)) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
-            await wait_until(lambda: forwarder.dispatcher.guidances)
-            weights = forwarder.dispatcher.guidances[0].weights
+            await wait_until(lambda: forwarder.dispatcher.received_guidance)
+            weights = forwarder.dispatcher.received_guidance[0].weights
             assert weights is not None
             assert [w.server for w in weights] == [0]
             assert set(forwarder.dispatcher.balancer.server_list.servers) == {0, 1, 2, 3}
 
-    run(work())
+    run(scenario())
 
 
 def test_opposing_advice_of_two_planners_cancels_out() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         first_weights = weights_advice(0.2, 0.2, 1.0, 1.0)
         second_weights = weights_advice(1.0, 1.0, 0.2, 0.2)
         async with (
@@ -283,11 +283,11 @@
             scripted_planner(responds_to_each_report(second_weights), "p1") as second,
             connected_forwarder({"p0": first.port, "p1": second.port}) as forwarder,
         ):
-            changes = forwarder.dispatcher.balancer.guidance_state.weights.changes
+            changes = forwarder.dispatcher.balancer.guidance_state.weights.by_server
             await wait_until(lambda: [changes[n].target for n in sorted(changes)] == [0.6] * 4)
             assert forwarder.dispatcher.rejected == []
 
-    run(work())
+    run(scenario())
 
 
 # More than the operating system buffers for a connection that the peer does not read; it may go on accepting
@@ -300,7 +300,7 @@
         await connection.wait_established()
         await asyncio.sleep(60.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         terms = replace(TERMS, report_ms=1.0, bytes_per_s=1e8)
         async with (
             scripted_planner(script) as planner,
@@ -315,11 +315,11 @@
                 transport.write(b"\0" * 65536)
             await wait_until(lambda: forwarder.has_logged("does not read"))
 
-    run(work())
+    run(scenario())
 
 
 def test_without_a_reachable_planner_the_forwarder_uses_its_own_shares() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with scripted_planner(responds_to_each_report()) as planner:
             port = planner.port
         async with connected_forwarder({"p0": port}) as forwarder:
@@ -328,29 +328,29 @@
             assert forwarder.link.status()["lends_to"] is None
             assert forwarder.link.status()["own_parts_in_ms"] == 0
 
-    run(work())
+    run(scenario())
 
 
 def test_a_pool_with_a_replaced_dispatcher_continues_in_the_same_session() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             clock = forwarder.dispatcher.clock
             successor = FakeDispatcher(clock)
             forwarder.link.attach("core", successor, SETTINGS)
             assert successor.events  # the new balancer is notified at once of the current lease
-            await wait_until(lambda: len(successor.guidances) > 2)
+            await wait_until(lambda: len(successor.received_guidance) > 2)
             other_settings = replace(SETTINGS, warm_up_ms=1_000.0)
             last = FakeDispatcher(clock, other_settings)
             forwarder.link.attach("core", last, other_settings)
-            await wait_until(lambda: len(last.guidances) > 2)
+            await wait_until(lambda: len(last.received_guidance) > 2)
             assert planner.status()["turned_away"] == 0
             load = planner.planner.pools["core"].load
             assert [view.listed_in for view in load.servers.values()] == [1, 1, 1, 1]
             forwarder.link.detach("core")
             await wait_until(lambda: not load.members)
 
-    run(work())
+    run(scenario())
 
 
 def test_a_connection_that_ends_immediately_is_retried() -> None:
@@ -359,19 +359,19 @@
     async def script(connection: ForwarderConnection) -> None:
         await connection.send_raw(b"\0\0\0\5hello")
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             scripted_planner(script) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
         ):
             await wait_until(lambda: planner.connections >= 3)
-            assert forwarder.dispatcher.guidances == []
+            assert forwarder.dispatcher.received_guidance == []
 
-    run(work())
+    run(scenario())
 
 
 def test_a_message_above_the_maximum_frame_size_is_not_sent() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.link._connections)
             session = forwarder.link._connections["p0"].session
@@ -380,4 +380,4 @@
             with pytest.raises(SessionError, match="1048560 are the most"):
                 session.send(report)
 
-    run(work())
+    run(scenario())
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -13,7 +13,7 @@
     planner = Planner("p0", 1, 0.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0, rows=[Row(0, 5)], warming_up=[1])
-    planner.joined("f0", 10.0)
+    planner.forwarder_connected("f0", 10.0)
     view = planner.pools["core"].load.servers[ADDRESSES[0]]
     assert (view.outstanding, view.listed_in, view.warming_up_in) == (0, 0, 0)
     forwarder.has_named_servers = False
--- a/tests/planning/test_planner_selection.py
+++ b/tests/planning/test_planner_selection.py
@@ -43,7 +43,7 @@
 
 
 def test_no_shares_are_leased_while_a_lease_of_an_earlier_process_may_be_valid() -> None:
-    driver = ForwarderDriver("p0", quiet_ms=3_000.0)
+    driver = ForwarderDriver("p0", previous_lease_ms=3_000.0)
     assert driver.lease_ends_ms == [3_000.0]
     driver.connect("p0")
     driver.rounds(8, "p0", has_lease=False)
--- a/tests/planning/test_pool_reporter.py
+++ b/tests/planning/test_pool_reporter.py
@@ -17,7 +17,7 @@
 from sandhatch.planning.messages import PoolReport, Report, encode
 from sandhatch.planning.observer import Observer
 from sandhatch.planning.pool_reporter import PoolReporter
-from sandhatch.planning.quantile_sketch import bucket_of
+from sandhatch.planning.quantile_sketch import bucket_index
 
 WARM_UP_MS = 10_000.0
 
@@ -86,7 +86,7 @@
     record_attempt(observer, 0, None)
     (row,) = reporter.report("core", 1.0, 10_000).report.rows
     assert (row.outstanding, row.ok, row.failed, row.rejected, row.spent_ms) == (1, 1, 1, 1, 10.0)
-    assert row.sketch == [bucket_of(10.0), 1]
+    assert row.sketch == [bucket_index(10.0), 1]
     observer.on_event(AttemptEnded(1, 0, 0, Outcome.OK, True, 30.0), [])
     report, _ = reporter.report("core", 2.0, 10_000)
     assert [(r.outstanding, r.ok, r.spent_ms) for r in report.rows] == [(0, 1, 30.0)]
--- a/tests/planning/test_quantile_sketch.py
+++ b/tests/planning/test_quantile_sketch.py
@@ -10,7 +10,7 @@
 from sandhatch.planning.quantile_sketch import (
     BUCKET_COUNT,
     QuantileSketch,
-    bucket_of,
+    bucket_index,
     bucket_value_ms,
     merge_sketches,
 )
@@ -50,9 +50,9 @@
 
 
 def test_values_outside_the_bucket_range_belong_to_the_first_or_last_bucket() -> None:
-    assert bucket_of(1e12) == BUCKET_COUNT - 1
-    assert bucket_of(0.0) == 0
+    assert bucket_index(1e12) == BUCKET_COUNT - 1
+    assert bucket_index(0.0) == 0
 
 
 def test_the_value_of_a_bucket_is_near_the_values_in_it() -> None:
-    assert bucket_value_ms(bucket_of(50.0)) / 50.0 < 1.11
+    assert bucket_value_ms(bucket_index(50.0)) / 50.0 < 1.11
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -12,7 +12,7 @@
 
 
 def test_a_forwarders_observations_reach_the_planner() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: "core" in planner.planner.pools)
             dispatcher = forwarder.dispatcher
@@ -25,11 +25,11 @@
             await wait_until(lambda: sum(view.outstanding for view in load.servers.values()) == 8)
             assert load.members["f0"].demand_per_s > 0.0
 
-    run(work())
+    run(scenario())
 
 
 def test_a_forwarder_that_violates_the_protocol_receives_the_reason_and_may_reconnect() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             connection = forwarder.link._connections["p0"]
@@ -37,14 +37,14 @@
             connection.flush()
             await wait_until(lambda: forwarder.has_logged("which was not given"))
             assert planner.status()["turned_away"] == 1
-            count = len(forwarder.dispatcher.guidances)
-            await wait_until(lambda: len(forwarder.dispatcher.guidances) > count)
+            count = len(forwarder.dispatcher.received_guidance)
+            await wait_until(lambda: len(forwarder.dispatcher.received_guidance) > count)
 
-    run(work())
+    run(scenario())
 
 
 def test_invalid_data_on_a_planners_port_does_not_affect_its_forwarders() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             for data in (b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\5hello", b"\xff" * 5000, b""):
@@ -54,15 +54,15 @@
                 async with asyncio.timeout(10.0):
                     await reader.read()
                 writer.close()
-            count = len(forwarder.dispatcher.guidances)
-            await wait_until(lambda: len(forwarder.dispatcher.guidances) > count)
+            count = len(forwarder.dispatcher.received_guidance)
+            await wait_until(lambda: len(forwarder.dispatcher.received_guidance) > count)
             assert forwarder.link.status()["lends_to"] == "p0"
 
-    run(work())
+    run(scenario())
 
 
 def test_a_planner_at_its_connection_limit_rejects_a_forwarder_with_the_reason() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             planner_server(max_connections=0) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -70,24 +70,24 @@
             await wait_until(lambda: forwarder.log_lines)
             assert "0 connections are there already" in forwarder.log_lines[0]
 
-    run(work())
+    run(scenario())
 
 
 def test_a_second_connection_of_a_forwarder_replaces_the_first() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as first:
             await wait_until(lambda: first.has_lease_guidance)
             async with connected_forwarder({"p0": planner.port}) as second:
                 await wait_until(lambda: second.has_lease_guidance)
                 assert first.has_logged("another connection")
 
-    run(work())
+    run(scenario())
 
 
 def test_a_planner_whose_clock_was_set_back_starts_above_its_earlier_epoch() -> None:
     """Only the epoch is taken from the system's time; a forwarder that has seen a higher epoch reports it."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             planner_server(epoch=1_000) as planner,
             connected_forwarder({"p0": planner.port}) as forwarder,
@@ -95,13 +95,13 @@
             forwarder.link.forwarder.peers["p0"].epoch = 500_000
             await wait_until(lambda: planner.planner.epoch == 500_001)
             await wait_until(lambda: forwarder.planner_status("p0")["epoch"] == 500_001)
-            assert planner.planner.learning(planner.clock.now_ms())
+            assert planner.planner.is_learning(planner.clock.now_ms())
 
-    run(work())
+    run(scenario())
 
 
 def test_rows_of_a_server_that_was_never_named_end_the_session() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with planner_server() as planner, connected_forwarder({"p0": planner.port}) as forwarder:
             await wait_until(lambda: forwarder.has_lease_guidance)
             reporter = forwarder.link.forwarder.peers["p0"].reporters["core"]
@@ -114,4 +114,4 @@
             connection.flush()
             await wait_until(lambda: forwarder.has_logged("server 77 has no name"))
 
-    run(work())
+    run(scenario())
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from sandhatch.planning.errors import SessionError, SupersededEpochError
-from sandhatch.planning.keys import Identity, OwnKey, SharedKey, new_private_key, public_key
+from sandhatch.planning.keys import Ed25519Identity, Identity, SharedKeyIdentity, new_private_key, public_key
 from sandhatch.planning.messages import (
     Advice,
     Bye,
@@ -29,7 +29,7 @@
     Session,
 )
 
-SHARED = SharedKey(b"k" * 32)
+SHARED = SharedKeyIdentity(b"k" * 32)
 
 
 class SessionPair(NamedTuple):
@@ -62,9 +62,9 @@
 
 
 def handshake(forwarder: ForwarderSession, planner: PlannerSession) -> HandshakeEvents:
-    receive(planner, forwarder.take_out())
-    forwarder_events = receive(forwarder, planner.take_out())
-    planner_events = receive(planner, forwarder.take_out())
+    receive(planner, forwarder.take_output())
+    forwarder_events = receive(forwarder, planner.take_output())
+    planner_events = receive(planner, forwarder.take_output())
     return HandshakeEvents(forwarder_events, planner_events)
 
 
@@ -75,17 +75,17 @@
     if kind == "ed25519":
         forwarder_private = new_private_key()
         planner_private = new_private_key()
-        forwarder_key = OwnKey(forwarder_private, {"p1": public_key(planner_private)})
-        planner_key = OwnKey(planner_private, {"f1": public_key(forwarder_private)})
+        forwarder_key = Ed25519Identity(forwarder_private, {"p1": public_key(planner_private)})
+        planner_key = Ed25519Identity(planner_private, {"f1": public_key(forwarder_private)})
     forwarder, planner = session_pair(forwarder_key, planner_key)
     handshake_events = handshake(forwarder, planner)
     assert handshake_events.forwarder_events == [Established("p1", 5)]
     assert handshake_events.planner_events == [Established("f1", 5)]
     report = Report(1, 250.0, pools=[PoolReport("core", rows=[Row(3, 2, 1)])])
     forwarder.send(report)
-    assert receive(planner, forwarder.take_out()) == [report]
+    assert receive(planner, forwarder.take_output()) == [report]
     planner.send(Advice(5, 1, 1, 2_000.0, 3_000.0))
-    assert receive(forwarder, planner.take_out()) == [Advice(5, 1, 1, 2_000.0, 3_000.0)]
+    assert receive(forwarder, planner.take_output()) == [Advice(5, 1, 1, 2_000.0, 3_000.0)]
 
 
 @given(st.lists(st.integers(1, 40), max_size=60))
@@ -96,7 +96,7 @@
     sent = [Report(n, 250.0) for n in range(5)]
     for report in sent:
         forwarder.send(report)
-    data = forwarder.take_out()
+    data = forwarder.take_output()
     received = []
     for size in [*sizes, len(data)]:
         received += receive(planner, data[:size])
@@ -106,26 +106,26 @@
 
 @pytest.mark.parametrize("peer_with_other_key", ["forwarder", "planner"])
 def test_a_peer_without_the_key_is_rejected(peer_with_other_key: str) -> None:
-    other_key = SharedKey(b"x" * 32)
+    other_key = SharedKeyIdentity(b"x" * 32)
     keys = (other_key, SHARED) if peer_with_other_key == "forwarder" else (SHARED, other_key)
     forwarder, planner = session_pair(*keys)
-    receive(planner, forwarder.take_out())
+    receive(planner, forwarder.take_output())
     with pytest.raises(
         SessionError, match="planner p1 failed authentication: its proof does not match its configured key"
     ):
-        receive(forwarder, planner.take_out())
+        receive(forwarder, planner.take_output())
 
 
 def test_a_planner_rejects_a_forwarder_that_does_not_have_its_key() -> None:
     forwarder_private, planner_private, other_private = (new_private_key() for _ in range(3))
     forwarder, planner = session_pair(
-        OwnKey(forwarder_private, {"p1": public_key(planner_private)}),
-        OwnKey(planner_private, {"f1": public_key(other_private)}),
+        Ed25519Identity(forwarder_private, {"p1": public_key(planner_private)}),
+        Ed25519Identity(planner_private, {"f1": public_key(other_private)}),
     )
     with pytest.raises(SessionError, match="forwarder f1 has not the key"):
         handshake(forwarder, planner)
     forwarder._decryptor = None  # the reason is not encrypted, since no session keys exist yet
-    rejection = planner.take_out()
+    rejection = planner.take_output()
     with pytest.raises(SessionError, match="rejected by the planner: forwarder f1 has not the key"):
         receive(forwarder, rejection)
 
@@ -133,10 +133,10 @@
 def test_a_proof_replayed_from_another_session_is_rejected() -> None:
     """A recorded handshake is sent to the planner again."""
     forwarder, planner = session_pair()
-    hello = forwarder.take_out()
+    hello = forwarder.take_output()
     receive(planner, hello)
-    receive(forwarder, planner.take_out())
-    proof = forwarder.take_out()
+    receive(forwarder, planner.take_output())
+    proof = forwarder.take_output()
     second = PlannerSession(SHARED, "p1", 5)
     receive(second, hello)
     with pytest.raises(SessionError, match="forwarder f1 has not the key"):
@@ -148,9 +148,9 @@
         forwarder, planner = session_pair()
         handshake(forwarder, planner)
         forwarder.send(Report(1, 250.0))
-        first = forwarder.take_out()
+        first = forwarder.take_output()
         forwarder.send(Report(2, 250.0))
-        second = forwarder.take_out()
+        second = forwarder.take_output()
         if fault != "drop":
             assert receive(planner, first) == [Report(1, 250.0)]
         altered = second[:-1] + bytes([second[-1] ^ 1])
@@ -198,19 +198,19 @@
 
 def test_a_planner_whose_clock_was_set_back_receives_its_higher_known_epoch() -> None:
     forwarder, planner = session_pair(known_epoch=9)
-    receive(planner, forwarder.take_out())
-    receive(forwarder, planner.take_out())
+    receive(planner, forwarder.take_output())
+    receive(forwarder, planner.take_output())
     with pytest.raises(SupersededEpochError) as raised:
-        receive(planner, forwarder.take_out())
+        receive(planner, forwarder.take_output())
     assert raised.value.known_epoch == 9
 
 
 def test_a_peer_that_is_not_authenticated_cannot_raise_the_epoch() -> None:
-    forwarder, planner = session_pair(SharedKey(b"x" * 32), SHARED, known_epoch=2**60)
-    receive(planner, forwarder.take_out())
+    forwarder, planner = session_pair(SharedKeyIdentity(b"x" * 32), SHARED, known_epoch=2**60)
+    receive(planner, forwarder.take_output())
     forwarder.identity = SHARED  # lets the forwarder send a proof, which is altered below
-    receive(forwarder, planner.take_out())
-    proof = bytearray(forwarder.take_out())
+    receive(forwarder, planner.take_output())
+    proof = bytearray(forwarder.take_output())
     proof[-1] ^= 1
     with pytest.raises(SessionError) as raised:
         receive(planner, bytes(proof))
@@ -221,8 +221,8 @@
     forwarder, planner = session_pair()
     planner.send_bye("full")
     with pytest.raises(SessionError, match="rejected by the planner: full"):
-        receive(forwarder, planner.take_out())
+        receive(forwarder, planner.take_output())
     forwarder, planner = session_pair()
     handshake(forwarder, planner)
     planner.send_bye("stops")
-    assert receive(forwarder, planner.take_out()) == [Bye("stops")]
+    assert receive(forwarder, planner.take_output()) == [Bye("stops")]
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -129,7 +129,7 @@
         (RESTART_MS + 5_000.0, lambda tier: tier.start_planner("p0")),
     )
     checked_ramp_use(tier)
-    notes = tier.forwarders[0].notes
+    notes = tier.forwarders[0].log_lines
     assert [note.split(" ", 1)[1] for note in notes] == [
         "leases its own shares to planner p0",
         "leases its own shares to planner p1",
@@ -187,7 +187,7 @@
 
 def test_a_restarted_forwarder_does_not_use_shares_its_previous_process_may_have_leased() -> None:
     plan = replace(PLAN, forwarders=4, instances=4, ramp_burst=4.0, planners=1)
-    tier = Tier(plan, 1, quiet_ms=3_030.0)
+    tier = Tier(plan, 1, previous_lease_ms=3_030.0)
     tier.run(RESTART_MS)
     tier.leave(3)
     restarted = tier.join()
@@ -198,7 +198,7 @@
     assert restarted.machine.leased_until_ms >= begin_ms + 3_000.0
     ramp = restarted.balancer.guidance_state.ramp
     assert ramp is not None
-    assert ramp.part(restarted.balancer.server_list.servers[0], begin_ms + 2_000.0) == RampAllocation(
+    assert ramp.allocation(restarted.balancer.server_list.servers[0], begin_ms + 2_000.0) == RampAllocation(
         0.0, 0.0
     )
 
--- a/tests/planning/test_shared_ramp_loopback.py
+++ b/tests/planning/test_shared_ramp_loopback.py
@@ -18,7 +18,7 @@
 
 from sandhatch.balancing.actions import Action, Send
 from sandhatch.balancing.events import Event
-from sandhatch.planning.keys import SharedKey, read_key
+from sandhatch.planning.keys import SharedKeyIdentity, read_key
 from sandhatch.planning.server import PlannerServer
 from sandhatch.planning.terms import PlannerTerms
 from sandhatch.runtime.clock import Clock
@@ -81,7 +81,7 @@
 
     async def planner(self, name: str) -> None:
         clock = Clock(asyncio.get_running_loop())
-        key = SharedKey(read_key(str(self.key)))
+        key = SharedKeyIdentity(read_key(str(self.key)))
         terms = PlannerTerms(
             lease_ms=800.0, share_lease_ms=1_200.0, member_timeout_ms=1_200.0, weights_interval_ms=200.0
         )
@@ -184,23 +184,23 @@
 
 
 def test_twenty_forwarders_do_not_exceed_the_ramp_with_planners(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_deployment(tmp_path, 2, FORWARDERS) as deployment:
             assert await start_server(deployment, lambda: None) > 0
 
-    run(work())
+    run(scenario())
 
 
 def test_twenty_forwarders_do_not_exceed_the_ramp_without_planners(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_deployment(tmp_path, 0, FORWARDERS) as deployment:
             assert await start_server(deployment, lambda: None) > 0
 
-    run(work())
+    run(scenario())
 
 
 def test_twenty_forwarders_do_not_exceed_the_ramp_when_all_planners_are_lost(tmp_path: Path) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_deployment(tmp_path, 2, FORWARDERS) as deployment:
 
             def stop_planners() -> None:
@@ -210,14 +210,14 @@
             assert await start_server(deployment, stop_planners) > 0
             await wait_until(lambda: deployment.lessor_count == 0, LEASES_TIMEOUT_S)
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("planners", [0, 1])
 def test_twenty_forwarders_do_not_exceed_the_ramp_when_ten_join_during_warm_up(
     tmp_path: Path, planners: int
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_deployment(tmp_path, planners, FORWARDERS // 2) as deployment:
 
             async def join() -> None:
@@ -227,4 +227,4 @@
             await start_server(deployment, join)
             assert len(deployment.forwarders) == FORWARDERS
 
-    run(work())
+    run(scenario())
