--- a/tests/planning/test_weights.py
+++ b/tests/planning/test_weights.py
@@ -13,7 +13,7 @@
     forwarders = reporting_forwarders(planner, forwarder_count)
     now = report_rounds(planner, forwarders, 0.0, 40, rows)
     forwarders[0].has_named_servers = False
-    planner.joined("f0", now)
+    planner.forwarder_connected("f0", now)
     return advised_weights(forwarders[0].report(now))
 
 
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -122,12 +122,12 @@
     return clients
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
+def run(scenario: Coroutine[Any, Any, None]) -> None:
     """Runs a test to its end on the program's event loop; it fails after `TEST_LIMIT_S`.
 
     The limit is longer than that of other tests, because starting a program takes long on a loaded machine.
     """
-    uvloop.run(asyncio.wait_for(work, TEST_LIMIT_S))
+    uvloop.run(asyncio.wait_for(scenario, TEST_LIMIT_S))
 
 
 async def next_log_line(process: asyncio.subprocess.Process) -> bytes:
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -65,7 +65,7 @@
     all get responses, each with `Connection: close`, and then the exit code is 0.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         released = asyncio.Event()
         upstream = await FakeServer(waits_for(released, serves(b"slow"))).start()
         async with (
@@ -93,13 +93,13 @@
             assert await exit_code(process) == 0
         upstream.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_descriptor_limit_holds_with_more_clients_than_descriptors(tmp_path: Path) -> None:
     """Guards against EMFILE: the program continues to serve clients, including new ones."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = await FakeServer().start()
         async with running_program(tmp_path, upstream, descriptors=64, sockets=1024) as (process, port):
             clients = [await HttpClient(port).__aenter__() for _ in range(120)]
@@ -112,7 +112,7 @@
             assert await exit_code(process) == 0
         upstream.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_program_continues_to_serve_after_accept_fails(tmp_path: Path) -> None:
@@ -120,7 +120,7 @@
     connections of idle clients and of clients with an incomplete request are closed.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = await FakeServer().start()
         async with running_program(tmp_path, upstream) as (process, port):
             await check_served(port)
@@ -140,7 +140,7 @@
             assert process.returncode is None
         upstream.close()
 
-    run(work())
+    run(scenario())
 
 
 class TwoDiscoveries:
@@ -196,7 +196,7 @@
     no harm, and a request in flight during the reload gets its response.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with TwoDiscoveries(tmp_path / "config.json") as setting, setting.started() as process:
             await ready(setting.port)
             async with HttpClient(setting.port) as in_flight, HttpClient(setting.port) as client:
@@ -221,7 +221,7 @@
                 assert (await client.read_response()).status == 200
                 assert await exit_code(process) == 0
 
-    run(work())
+    run(scenario())
 
 
 INVALID_VALUES = [
@@ -246,7 +246,7 @@
 ) -> None:
     """The line names the key and the value."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config_data([], 9, **change)))
         process = await spawn(path)
@@ -256,7 +256,7 @@
         for word in words:
             assert word in line
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
@@ -265,7 +265,7 @@
 ) -> None:
     """The line names the environment variable that holds the file's path."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         path = tmp_path / "config.json"
         if text is not None:
             path.write_text(text)
@@ -275,13 +275,13 @@
         (line,) = errors.decode().splitlines()
         assert "GW_CONFIG" in line
 
-    run(work())
+    run(scenario())
 
 
 def test_program_without_a_verb_imports_no_optional_package() -> None:
     """Guards against a failed start on the platform, which installs only the packages in requirements.txt."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         code = (
             "import sys; import sandhatch.__main__; "
             "optional = ('pydantic', 'yaml', 're2', 'msgspec', 'cryptography'); "
@@ -293,4 +293,4 @@
         output, _ = await process.communicate()
         assert output == b"[]\n"
 
-    run(work())
+    run(scenario())
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from sandhatch.balancing.events import ClientDisconnected, Event
-from sandhatch.dispatch.protocols import Decisions
+from sandhatch.dispatch.protocols import BalancerProtocol
 from sandhatch.downstream.client_connection import ClientConnection
 from sandhatch.upstream.connection_pool import ConnectionPool
 from testkit.behaviours import waits_for
@@ -48,7 +48,7 @@
     def __init__(self, connection_pool: ConnectionPool) -> None:
         """Blocks the last bytes of all further requests."""
         self._pending_writes: list[Callable[[], None]] = []
-        connection_pool.later = self._pending_writes.append  # type: ignore[method-assign]
+        connection_pool.schedule_last_byte = self._pending_writes.append  # type: ignore[method-assign]
 
     async def wait_until_blocked(self) -> None:
         """Waits until all of a request but its last byte is written."""
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def balancer_in_front_of(
-    upstream: FakeServer, script: Decisions | None = None, **entry: Any
+    upstream: FakeServer, script: BalancerProtocol | None = None, **entry: Any
 ) -> AsyncIterator[RunningBalancer]:
     """Runs a server and the balancer in front of it; `entry` replaces keys of the server's entry."""
     await upstream.start()
@@ -121,7 +121,7 @@
 
 async def wait_until_nothing_in_flight(balancer: RunningBalancer) -> None:
     """Waits until no attempt is in flight and no request's state is retained."""
-    await wait_until(lambda: not balancer.dispatcher.open, "nothing is in flight")
+    await wait_until(lambda: not balancer.dispatcher.open_exchange_count, "nothing is in flight")
 
 
 async def wait_until_disconnect_detected(events: list[Event]) -> None:
--- a/tests/race_conditions/skipping_clock.py
+++ b/tests/race_conditions/skipping_clock.py
@@ -46,7 +46,9 @@
         return self._started_s + self._skipping_selector.skipped_s
 
 
-def run(monkeypatch: pytest.MonkeyPatch, work: Callable[[SkippingLoop], Coroutine[Any, Any, None]]) -> None:
+def run(
+    monkeypatch: pytest.MonkeyPatch, scenario: Callable[[SkippingLoop], Coroutine[Any, Any, None]]
+) -> None:
     """Runs a test on a skipping event loop; the program's clock reads the same time."""
     loop = SkippingLoop()
 
@@ -56,7 +58,7 @@
 
     monkeypatch.setattr(clock, "time", SkippingTime)
     try:
-        loop.run_until_complete(work(loop))
+        loop.run_until_complete(scenario(loop))
     finally:
         unfinished = asyncio.all_tasks(loop)  # tasks of fakes that a fault leaves waiting
         for task in unfinished:
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -52,8 +52,8 @@
     The sweep is disabled: once reading is paused, only the poll and the check before each attempt can detect
     a disconnect. By default the poll is disabled too.
     """
-    balancer.listener.SWEEP_MS = NEVER_MS
-    balancer.listener.DISCONNECT_POLL_MS = disconnect_poll_ms
+    balancer.listener.SWEEP_INTERVAL_MS = NEVER_MS
+    balancer.listener.DISCONNECT_POLL_INTERVAL_MS = disconnect_poll_ms
     client = connect_client(balancer.port)
     client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.MAX_QUEUED_REQUESTS)))
     return client
@@ -63,7 +63,7 @@
     """Fills the queue of a pipelining client whose first request is in flight, so that reading is paused."""
     client.sendall(request_bytes())
     connection = only_connection(balancer)
-    connection.check = lambda _: None  # type: ignore[method-assign]  # disables a sweep that is already due
+    connection.enforce_time_limits = lambda _: None  # type: ignore[method-assign]  # disables a sweep that is already due
     await wait_until(lambda: connection.queue_full, "reading from the client is paused")
 
 
@@ -81,12 +81,12 @@
 def test_disconnect_behind_pipelined_requests_is_detected_while_reading_is_paused() -> None:
     """Guards against serving a disconnected client, whose end of stream is not read with reading paused."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = DelayedResponseServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
-            assert 2.0 * Listener.DISCONNECT_POLL_MS <= MAX_DETECTION_MS
-            client = connect_pipelining_client(balancer, Listener.DISCONNECT_POLL_MS)
+            assert 2.0 * Listener.DISCONNECT_POLL_INTERVAL_MS <= MAX_DETECTION_MS
+            client = connect_pipelining_client(balancer, Listener.DISCONNECT_POLL_INTERVAL_MS)
             await wait_until_requested(upstream)
             await pause_reading(balancer, client)
             client.close()
@@ -96,13 +96,13 @@
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_pipelined_request_is_not_started_after_a_response_if_the_client_has_disconnected() -> None:
     """The response arrives before the poll that detects disconnects; the next request must not start."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = DelayedResponseServer()
         async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
             client = connect_pipelining_client(balancer)
@@ -110,16 +110,16 @@
             await disconnect_undetected(balancer, client)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
-            await wait_until(lambda: not balancer.listener.connections, "the connection is closed")
+            await wait_until(lambda: not balancer.listener.connection_count, "the connection is closed")
             assert len(upstream.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_request_is_not_served_if_the_client_disconnects_before_it_is_read() -> None:
     """The client sends and disconnects at once, while the balancer's event loop is busy."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
@@ -132,13 +132,13 @@
             assert not any(isinstance(event, RequestArrived) for event in script.events)
             assert not upstream.requests
 
-    run(work())
+    run(scenario())
 
 
 def test_last_byte_of_a_request_is_not_written_after_a_disconnect() -> None:
     """The client disconnects after the balancer wrote the request's first bytes and before its last one."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
@@ -155,7 +155,7 @@
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 class ConnectBarrier:
@@ -194,7 +194,7 @@
 ) -> None:
     """The connection becomes available after the disconnect: it is pooled, and nothing is written to it."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
@@ -208,7 +208,7 @@
             await wait_until_nothing_in_flight(balancer)
             assert not upstream.requests
 
-    run(work())
+    run(scenario())
 
 
 def decisions_of(balancer: RunningBalancer) -> Balancer:
@@ -234,7 +234,7 @@
 def test_queued_request_is_not_dispatched_after_a_disconnect() -> None:
     """A request queued for lack of a server is not sent to one that becomes ready after the disconnect."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
@@ -245,16 +245,16 @@
             client.close()
             await wait_until_disconnect_detected(events)
             balancer.discovery.change(upstream.entry("a"))
-            await wait_until(lambda: balancer.dispatcher.ready, "the server is ready")
+            await wait_until(lambda: balancer.dispatcher.has_ready_server, "the server is ready")
             event_count = len(events)
             await wait_until(
                 lambda: any(isinstance(event, TimerFired) for event in events[event_count:]),
                 "a timer has fired since",
             )
-            assert not balancer.dispatcher.open
+            assert not balancer.dispatcher.open_exchange_count
             assert not upstream.requests
 
-    run(work())
+    run(scenario())
 
 
 async def fail_attempt_after_detected(disconnect: Disconnect) -> None:
@@ -305,19 +305,19 @@
 def test_hedged_request_is_not_sent_after_an_undetected_disconnect() -> None:
     """The hedged request would go to another server while the first attempt is in flight."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         first = await DelayedResponseServer().start()
         second = await FakeServer().start()
         script = ScriptedBalancer([1])
         async with running(first.entry("a"), second.entry("b"), script=script) as balancer:
-            script.more = lambda event: (
+            script.override = lambda event: (
                 [Send(1, 2, 0.0)] if isinstance(event, TimerFired) and event.cookie == 1 else None
             )
             client = connect_pipelining_client(balancer)
             await wait_until_requested(first)
             await disconnect_undetected(balancer, client)
             balancer.dispatcher._deliver(TimerFired(1))
-            assert script.ends()[-1].outcome is Outcome.DISCARDED
+            assert script.attempt_ends()[-1].outcome is Outcome.DISCARDED
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
             first.release()
             await wait_until_nothing_in_flight(balancer)
@@ -326,13 +326,13 @@
         first.close()
         second.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_last_byte_of_a_request_is_not_written_after_an_undetected_disconnect() -> None:
     """With reading paused, the last byte is due before the disconnect is detected."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
             # The other client's request leaves a pooled connection to the server.
@@ -341,7 +341,7 @@
                 await wait_until_requested(upstream)
                 await wait_until_nothing_in_flight(balancer)
             await wait_until(
-                lambda: not balancer.listener.connections, "the other client's connection is closed"
+                lambda: not balancer.listener.connection_count, "the other client's connection is closed"
             )
             last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client = connect_pipelining_client(balancer)
@@ -351,13 +351,13 @@
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_queued_request_is_not_dispatched_after_an_undetected_disconnect() -> None:
     """With reading paused, a server becomes ready before the disconnect is detected."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
@@ -369,4 +369,4 @@
             assert not upstream.requests
             assert upstream.connections == 0
 
-    run(work())
+    run(scenario())
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -110,7 +110,7 @@
     discovery = await ManualDiscovery().start()
     received = PublishedListings()
     known = {"generation": 41, "reset": True, "instances": [entry("a", 9), entry("b", 9)]}
-    plan = DiscoveryPlan(("127.0.0.1", discovery.port), known=known)
+    plan = DiscoveryPlan(("127.0.0.1", discovery.port), initial_list=known)
     source = Discovery(plan, received, lambda _: None)
     source.start()
     assert (await received.next()).kind is ListKind.CACHED
@@ -124,7 +124,7 @@
 def test_complete_list_older_than_received_watch_events_is_ignored() -> None:
     """Guards against undoing a drain by a complete list that was created before it and arrives after it."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
@@ -138,13 +138,13 @@
             assert (response.kind, response.version, response.entries) == (ListKind.DELTA, 43, ())
             assert received.states[1] is ServerState.DRAINING
 
-    run(work())
+    run(scenario())
 
 
 def test_watch_event_older_than_a_received_complete_list_is_ignored() -> None:
     """Guards against a stale watch response that arrives after a newer complete list."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
@@ -157,13 +157,13 @@
             assert list(received.states) == [2]
             assert received.version == 45
 
-    run(work())
+    run(scenario())
 
 
 def test_lower_version_is_accepted_after_a_restart_of_discovery() -> None:
     """A lower version is no stale response if nothing else was received during the call."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.fetch()
             fetch = await discovery.call()
@@ -172,13 +172,13 @@
             assert (listing.kind, listing.version) == (ListKind.FULL, 2)
             assert received.states == {2: ServerState.DRAINING}
 
-    run(work())
+    run(scenario())
 
 
 def test_call_on_a_connection_reset_while_connecting_fails_at_once() -> None:
     """Guards against waiting a watch's full time on a connection that closed before the call was written."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
         connection = DiscoveryConnection()
         await asyncio.get_running_loop().create_connection(lambda: connection, *listener.getsockname())
@@ -190,7 +190,7 @@
                 await connection.get(b"/v1/endpoints", b"d")
         listener.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_watch_without_an_established_connection_fails_long_before_its_wait_ends(
@@ -198,8 +198,8 @@
 ) -> None:
     """Guards the bound on the list's age: an unresponsive address took the watch's full wait."""
 
-    async def work() -> None:
-        monkeypatch.setattr(Discovery, "CONNECT_S", 0.05)
+    async def scenario() -> None:
+        monkeypatch.setattr(Discovery, "CONNECT_TIMEOUT_S", 0.05)
         full_listener = socket.socket()
         full_listener.bind(("127.0.0.1", 0))
         full_listener.listen(0)
@@ -210,7 +210,9 @@
         block_until_readable(full_listener.fileno())
         received = PublishedListings()
         known = {"generation": 41, "reset": True, "instances": [entry("a", 9)]}
-        source = Discovery(DiscoveryPlan(full_listener.getsockname(), known=known), received, lambda _: None)
+        source = Discovery(
+            DiscoveryPlan(full_listener.getsockname(), initial_list=known), received, lambda _: None
+        )
         source.start()
         await received.next()
         source.watch(watch_call())
@@ -219,14 +221,14 @@
         for opened_socket in (*backlog_clients, full_listener):
             opened_socket.close()
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty response"])
 def test_watch_without_a_response_times_out(silence: str) -> None:
     """Wherever discovery stops responding, the watch fails with its number and its connection is closed."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             responded: ReceivedCall | None = None
             if silence == "after an empty response":
@@ -241,19 +243,23 @@
             if silence == "in the body":
                 silent.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
             failed = await received.next()
-            assert (failed.kind, failed.call, failed.why) == (ListKind.FAILED, 2, "no answer in 0.2 s")
+            assert (failed.kind, failed.call, failed.failure_reason) == (
+                ListKind.FAILED,
+                2,
+                "no response within 0.2 s",
+            )
             source.watch(watch_call(3))
             next_call = await discovery.call()
             assert "after=41" in next_call.target
             assert next_call.writer is not silent.writer
 
-    run(work())
+    run(scenario())
 
 
 def test_listing_has_the_number_of_the_call_it_responds_to() -> None:
     """Guards the list's age: a complete list polled during a watch must not count as the watch's response."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call(7))
             watch = await discovery.call()
@@ -264,14 +270,14 @@
             watch.respond_with_changes(43, a="leaving")
             assert (await received.next()).call == 7
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("version", [3, 40])
 def test_events_that_do_not_apply_to_the_cached_list_count_as_a_failed_call(version: int) -> None:
     """The events can't be applied: no server changes, and the next call requests the complete list."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
@@ -282,14 +288,14 @@
             source.watch(watch_call(2, NO_VERSION))
             assert (await discovery.call()).target == "/v1/endpoints"
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("watching", [True, False])
 def test_change_of_address_is_published_and_responses_of_the_old_one_are_ignored(watching: bool) -> None:
     """The address changes (SIGHUP) with or without a call in flight; further calls go to the new one."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             new_discovery = await ManualDiscovery().start()
             if watching:
@@ -307,7 +313,7 @@
             assert (listing.kind, listing.version) == (ListKind.FULL, 3)
             new_discovery.close()
 
-    run(work())
+    run(scenario())
 
 
 SplitResponse = Callable[[bytes], list[bytes]]
@@ -330,7 +336,7 @@
     ids=[name for name, _ in RESPONSES_IN_PIECES],
 )
 def test_indented_list_that_arrives_in_pieces_is_parsed(split_response: SplitResponse) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
@@ -342,11 +348,11 @@
             await received.next()
             assert received.states[1] is ServerState.DRAINING
 
-    run(work())
+    run(scenario())
 
 
 def test_list_with_an_invalid_row_is_rejected_as_a_whole() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.watch(watch_call())
             watch = await discovery.call()
@@ -356,4 +362,4 @@
             assert (await received.next()).kind is ListKind.FAILED
             assert received.states == {1: ServerState.READY, 2: ServerState.READY}
 
-    run(work())
+    run(scenario())
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -70,7 +70,7 @@
     and before the next request was written completely.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer(echoes_target)
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer, HttpClient(balancer.port) as client:
@@ -82,18 +82,18 @@
             await upstream.open_connections[0].send(ok(b"/api?1"))
             assert (await client.read_response()).body == b"/api?2"
             last_byte.release()  # the last byte is no longer to be written
-            await script.ended()
-        assert [event.outcome for event in script.ends()] == [Outcome.OK, Outcome.OK]
+            await script.next_attempt_end()
+        assert [event.outcome for event in script.attempt_ends()] == [Outcome.OK, Outcome.OK]
         assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
         assert upstream.connections == 2
 
-    run(work())
+    run(scenario())
 
 
 def test_connection_to_the_predecessor_of_a_restarted_server_is_not_reused() -> None:
     """A server restarts with the same id and address while an attempt to its predecessor is in flight."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = DelayedResponseServer()
         async with (
             balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer,
@@ -103,15 +103,15 @@
             client.send_request("move", b"x")
             await wait_until_requested(upstream)
             balancer.discovery.change(upstream.entry("a", startedAtMs=1_000))
-            await wait_until(lambda: pool.table[1].started_ms == 1_000, "the restart is known")
+            await wait_until(lambda: pool.servers[1].started_ms == 1_000, "the restart is known")
             upstream.release()
             assert (await client.read_response()).status == 200
-            await wait_until(lambda: not pool.sockets, "the connection is closed")
+            await wait_until(lambda: not pool.connection_count, "the connection is closed")
             client.send_request("move", b"x")
             assert (await client.read_response()).status == 200
             assert upstream.connections == 2
 
-    run(work())
+    run(scenario())
 
 
 def test_connection_closed_before_the_last_byte_is_written_is_not_used() -> None:
@@ -119,7 +119,7 @@
     If the byte were written, the request might have run and could not be retried.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with balancer_in_front_of_manual_server() as setup:
             client = setup.client
             client.send_request("move", b"x", "/api?1")
@@ -138,15 +138,15 @@
             second.connection.sendall(ok())
             assert (await client.read_response()).status == 200
             second.connection.close()
-        assert [event.outcome for event in setup.script.ends()] == [Outcome.OK, Outcome.OK]
+        assert [event.outcome for event in setup.script.attempt_ends()] == [Outcome.OK, Outcome.OK]
 
-    run(work())
+    run(scenario())
 
 
 def test_response_that_arrives_together_with_a_reset_is_delivered() -> None:
     """The kernel has both when the event loop reads: the response is complete, so its request is served."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with balancer_in_front_of_manual_server() as setup:
             setup.client.send_request("move", b"x")
             server_side = (await accept_request(setup.listener)).connection
@@ -156,15 +156,15 @@
             reset(server_side)
             block_until_reset(descriptor)  # no await since the response, so the event loop has read neither
             assert (await setup.client.read_response()).status == 200
-        assert [event.outcome for event in setup.script.ends()] == [Outcome.OK]
+        assert [event.outcome for event in setup.script.attempt_ends()] == [Outcome.OK]
 
-    run(work())
+    run(scenario())
 
 
 def test_timeout_with_an_unread_response_is_final() -> None:
     """A non-idempotent attempt that times out while the kernel has its unread response fails exactly once."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with balancer_in_front_of_manual_server() as setup:
             pool = setup.balancer.dispatcher.connection_pool
             setup.client.send_request("move", b"x")
@@ -176,8 +176,8 @@
             block_until_readable(balancer_descriptor(connection))
             attempt.time_out()
             assert (await setup.client.read_response()).status == 502
-            await wait_until(lambda: not pool.sockets, "the connection is closed")
+            await wait_until(lambda: not pool.connection_count, "the connection is closed")
             server_side.close()
-        assert [event.outcome for event in setup.script.ends()] == [Outcome.TIMEOUT]
+        assert [event.outcome for event in setup.script.attempt_ends()] == [Outcome.TIMEOUT]
 
-    run(work())
+    run(scenario())
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -81,7 +81,7 @@
 @pytest.fixture
 def long_client_time_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     """Raises the clients' time limits, so that none expires on a busy computer."""
-    for limit in ("FIRST_REQUEST_MS", "REQUEST_MS", "LINGER_MS"):
+    for limit in ("FIRST_REQUEST_TIMEOUT_MS", "REQUEST_TIMEOUT_MS", "LINGER_TIMEOUT_MS"):
         monkeypatch.setattr(ClientConnection, limit, RESPONSE_TIMEOUT_S * 1000.0)
 
 
@@ -92,7 +92,7 @@
     pending, and the process exited without reading them.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream) as balancer:
             client = connect_client(balancer.port)
@@ -112,16 +112,16 @@
             assert response.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in response
 
-    run(work())
+    run(scenario())
 
 
 def test_clients_in_the_backlog_are_served_when_accepting_stops() -> None:
     """Guards against losing a received request whose connection waited for a slot when accepting stopped."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = DelayedResponseServer()
         async with balancer_in_front_of(upstream) as balancer:
-            balancer.shared.client_budget = 2
+            balancer.shared.max_clients = 2
             clients = [connect_client(balancer.port) for _ in range(6)]
             for client in clients:
                 client.sendall(request_bytes())
@@ -137,13 +137,13 @@
                 await draining
             assert balancer.listener._socket is None
 
-    run(work())
+    run(scenario())
 
 
 def test_request_that_arrives_after_its_idle_connection_is_closed_is_not_read() -> None:
     """Guards against losing a request: the balancer serves all it has read; the client may retry others."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream) as balancer:
             client = await connect_idle_client(balancer)
@@ -155,9 +155,9 @@
             assert response.count(b"HTTP/1.1 200") == 1
             assert connection._discarded_bytes == 0
             assert len(upstream.requests) == 1
-            assert not balancer.listener.open_count
+            assert not balancer.listener.unfinished_count
 
-    run(work())
+    run(scenario())
 
 
 def count_shutdown_polls(balancer: RunningBalancer, monkeypatch: pytest.MonkeyPatch) -> list[None]:
@@ -177,7 +177,7 @@
 def test_process_does_not_exit_before_its_last_response_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards a response in transit: a process that exits with unread received bytes resets the connection."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream) as balancer:
             client = connect_client(balancer.port)
@@ -192,7 +192,7 @@
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await draining
 
-    run(work())
+    run(scenario())
 
 
 def test_request_that_arrives_late_in_a_shutdown_gets_a_response_before_sigkill(
@@ -200,7 +200,7 @@
 ) -> None:
     """Guards a received request with the longest deadline, which could exceed the time until SIGKILL."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
         latest_response_ms = graceful_shutdown.MAX_COUNTED_DEADLINE_MS - graceful_shutdown.RESPONSE_READ_MS
         upstream = FakeServer(never_responds)
@@ -214,14 +214,14 @@
             assert balancer.shared.clock.now_ms() - started_ms < 8_000.0
             assert int(upstream.requests[0].headers["x-expires-in-ms"]) <= latest_response_ms
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.usefixtures("long_client_time_limits")
 def test_eviction_for_new_connections_aborts_no_undelivered_response() -> None:
     """Guards a connection's last response, whose request has ended but which the client has not received."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         body = b"x" * 1_000_000
         upstream = FakeServer(serves(body))
         async with balancer_in_front_of(upstream) as balancer:
@@ -235,24 +235,24 @@
             client.sendall(request_bytes(Connection="close"))
             await wait_until(lambda: balancer.listener._lingering, "the last response is written")
             assert accepted in balancer.listener._lingering
-            assert accepted.undelivered
+            assert accepted.has_unsent_bytes
             assert not balancer.listener._evict_one()
             assert (await read_until_close(client)).endswith(body)
 
-    run(work())
+    run(scenario())
 
 
 def test_idle_connection_with_an_unread_request_is_not_closed_by_the_idle_timeout() -> None:
     """Guards a request that arrives just as the idle timeout of its connection expires."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream) as balancer:
             client = await connect_idle_client(balancer)
             connection = only_connection(balancer)
             client.sendall(request_bytes("move", b"x", Connection="close"))
             block_until_readable(connection._descriptor)
-            connection.check(connection.since_ms + 2.0 * connection.IDLE_MS)
+            connection.enforce_time_limits(connection.state_since_ms + 2.0 * connection.IDLE_TIMEOUT_MS)
             assert (await read_until_close(client)).count(b"HTTP/1.1 200") == 2
 
-    run(work())
+    run(scenario())
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -58,7 +58,7 @@
 def test_sigterm_before_the_program_is_ready_makes_it_exit(tmp_path: Path) -> None:
     """The program listens, its first discovery call is in flight, and no request is pending."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         discovery = await FakeDiscovery([]).start()
         discovery.delay_s = 10.0 * RESPONSE_TIMEOUT_S
         port = free_port()
@@ -70,13 +70,13 @@
             assert await exit_code(process) == 0
         discovery.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_repeated_sigterm_and_sighup_neither_shorten_nor_restart_a_shutdown(tmp_path: Path) -> None:
     """The request in flight must be served, once."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         upstream = await DelayedResponseServer().start()
         discovery = await FakeDiscovery([upstream.entry("a")]).start()
         port = free_port()
@@ -99,13 +99,13 @@
         upstream.close()
         discovery.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_endpoint_list_is_watched_during_a_shutdown(tmp_path: Path) -> None:
     """A server starts to drain after SIGTERM: requests that still arrive must go to the other one."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         old = await DelayedResponseServer(serves(b"old")).start()
         new = await FakeServer(serves(b"new")).start()
         discovery = await FakeDiscovery([old.entry("a")]).start()
@@ -135,13 +135,13 @@
         new.close()
         discovery.stop()
 
-    run(work())
+    run(scenario())
 
 
 def test_sighup_to_an_unreachable_address_does_not_delay_the_next_reload(tmp_path: Path) -> None:
     """The current endpoint list stays in use. The new discovery's versions are lower than the first's."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         first_server = await FakeServer().start()
         second_server = await FakeServer(serves(b"second")).start()
         old = await FakeDiscovery([first_server.entry("a")]).start()
@@ -170,4 +170,4 @@
         old.stop()
         new.stop()
 
-    run(work())
+    run(scenario())
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -9,15 +9,15 @@
 class ScriptedHolder:
     """The connections of a pool, of which the idle ones can be closed."""
 
-    def __init__(self, sockets: int, idle: int) -> None:
-        self.sockets = sockets
+    def __init__(self, connection_count: int, idle: int) -> None:
+        self.connection_count = connection_count
         self.idle = idle
 
-    def close_oldest(self) -> bool:
+    def close_longest_idle(self) -> bool:
         if not self.idle:
             return False
         self.idle -= 1
-        self.sockets -= 1
+        self.connection_count -= 1
         return True
 
 
@@ -30,21 +30,21 @@
 
 
 def test_no_connection_is_closed_while_a_descriptor_is_free() -> None:
-    holder = ScriptedHolder(sockets=2, idle=2)
+    holder = ScriptedHolder(connection_count=2, idle=2)
     assert budget(3, holder).ensure_one_free()
     assert holder.idle == 2
 
 
 def test_one_idle_connection_of_any_pool_is_closed_if_no_descriptor_is_free() -> None:
-    busy = ScriptedHolder(sockets=2, idle=0)
-    idle = ScriptedHolder(sockets=2, idle=2)
+    busy = ScriptedHolder(connection_count=2, idle=0)
+    idle = ScriptedHolder(connection_count=2, idle=2)
     descriptors = budget(4, busy, idle)
     assert descriptors.ensure_one_free()
-    assert (busy.sockets, idle.sockets, descriptors.used) == (2, 1, 3)
+    assert (busy.connection_count, idle.connection_count, descriptors.used) == (2, 1, 3)
 
 
 def test_no_descriptor_is_granted_if_all_connections_are_busy() -> None:
-    assert not budget(2, ScriptedHolder(sockets=2, idle=0)).ensure_one_free()
+    assert not budget(2, ScriptedHolder(connection_count=2, idle=0)).ensure_one_free()
 
 
 def test_id_is_retained_while_in_flight_and_for_the_retention_time() -> None:
--- a/tests/runtime/test_clock.py
+++ b/tests/runtime/test_clock.py
@@ -13,16 +13,16 @@
 WAIT_S = 10.0
 
 
-def run(work: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
+def run(scenario: Callable[[Clock], Coroutine[Any, Any, None]]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(WAIT_S):
-            await work(Clock(asyncio.get_running_loop()))
+            await scenario(Clock(asyncio.get_running_loop()))
 
     asyncio.run(bounded())
 
 
 def test_timers_fire_in_order_of_due_time_and_never_early() -> None:
-    async def work(clock: Clock) -> None:
+    async def scenario(clock: Clock) -> None:
         fired: list[str] = []
         done = asyncio.Event()
         start_ms = clock.now_ms()
@@ -38,11 +38,11 @@
         await done.wait()
         assert fired == ["early", "late"]
 
-    run(work)
+    run(scenario)
 
 
 def test_cancelled_timer_does_not_fire() -> None:
-    async def work(clock: Clock) -> None:
+    async def scenario(clock: Clock) -> None:
         fired: list[str] = []
         done = asyncio.Event()
         clock.call_after(1.0, lambda: fired.append("cancelled")).cancel()
@@ -50,20 +50,20 @@
         await done.wait()
         assert fired == []
 
-    run(work)
+    run(scenario)
 
 
 def test_cancelled_timers_are_removed_from_the_heap() -> None:
-    async def work(clock: Clock) -> None:
+    async def scenario(clock: Clock) -> None:
         for _ in range(3 * MIN_COMPACT_SIZE):
             clock.call_after(60_000.0, lambda: None).cancel()
         assert len(clock._heap) <= MIN_COMPACT_SIZE
 
-    run(work)
+    run(scenario)
 
 
 def test_error_in_a_timer_call_does_not_stop_other_timers() -> None:
-    async def work(clock: Clock) -> None:
+    async def scenario(clock: Clock) -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(
             lambda _loop, context: errors.append(context["exception"])
@@ -78,13 +78,13 @@
         await done.wait()
         assert len(errors) == 1
 
-    run(work)
+    run(scenario)
 
 
 def test_step_of_the_system_time_does_not_affect_the_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work(clock: Clock) -> None:
+    async def scenario(clock: Clock) -> None:
         before_ms = clock.now_ms()
         monkeypatch.setattr("time.time", lambda: 0.0)
         assert before_ms <= clock.now_ms() < before_ms + 1000.0 * WAIT_S
 
-    run(work)
+    run(scenario)
--- a/tests/runtime/test_coalescing_runner.py
+++ b/tests/runtime/test_coalescing_runner.py
@@ -29,7 +29,7 @@
 
 
 def test_triggers_during_a_run_cause_exactly_one_more_run() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         scripted = ScriptedWork()
         runner = CoalescingRunner(scripted)
         runner.trigger()
@@ -43,11 +43,11 @@
         assert scripted.started == 2
         assert scripted.running == 0
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_trigger_after_the_last_run_starts_another_run() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         scripted = ScriptedWork()
         scripted.release.set()
         runner = CoalescingRunner(scripted)
@@ -56,4 +56,4 @@
             await run_pending_tasks()
             assert scripted.started == expected
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/tests/runtime/test_logger.py
+++ b/tests/runtime/test_logger.py
@@ -33,16 +33,16 @@
 ) -> None:
     logger = Logger("a")
     for number in range(MAX_LINES_PER_S + 3):
-        logger.line(f"line {number}")
+        logger.write_line(f"line {number}")
     stepped_time.now_s += 1.0
-    logger.line("next second")
+    logger.write_line("next second")
     lines = capsys.readouterr().err.splitlines()
     assert lines[:MAX_LINES_PER_S] == [f"sandhatch a: line {number}" for number in range(MAX_LINES_PER_S)]
     assert lines[MAX_LINES_PER_S:] == ["sandhatch a: 3 log lines dropped", "sandhatch a: next second"]
 
 
 def test_long_line_is_truncated(capsys: pytest.CaptureFixture[str]) -> None:
-    Logger("a").line("x" * (MAX_LINE_CHARS + 1))
+    Logger("a").write_line("x" * (MAX_LINE_CHARS + 1))
     assert capsys.readouterr().err == "sandhatch a: " + "x" * MAX_LINE_CHARS + "\n"
 
 
@@ -55,13 +55,13 @@
             raise OSError("scripted")
 
     monkeypatch.setattr(sys, "stderr", BrokenStream())
-    Logger("a").line("lost")
+    Logger("a").write_line("lost")
 
 
 def test_unhandled_error_is_logged_as_one_line_and_the_loop_continues(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         report_loop_errors(loop, Logger("a"))
 
@@ -71,7 +71,7 @@
         loop.call_soon(fail)
         await asyncio.sleep(0.01)
 
-    asyncio.run(work())
+    asyncio.run(scenario())
     (line,) = capsys.readouterr().err.splitlines()
     assert line.startswith("sandhatch a: ")
     assert "ValueError: scripted" in line
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -27,9 +27,9 @@
     """Fake servers by name; each records the requests that it runs and responds with its name."""
 
     def __init__(self) -> None:
-        self.books = RequestLog()
+        self.request_log = RequestLog()
         self.servers: dict[str, FakeServer] = {}
-        self.behave: dict[str, Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]] = {}
+        self.behaviours: dict[str, Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]] = {}
 
     async def start(self, *names: str) -> FakeServers:
         """Start a server for each name."""
@@ -39,8 +39,8 @@
 
     def _behaviour(self, name: str) -> Callable[[ReceivedRequest, FakeConnection], Awaitable[None]]:
         async def serve(request: ReceivedRequest, connection: FakeConnection) -> None:
-            self.books.add_run(request.headers["x-trace-id"], name)
-            behaviour = self.behave.get(name)
+            self.request_log.add_run(request.headers["x-trace-id"], name)
+            behaviour = self.behaviours.get(name)
             if behaviour is not None:
                 await behaviour(request, connection)
             else:
@@ -103,26 +103,26 @@
         """Propose a configuration and return the proposal's number."""
         return self.service.propose(json.dumps(data).encode(), base, **more).number
 
-    async def commit(self, data: dict[str, Any], over: bool = True, **more: Any) -> Version:
-        """Commit a change and wait for a terminal state; without `over`, only until the version is active."""
+    async def commit(self, data: dict[str, Any], until_terminal: bool = True, **more: Any) -> Version:
+        """Commit a change and wait for a terminal state; otherwise, only until it is active."""
         version = self.service.commit(self.propose(data), **more)
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-            return await self.service.wait_until_decided(version, over=over)
+            return await self.service.wait_until_decided(version, until_terminal=until_terminal)
 
-    async def confirmed(self, data: dict[str, Any]) -> Version:
+    async def commit_and_confirm(self, data: dict[str, Any]) -> Version:
         """Commit a change, and assert that it is confirmed."""
         version = await self.commit(data)
         assert version.state is State.CONFIRMED, version.why
         return version
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def wait_until(self, holds: Callable[[], bool]) -> None:
         """Wait until the condition holds, by polling: most states have no event."""
         await wait_until(holds)
 
-    def server_name(self, farm: FakeServers, number: int) -> str:
+    def server_name(self, fake_servers: FakeServers, number: int) -> str:
         """Return the name of the fake server that has this number in the service."""
         address = self.service.pools.server_registry.name(number)
-        return next(name for name in farm.servers if farm.address(name) == address)
+        return next(name for name in fake_servers.servers if fake_servers.address(name) == address)
 
 
 @asynccontextmanager
@@ -144,11 +144,11 @@
         ConnectionPool.COOLDOWN_MS = cooldown_ms
 
 
-def run(work: Any) -> None:
+def run(scenario: Any) -> None:
     """Run a test's coroutine, and fail it after `TEST_LIMIT_S`."""
 
     async def bounded() -> None:
         async with asyncio.timeout(TEST_LIMIT_S):
-            await work
+            await scenario
 
     asyncio.run(bounded())
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -16,9 +16,9 @@
 
 
 def test_version_with_a_listener_whose_address_is_in_use_fails_to_stage() -> None:
-    async def work() -> None:
-        farm = await FakeServers().start("a1", "o1")
-        first = farm.config(farm.pool("a1"), farm.pool("o1"))
+    async def scenario() -> None:
+        fake_servers = await FakeServers().start("a1", "o1")
+        first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
@@ -32,23 +32,23 @@
                 assert "in use" in version.why
                 assert len(running.service.listeners) == 1
                 assert set(running.service.running) == {1}
-        farm.close()
+        fake_servers.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_removed_listener_closes_and_a_rollback_reopens_it() -> None:
-    async def work() -> None:
-        farm = await FakeServers().start("a1", "o1")
+    async def scenario() -> None:
+        fake_servers = await FakeServers().start("a1", "o1")
         port = free_port()
-        first = farm.config(farm.pool("a1"), farm.pool("o1"))
+        first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
         first["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
         async with serving(first) as running, HttpClient(port) as before:
             before.send_request()
             assert (await before.read_response()).body == b"a1"
             second = deepcopy(first)
             del second["listeners"]["back"]
-            await running.commit(second, over=False, confirm_within_ms=60_000.0)
+            await running.commit(second, until_terminal=False, confirm_within_ms=60_000.0)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
             assert await before.read_to_end() == b""  # a removed listener closes its idle connections
@@ -56,28 +56,32 @@
             async with HttpClient(port) as after:
                 after.send_request()
                 assert (await after.read_response()).body == b"a1"
-        farm.close()
+        fake_servers.close()
 
-    run(work())
+    run(scenario())
 
 
 def test_limits_below_the_present_use_abort_no_request() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         names = ("a1", "a2", "a3", "a4")
-        farm = await FakeServers().start(*names, "o1")
+        fake_servers = await FakeServers().start(*names, "o1")
         released = asyncio.Event()
 
-        farm.behave.update(dict.fromkeys(names, waits_for(released, serves(b"done"))))
-        first = farm.config(farm.pool(*names), farm.pool("o1"), limits={"sockets": 1024, "memory_mb": 64})
+        fake_servers.behaviours.update(dict.fromkeys(names, waits_for(released, serves(b"done"))))
+        first = fake_servers.config(
+            fake_servers.pool(*names), fake_servers.pool("o1"), limits={"sockets": 1024, "memory_mb": 64}
+        )
         async with serving(first) as running:
             clients = [await HttpClient(running.port).__aenter__() for _ in range(20)]
             for client in clients:
                 client.send_request()
-            await running.until(lambda: sum(len(farm.servers[name].requests) for name in names) == 20)
+            await running.wait_until(
+                lambda: sum(len(fake_servers.servers[name].requests) for name in names) == 20
+            )
             small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
             small["pools"]["web"]["max_connections"] = 1
-            await running.confirmed(small)
-            assert running.service.shared.client_budget < 20
+            await running.commit_and_confirm(small)
+            assert running.service.shared.max_clients < 20
             assert running.service.shared.descriptors.limit < 20
             released.set()
             for client in clients:
@@ -87,6 +91,6 @@
             async with HttpClient(running.port) as late:
                 late.send_request()
                 assert (await late.read_response()).status == 200
-        farm.close()
+        fake_servers.close()
 
-    run(work())
+    run(scenario())
--- a/tests/service/test_request_handling.py
+++ b/tests/service/test_request_handling.py
@@ -7,9 +7,9 @@
 
 
 def test_routes_fixed_responses_and_requests_without_class_or_id_are_handled() -> None:
-    async def work() -> None:
-        farm = await FakeServers().start("a1", "o1")
-        data = farm.config(farm.pool("a1"), farm.pool("o1"))
+    async def scenario() -> None:
+        fake_servers = await FakeServers().start("a1", "o1")
+        data = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
         data["routes"] += [
             {
                 "name": "gone",
@@ -30,7 +30,7 @@
             assert (fixed.status, fixed.body, fixed.headers["content-type"]) == (410, b"no", "text/plain")
             client.send(b"GET /any HTTP/1.1\r\nHost: Orders.example:8080\r\n\r\n")
             assert (await client.read_response()).body == b"o1"
-            seen = farm.servers["o1"].requests[0]
+            seen = fake_servers.servers["o1"].requests[0]
             assert len(seen.headers["x-trace-id"]) == 32
             client.send(b"BREW / HTTP/1.1\r\nHost: h\r\n\r\n")
             assert (await client.read_response()).status == 400
@@ -38,6 +38,6 @@
             client.send(b"OPTIONS /gone HTTP/1.1\r\nHost: h\r\n\r\n")
             assert (await client.read_response()).status == 405
             assert [record.route for record in running.records] == []
-        farm.close()
+        fake_servers.close()
 
-    run(work())
+    run(scenario())
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -78,22 +78,22 @@
 
 @asynccontextmanager
 async def serve_process(tmp: Path) -> AsyncIterator[tuple[ServeProcess, FakeServers, dict[str, Any]]]:
-    farm = await FakeServers().start("a1", "b1", "o1")
+    fake_servers = await FakeServers().start("a1", "b1", "o1")
     port = free_port()
-    first = farm.config(farm.pool("a1"), farm.pool("o1"))
+    first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
     first["listeners"]["front"]["address"] = f"127.0.0.1:{port}"
     program = ServeProcess(tmp, port)
     program.file.write_text(json.dumps(first))
     try:
-        yield program, farm, first
+        yield program, fake_servers, first
     finally:
         if program.process is not None:
             await program.kill()
-        farm.close()
+        fake_servers.close()
 
 
-def config_with_b1(first: dict[str, Any], farm: FakeServers) -> dict[str, Any]:
-    return first | {"pools": {"web": farm.pool("b1"), "orders": farm.pool("o1")}}
+def config_with_b1(first: dict[str, Any], fake_servers: FakeServers) -> dict[str, Any]:
+    return first | {"pools": {"web": fake_servers.pool("b1"), "orders": fake_servers.pool("o1")}}
 
 
 async def responding_server(port: int) -> bytes:
@@ -106,11 +106,11 @@
 def test_confirmed_version_is_active_after_sigkill_at_any_step_of_a_change(tmp_path: Path, step: str) -> None:
     """SIGKILL right after each call; after the restart, the confirmed version serves."""
 
-    async def work() -> None:
-        async with serve_process(tmp_path) as (program, farm, first):
+    async def scenario() -> None:
+        async with serve_process(tmp_path) as (program, fake_servers, first):
             await program.start()
             assert await responding_server(program.port) == b"a1"
-            proposed = await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
+            proposed = await program.call("propose", text=json.dumps(config_with_b1(first, fake_servers)))
             expected = {b"a1"}
             if step == "commit":  # interrupts staging, saving or activation at an arbitrary point
                 call = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
@@ -136,14 +136,14 @@
             assert status["in_force"] == status["confirmed"]
             assert status["pending"] is None
 
-    run(work())
+    run(scenario())
 
 
 def test_unconfirmed_version_of_a_killed_process_is_not_used_after_restart(tmp_path: Path) -> None:
-    async def work() -> None:
-        async with serve_process(tmp_path) as (program, farm, first):
+    async def scenario() -> None:
+        async with serve_process(tmp_path) as (program, fake_servers, first):
             await program.start()
-            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
+            await program.call("propose", text=json.dumps(config_with_b1(first, fake_servers)))
             await program.call("commit", proposal=1, confirm_within_ms=60_000)
             await program.kill()
             history = History(str(program.state))
@@ -153,24 +153,24 @@
             assert (saved.confirmed, saved.lost_version) == (1, 2)
             await program.start()
             # The lost version's number is not reused.
-            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
+            await program.call("propose", text=json.dumps(config_with_b1(first, fake_servers)))
             assert (await program.call("commit", proposal=1))["version"] == 3
 
-    run(work())
+    run(scenario())
 
 
 def test_concurrent_sighup_sigterm_and_commit_lose_no_request(tmp_path: Path) -> None:
     """Under load, every received request gets a response, and the process exits with status 0."""
 
-    async def work() -> None:
-        async with serve_process(tmp_path) as (program, farm, first):
+    async def scenario() -> None:
+        async with serve_process(tmp_path) as (program, fake_servers, first):
             await program.start()
             load = LoadGenerator(
-                program.port, farm.books, lambda _rng: ("look", "/"), clients=4, pause_s=0.002
+                program.port, fake_servers.request_log, lambda _rng: ("look", "/"), clients=4, pause_s=0.002
             )
             assert program.process is not None
             program.file.write_text(json.dumps(first | {"name": "renamed"}))
-            await program.call("propose", text=json.dumps(config_with_b1(first, farm)))
+            await program.call("propose", text=json.dumps(config_with_b1(first, fake_servers)))
             commit = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0)
@@ -179,28 +179,28 @@
                 assert await program.process.wait() == 0
             load._stopping.set()
             await asyncio.gather(*load._tasks, commit, return_exceptions=True)
-            assert set(farm.books.statuses()) == {200}
-            ran = [entry for entry in farm.books.entries.values() if entry.ran]
+            assert set(fake_servers.request_log.statuses()) == {200}
+            ran = [entry for entry in fake_servers.request_log.entries.values() if entry.ran]
             assert ran
             assert all(len(entry.responses) == 1 for entry in ran)
 
-    run(work())
+    run(scenario())
 
 
 def test_sighup_applies_a_valid_file_and_ignores_an_invalid_one(tmp_path: Path) -> None:
-    async def work() -> None:
-        async with serve_process(tmp_path) as (program, farm, first):
+    async def scenario() -> None:
+        async with serve_process(tmp_path) as (program, fake_servers, first):
             await program.start()
             assert program.process is not None
             program.file.write_text("format: [")
             program.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.1)
             assert await responding_server(program.port) == b"a1"
-            program.file.write_text(json.dumps(config_with_b1(first, farm)))
+            program.file.write_text(json.dumps(config_with_b1(first, fake_servers)))
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 while await responding_server(program.port) != b"b1":
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.05)
             assert (await program.call("history"))["versions"][-1]["author"] == "SIGHUP"
 
-    run(work())
+    run(scenario())
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -16,24 +16,25 @@
 NON_IDEMPOTENT = frozenset(("order",))
 
 
-def choose(rng: Random) -> tuple[str, str]:
+def choose_request(rng: Random) -> tuple[str, str]:
     """Draw the class and target of a request."""
     return ("order", "/orders/new") if rng.random() < 0.4 else ("look", "/pages")
 
 
-def variants(farm: FakeServers) -> list[dict[str, Any]]:
+def configuration_variants(fake_servers: FakeServers) -> list[dict[str, Any]]:
     """Return configurations to change between; they differ in the pools' servers, routes or settings."""
-    first = farm.config(farm.pool("a1", "a2"), farm.pool("o1", "o2"))
-    replaced_pool = farm.config(farm.pool("b1", "b2"), farm.pool("o1", "o2"))
-    replaced_server = farm.config(farm.pool("a1", "a2"), farm.pool("o2", "o3"))
-    exchanged_servers = farm.config(farm.pool("o1", "a1"), farm.pool("a2", "o2"))
+    first = fake_servers.config(fake_servers.pool("a1", "a2"), fake_servers.pool("o1", "o2"))
+    replaced_pool = fake_servers.config(fake_servers.pool("b1", "b2"), fake_servers.pool("o1", "o2"))
+    replaced_server = fake_servers.config(fake_servers.pool("a1", "a2"), fake_servers.pool("o2", "o3"))
+    exchanged_servers = fake_servers.config(fake_servers.pool("o1", "a1"), fake_servers.pool("a2", "o2"))
     exchanged_routes = deepcopy(first)
     exchanged_routes["routes"] = [
         {"name": "orders", "match": {"path": {"prefix": "/orders"}}, "to": {"pool": "web"}}
     ]
     exchanged_routes["default"] = {"pool": "orders"}
-    changed_settings = farm.config(
-        farm.pool("a1", "a2", max_attempts=3, max_connections=64), farm.pool("o1", "o2", copies=2)
+    changed_settings = fake_servers.config(
+        fake_servers.pool("a1", "a2", max_attempts=3, max_connections=64),
+        fake_servers.pool("o1", "o2", copies=2),
     )
     return [first, replaced_pool, replaced_server, exchanged_servers, exchanged_routes, changed_settings]
 
@@ -80,5 +81,5 @@
                 service.rollback("test")
             else:
                 service.confirm()
-        await service.wait_until_decided(version, over=True)
+        await service.wait_until_decided(version, until_terminal=True)
     return config_by_version
--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -13,7 +13,7 @@
 from sandhatch.balancing.actions import Action
 from sandhatch.balancing.events import AttemptEnded, Event, Outcome
 from sandhatch.dispatch.dispatcher import Dispatcher
-from sandhatch.dispatch.protocols import Decisions
+from sandhatch.dispatch.protocols import BalancerProtocol
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.service.request_record import RequestRecord
@@ -39,7 +39,7 @@
     """Proxy between a dispatcher and its balancer that records every event and action."""
 
     def __init__(self, dispatcher: Dispatcher) -> None:
-        self._balancer: Decisions = dispatcher.balancer
+        self._balancer: BalancerProtocol = dispatcher.balancer
         self.events: list[Event] = []
         self.actions: list[Action] = []
         dispatcher.balancer = self
@@ -90,12 +90,12 @@
 
     @property
     def flow_statistics(self) -> FlowStatistics:
-        return self.service.shared.flows
+        return self.service.shared.flow_statistics
 
     @property
     def dispatcher(self) -> Dispatcher:
         """Dispatcher of the only pool."""
-        (pool,) = self.service.pools.alive.values()
+        (pool,) = self.service.pools.by_fingerprint.values()
         return pool.dispatcher
 
     @property
@@ -106,7 +106,7 @@
     @property
     def requests_seen(self) -> int:
         """Number of requests that all servers have received."""
-        return sum(len(server.seen) for server in self.servers)
+        return sum(len(server.received_requests) for server in self.servers)
 
     def active_configuration(self) -> Any:
         """Copy of the active configuration as plain data."""
@@ -114,7 +114,7 @@
 
     async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until the condition holds."""
-        await self.running.until(condition)
+        await self.running.wait_until(condition)
 
     async def wait_until_server_idle(self) -> None:
         """Wait until no connection to the first server is open."""
@@ -122,10 +122,10 @@
 
     async def wait_until_idle(self) -> None:
         """Wait until no request is in flight and every flow is closed."""
-        pools = self.service.pools.alive
-        await self.wait_until(lambda: all(not pool.dispatcher.open for pool in pools.values()))
+        pools = self.service.pools.by_fingerprint
+        await self.wait_until(lambda: all(not pool.dispatcher.open_exchange_count for pool in pools.values()))
         await self.wait_until(lambda: not self.flow_statistics.open)
-        assert self.flow_statistics.over == 0
+        assert self.flow_statistics.ceiling_exceeded_count == 0
 
 
 def make_config(
@@ -161,8 +161,8 @@
     servers = [await StreamingServer(serve).start() for serve in handlers]
     try:
         async with serving(make_config(servers, request or {}, response or {}, **overrides)) as running:
-            pools = running.service.pools.alive.values()
-            await running.until(lambda: all(pool.dispatcher.ready for pool in pools))
+            pools = running.service.pools.by_fingerprint.values()
+            await running.wait_until(lambda: all(pool.dispatcher.has_ready_server for pool in pools))
             for server in servers:
                 server.connections = 0  # exclude connections of health checks
             yield Deployment(running, servers, DecisionRecorder(next(iter(pools)).dispatcher))
@@ -267,11 +267,11 @@
     return serve
 
 
-def run(work: Any, limit_s: float = TEST_LIMIT_S) -> None:
+def run(scenario: Any, limit_s: float = TEST_LIMIT_S) -> None:
     """Run a test on the program's event loop with a time limit."""
 
     async def bounded() -> None:
         async with asyncio.timeout(limit_s):
-            await work
+            await scenario
 
     uvloop.run(bounded())
--- a/tests/streaming/test_changes_in_mid_body.py
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -30,11 +30,11 @@
     """Send the first part of a body; returns the server that receives it."""
     client.send(upload_head(SIZE) + FIRST_PART)
     await deployment.wait_until(lambda: deployment.requests_seen > 0)
-    return next(server for server in deployment.servers if server.seen)
+    return next(server for server in deployment.servers if server.received_requests)
 
 
 def test_draining_server_finishes_the_current_body_and_gets_no_new_requests() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload, store_upload) as deployment, HttpClient(deployment.port) as client:
             receiving_server = await begin_upload(deployment, client)
             data = deployment.active_configuration()
@@ -43,7 +43,7 @@
                 name for name, row in servers.items() if row["address"].endswith(f":{receiving_server.port}")
             )
             servers[server_name]["state"] = "draining"
-            await deployment.running.confirmed(data)
+            await deployment.running.commit_and_confirm(data)
             await asyncio.sleep(2.1)  # longer than the grace period
             client.send(REST)
             assert (await read_response(client))[0] == 200
@@ -51,20 +51,20 @@
                 async with HttpClient(deployment.port) as other:
                     await send_upload(other, 100 * KIB)
                     assert (await read_response(other))[0] == 200
-            assert len(receiving_server.seen) == 1
+            assert len(receiving_server.received_requests) == 1
             await deployment.wait_until_idle()
 
-    run(work())
+    run(scenario())
 
 
 def test_body_is_completed_under_the_configuration_version_it_began_with() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             await begin_upload(deployment, client)
             data = deployment.active_configuration()
             data["default"] = {"answer": {"status": 404}}
             data["classes"]["draw"]["bodies"]["request"]["most_bytes"] = 1024
-            await deployment.running.confirmed(data)
+            await deployment.running.commit_and_confirm(data)
             client.send(REST)
             await assert_stored(client, SIZE)
             async with HttpClient(deployment.port) as other:
@@ -73,11 +73,11 @@
             await deployment.wait_until(lambda: bool(deployment.records))
             assert deployment.records[0].version == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_graceful_shutdown_waits_for_the_end_of_a_streamed_body() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             await begin_upload(deployment, client)
             draining = asyncio.create_task(deployment.service.drain())
@@ -88,4 +88,4 @@
             assert (status, headers["connection"]) == (200, "close")
             await draining
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_client_failures.py
+++ b/tests/streaming/test_client_failures.py
@@ -20,22 +20,22 @@
 
 
 def test_client_disconnect_in_mid_upload_cancels_the_attempt() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(8 * MIB))
                 client.send(BODY.prefix(MIB))
-                await deployment.server.arrived.get()
+                await deployment.server.arrivals.get()
             await deployment.wait_until_idle()
             await deployment.wait_until_server_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
             assert [(record.status, record.truncated_by) for record in deployment.records] == [(0, "client")]
 
-    run(work())
+    run(scenario())
 
 
 def test_client_disconnect_in_mid_response_is_not_counted_against_the_server() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve_body(64 * MIB)) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(download_head())
@@ -44,11 +44,11 @@
             await deployment.wait_until_server_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
-    run(work())
+    run(scenario())
 
 
 def test_half_closed_client_gets_its_response_only_if_the_listener_allows_half_close() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         for half_close in (False, True):
             listeners = {"front": {"address": "127.0.0.1:0", "half_close": half_close}}
             async with (
@@ -63,4 +63,4 @@
                     assert await client.read_to_end() == b""
                 await deployment.wait_until_idle()
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -13,8 +13,8 @@
 from sandhatch.streaming.flow import Flow, Side, SlowSide
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import Piece
+from sandhatch.streaming.limits import BodyLimits
 from sandhatch.streaming.progress import ProgressLimits, ProgressMonitor
-from sandhatch.streaming.terms import BodyTerms
 
 KIB = 1024
 UNLIMITED_PROGRESS = ProgressLimits(1e9, 0.0, 1e9)
@@ -48,22 +48,22 @@
     def __init__(self, capacity_bytes: int = 1 << 60) -> None:
         self.capacity_bytes = capacity_bytes
         self.received = b""
-        self.unsent = 0
+        self.unsent_bytes = 0
         self.end: Headers | None = None
 
     def write(self, piece: Piece) -> None:
         assert self.end is None
         self.received += bytes(piece)
-        sent_bytes = min(self.capacity_bytes, len(piece)) if not self.unsent else 0
+        sent_bytes = min(self.capacity_bytes, len(piece)) if not self.unsent_bytes else 0
         self.capacity_bytes -= sent_bytes
-        self.unsent += len(piece) - sent_bytes
+        self.unsent_bytes += len(piece) - sent_bytes
 
     def finish(self, trailers: Headers) -> None:
         assert self.end is None
         self.end = trailers
 
     def send(self, size: int) -> None:
-        self.unsent = max(0, self.unsent - size)
+        self.unsent_bytes = max(0, self.unsent_bytes - size)
 
 
 class RecordingObserver:
@@ -87,21 +87,21 @@
     ) -> None:
         self.clock = ManualClock()
         self.memory_budget = MemoryBudget(memory_mb)
-        self.flow_statistics = self.flows = FlowStatistics()
+        self.statistics = self.flow_statistics = FlowStatistics()
         self.source = FakeSource()
         self.observer = RecordingObserver()
-        terms = BodyTerms(1 << 40, 64 * KIB, replay_bytes, 256 * KIB, writer, reader)
+        limits = BodyLimits(1 << 40, 64 * KIB, replay_bytes, 256 * KIB, writer, reader)
         reserved_bytes = 96 * KIB
         self.memory_budget.update_usage(0, reserved_bytes)
-        self.flow = Flow(terms, self, self.source, reserved_bytes)
+        self.flow = Flow(limits, self, self.source, reserved_bytes)
         self.flow.observe(self.observer)
 
 
 def test_credit_is_ceiling_minus_memory_and_source_pauses_while_sink_is_behind() -> None:
     fixture = FlowFixture()
-    assert fixture.flow.credit == 256 * KIB
+    assert fixture.flow.credit_bytes == 256 * KIB
     fixture.flow.push(b"x" * 64 * KIB)
-    assert fixture.flow.credit == 192 * KIB
+    assert fixture.flow.credit_bytes == 192 * KIB
     assert fixture.source.paused  # no sink is attached yet
     sink = FakeSink()
     fixture.flow.attach(sink)
@@ -115,8 +115,8 @@
     fixture.flow.drained()
     assert not fixture.source.paused
     assert fixture.flow.memory_bytes == 0
-    assert fixture.flow.credit == 256 * KIB
-    assert (fixture.flow_statistics.peak_bytes, fixture.flow_statistics.over) == (100 * KIB - 1000, 0)
+    assert fixture.flow.credit_bytes == 256 * KIB
+    assert (fixture.statistics.peak_bytes, fixture.statistics.ceiling_exceeded_count) == (100 * KIB - 1000, 0)
 
 
 def test_replay_buffer_writes_the_complete_body_to_a_second_and_a_third_sink() -> None:
@@ -163,18 +163,18 @@
 
 def test_credit_is_limited_to_the_reservation_while_memory_is_short() -> None:
     fixture = FlowFixture(memory_mb=0.5)  # budget of 128 KiB, of which the flow has reserved 96
-    assert fixture.flow.credit == 128 * KIB
+    assert fixture.flow.credit_bytes == 128 * KIB
     other = fixture.memory_budget.reserve(120 * KIB, lambda: None)
     assert other is not None  # the other request waits
-    assert fixture.flow.credit == 96 * KIB  # no free memory is granted ahead of the waiter
+    assert fixture.flow.credit_bytes == 96 * KIB  # no free memory is granted ahead of the waiter
     sink = FakeSink(capacity_bytes=0)
     fixture.flow.attach(sink)
     fixture.flow.push(b"x" * 96 * KIB)
-    assert fixture.flow.credit == 0
+    assert fixture.flow.credit_bytes == 0
     assert fixture.source.paused
     sink.send(1 << 20)
     fixture.flow.drained()
-    assert fixture.flow.credit == 32 * KIB  # minimum credit of the request and of the response
+    assert fixture.flow.credit_bytes == 32 * KIB  # minimum credit of the request and of the response
     assert not fixture.source.paused
 
 
@@ -191,7 +191,7 @@
     fixture.flow.drained()
     # The leased bytes belong to the response now.
     assert fixture.memory_budget.used_bytes == Flow.MIN_CREDIT_BYTES
-    assert fixture.flow_statistics.open == 0
+    assert fixture.statistics.open == 0
     assert sink.end is None
     assert len(sink.received) == 50 * KIB
 
@@ -203,12 +203,12 @@
     fixture = FlowFixture(writer=STRICT_LIMITS)
     fixture.flow.attach(FakeSink())
     fixture.clock.current_ms = 999.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
     fixture.flow.push(b"x")
     fixture.clock.current_ms = 1_998.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
     fixture.clock.current_ms = 1_999.0
-    slow_side = fixture.flow.slow_side(fixture.clock.current_ms)
+    slow_side = fixture.flow.find_slow_side(fixture.clock.current_ms)
     assert slow_side is not None
     assert slow_side.side is Side.SOURCE
 
@@ -219,13 +219,15 @@
     fixture.flow.attach(sink)
     fixture.flow.push(b"x" * 100)
     fixture.clock.current_ms = 50_000.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
     sink.send(100)
     fixture.flow.drained()
     fixture.clock.current_ms = 50_900.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
     fixture.clock.current_ms = 51_000.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) == SlowSide(Side.SOURCE, "no byte for 1000 ms")
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) == SlowSide(
+        Side.SOURCE, "no byte for 1000 ms"
+    )
 
 
 def test_stalled_sink_is_reported_and_slow_sink_is_not() -> None:
@@ -236,9 +238,9 @@
     for step in range(1, 20):
         fixture.clock.current_ms = step * 500.0
         sink.send(KIB)
-        assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+        assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
     fixture.clock.current_ms += 1_000.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) == SlowSide(Side.SINK, "no byte for 1000 ms")
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) == SlowSide(Side.SINK, "no byte for 1000 ms")
 
 
 def test_source_below_its_minimum_rate_is_reported_even_if_it_was_fast_before() -> None:
@@ -249,7 +251,7 @@
     while slow_side is None and fixture.clock.current_ms < 60_000.0:
         fixture.clock.current_ms += 250.0
         fixture.flow.push(b"x")
-        slow_side = fixture.flow.slow_side(fixture.clock.current_ms)
+        slow_side = fixture.flow.find_slow_side(fixture.clock.current_ms)
     assert slow_side == SlowSide(Side.SOURCE, "4 bytes a second over 2000 ms")
     assert fixture.clock.current_ms == 4_000.0  # end of the window after the fast one
 
@@ -261,7 +263,7 @@
     fixture.flow.push(b"abc")
     fixture.flow.detach(sink)
     fixture.clock.current_ms = 99_000.0
-    assert fixture.flow.slow_side(fixture.clock.current_ms) is None
+    assert fixture.flow.find_slow_side(fixture.clock.current_ms) is None
 
 
 def test_waiting_time_is_summed_over_interruptions() -> None:
@@ -287,8 +289,8 @@
     flow = fixture.flow
     while not flow.sent:
         choice = rng.randrange(6)
-        if choice < 3 and pushed_bytes < len(body) and not fixture.source.paused and flow.credit:
-            piece = body[pushed_bytes : pushed_bytes + rng.randint(1, min(flow.credit, 64 * KIB))]
+        if choice < 3 and pushed_bytes < len(body) and not fixture.source.paused and flow.credit_bytes:
+            piece = body[pushed_bytes : pushed_bytes + rng.randint(1, min(flow.credit_bytes, 64 * KIB))]
             pushed_bytes += len(piece)
             flow.push(memoryview(piece))
         elif pushed_bytes == len(body) and not flow.ended and choice == 3:
@@ -299,18 +301,18 @@
         elif choice == 4:
             sink.send(rng.randrange(100 * KIB))
             sink.capacity_bytes = rng.randrange(100 * KIB)
-            if not sink.unsent:
+            if not sink.unsent_bytes:
                 flow.drained()
-        elif choice == 5 and flow.repeatable and not flow.sent and rng.random() < 0.2:
+        elif choice == 5 and flow.is_repeatable and not flow.sent and rng.random() < 0.2:
             flow.detach(sink)
             sink = None
-        assert flow.memory_bytes <= flow.terms.ceiling_bytes
-        if flow.ended and sink is not None and not sink.unsent:
+        assert flow.memory_bytes <= flow.limits.ceiling_bytes
+        if flow.ended and sink is not None and not sink.unsent_bytes:
             flow.drained()
     assert sink is not None
     assert sink.received == body
-    assert fixture.flow_statistics.over == 0
-    assert fixture.observer.notifications.count("unrepeatable") == (not flow.repeatable)
+    assert fixture.statistics.ceiling_exceeded_count == 0
+    assert fixture.observer.notifications.count("unrepeatable") == (not flow.is_repeatable)
     flow.close()
     assert fixture.memory_budget.used_bytes == 0
 
@@ -323,7 +325,7 @@
     for name, size in (("large", 200 * KIB), ("small", 10 * KIB), ("cancelled", 10 * KIB), ("last", KIB)):
         waiters[name] = memory_budget.reserve(size, lambda name=name: granted.append(name))  # type: ignore[misc]
     assert granted == []
-    assert memory_budget.free == 0
+    assert memory_budget.free_bytes == 0
     cancelled_waiter = waiters["cancelled"]
     assert cancelled_waiter is not None
     cancelled_waiter.cancel()
--- a/tests/streaming/test_many_uploads.py
+++ b/tests/streaming/test_many_uploads.py
@@ -65,9 +65,9 @@
     assert served > 500
     # A read that exceeds the budget is counted briefly before it is released.
     assert peak.peak_bytes <= deployment.memory_budget.limit_bytes + 64 * KIB
-    assert deployment.flow_statistics.most_open < UPLOAD_COUNT  # some requests have waited for memory
+    assert deployment.flow_statistics.max_open < UPLOAD_COUNT  # some requests have waited for memory
     await deployment.wait_until_idle()
-    assert len(deployment.server.seen) == served  # every upload that was started is completed
+    assert len(deployment.server.received_requests) == served  # every upload that was started is completed
     assert set(deployment.decisions.outcomes) == {Outcome.OK}
 
 
@@ -77,10 +77,10 @@
     """1000 uploads of 96 KiB exceed the share of 64 MB that bodies may use. Each upload gets one response;
     those that do not fit even after waiting are rejected with Retry-After.
     """
-    for limit in ("FIRST_REQUEST_MS", "REQUEST_MS", "LINGER_MS"):
+    for limit in ("FIRST_REQUEST_TIMEOUT_MS", "REQUEST_TIMEOUT_MS", "LINGER_TIMEOUT_MS"):
         monkeypatch.setattr(ClientConnection, limit, float(UNREACHED_LIMIT_MS))
 
-    async def work() -> None:
+    async def scenario() -> None:
         stall_limits = {"writer_stall_ms": UNREACHED_LIMIT_MS, "reader_stall_ms": UNREACHED_LIMIT_MS}
         async with deployed(
             store_upload,
@@ -92,4 +92,4 @@
         ) as deployment:
             await assert_one_response_each(deployment)
 
-    run(work(), limit_s=2.0 * UNREACHED_LIMIT_S)
+    run(scenario(), limit_s=2.0 * UNREACHED_LIMIT_S)
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -27,20 +27,20 @@
 
 def reserve_all_but(memory_budget: MemoryBudget, free_bytes: int) -> int:
     """Reserve all memory except `free_bytes`; returns the number of reserved bytes."""
-    reserved_bytes = memory_budget.free - free_bytes
+    reserved_bytes = memory_budget.free_bytes - free_bytes
     memory_budget.update_usage(0, reserved_bytes)
     return reserved_bytes
 
 
 def test_without_memory_a_new_request_gets_503_with_retry_after_and_started_ones_continue() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         bodies = {"room_wait_ms": 300}
         async with deployed(store_upload, limits={"memory_mb": 16}, bodies=bodies) as deployment:
             size = MIB
             uploads = [await HttpClient(deployment.port).__aenter__() for _ in range(4)]
             for client in uploads:
                 client.send(upload_head(size) + BODY.prefix(65 * KIB))
-            await deployment.wait_until(lambda: len(deployment.server.seen) == 4)
+            await deployment.wait_until(lambda: len(deployment.server.received_requests) == 4)
             reserved_bytes = reserve_all_but(deployment.memory_budget, 32 * KIB)
             async with HttpClient(deployment.port) as late_client:
                 late_client.send(upload_head(size) + BODY.prefix(32 * KIB))
@@ -56,17 +56,17 @@
             await deployment.wait_until_idle()
             assert set(deployment.decisions.outcomes) == {Outcome.OK}
 
-    run(work())
+    run(scenario())
 
 
 def test_response_waits_for_memory_before_it_begins_but_not_afterwards() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve_body(8 * MIB), limits={"memory_mb": 16}) as deployment:
             # Enough memory to read a head, but not for the buffered part of a body.
             reserved_bytes = reserve_all_but(deployment.memory_budget, 40 * KIB)
             async with HttpClient(deployment.port) as client:
                 client.send(download_head())
-                await deployment.server.arrived.get()
+                await deployment.server.arrivals.get()
                 await asyncio.sleep(0.3)
                 assert deployment.flow_statistics.opened == 0
                 assert deployment.dispatcher.pending_requests == 1
@@ -74,11 +74,11 @@
                 assert (await read_response(client))[1].complete
             await deployment.wait_until_idle()
 
-    run(work())
+    run(scenario())
 
 
 def test_response_waiting_for_balancer_memory_is_not_counted_against_the_server() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         times = {"aim_ms": 1_000, "deadline_ms": 2_000}
         async with deployed(serve_body(8 * MIB), limits={"memory_mb": 16}, times=times) as deployment:
             memory_budget = deployment.memory_budget
@@ -95,23 +95,23 @@
             memory_budget.update_usage(reserved_bytes, 0)
             assert memory_budget.used_bytes == 0
 
-    run(work())
+    run(scenario())
 
 
 def test_disconnect_of_a_client_queued_for_memory_releases_its_memory() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload, limits={"memory_mb": 16}) as deployment:
             memory_budget = deployment.memory_budget
             reserved_bytes = reserve_all_but(memory_budget, 8 * KIB)
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
-                await deployment.wait_until(lambda: memory_budget.free == 0)
-            await deployment.wait_until(lambda: memory_budget.free > 0)
+                await deployment.wait_until(lambda: memory_budget.free_bytes == 0)
+            await deployment.wait_until(lambda: memory_budget.free_bytes > 0)
             memory_budget.update_usage(reserved_bytes, 0)
             await deployment.wait_until(lambda: memory_budget.used_bytes == 0)
-            assert not deployment.server.seen
+            assert not deployment.server.received_requests
 
-    run(work())
+    run(scenario())
 
 
 def test_disconnect_in_mid_response_with_a_queued_upload_releases_all_memory() -> None:
@@ -123,7 +123,7 @@
         await request.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(64 * MIB)) + first_part)
         await request.connection.reader.read()  # returns when the connection ends
 
-    async def work() -> None:
+    async def scenario() -> None:
         request = {"hold_bytes": upload_hold_bytes}
         async with deployed(serve_first_part, request=request, limits={"memory_mb": 16}) as deployment:
             shared = deployment.running.service.shared
@@ -135,16 +135,16 @@
             response_memory_bytes = budget.used_bytes
             # The right-hand side is the memory for which the upload will wait.
             assert response_memory_bytes > upload_hold_bytes + 2 * Flow.MIN_CREDIT_BYTES
-            reserved_bytes = budget.free - 8 * KIB
+            reserved_bytes = budget.free_bytes - 8 * KIB
             budget.update_usage(0, reserved_bytes)
             client.send(upload_head(MIB) + BODY.prefix(2 * KIB))
-            await deployment.running.until(lambda: budget.free == 0)
+            await deployment.running.wait_until(lambda: budget.free_bytes == 0)
             client.writer.transport.abort()
-            await deployment.running.until(lambda: shared.clients == 0)
+            await deployment.running.wait_until(lambda: shared.client_count == 0)
             budget.update_usage(reserved_bytes, 0)
-            await deployment.running.until(lambda: budget.used_bytes == 0)
+            await deployment.running.wait_until(lambda: budget.used_bytes == 0)
 
-    run(work())
+    run(scenario())
 
 
 async def respond_by_number(request: StreamedRequest) -> None:
@@ -173,11 +173,11 @@
 
 
 def test_all_memory_is_released_regardless_of_how_bodies_end() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(respond_by_number, respond_by_number) as deployment:
             await asyncio.gather(*(upload_by_number(deployment.port, number) for number in range(60)))
             await deployment.wait_until_idle()
             await deployment.wait_until(lambda: deployment.memory_budget.used_bytes == 0)
             assert len(deployment.records) == 60
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -35,23 +35,25 @@
     ids=["size", "end", "extension", "tiny", "trailers", "trailer", "overflow", "bare_lf"],
 )
 def test_malformed_chunks_cause_an_error_response_and_close_the_connection(malformed_bytes: bytes) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(None) + chunked(BODY.prefix(100 * KIB)))
-            await deployment.server.arrived.get()  # the request has been forwarded
+            await deployment.server.arrivals.get()  # the request has been forwarded
             client.send(malformed_bytes + upload_head(3) + b"abc")
             status, headers = await read_response_head(client)
             assert status in (400, 413, 431)
             assert headers["connection"] == "close"
             await deployment.wait_until_idle()
-            assert len(deployment.server.seen) == 1  # the remaining bytes are not parsed as a request
+            assert (
+                len(deployment.server.received_requests) == 1
+            )  # the remaining bytes are not parsed as a request
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
-    run(work())
+    run(scenario())
 
 
 def test_body_of_wrong_length_is_not_completed_and_its_excess_is_not_parsed_as_a_request() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment:
             async with HttpClient(deployment.port) as client:  # shorter than announced
                 client.send(upload_head(MIB) + BODY.prefix(MIB - 1))
@@ -66,9 +68,9 @@
                 status, headers = await read_response_head(client)
                 assert (status, headers["connection"]) == (400, "close")
             await deployment.wait_until_idle()
-            assert len(deployment.server.seen) == 2
+            assert len(deployment.server.received_requests) == 2
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -85,26 +87,26 @@
     ids=["both_lengths", "two_lengths", "plus", "codings", "obs_fold", "bare_lf", "space"],
 )
 def test_request_smuggling_attempt_gets_400_and_closes_the_connection(framing_lines: bytes) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             client.send(b"POST /d HTTP/1.1\r\nHost: d\r\n" + framing_lines + b"\r\n")
             client.send(b"3\r\nabc\r\n0\r\n\r\n" + upload_head(3) + b"abc")
             status, headers = await read_response_head(client)
             assert (status, headers["connection"]) == (400, "close")
             await deployment.wait_until_idle()
-            assert not deployment.server.seen
+            assert not deployment.server.received_requests
 
-    run(work())
+    run(scenario())
 
 
 def test_body_over_the_limit_gets_413_by_its_length_or_when_it_exceeds_the_limit() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload, request={"most_bytes": MIB}) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(MIB + 1, Expect="100-continue"))
                 status, _ = await read_response_head(client)
                 assert status == 413
-                assert not deployment.server.seen
+                assert not deployment.server.received_requests
             async with HttpClient(deployment.port) as client:
                 client.send(upload_head(None) + chunked(BODY.prefix(MIB)) + chunked(b"x"))
                 status, headers = await read_response_head(client)
@@ -112,11 +114,11 @@
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
-    run(work())
+    run(scenario())
 
 
 def test_100_continue_is_sent_once_and_never_before_a_rejection() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         response = {"match": {"path": {"prefix": "/no"}}, "to": {"answer": {"status": 403, "body": "no"}}}
         async with deployed(store_upload, routes=[{"name": "no"} | response]) as deployment:
             async with HttpClient(deployment.port) as client:
@@ -124,7 +126,7 @@
                 assert (await read_response_head(client))[0] == 100
                 client.send(BODY.prefix(MIB))
                 assert (await read_response_head(client))[0] == 200
-                assert "expect" not in deployment.server.seen[0].headers
+                assert "expect" not in deployment.server.received_requests[0].headers
             for rejected_fields in ({"target": "/no/way"}, {"X_Qos": "nobody"}):
                 async with HttpClient(deployment.port) as client:
                     client.send(upload_head(MIB, **{"Expect": "100-continue"} | rejected_fields))
@@ -132,6 +134,6 @@
                     assert status == (403 if "target" in rejected_fields else 400)
                     assert headers["connection"] == "close"
             await deployment.wait_until_idle()
-            assert len(deployment.server.seen) == 1
+            assert len(deployment.server.received_requests) == 1
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_server_failures.py
+++ b/tests/streaming/test_server_failures.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("chunks", [False, True], ids=["length", "chunked"])
 def test_truncated_response_is_never_forwarded_as_complete(chunks: bool) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(truncated_response_handler(chunks)) as deployment,
             HttpClient(deployment.port) as client,
@@ -58,10 +58,10 @@
             assert [(end.outcome, end.final) for end in deployment.decisions.attempt_ends] == [
                 (Outcome.RESET, True)
             ]
-            assert len(deployment.server.seen) == 1  # a response that has begun is never retried
+            assert len(deployment.server.received_requests) == 1  # a response that has begun is never retried
             assert [record.truncated_by for record in deployment.records] == ["server"]
 
-    run(work())
+    run(scenario())
 
 
 def http_1_0_download_head() -> bytes:
@@ -73,7 +73,7 @@
     would make a truncated response look complete.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve_body(MIB // 2, chunks=True)) as deployment:
             async with HttpClient(deployment.port) as client:
                 client.send(http_1_0_download_head())
@@ -88,7 +88,7 @@
                 with pytest.raises(ConnectionResetError):
                     await client.read_to_end()
 
-    run(work())
+    run(scenario())
 
 
 def test_early_response_and_close_before_the_end_of_the_request_is_forwarded() -> None:
@@ -98,7 +98,7 @@
         request.connection.writer.write_eof()
         await request.connection.ended()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(respond_early) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(8 * MIB))
             client.send(BODY.prefix(300 * KIB))
@@ -107,9 +107,9 @@
             assert await client.reader.readexactly(6) == b"enough"
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.OK]
-            assert len(deployment.server.seen) == 1
+            assert len(deployment.server.received_requests) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_server_reset_in_mid_body_of_a_non_idempotent_request_gets_502_without_retry() -> None:
@@ -121,7 +121,7 @@
         await request.body(stop_at=8 * KIB)
         request.connection.reset()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(reset_in_mid_body, reset_in_mid_body) as deployment,
             HttpClient(deployment.port) as client,
@@ -135,7 +135,7 @@
             assert not [action for action in deployment.decisions.actions if isinstance(action, Reject)]
             assert deployment.requests_seen == 1
 
-    run(work())
+    run(scenario())
 
 
 async def reset_after(request: StreamedRequest, size: int) -> None:
@@ -153,7 +153,7 @@
         else:
             await store_upload(request)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             size = 4 * MIB
             client.send(upload_head(size, X_Qos="look"))
@@ -168,14 +168,14 @@
             # The replay buffer was released during the second attempt.
             assert len(deployment.decisions.events_of(Unrepeatable)) == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_request_is_not_retried_after_its_replay_buffer_was_released() -> None:
     async def serve(request: StreamedRequest) -> None:
         await reset_after(request, MIB)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve, serve) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(4 * MIB, X_Qos="look"))
             client.send(BODY.prefix(2 * MIB))
@@ -188,7 +188,7 @@
             assert len([action for action in deployment.decisions.actions if isinstance(action, Send)]) == 1
             assert deployment.requests_seen == 1
 
-    run(work())
+    run(scenario())
 
 
 MAX_UPLOADS = 60  # enough uploads that each server is selected for at least one attempt
@@ -197,7 +197,7 @@
 def test_long_upload_is_retried_after_a_failed_connect() -> None:
     """No bytes were written to the server, so even a non-idempotent request is retried."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload, store_upload) as deployment:
             deployment.server.close()
             await asyncio.sleep(0)
@@ -210,7 +210,7 @@
             await deployment.wait_until_idle()
             assert set(deployment.decisions.outcomes) == {Outcome.CONNECT_FAILED, Outcome.OK}
 
-    run(work())
+    run(scenario())
 
 
 def test_long_error_response_fails_the_request_like_a_short_one() -> None:
@@ -220,11 +220,11 @@
             head("HTTP/1.1 500 X", Content_Length=str(MIB)) + SeededBody(3).prefix(MIB)
         )
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(respond_with_long_error) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, MIB)
             assert (await read_response_head(client))[0] == 502
             await deployment.wait_until_idle()
             assert [action for action in deployment.decisions.actions if isinstance(action, Fail)]
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -58,7 +58,7 @@
 def test_client_sending_one_byte_at_a_time_is_rejected_without_a_server_connection() -> None:
     """No server connection is opened until enough of the body is buffered to justify a server's slot."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(store_upload, request=TRICKLE_LIMITS) as deployment,
             HttpClient(deployment.port) as client,
@@ -70,11 +70,11 @@
             assert deployment.server.connections == 0
             assert not deployment.decisions.events
 
-    run(work())
+    run(scenario())
 
 
 def test_client_slow_in_mid_body_occupies_a_server_no_longer_than_configured() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(store_upload, request=TRICKLE_LIMITS) as deployment,
             HttpClient(deployment.port) as client,
@@ -88,11 +88,11 @@
                 (408, "client")
             ]
 
-    run(work())
+    run(scenario())
 
 
 def test_client_stalled_in_mid_upload_gets_408() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(store_upload, **CLIENT_STALLS) as deployment,
             HttpClient(deployment.port) as client,
@@ -102,15 +102,15 @@
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
-    run(work())
+    run(scenario())
 
 
 def test_short_body_has_the_same_progress_limits_as_a_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """Otherwise 60 KiB over a slow link would be rejected although 70 KiB would be accepted."""
-    monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_MS", 1_000.0)
-    monkeypatch.setattr(ClientConnection, "REQUEST_MS", 1_000.0)
+    monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1_000.0)
+    monkeypatch.setattr(ClientConnection, "REQUEST_TIMEOUT_MS", 1_000.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             for _ in range(2):
                 client.send(upload_head(32 * KIB))
@@ -124,7 +124,7 @@
             client.send(upload_head(32 * KIB) + BODY.prefix(KIB))
             assert (await read_response_head(client))[0] == 408
 
-    run(work())
+    run(scenario())
 
 
 def test_server_stalled_in_mid_upload_of_a_fast_client_times_out_without_retry() -> None:
@@ -134,7 +134,7 @@
         await request.body(stop_at=MIB)
         await asyncio.sleep(3600.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(read_part_and_stall, read_part_and_stall, **SERVER_STALLS) as deployment,
             HttpClient(deployment.port) as client,
@@ -147,7 +147,7 @@
             assert deployment.decisions.outcomes == [Outcome.TIMEOUT]
             assert deployment.requests_seen == 1
 
-    run(work())
+    run(scenario())
 
 
 def test_server_stalled_in_mid_response_times_out_and_the_response_is_truncated() -> None:
@@ -157,7 +157,7 @@
             await request.connection.send(chunked(piece))
         await request.connection.ended()
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(respond_in_part_and_stall, response={"writer_stall_ms": STALL_MS}) as deployment,
             HttpClient(deployment.port) as client,
@@ -174,11 +174,11 @@
             assert [record.truncated_by for record in deployment.records] == ["server"]
             await deployment.wait_until_server_idle()
 
-    run(work())
+    run(scenario())
 
 
 def test_client_that_stops_reading_in_mid_response_is_disconnected() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         limits = {"reader_stall_ms": STALL_MS}
         async with (
             deployed(serve_body(64 * MIB), response=limits) as deployment,
@@ -193,7 +193,7 @@
             await deployment.wait_until_server_idle()
             assert deployment.flow_statistics.peak_bytes <= 192 * KIB
 
-    run(work())
+    run(scenario())
 
 
 # Rate far below the minimum rate of the other side, so that a limit applied to the wrong side is detected.
@@ -228,7 +228,7 @@
     limits = tight_limits("writer" if slow_side == "server" else "reader")
     pause_s = SLOW_PIECE_BYTES / SLOW_BYTES_PER_S if slow_side == "client" else None
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve, request=limits) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(2 * MIB))
             await send_body(client, 2 * MIB, max_piece_bytes=SLOW_PIECE_BYTES, pause_s=pause_s)
@@ -236,27 +236,27 @@
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.OK]
 
-    run(work())
+    run(scenario())
 
 
 def test_client_sending_time_is_not_counted_as_server_latency() -> None:
     """The server latency reported to the balancer runs from the last byte of the request to the response."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(MIB) + BODY.prefix(MIB - 1))
-            await deployment.server.arrived.get()
+            await deployment.server.arrivals.get()
             await asyncio.sleep(2.0)
             client.send(BODY.prefix(MIB)[-1:])
             assert (await read_response(client))[0] == 200
             await deployment.wait_until_idle()
             assert deployment.decisions.attempt_ends[0].spent_ms < 1_500.0
 
-    run(work())
+    run(scenario())
 
 
 def test_exchange_that_exceeds_its_total_time_is_ended_with_504() -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         times = {"aim_ms": 1_000, "deadline_ms": 1_500}
         async with deployed(store_upload, bodies={"total_ms": 1_500}, times=times) as deployment:
             async with HttpClient(deployment.port) as client:
@@ -266,7 +266,7 @@
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
             assert [record.truncated_by for record in deployment.records] == ["time"]
 
-    run(work())
+    run(scenario())
 
 
 def test_timeout_of_a_server_that_never_responds_runs_from_the_last_byte_of_the_upload() -> None:
@@ -274,10 +274,10 @@
         await request.body()
         await asyncio.sleep(3600.0)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(read_and_never_respond) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(MIB) + BODY.prefix(MIB))
-            await deployment.server.arrived.get()
+            await deployment.server.arrivals.get()
             # The attempt's timeout is the latency objective of the class and starts with the last byte.
             (exchange,) = deployment.dispatcher._exchanges.values()
             attempt = exchange.attempts[0]
@@ -291,4 +291,4 @@
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.TIMEOUT]
 
-    run(work())
+    run(scenario())
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -32,24 +32,24 @@
 @pytest.mark.parametrize("chunks", [False, True], ids=["length", "chunked"])
 @pytest.mark.parametrize("size", [0, 1, 64 * KIB, 64 * KIB + 1, 5 * MIB])
 def test_upload_arrives_complete_once_and_unchanged(size: int, chunks: bool) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             for _ in range(2):  # the second request checks that the connection is reusable
                 await send_upload(client, size, chunks)
                 await assert_stored(client, size)
             await deployment.wait_until_idle()
-            assert len(deployment.server.seen) == 2
+            assert len(deployment.server.received_requests) == 2
             assert deployment.flow_statistics.opened == (
                 2 if size > 64 * KIB or (chunks and size == 64 * KIB) else 0
             )
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize("chunks", [False, True], ids=["length", "chunked"])
 @pytest.mark.parametrize("size", [0, 64 * KIB + 1, 5 * MIB])
 def test_response_arrives_complete_once_and_unchanged(size: int, chunks: bool) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve_body(size, 2, chunks)) as deployment, HttpClient(deployment.port) as client:
             for _ in range(2):
                 client.send(download_head())
@@ -62,7 +62,7 @@
                 assert len(deployment.decisions.events_of(AnswerStarted)) == (2 if size else 0)
             assert deployment.decisions.outcomes == [Outcome.OK, Outcome.OK]
 
-    run(work())
+    run(scenario())
 
 
 def test_trailers_are_forwarded_except_forbidden_ones() -> None:
@@ -72,7 +72,7 @@
         received_trailers.append((await request.body()).trailers)
         await serve_body(MIB, 2, True)(request)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, MIB, chunks=True)
             _, body = await read_response(client)
@@ -80,7 +80,7 @@
             assert body.complete
             assert body.trailers == {"x-sum": "7"}
 
-    run(work())
+    run(scenario())
 
 
 def test_response_may_begin_before_the_request_ends_and_both_bodies_are_streamed_at_once() -> None:
@@ -93,7 +93,7 @@
             await request.connection.send(chunked(piece))
         await request.connection.send(b"0\r\n\r\n")
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(echo) as deployment, HttpClient(deployment.port) as client:
             sending = asyncio.create_task(send_upload(client, 8 * MIB))
             status, body = await read_response(client)
@@ -101,7 +101,7 @@
             assert (status, body.size, body.crc) == (200, 8 * MIB, BODY.crc(8 * MIB))
             await deployment.wait_until_idle()
 
-    run(work())
+    run(scenario())
 
 
 def test_memory_of_a_request_with_a_slow_server_stays_below_its_ceiling() -> None:
@@ -114,15 +114,15 @@
         body = await request.body(max_read_bytes=32 * KIB, pause=pause)
         await send_text_response(request, f"{body.size} {body.crc}")
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(read_slowly) as deployment, HttpClient(deployment.port) as client:
             await send_upload(client, 12 * MIB)
             assert (await read_response(client))[0] == 200
             await deployment.wait_until_idle()
             assert 0 < deployment.flow_statistics.peak_bytes <= 192 * KIB
-            assert deployment.flow_statistics.over == 0
+            assert deployment.flow_statistics.ceiling_exceeded_count == 0
 
-    run(work())
+    run(scenario())
 
 
 def test_slow_response_is_streamed_after_its_hold_time() -> None:
@@ -133,7 +133,7 @@
         received = await request.connection.reader.read(1)
         assert not received
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with (
             deployed(respond_in_part, bodies={"answer_hold_ms": 20}) as deployment,
             HttpClient(deployment.port) as client,
@@ -142,7 +142,7 @@
             assert (await read_response_head(client))[0] == 200
             assert await client.reader.readexactly(10) == b"5\r\nfirst\r\n"
 
-    run(work())
+    run(scenario())
 
 
 def test_pipelined_requests_around_a_long_one_get_responses_in_order() -> None:
@@ -152,7 +152,7 @@
         else:
             await store_upload(request)
 
-    async def work() -> None:
+    async def scenario() -> None:
         async with deployed(serve) as deployment, HttpClient(deployment.port) as client:
             client.send(download_head() + upload_head(MIB) + BODY.prefix(MIB) + download_head())
             sizes = []
@@ -163,4 +163,4 @@
             assert sizes == [3, len(f"{MIB} {BODY.crc(MIB)}"), 3]
             await deployment.wait_until_idle()
 
-    run(work())
+    run(scenario())
--- a/tests/telemetry/test_event_recorder.py
+++ b/tests/telemetry/test_event_recorder.py
@@ -34,12 +34,12 @@
     instance.handle(500.0, TimerFired(4), WatchList(True, 1, 41, 2000.0, 2500.0))
     instance.now_ms = START_MS + 3_000.0
     failed = ListUpdate(ListKind.FAILED, 41, call=1)
-    instance.recorder.on_endpoint_list(failed, [], "no answer in 2.5 s")
+    instance.recorder.on_endpoint_list(failed, [], "no response within 2.5 s")
     instance.recorder.on_event(failed, [])
     instance.handle(3_100.0, RequestArrived(1, 0, 1000.0), Send(1, 1, 500.0))
     lines = instance.json_lines
     assert lines[1]["out"] == [["watchlist", 1, 41, 2000, 2500]]
-    assert (lines[2]["kind"], lines[2]["call"], lines[2]["why"]) == ("failed", 1, "no answer in 2.5 s")
+    assert (lines[2]["kind"], lines[2]["call"], lines[2]["why"]) == ("failed", 1, "no response within 2.5 s")
     # A failed poll does not reset the list's age: 3.1 s since the start.
     assert lines[3]["out"] == [["send", 1, 1, 500.0, 3100.0]]
     assert count_fleets([instance.lines])[0].seconds[3][Column.OLDEST_LIST_MS] == 3100
--- a/tests/testkit/test_behaviours.py
+++ b/tests/testkit/test_behaviours.py
@@ -23,15 +23,15 @@
 from testkit.wire import RESPONSE_TIMEOUT_S
 
 
-def with_client(behaviour: Behaviour, work: Callable[[HttpClient], Awaitable[None]]) -> None:
-    """Runs `work` with a client that has sent a request to a server with this behaviour."""
+def with_client(behaviour: Behaviour, scenario: Callable[[HttpClient], Awaitable[None]]) -> None:
+    """Runs `scenario` with a client that has sent a request to a server with this behaviour."""
 
     async def run() -> None:
         server = await FakeServer(behaviour).start()
         try:
             async with asyncio.timeout(RESPONSE_TIMEOUT_S), HttpClient(server.port) as client:
                 client.send_request(target="/api?7")
-                await work(client)
+                await scenario(client)
         finally:
             server.close()
 
@@ -48,61 +48,61 @@
     ],
 )
 def test_each_request_gets_a_response(behaviour: Behaviour, expected: tuple[int, bytes]) -> None:
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         first = await client.read_response()
         client.send_request(target="/api?7")
         second = await client.read_response()
         assert (first.status, first.body) == expected
         assert (second.status, second.body) == expected
 
-    with_client(behaviour, work)
+    with_client(behaviour, scenario)
 
 
 def test_behaviour_waits_for_its_event() -> None:
     event = asyncio.Event()
 
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         response = asyncio.create_task(client.read_response())
         await asyncio.sleep(0.05)
         assert not response.done()
         event.set()
         assert (await response).body == b"late"
 
-    with_client(waits_for(event, serves(b"late")), work)
+    with_client(waits_for(event, serves(b"late")), scenario)
 
 
 def test_server_that_disconnects_sends_nothing() -> None:
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         assert await client.read_to_end() == b""
 
-    with_client(disconnects, work)
+    with_client(disconnects, scenario)
 
 
 @pytest.mark.parametrize("body_bytes", [0, 1, 1000])
 def test_response_is_truncated_after_the_given_number_of_body_bytes(body_bytes: int) -> None:
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
         assert await client.read_to_end() == b"x" * body_bytes
 
-    with_client(disconnects_after(body_bytes), work)
+    with_client(disconnects_after(body_bytes), scenario)
 
 
 @pytest.mark.parametrize("body_bytes", [0, 1, 1000])
 def test_response_stalls_after_the_given_number_of_body_bytes(body_bytes: int) -> None:
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         head = await client.reader.readuntil(b"\r\n\r\n")
         assert b"Content-Length: %d\r\n" % (body_bytes + 1) in head
         assert await client.reader.readexactly(body_bytes) == b"x" * body_bytes
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.reader.read(1), 0.05)
 
-    with_client(stalls_after(body_bytes), work)
+    with_client(stalls_after(body_bytes), scenario)
 
 
 def test_server_that_never_responds_leaves_the_connection_open() -> None:
-    async def work(client: HttpClient) -> None:
+    async def scenario(client: HttpClient) -> None:
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(client.reader.read(1), 0.05)
 
-    with_client(never_responds, work)
+    with_client(never_responds, scenario)
--- a/tests/testkit/test_request_log.py
+++ b/tests/testkit/test_request_log.py
@@ -25,7 +25,7 @@
 
 def test_request_without_a_response_or_with_two_is_a_fault() -> None:
     request_log = RequestLog()
-    request_log.add("t1", "look", 0.0).lost = "reset"
+    request_log.add("t1", "look", 0.0).failure = "reset"
     request_log.add("t2", "look", 0.0).responses.extend((response(200), response(200)))
     assert request_log.faults(NON_IDEMPOTENT) == ["t1: 0 responses reset", "t2: 2 responses "]
 
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -86,19 +86,19 @@
 def test_response_maps_to_the_outcome_in_the_protocol_table(behave: Behaviour, outcome: Outcome) -> None:
     """Guards the outcome table: a wrong outcome could let a non-idempotent request run twice."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         script = ScriptedBalancer([1])
         async with loopback(behave, script=script) as network:
             network.client.send_request("move", b"x")
             response = await network.client.read_response()
-            event = await script.ended()
+            event = await script.next_attempt_end()
         assert event.outcome is outcome
         assert event.final is (outcome is Outcome.OK)
         assert (response.status, response.body) == ((200, b"served") if outcome is Outcome.OK else (502, b""))
         assert len(network.server.requests) == 1
-        assert len(script.ends()) == 1
+        assert len(script.attempt_ends()) == 1
 
-    run(work())
+    run(scenario())
 
 
 async def assert_connect_fails(port: int, connect_timeout_ms: float = 2_000) -> None:
@@ -108,7 +108,7 @@
     async with loopback(script=script, entries=(entry("a", port),), limits=limits) as network:
         network.client.send_request("move", b"x")
         assert (await network.client.read_response()).status == 502
-        assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
+        assert (await script.next_attempt_end()).outcome is Outcome.CONNECT_FAILED
 
 
 def test_refused_connection_ends_as_connect_failed() -> None:
@@ -129,7 +129,7 @@
     request may have run.
     """
 
-    async def work() -> None:
+    async def scenario() -> None:
         closed = asyncio.Event()
 
         async def waits_for_disconnect(_request: ReceivedRequest, connection: FakeConnection) -> None:
@@ -140,13 +140,13 @@
         async with loopback(waits_for_disconnect, script=script) as network:
             network.client.send_request("move", b"x")
             assert (await network.client.read_response()).status == 502
-            event = await script.ended()
+            event = await script.next_attempt_end()
             assert event.outcome is Outcome.TIMEOUT
             assert event.spent_ms >= 1_000
             async with asyncio.timeout(RESPONSE_TIMEOUT_S):
                 await closed.wait()
 
-    run(work())
+    run(scenario())
 
 
 class _AttemptWithWrite:
@@ -179,7 +179,7 @@
 def test_reset_before_the_last_byte_is_sent_ends_as_connect_failed() -> None:
     """Guards the rule when a request may have run: the server resets while part of the request is unsent."""
 
-    async def work(listener: socket.socket) -> None:
+    async def scenario(listener: socket.socket) -> None:
         # With small buffers the body exceeds what the operating system accepts, so its last byte stays
         # unsent.
         script = ScriptedBalancer([1])
@@ -191,11 +191,11 @@
             head = await loop.sock_recv(connection, 100)
             assert head.startswith(b"POST")
             connection.close()  # closing with unread bytes sends a reset
-            assert (await script.ended()).outcome is Outcome.CONNECT_FAILED
+            assert (await script.next_attempt_end()).outcome is Outcome.CONNECT_FAILED
             assert (await network.client.read_response()).status == 502
 
     with listener_with_small_buffer() as listener:
-        run(work(listener))
+        run(scenario(listener))
 
 
 async def attempt_in_flight(pool: ConnectionPool) -> Attempt:
@@ -211,7 +211,7 @@
 def test_failure_after_any_response_byte_means_the_request_may_have_run(silent: bool) -> None:
     """Guards non-idempotent requests: one may have run if the server responds before reading all of it."""
 
-    async def work(listener: socket.socket) -> None:
+    async def scenario(listener: socket.socket) -> None:
         script = ScriptedBalancer([1])
         async with loopback(script=script, entries=(entry("a", listening_port(listener)),)) as network:
             loop = asyncio.get_running_loop()
@@ -226,9 +226,9 @@
             else:
                 connection.close()
             expected = Outcome.TIMEOUT if silent else Outcome.RESET
-            assert (await script.ended()).outcome is expected
+            assert (await script.next_attempt_end()).outcome is expected
             assert (await network.client.read_response()).status == 502
             connection.close()
 
     with listener_with_small_buffer() as listener:
-        run(work(listener))
+        run(scenario(listener))
