--- a/tests/balancing/guidance/test_shared_ramp.py
+++ b/tests/balancing/guidance/test_shared_ramp.py
@@ -38,9 +38,8 @@
     ramp.add_servers([server], 1_000.0)
     ramp.grant([RampShare(7, 1.0, 2.0)], 2_000.0, 4_000.0, 5_000.0, 2_100.0)
     assert ramp.allocation(server, 2_500.0) == RampAllocation(1.0, 2.0)
-    assert ramp.allocation(server, 3_500.0) == RampAllocation(
-        0.5, 2.0
-    )  # decay in the second half of the lease
+    # Decay in the second half of the lease.
+    assert ramp.allocation(server, 3_500.0) == RampAllocation(0.5, 2.0)
     assert ramp.allocation(server, 4_000.0) == RampAllocation(0.0, 0.0)
     assert ramp.allocation(server, 5_000.0) == RampAllocation(0.25, 1.0)
     assert count_admitted(ramp, server, 2_100, 4_000) > 2.0 * integrate_ramp(2_100, 4_000) / 4.0
--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -258,9 +258,8 @@
             assert server_numbers(change) == [2]
             assert received_updates(script, ListKind.DELTA) == [change]
             network.balancer.discovery_client.stop()
-            network.balancer.discovery_client.relocate(
-                ("127.0.0.1", old.port)
-            )  # ignored after stop: no call is made
+            # Ignored after stop: no call is made.
+            network.balancer.discovery_client.relocate(("127.0.0.1", old.port))
         assert all("after=" in call for call in remaining_calls(old))
         new.stop()
 
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -82,9 +82,8 @@
                 (1, Outcome.OK, True),
                 (0, Outcome.OK, True),
             ]
-            await request_ok(
-                network.client, target="/ready"
-            )  # nothing of the second response precedes this one
+            # Nothing of the second response precedes this one.
+            await request_ok(network.client, target="/ready")
             assert not network.balancer.dispatcher._exchanges
 
     run(scenario())
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -105,9 +105,8 @@
 
 def test_connections_with_an_incomplete_request_can_be_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that never complete their requests must not be able to occupy every connection."""
-    monkeypatch.setattr(
-        ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1e9
-    )  # none times out before it can be evicted
+    # None times out before it can be evicted.
+    monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1e9)
 
     async def scenario() -> None:
         async with loopback(serve_ok, clients=0, machine=FEW_DESCRIPTORS) as network:
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -44,9 +44,8 @@
             assert status in (400, 413, 431)
             assert headers["connection"] == "close"
             await deployment.wait_until_idle()
-            assert (
-                len(deployment.server.received_requests) == 1
-            )  # the remaining bytes are not parsed as a request
+            # The remaining bytes are not parsed as a request.
+            assert len(deployment.server.received_requests) == 1
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
     run(scenario())
