--- a/sandhatch/cli/changes.py
+++ b/sandhatch/cli/changes.py
@@ -161,7 +161,7 @@
 
 
 def show_version(response: Response, console: Console) -> None:
-    """Print a version's state, the reason for it, and the remaining times."""
+    """Print a version's state, the reason for it, and the times until its rollback and its watch's end."""
     console.line(f"version {response['version']}: {response['state']}")
     if response.get("why"):
         console.problems([response["why"]])
--- a/sandhatch/cli/console.py
+++ b/sandhatch/cli/console.py
@@ -60,5 +60,5 @@
 
 
 def warn(text: str) -> None:
-    """Print a warning on standard error, before a console exists."""
+    """Print a warning on standard error; for use before a `Console` exists."""
     Console(sys.stdout, sys.stderr).error(text)
--- a/sandhatch/cli/demo.py
+++ b/sandhatch/cli/demo.py
@@ -1,4 +1,4 @@
-"""The verb `demo`: runs fake servers, traffic and a configuration change under it, on loopback.
+"""The verb `demo`: runs fake servers, traffic and a configuration change during the traffic, on loopback.
 
 The demo runs in a process of its own, since the program never imports the fake servers.
 """
--- a/sandhatch/cli/serve.py
+++ b/sandhatch/cli/serve.py
@@ -59,7 +59,7 @@
         console.problems(failure.problems)
         return ExitCode.FAILED
     console.problems(checked.warnings)
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload its file
     # Imported here, since the other verbs start faster without the service and its event loop.
     import uvloop
 
--- a/sandhatch/cli/status.py
+++ b/sandhatch/cli/status.py
@@ -23,12 +23,16 @@
 
 def add_verbs(verbs: VerbParsers) -> None:
     """Add status, history and show."""
-    handler = partial(call_service, build_arguments=_no_arguments, show=_show_status)
-    verbs.add("status", "show the active and the pending version, pools, listeners and proposals", handler)
-    handler = partial(call_service, build_arguments=_no_arguments, show=_show_history)
-    verbs.add("history", "list the versions and their final states", handler)
-    handler = partial(call_service, build_arguments=_version_argument, show=_show_text)
-    verbs.add("show", "print a version's configuration", handler).add_argument("version", type=int, nargs="?")
+    verb_handler = partial(call_service, build_arguments=_no_arguments, show=_show_status)
+    verbs.add(
+        "status", "show the active and the pending version, pools, listeners and proposals", verb_handler
+    )
+    verb_handler = partial(call_service, build_arguments=_no_arguments, show=_show_history)
+    verbs.add("history", "list the versions and their final states", verb_handler)
+    verb_handler = partial(call_service, build_arguments=_version_argument, show=_show_text)
+    verbs.add("show", "print a version's configuration", verb_handler).add_argument(
+        "version", type=int, nargs="?"
+    )
 
 
 def _no_arguments(args: argparse.Namespace) -> dict[str, Any]:  # noqa: ARG001 - signature of BuildArguments
--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Stage:
-    """Build what the version needs alongside the active version; report `staged` or `failed`."""
+    """Build what the version needs alongside the active version; report `staged` or `staging_failed`."""
 
     version: Version
 
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Compare the goodput from now on with that before; report `goodput_dropped` if it drops."""
+    """Compare the goodput under the version with the goodput before; report `goodput_dropped` if it drops."""
 
     version: Version
 
--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -104,7 +104,7 @@
 
 
 def _leaves(key: Key, value: Any) -> Iterator[tuple[Key, Any]]:
-    """Yield each leaf of a value with its key; nothing for ABSENT."""
+    """Yield each leaf of a value with the leaf's key; yield nothing if the value is ABSENT."""
     if value is ABSENT:
         return
     if isinstance(value, dict) and (value or not key):
@@ -178,7 +178,7 @@
     `ours`.
 
     Raises:
-        MergeError: Both sides changed the same keys to different values.
+        MergeError: The changes of both sides conflict; conflicting orders of a list are no error.
     """
     keys = [
         key for key in find_conflicts(diff(base, ours), diff(base, theirs)) if not key.endswith(ORDER_LEAF)
--- a/sandhatch/config/document.py
+++ b/sandhatch/config/document.py
@@ -111,8 +111,8 @@
                     raise self._error(event, "expected one document in the file, got a second one")
 
     def _error(self, event: yaml.Event, text: str) -> DocumentError:
-        path = self._stack[-1].path if self._stack else ()
-        return DocumentError(Problem(self.document.file, _line(event), dotted(path), text))
+        key_path = self._stack[-1].path if self._stack else ()
+        return DocumentError(Problem(self.document.file, _line(event), dotted(key_path), text))
 
     def _awaiting_key(self) -> _OpenCollection | None:
         """Return the innermost collection if it is a mapping that expects a key next."""
--- a/sandhatch/config/errors.py
+++ b/sandhatch/config/errors.py
@@ -58,7 +58,7 @@
 
 
 class MergeError(ValueError):
-    """Two changes of one base conflict; `keys` holds the keys that both change."""
+    """Two changes of one base conflict; `keys` holds the keys in conflict."""
 
     def __init__(self, keys: list[str]) -> None:
         """Store the dotted paths of all keys in conflict."""
--- a/sandhatch/config/goodput_watch.py
+++ b/sandhatch/config/goodput_watch.py
@@ -2,18 +2,21 @@
 
 Goodput is the priority weight of the requests served in time over the priority weight of all requests
 received. Time is divided into blocks. A request counts in the block of its arrival; it is served in time if
-its response arrives within the latency objective of its class, and rejected if its status is 429 or 503.
+a response with status 200 is sent within the latency objective of its class, and rejected if its status is
+429 or 503.
 
 Blocks before the change are compared with blocks after it by a one-sided rank test (`rank_statistics`). The
 test makes no assumption about how failures cluster: blocks, not requests, are the samples, since one burst
-fails many requests at once. All classes together, each class and each pool are tested separately, and the
-test is repeated as blocks end. The configured significance is divided by the number of these tests
-(Bonferroni), so that it bounds the probability of a false alarm over the whole watch.
+fails many requests at once. All classes together, each class and each pool are tested separately (after a
+change of pools alone, only these pools), and the test is repeated as blocks end. The configured significance
+is divided by the number of these tests (Bonferroni), so that it bounds the probability of a false alarm over
+the whole watch.
 
 Bursts last longer than a block. Consecutive blocks are therefore combined into groups, which are as long as
 the goodput before the change was correlated, and at least four blocks. The groups are ranked, and the goodput
 since the change must also be lower, by the minimum drop, than in any equally long window before. A collapse,
-to under a quarter of the goodput of the worst such window, does not wait for the rank test.
+to under a quarter of the goodput of the worst such window, does not wait for the rank test if it lasts at
+least twice as long as the goodput was correlated.
 
 A significant drop must also be large, and must not be explained by more load alone: if a higher weight is
 received than before and no less weight is served in time, the pools are full, but the change is not at fault.
@@ -32,8 +35,8 @@
 
 MIN_BLOCKS_AFTER = 3  # number of blocks after the change before a drop is reported
 MIN_BLOCKS_BEFORE = 10  # number of blocks before the change; with fewer, no drop is reported
-MIN_REQUESTS_AFTER = 20  # requests of a class or pool after the change; with fewer, it is not tested
-MIN_BLOCKS_PER_GROUP = 4  # a few bursts before the change do not show how long bursts last
+MIN_REQUESTS_AFTER = 20  # requests after the change; a class or pool with fewer is not tested
+MIN_BLOCKS_PER_GROUP = 4  # lower bound, as a few bursts before the change do not show how long bursts last
 MIN_LOAD_RATIO = 1.1  # received weight after the change to before; above it, full pools may explain a drop
 MIN_SERVED_RATIO = 0.9  # served weight after the change to before; below it, full pools explain no drop
 COLLAPSE_RATIO = 0.25  # goodput after the change to the worst window before; below it, no rank test is needed
@@ -268,7 +271,7 @@
         return next((drop for drop in drops if drop is not None), None)
 
     def _test(self, name: str, after: list[Block], significance: float) -> GoodputDrop | None:
-        """Return the goodput drop of one class or pool; None if there is none."""
+        """Return the goodput drop of one class, one pool or all classes; None if there is none."""
         empty = Tally()
         tallies_before = [block.tallies.get(name, empty) for block in self.blocks_before]
         tallies_after = [block.tallies.get(name, empty) for block in after]
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -199,7 +199,7 @@
         return {int(row["version"]) for row in state["versions"]} | {state["confirmed"], state["pending"]}
 
     def _retain_previous(self, path: Path) -> None:
-        """Link the state as the previous state too, so that one of both names exists at any moment."""
+        """Link the state file under the name of the previous state too, so that one of them always exists."""
         if path.exists():
             self._before_step("link")
             spare = path.with_name(SPARE_STATE_FILE)
--- a/sandhatch/config/model.py
+++ b/sandhatch/config/model.py
@@ -1,4 +1,4 @@
-"""The project's own configuration as a whole: its keys with their units, defaults and bounds.
+"""Sandhatch's own, versioned configuration as a whole: its keys with their units, defaults and bounds.
 
 A field's name is its key in the file. Every model rejects unknown keys. References between keys, such as
 from a route to its pool, are checked in `references`. Source: docs/operators/configuration.md.
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -31,8 +31,8 @@
         private_key_file: File with this planner's Ed25519 key.
         forwarders: Public keys of the forwarders by name; only with `private_key_file`.
         lease_ms: Time for which a grant is valid.
-        lend_ms: Time for which a forwarder leases its shares to the planner after the last advice that it
-            used; also the length of a planner's learning phase after its start.
+        lend_ms: Time for which a forwarder leases its shares to the planner, from the last advice that the
+            forwarder used; also the length of a planner's learning phase after its start.
         look_ms: Interval between two computations of the weights.
         enough: Fraction of a pool's forwarders that must have reported before weights are advised.
         most_holders: Maximum number of forwarders with a share in one server's warm-up.
--- a/sandhatch/config/pool_settings.py
+++ b/sandhatch/config/pool_settings.py
@@ -17,7 +17,9 @@
 def pool_settings(model: Configuration, pool: Pool) -> Settings:
     """Return the settings of one pool's balancer; all pools share the classes and tenants."""
     return Settings(
-        classes=[_request_class(name, request_class) for name, request_class in model.classes.items()],
+        classes=[
+            _request_class(class_name, request_class) for class_name, request_class in model.classes.items()
+        ],
         tenants=[Tenant(tenant.quota_per_s, tenant.fraction, name) for name, tenant in model.tenants.items()],
         instance_index=model.planning.place if model.planning is not None else 0,
         instances=pool.copies,
@@ -39,12 +41,12 @@
     )
 
 
-def _request_class(name: str, request_class: RequestClassModel) -> RequestClass:
+def _request_class(class_name: str, request_class: RequestClassModel) -> RequestClass:
     return RequestClass(
         objective_ms=request_class.aim_ms,
         deadline_ms=request_class.deadline_ms,
         effect=Effect(request_class.effect),
         priority_weight=request_class.worth,
         deduplication_ms=request_class.memory_ms,
-        name=name,
+        name=class_name,
     )
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -30,8 +30,8 @@
         check: Function that checks merged data in full; raises CheckError.
 
     Raises:
-        RejectedError: CONFLICT, if the proposal and the versions since its base change the same keys, if the
-            proposal does not allow a merge, or if the result of the merge has errors.
+        RejectedError: CONFLICT, if the base is not active and the changes of the proposal and of the active
+            version conflict, the proposal does not allow a merge, or the result of the merge has errors.
     """
     if base is active:
         return proposal.checked
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -4,8 +4,8 @@
 applies a proposal to a newer version. The rules:
 
 - A proposal names its base. If another version is active when the proposal is made or committed, the
-  proposal is rejected with the keys that both change; or it is merged, if it allows that and no key is in
-  conflict. The result of a merge is checked in full.
+  proposal is merged with that version if the proposal allows it and no key is in conflict; otherwise it is
+  rejected, with the keys in conflict if there are any. The result of a merge is checked in full.
 - A commit while another change is in progress is rejected, with the keys in conflict if there are any.
 
 Source: NETCONF's candidate configuration (RFC 6241, section 8.3), and HAProxy's transactions, which name the
@@ -117,8 +117,9 @@
             watched: Whether the goodput is watched, provided that the new configuration enables the watch.
 
         Raises:
-            RejectedError: There is no such proposal, another change is in progress, keys are in conflict,
-                or nothing differs from the active version.
+            RejectedError: There is no such proposal, another change is in progress, the base is unknown or
+                the proposal can't be merged, nothing differs from the active version, or the process is
+                stopping.
         """
         self._reject_if_stopping()
         proposal = self._proposals.get(number)
@@ -175,7 +176,8 @@
             a proposal with the earlier version's content.
 
         Raises:
-            RejectedError: There is no such confirmed version, or the process is stopping.
+            RejectedError: There is no such confirmed version, there are too many proposals, or the process is
+                stopping.
         """
         self._reject_if_stopping()
         lifecycle = self._lifecycle
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -1,7 +1,7 @@
 """One version of the configuration and its states.
 
 A table holds the allowed transitions; any other transition is a programming error. No I/O and no clock.
-Source: docs/operators/configuration.md, the part on changes under traffic.
+Source: docs/operators/configuration.md, section on changes under traffic.
 """
 
 from __future__ import annotations
@@ -60,7 +60,8 @@
             for no such limit.
         watch_window_ms: Time after the activation for which the goodput is watched; None for no watch.
         confirm_by_ms: Time at which the active version is rolled back unless it is confirmed manually.
-        watch_until_ms: Time at which the active version is confirmed if no goodput drop is detected.
+        watch_until_ms: Time at which the watch ends; a version that has no time limit for manual confirmation
+            is confirmed then.
     """
 
     number: int
--- a/sandhatch/config/version_lifecycle.py
+++ b/sandhatch/config/version_lifecycle.py
@@ -6,11 +6,13 @@
     state       call                                            next state   actions
     ----------  ----------------------------------------------  -----------  --------------------------------
     STAGING     staged                                          SAVING       Save
-    STAGING     failed, roll_back_pending, stop                 FAILED       DiscardStaged
+    STAGING     staging_failed, roll_back_pending, stop         FAILED       DiscardStaged
     SAVING      saved                                           ACTIVE       Apply; Watch if it is watched
-    SAVING      save_failed, failed, roll_back_pending, stop    FAILED       DiscardStaged
-    ACTIVE      confirm; tick at the end of the watch; at once  CONFIRMING   EndWatch if it was watched; Save
-                if it needs neither a watch nor a confirmation
+    SAVING      save_failed, staging_failed,                    FAILED       DiscardStaged
+                roll_back_pending, stop
+    ACTIVE      confirm; tick at the end of the watch if no     CONFIRMING   EndWatch if it was watched; Save
+                manual confirmation is required; at once if
+                it needs neither a watch nor a confirmation
     ACTIVE      goodput_dropped, roll_back_pending; tick if it  ROLLED_BACK  EndWatch if it was watched;
                 is not confirmed in time                                     Apply of the confirmed version,
                                                                              Retire, Save
@@ -60,7 +62,7 @@
     Attributes:
         versions: Most recent versions by number, oldest first.
         active: Version that every new request is assigned to.
-        confirmed: Version that a rollback or a restart returns to.
+        confirmed: Last confirmed version, which a rollback or a restart returns to.
         pending: Version in progress, from STAGING to its final state; None if there is none.
         stopping: Whether the process is stopping and accepts no further change.
     """
@@ -140,13 +142,13 @@
     def staged(self, version: Version) -> None:
         """Report that `Stage` succeeded."""
         if version is not self.pending or version.state is not State.STAGING:
-            self._actions.append(DiscardStaged(version))  # rolled back while it was being staged
+            self._actions.append(DiscardStaged(version))  # the version was rolled back while it was staged
             return
         version.transition(State.SAVING)
         self._save(version)
 
     def staging_failed(self, version: Version, why: str) -> None:
-        """Report that a version could not be staged or saved; the active version stays."""
+        """Fail a version that could not be staged or saved, or was given up; the active version stays."""
         if version is self.pending and version.state in NOT_APPLIED:
             version.transition(State.FAILED, why)
             self.pending = None
@@ -194,7 +196,10 @@
     # -------------------------------------------- confirming
 
     def tick(self, now_ms: float) -> None:
-        """Confirm or roll back the pending version if its watch or its confirmation time is over."""
+        """Roll back the pending version if it was not confirmed manually in time.
+
+        Confirm it at the end of its watch if it has no time limit for manual confirmation.
+        """
         version = self.pending
         if version is None or version.state is not State.ACTIVE:
             return
--- a/sandhatch/control/client.py
+++ b/sandhatch/control/client.py
@@ -15,7 +15,7 @@
     """A connection to a control socket, used as a context manager. Calls are served in order."""
 
     def __init__(self, path: str, timeout_s: float = 30.0) -> None:
-        """Connect.
+        """Connect to a control socket.
 
         Args:
             path: Path of the control socket.
--- a/sandhatch/control/errors.py
+++ b/sandhatch/control/errors.py
@@ -11,14 +11,18 @@
     The values are part of the control protocol (`why` in a response).
     """
 
-    INVALID = "invalid"  # malformed call, or unknown operation or argument
+    INVALID = "invalid"  # malformed or too long call, buffer limit exceeded, unknown operation or argument
     UNKNOWN = "unknown"  # the call names an object that does not exist
     BUSY = "busy"  # too many peers are connected
     INTERNAL = "internal"  # unexpected error in the service
 
 
 class CallError(ValueError):
-    """The received bytes are not a call; nothing more is read from the peer that sent them."""
+    """The received bytes can't be used as a call or a response, and nothing more is read from their sender.
+
+    Raised in the server for a line that is too long or not a JSON object, and if the incomplete calls of all
+    peers together exceed the buffer limit; in the client, for such a line in place of a response.
+    """
 
 
 class ControlError(Exception):
@@ -26,4 +30,4 @@
 
 
 class UnreachableError(Exception):
-    """No service responds at the path; the message names the path and the cause."""
+    """No process responds at the path, or its response is unusable; the message names path and cause."""
--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -27,8 +27,8 @@
 
     async def check(self, call: Call) -> dict[str, Any]:
         """Check a configuration's text."""
-        checked = await _check_text(call.text("text"))
-        return {"warnings": [str(problem) for problem in checked.warnings]}
+        checked_configuration = await _check_text(call.text("text"))
+        return {"warnings": [str(problem) for problem in checked_configuration.warnings]}
 
     async def propose(self, call: Call) -> dict[str, Any]:
         """Check a configuration's text and retain it as a proposal."""
@@ -36,8 +36,10 @@
         comment = call.text("comment", "")[:MAX_SHOWN_CHARS]
         merge = call.flag("merge", False)
         text = call.text("text")
-        checked = await _check_text(text)
-        proposal = self._service.propose_checked(checked, base, call.author, comment, merge, len(text))
+        checked_configuration = await _check_text(text)
+        proposal = self._service.propose_checked(
+            checked_configuration, base, call.author, comment, merge, len(text)
+        )
         base_data = self._service.lifecycle.versions[proposal.base].data
         return {
             "proposal": proposal.number,
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -41,7 +41,7 @@
     def __init__(
         self, calls: CallRunner, logger: Logger, path: str, call_timeout_s: float = CALL_TIMEOUT_S
     ) -> None:
-        """Prepare to serve; `start` listens.
+        """Create a server that does not listen before `start`.
 
         Args:
             calls: Operations that serve the calls.
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -21,9 +21,10 @@
         self._service = service
 
     async def commit(self, call: Call) -> dict[str, Any]:
-        """Change to a proposal.
+        """Turn a proposal into a version and activate it.
 
-        Responds once the version is active or has failed; with "wait", once it is confirmed or has ended.
+        Responds once the version is active or has failed; with "wait", once its state is final (confirmed,
+        failed or rolled back).
         """
         wait = call.flag("wait", False)
         version = self._service.commit(
@@ -34,18 +35,18 @@
         return await self._row_when_decided(version, wait)
 
     async def confirm(self, call: Call) -> dict[str, Any]:
-        """Confirm the pending version."""
+        """Confirm the pending version; respond once its state is final."""
         version = self._service.confirm(call.optional_integer("version"))
         return await self._row_when_decided(version, wait=True)
 
     async def extend(self, call: Call) -> dict[str, Any]:
-        """Give the pending version more time to be confirmed."""
+        """Set the time that is left to confirm the pending version."""
         within_ms = call.duration_ms("within_ms")
         version = self._service.extend(within_ms, call.optional_integer("version"))
         return version_row(version, self._service.now_ms)
 
     async def rollback(self, call: Call) -> dict[str, Any]:
-        """Roll back the pending version, or to an earlier one."""
+        """Roll back the pending version, or commit the configuration of an earlier version anew."""
         version = self._service.rollback(call.author, call.optional_integer("to"))
         return await self._row_when_decided(version, call.flag("wait", False))
 
--- a/sandhatch/control/version_row.py
+++ b/sandhatch/control/version_row.py
@@ -8,7 +8,11 @@
 
 
 def version_row(version: Version, now_ms: float) -> dict[str, Any]:
-    """Return the version's row; its keys are set by the protocol, remaining times are in milliseconds."""
+    """Return the version's row; its keys are set by the protocol.
+
+    An active version's row has the milliseconds left until it is rolled back unless it is confirmed, and
+    until its goodput comparison ends.
+    """
     row: dict[str, Any] = {
         "version": version.number,
         "base": version.base,
--- a/sandhatch/platform/graceful_shutdown.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -1,7 +1,7 @@
 """Graceful shutdown: accept while connections still arrive, respond to every received request, then end.
 
-The shutdown ends as soon as no request is pending. Source: the platform's pages PROTOCOL and DEPLOY, for the
-times around SIGTERM and SIGKILL.
+The shutdown ends as soon as accepting has ended and no request is pending. Source: the platform's pages
+PROTOCOL and DEPLOY, for the times around SIGTERM and SIGKILL.
 """
 
 from __future__ import annotations
@@ -55,7 +55,9 @@
     has_pending_requests: Callable[[], object],
     longest_deadline_ms: float,
 ) -> None:
-    """Shuts down the listeners; returns once no request is pending or the longest deadline has passed.
+    """Shuts down the listeners; returns once they accept no more and no request is pending.
+
+    Returns at the latest when `ACCEPT_MS`, `RESPONSE_READ_MS` and the longest deadline together have passed.
 
     Args:
         clock: The process's clock.
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -1,6 +1,6 @@
 """Assembly of the platform's program: one listener, one pool, configured by the platform.
 
-Starts nothing itself: `sandhatch.__main__` does.
+Nothing is started here: `sandhatch.__main__` starts the program.
 """
 
 from __future__ import annotations
--- a/sandhatch/routing/coverage.py
+++ b/sandhatch/routing/coverage.py
@@ -61,6 +61,6 @@
             found.append(CoveredRoute(index, cover))
             continue  # the covering route also covers every route that this one covers
         if route.regex is not None or route.headers:
-            continue  # whether such a route covers another one is not certain
+            continue  # a route with a regular expression or headers does not certainly cover another one
         earlier.add(index, route)
     return found
--- a/sandhatch/runtime/coalescing_runner.py
+++ b/sandhatch/runtime/coalescing_runner.py
@@ -1,6 +1,6 @@
 """Runs work requested by signals, one run at a time; requests during a run are coalesced into one more run.
 
-Independent of the work that it runs. Never runs the work twice concurrently and never drops a request.
+The runner never runs the work twice concurrently, and never drops a request.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
     def trigger(self) -> None:
         """Requests a run and returns immediately.
 
-        If no run is in progress, one is started on the running event loop. Otherwise exactly one more run
-        follows, however often `trigger` is called in the meantime. A run therefore always begins after the
-        last call.
+        If no run is in progress, one is started on the running event loop. During a run, however often
+        `trigger` is called, exactly one more run follows; calls before a requested run begins add none. A run
+        therefore always begins after the last call.
         """
         self._requested = True
         if self._task is None or self._task.done():
--- a/sandhatch/runtime/descriptor_budget.py
+++ b/sandhatch/runtime/descriptor_budget.py
@@ -1,6 +1,6 @@
 """The budget of descriptors for connections to servers, shared by all pools.
 
-Opens and closes nothing itself: where a descriptor is needed, a pool is asked to close an idle connection.
+The budget closes nothing itself: if a descriptor is needed, it asks a pool to close an idle connection.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class DescriptorHolder(Protocol):
-    """Connections of one pool."""
+    """The connections of one pool to its servers, which use descriptors."""
 
     @property
     def connection_count(self) -> int:
--- a/sandhatch/runtime/environment.py
+++ b/sandhatch/runtime/environment.py
@@ -1,6 +1,6 @@
 """Environment variables whose names changed when the package was renamed to sandhatch.
 
-Does not read the environment itself: it is passed in.
+The environment is passed in, not read here.
 """
 
 from __future__ import annotations
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -1,4 +1,4 @@
-"""Ids of requests that are in flight in any pool or have finished recently. Reads no clock.
+"""Ids of requests that are in flight in any pool or have finished recently. No clock is read here.
 
 Every request has a new id, so a duplicate that arrives just after the response must not run either, whichever
 pool it would go to.
@@ -36,20 +36,20 @@
         self._finished_queue: deque[tuple[float, bytes]] = deque()
         self.retention_ms = retention_ms
 
-    def __contains__(self, trace_id: bytes) -> bool:
+    def __contains__(self, request_id: bytes) -> bool:
         """Whether a request with this id is in flight or has finished recently."""
-        return trace_id in self.in_flight or trace_id in self.finished
+        return request_id in self.in_flight or request_id in self.finished
 
-    def begin(self, trace_id: bytes) -> None:
+    def begin(self, request_id: bytes) -> None:
         """Records that a request with this id is in flight."""
-        self.in_flight.add(trace_id)
+        self.in_flight.add(request_id)
 
-    def end(self, trace_id: bytes, now_ms: float) -> None:
+    def end(self, request_id: bytes, now_ms: float) -> None:
         """Records that the request has finished, and removes ids whose retention time has passed."""
-        self.in_flight.discard(trace_id)
-        self.finished[trace_id] = now_ms
+        self.in_flight.discard(request_id)
+        self.finished[request_id] = now_ms
         finished_queue = self._finished_queue
-        finished_queue.append((now_ms, trace_id))
+        finished_queue.append((now_ms, request_id))
         while finished_queue and (
             len(finished_queue) > self.MAX_FINISHED or finished_queue[0][0] <= now_ms - self.retention_ms
         ):
--- a/sandhatch/runtime/logger.py
+++ b/sandhatch/runtime/logger.py
@@ -1,6 +1,6 @@
 """Log lines on standard error, limited in rate and length.
 
-Never raises and buffers nothing: a line that cannot be written is lost.
+The logger never raises and buffers nothing: a line that cannot be written is lost.
 """
 
 from __future__ import annotations
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -1,6 +1,6 @@
 """The memory budget that all connections share, for buffered bodies, heads and responses.
 
-Allocates no memory and does no I/O: it counts bytes and queues the waiters for them.
+The budget allocates no memory: it counts bytes, and queues reservations until bytes are free.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
         return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
     def update_usage(self, old_bytes: int, new_bytes: int) -> bool:
-        """Counts a change in the bytes that one holder buffers.
+        """Counts a change in the bytes that one holder, such as a body or a connection, buffers.
 
         The change is counted in any case, because the bytes are in memory already. Bytes that become free are
         granted to waiters.
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -38,7 +38,8 @@
         """Check that the key files of a version that is being staged can be read.
 
         Raises:
-            StageError: A key file can't be read; the message names the key and the cause.
+            StageError: A key file can't be read, or the extra `planning` is not installed; the message names
+                the configuration key and the cause.
         """
         if model.planning is not None and model.planning.planners:
             self._read_identity(model.planning)
@@ -91,8 +92,8 @@
     def _build_link(self, spec: Planning, identity: Identity, now_ms: float) -> ForwarderLink:
         from sandhatch.planning.link import ForwarderLink
 
-        # None: this process can't know whether an earlier process has leased its shares. An earlier link of
-        # this process, in contrast, knows until when its leases last.
+        # `previous_lease_ms` is None without an earlier link of this process: whether an earlier process has
+        # leased its shares can't be known. An earlier link, in contrast, knows until when its leases last.
         previous_lease_ms = None
         if self._earlier_leases_until_ms is not None:
             previous_lease_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
@@ -116,7 +117,7 @@
             self.link.stop()
 
     def status(self) -> dict[str, Any] | None:
-        """Return the status of the link; None if no planner is configured."""
+        """Return the status of the link; None if there is no link to planners."""
         return self.link.status() if self.link is not None else None
 
 
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -1,6 +1,7 @@
 """Compares the goodput under a new version with the goodput before it, from the service's requests.
 
-`config.goodput_watch` decides whether a fall is significant; this module supplies it with requests.
+`config.goodput_watch` decides whether a fall in goodput is significant; this module supplies the
+requests.
 """
 
 from __future__ import annotations
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -4,7 +4,7 @@
 connections. A changed pool gets a new dispatcher, which inherits its predecessor's state
 (`sandhatch.balancing.state_transfer`) and idle connections; requests of older versions stay with the
 predecessor until they have ended. Shortly before the drain grace period ends, older versions stop sending to
-servers that the newer version does not list.
+servers that are not ready in the newer version.
 """
 
 from __future__ import annotations
@@ -153,9 +153,9 @@
             inherit_state(balancer, previous_balancer, frozenset(migrated_servers))
 
     def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
-        """Stop superseded pools from sending to servers that their successors don't list.
+        """Stop superseded pools from sending to servers that are not ready in the active pool of their name.
 
-        Applies to a pool from `WITHDRAW_BEFORE_GRACE_END_MS` before the end of its drain grace period on.
+        This applies to a pool from `WITHDRAW_BEFORE_GRACE_END_MS` before its drain grace period ends.
         """
         for pool in self.by_fingerprint.values():
             superseded_at_ms = pool.superseded_at_ms
--- a/sandhatch/service/readiness.py
+++ b/sandhatch/service/readiness.py
@@ -1,4 +1,4 @@
-"""Waits until a pool can serve: its endpoint list has been received and a server accepts connections.
+"""Waits until a pool can serve: its endpoint list has a ready server and, if required, one can be reached.
 
 No request is sent. The whole wait is bounded by `STAGE_TIMEOUT_S`.
 """
@@ -17,10 +17,11 @@
 
 
 async def wait_until_ready(pool: RunningPool) -> None:
-    """Wait for the pool's endpoint list, and check that a server accepts a connection.
+    """Wait for the pool's endpoint list; if `require_reachable` is set, also connect to one of its servers.
 
     Raises:
-        StageError: No list was received in time, no server is ready, or no server can be connected to.
+        StageError: No list with a ready server was received in time, or a reachable server is required and
+            none is ready or can be connected to.
     """
     try:
         async with asyncio.timeout(STAGE_TIMEOUT_S):
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -32,8 +32,10 @@
     Attributes:
         current: The active version; None until the first one is activated.
         on_version_freed: Called with a retired version once its last request has ended.
-        on_request_received: Called with the time, class name, pool name and version of each request.
-        on_request_finished: Called with each finished request and its version.
+        on_request_received: Called with the arrival time, class name, pool name and version of each request
+            that is dispatched to a pool.
+        on_request_finished: Called with the record and the version of each finished request, whether a
+            pool or a fixed response served it.
     """
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
--- a/sandhatch/service/running_pool.py
+++ b/sandhatch/service/running_pool.py
@@ -43,7 +43,7 @@
         spec: Configuration of the pool.
         dispatcher: Balancer, connections and endpoint list of the pool.
         version_count: Number of versions that use the pool; at 0 the pool is closed.
-        started: Whether the pool's endpoint list is being watched.
+        started: Whether the source of the pool's endpoint list has been started.
         superseded_at_ms: Time when the active version stopped using the pool, in Unix milliseconds; None as
             long as the active version uses the pool.
     """
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -31,14 +31,14 @@
         return name
 
     def listed_since_ms(self, address: str, now_ms: float) -> float:
-        """Return when the address was first listed, in Unix milliseconds; `now_ms` if it is new.
+        """Return since when the address is listed, in Unix milliseconds; for a new address, that is `now_ms`.
 
-        0 means that the address was listed before the process started.
+        `now_ms` is 0 for a server that does not warm up, such as those of the first version.
         """
         return self._listed_since_ms.setdefault(address, now_ms)
 
     def retain(self, addresses: set[str]) -> None:
-        """Remove all other addresses: an address that is listed again later may be another process."""
+        """Forget since when all other addresses were listed: listed again, one may be another process."""
         self._listed_since_ms = {
             address: since_ms for address, since_ms in self._listed_since_ms.items() if address in addresses
         }
--- a/sandhatch/telemetry/__init__.py
+++ b/sandhatch/telemetry/__init__.py
@@ -1,5 +1,5 @@
 """Event recording: log lines of the events and actions of one instance, and a report over a fleet's lines.
 
-Observes only: nothing here changes a decision or raises into the observed code. Source: the project's own;
-the lines are described in `record_format`.
+The package only observes: nothing here changes a decision or raises into the observed code. `record_format`
+describes the lines. Source: none; written for this project.
 """
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -1,7 +1,7 @@
-"""The event recorder: writes each event that one instance receives, with the resulting actions, as a line.
+"""The event recorder: writes the events that one instance receives, with the resulting actions, as lines.
 
-Never changes what it observes and never raises: a line that cannot be written is lost.
-Source: the project's own; off unless `SANDHATCH_RECORD` is set (`deploy/record.toml`).
+The recorder never changes what it observes and never raises: a line that cannot be written is lost.
+Source: none; written for this project. Off unless `SANDHATCH_RECORD` is set (`deploy/record.toml`).
 """
 
 from __future__ import annotations
@@ -49,7 +49,8 @@
     endpoint list is recorded when it is sent (`watchlist`: number, version, wait, response timeout) and,
     under its number, by the line of the list that completes it; a failed poll gives its reason as `why`. A
     send has the age of the endpoint list that its server was chosen from: milliseconds since the last
-    complete response of discovery or, before the first one, since the start.
+    full or delta list from discovery or, before the first of these, since the first list event of any kind. A
+    timer without a recorded action has no line.
 
     With `RecordScope.LISTS` only lists and polls have lines of their own, and sends are counted by server.
     That is enough to see which instance sent on the basis of how old a list, and the log stays short under
@@ -93,12 +94,15 @@
         addresses: Sequence[str],
         failure_reason: str = "",
     ) -> None:
-        """Stores the addresses of the list that `on_event` receives next, and the reason of a failed poll."""
+        """Stores the addresses of the list that `on_event` receives next.
+
+        Also stores why the poll or the subscription failed, if the list is the result of such a failure.
+        """
         self._addresses = addresses
         self._list_failure = failure_reason
 
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
-        """Records an event with the resulting actions."""
+        """Records an event with the resulting actions, or only counts the sends; see `RecordScope`."""
         if isinstance(event, ListUpdate):
             self._write_sends()
             if self._list_confirmed_at_ms is None or event.kind in (ListKind.FULL, ListKind.DELTA):
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -2,8 +2,8 @@
 
     python -m sandhatch.telemetry.fleet_report LOG...
 
-Reads only those lines and skips all others; only `main` reads files.
-Source: the project's own; `event_recorder` describes the lines.
+All other lines of the logs are skipped; only `main` reads files. `event_recorder` describes the lines.
+Source: none; written for this project.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
     ATTEMPTS = "sent"
     RETRIES = "repeat"  # attempts after the first one of a request
     ATTEMPTS_TO_WARMING_UP = "cold"  # attempts sent to servers that started less than the warm-up time ago
-    ATTEMPTS_TO_REMOVED = "gone"  # attempts sent to servers that any instance knew to be draining or removed
+    ATTEMPTS_TO_REMOVED = "gone"  # attempts to servers that were not ready in the latest list that has them
     OK = "ok"
     FULL = "full"
     CONNECT_FAILED = "connect"
--- a/sandhatch/telemetry/record_format.py
+++ b/sandhatch/telemetry/record_format.py
@@ -1,8 +1,8 @@
 """The line format of the event record: formatting and parsing.
 
-Never reads a clock or a file. The keys and names in the lines (`copy`, `again`, `refuse`, ...) are a stable
+No clock or file is read here. The keys and names in the lines (`copy`, `again`, `refuse`, ...) are a stable
 interface for scripts; only this module maps them to the names that the code uses.
-Source: the project's own; `deploy/record.toml` turns the record on.
+Source: none; written for this project. `deploy/record.toml` turns the record on.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 ATTEMPT_EVENT = AttemptEnded.__name__
 LIST_EVENT = ListUpdate.__name__
 
-SEND_ACTION = "send"  # name of a recorded send; an action's first value is its name
+SEND_ACTION = "send"  # name of a recorded send; each recorded action is a list that starts with its name
 
 
 def format_line(
@@ -62,7 +62,7 @@
     Args:
         event: Event that the balancer received.
         addresses: Addresses of the servers in the latest endpoint list, in its order.
-        list_failure: Reason why the latest poll of discovery failed; empty if it succeeded.
+        list_failure: Why the latest poll of discovery or the subscription to it failed; empty if none failed.
     """
     fields: dict[str, Any] = {"in": type(event).__name__}
     match event:
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerSends:
+class ServerSendCount:
     """Number of attempts sent to one server."""
 
     server: int  # number local to the instance
@@ -164,11 +164,11 @@
     event: str
     sends: tuple[RecordedSend, ...] = ()
     other_actions: tuple[str, ...] = ()  # names of the recorded actions other than sends
-    is_client_retry: bool = False  # set for a request that its client marked as a retry
+    is_client_retry: bool = False  # whether the event is a request that its client marked as a retry
     outcome: Outcome | None = None  # outcome of an attempt
     list_kind: str = ""  # value of the list update's `ListKind`
     servers: tuple[RecordedServer, ...] = ()
-    sends_by_server: tuple[ServerSends, ...] = ()  # sends counted over an interval
+    sends_by_server: tuple[ServerSendCount, ...] = ()  # sends counted over an interval
     list_age_ms: float | None = None  # maximum age of the lists that the counted sends are based on
 
 
@@ -203,7 +203,7 @@
         details["servers"] = tuple(_parse_server(row) for row in fields["servers"])
     elif event == SENDS_EVENT:
         details["sends_by_server"] = tuple(
-            ServerSends(int(number), sent) for number, sent in fields["sent"].items()
+            ServerSendCount(int(number), sent) for number, sent in fields["sent"].items()
         )
         details["list_age_ms"] = fields["age_ms"]
     return EventRecord(
--- a/tests/config/test_diff.py
+++ b/tests/config/test_diff.py
@@ -56,9 +56,11 @@
 
 
 def test_removing_a_mapping_conflicts_with_a_change_inside_it() -> None:
-    without = sample(pools__orders=None)
+    without_orders = sample(pools__orders=None)
     inside = sample(pools__orders__servers__o1__address="127.0.0.1:9999")
-    assert find_conflicts(diff(BASE, without), diff(BASE, inside)) == ["pools.orders.servers.o1.address"]
+    assert find_conflicts(diff(BASE, without_orders), diff(BASE, inside)) == [
+        "pools.orders.servers.o1.address"
+    ]
     emptied = sample(pools__orders__servers={})
     added = sample(pools__orders__servers__o2={"address": "127.0.0.1:1"})
     assert find_conflicts(diff(BASE, emptied), diff(BASE, added)) == ["pools.orders.servers"]
--- a/tests/config/test_document.py
+++ b/tests/config/test_document.py
@@ -12,7 +12,7 @@
 
 
 def test_scalars_follow_the_core_schema() -> None:
-    """Guards names like `no` and times like 22:30, which YAML 1.1 converts to booleans and numbers."""
+    """Guards against the conversions of YAML 1.1, which makes names like `no` booleans and 22:30 a number."""
     data = parse("a: no\nb: 22:30\nc: 1.5\nd: true\ne: ~\nf: '1'\ng: 0x1f\nh: 1_000\ni: -3\n").data
     assert data == {
         "a": "no",
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -74,7 +74,7 @@
 
 
 def test_two_hundred_harmless_changes_under_noise_raise_no_false_alarm() -> None:
-    """False alarms over whole watches, with bursts both before and after the change."""
+    """No watch of a harmless change reports a drop, with bursts of failures before and after the change."""
     false_alarms = 0
     for seed in range(200):
         driver = WatchDriver(seed)
@@ -88,8 +88,10 @@
 
 
 def test_bursts_longer_than_a_block_raise_no_false_alarm_over_two_hundred_changes() -> None:
-    """A burst affects up to eight consecutive blocks, before and after the change: one sample, not eight. The
-    watch must have seen bursts to allow for them, so it compares with a minute before, as by default.
+    """Guards against counting a burst, which lasts up to eight consecutive blocks, as eight samples.
+
+    The watch must have seen bursts to allow for them, so it compares with a minute before the change, as by
+    default.
     """
     false_alarms = 0
     for seed in range(200):
@@ -161,7 +163,7 @@
         watch.request_ended(n * BLOCK_MS, "order", "web", 1.0, True, False)
     watch.close(40 * BLOCK_MS, 2_000.0)
     watch.begin(40 * BLOCK_MS, 30_000.0, 0.01, 0.05)
-    for n in range(41, 52):  # these requests never end
+    for n in range(41, 52):  # requests that do not end, except for one that ends too late
         for _ in range(20):
             watch.request_arrived(n * BLOCK_MS + 1.0, "order", "web", 1.0)
     assert watch.close(52 * BLOCK_MS, 10_000_000.0) is None
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -91,7 +91,7 @@
 
 
 class CrashInjector:
-    """Raises SimulatedCrash before the nth step of writing to the disk; never for 0."""
+    """Raises SimulatedCrash before the nth step of writing to the disk, where 0 stands for never."""
 
     def __init__(self, at_step: int) -> None:
         self.steps_left = at_step
@@ -109,6 +109,7 @@
     history.save(Record(confirmed, pending, max(confirmed, pending) + 1, rows), contents)
 
 
+# Saves in order: confirmed version, pending version or 0, and contents; behind each, what it stands for.
 STEPS: list[tuple[int, int, dict[int, Any]]] = [
     (1, 0, {1: {"v": 1}}),  # first start
     (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit of version 2, pending
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -65,7 +65,7 @@
 
 
 def test_a_merge_of_valid_changes_with_an_invalid_result_is_rejected() -> None:
-    """One change removes a pool without routes, the other adds a route to it. They share no key."""
+    """One change removes a pool that no route leads to, the other adds a route to it; they share no key."""
     with_spare_pool = sample(pools__spare={"servers": {"s": {"address": "127.0.0.1:1"}}})
     owner = FakeOwner()
     owner.activate_and_confirm(with_spare_pool)
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -144,7 +144,7 @@
 
 
 class TwoDiscoveries:
-    """Two servers, each listed by its own discovery: the program starts with `old`, then moves to `new`.
+    """Two servers, each listed by a discovery service of its own; the program moves from `old` to `new`.
 
     The environment names `old` throughout. Requests to the first server wait until `released` is set.
     """
@@ -189,7 +189,7 @@
 
 
 def test_sighup_moves_the_discovery_client_to_the_address_in_the_file(tmp_path: Path) -> None:
-    """Guards reloads: the file's discovery address takes precedence over the environment's, and the endpoint
+    """Checks reloads: the file's discovery address takes precedence over the environment's, and the endpoint
     list of that discovery replaces the old one.
 
     An invalid file is logged as one line and changes nothing, repeated signals and one during a shutdown do
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -21,10 +21,10 @@
         return True
 
 
-def budget(limit: int, *holders: ScriptedHolder) -> DescriptorBudget:
+def budget(limit: int, *connection_holders: ScriptedHolder) -> DescriptorBudget:
     descriptors = DescriptorBudget()
     descriptors.limit = limit
-    for holder in holders:
+    for holder in connection_holders:
         descriptors.holders[holder] = None
     return descriptors
 
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -114,7 +114,7 @@
         fake_servers = await FakeServers().start("a1", "o1")
         first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
         with socket.socket() as bound:
-            bound.bind(("127.0.0.1", 0))  # occupies the port without listening
+            bound.bind(("127.0.0.1", 0))  # occupies the port without listening on it
             dead = {"servers": {"x": {"address": f"127.0.0.1:{bound.getsockname()[1]}"}}}
             async with serving(first) as running, HttpClient(running.port) as client:
                 for pool, reason in (
@@ -212,7 +212,7 @@
 
 
 def test_servers_that_warm_up_get_a_small_share_after_a_change() -> None:
-    """Half of the servers are new: under load they get less than a tenth, where an even draw gives half."""
+    """Half of the servers are new: they get under a tenth of the attempts, where an even draw gives half."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "a2", "a3", "a4", "o1")
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -1,4 +1,4 @@
-"""`sandhatch serve` as a process: SIGKILL at every step of a change; SIGHUP, SIGTERM and a commit at once."""
+"""`sandhatch serve` as a process: SIGKILL at any step of a change, and SIGHUP and SIGTERM during a commit."""
 
 from __future__ import annotations
 
@@ -104,7 +104,9 @@
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
 def test_confirmed_version_is_active_after_sigkill_at_any_step_of_a_change(tmp_path: Path, step: str) -> None:
-    """SIGKILL right after each call; after the restart, the confirmed version serves."""
+    """The process gets SIGKILL after the step, or during the call for `commit`; once it is started again, the
+    version that was confirmed last serves requests.
+    """
 
     async def scenario() -> None:
         async with serve_process(tmp_path) as (program, fake_servers, first):
@@ -112,7 +114,7 @@
             assert await responding_server(program.port) == b"a1"
             proposed = await program.call("propose", text=json.dumps(config_with_b1(first, fake_servers)))
             expected = {b"a1"}
-            if step == "commit":  # interrupts staging, saving or activation at an arbitrary point
+            if step == "commit":  # the kill interrupts staging, saving or activation at an arbitrary point
                 call = asyncio.create_task(program.call("commit", proposal=1, confirm_within_ms=60_000))
                 await asyncio.sleep(0.005)
                 await program.kill()
@@ -160,7 +162,9 @@
 
 
 def test_concurrent_sighup_sigterm_and_commit_lose_no_request(tmp_path: Path) -> None:
-    """Under load, every received request gets a response, and the process exits with status 0."""
+    """Under load, every response has status 200, each request that a server runs gets one response, and the
+    process exits with status 0.
+    """
 
     async def scenario() -> None:
         async with serve_process(tmp_path) as (program, fake_servers, first):
