--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -86,7 +86,7 @@
 
 @contextmanager
 def fixed_limit(limit: float) -> Iterator[None]:
-    """Replaces admission control's server capacity, in attempts of all instances, within the block."""
+    """Sets admission control's limit of attempts in flight per server, over all instances, for the block."""
     before = admission_control.MAX_ATTEMPTS_PER_SERVER
     admission_control.MAX_ATTEMPTS_PER_SERVER = limit
     try:
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Prints a line per scenario, and the minimum and mean ratio to the best fixed limit."""
+    """Prints a line per scenario, and the mean and minimum ratio of goodput to the best fixed limit's."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -47,7 +47,8 @@
 def max_lateness_ms(running: RunningService, activated_ms: dict[int, float]) -> float:
     """Returns the longest time from the end of a version to the last request routed by it.
 
-    If a version was activated more than once, only its last activation is considered.
+    A version ends when its successor is activated. The time is 0 if no version was used after its end. If a
+    version was activated more than once, only its last activation is considered.
 
     Args:
         running: Service with its request records.
@@ -104,7 +105,13 @@
 
 
 def format_p99(running: RunningService, baseline_end: int, commits_end: int) -> str:
-    """Formats the p99 of records before `baseline_end` and of those up to `commits_end`, and their ratio."""
+    """Formats the p99 latency with and without commits, and their ratio.
+
+    Args:
+        running: Service with its request records.
+        baseline_end: Number of records before the first commit.
+        commits_end: Number of records up to the end of the commits.
+    """
     waits_ms = [record.responded_at_ms - record.received_at_ms for record in running.records]
     without_ms = p99(waits_ms[:baseline_end])
     with_ms = p99(waits_ms[baseline_end:commits_end])
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -67,10 +67,10 @@
 
 
 class Processes:
-    """The processes of one part of the benchmark; their files are in one directory."""
+    """Processes started for one of the two measurements; their files are in one directory."""
 
     def __init__(self, directory: str, cores: Cores) -> None:
-        """Creates a set without processes."""
+        """Starts no process yet."""
         self._directory = Path(directory)
         self._cores = cores
         self._processes: list[asyncio.subprocess.Process] = []
@@ -226,7 +226,7 @@
 
 
 async def run(args: argparse.Namespace) -> None:
-    """Runs the first part unless it has no rounds, and the second unless it has no bodies."""
+    """Compares with the relay unless --rounds is 0, and sends many bodies at once unless --bodies is 0."""
     cores = split_cores()
     lines = []
     for measure, count in ((measure_large, args.rounds), (measure_many, args.bodies)):
--- a/benchmarks/long_bodies_memory.py
+++ b/benchmarks/long_bodies_memory.py
@@ -17,8 +17,8 @@
 
 MIB = 1024 * 1024
 SAMPLE_S = 0.5
-WARM_UP_FRACTION = 0.2  # fraction at the start of the run, excluded
-TAIL_FRACTION = 0.1  # fraction at the end of the run, excluded: the number of open bodies falls there
+WARM_UP_FRACTION = 0.2  # fraction at the start of the run, left out of the summary
+TAIL_FRACTION = 0.1  # fraction at the end, left out of the summary: fewer bodies are open
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
             await asyncio.sleep(SAMPLE_S)
 
     def summary(self, begin_s: float, end_s: float) -> str:
-        """Formats the range between warm-up and tail, and the least-squares slope in MiB a minute."""
+        """Formats memory between warm-up and tail: range, least-squares slope in MiB a minute, peaks."""
         span_s = end_s - begin_s
         samples = [
             sample
--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -90,7 +90,7 @@
 
     Attributes:
         outcome: `RESPONDED`, the response's status code or the name of an error.
-        passed_bytes: Size of the body if it was transferred completely, otherwise 0.
+        transferred_bytes: Size of the body if it was transferred completely, otherwise 0.
     """
 
     outcome: str
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -54,7 +54,7 @@
     work_ms: float = 100.0
     link_ms: float = 1.0
     loss: float = 0.0
-    fault: str = ""  # fault of the planners: KILLED or NOT_KILLED; empty in the shorter runs
+    fault: str = ""  # fault of the planners: KILLED or NOT_KILLED; empty in runs that end at END_MS
 
 
 @dataclass(frozen=True)
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -72,7 +72,7 @@
     """The processes of a run; their files are in one directory."""
 
     def __init__(self, directory: Path, cores: Cores) -> None:
-        """Creates a set without processes."""
+        """Starts no process yet."""
         self._directory = directory
         self._cores = cores
         self._key = directory / "key"
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -3,7 +3,7 @@
     python -m benchmarks.planning_scale [--forwarders 1000] [--servers 5000] [--planners 5] [--seconds 6]
     python -m benchmarks.planning_scale --trouble --loss 0.01 --link-ms 20
     python -m benchmarks.planning_scale --sizes          several sizes, to find where a planner fills a core
-    python -m benchmarks.planning_scale --faults 200     random faults on 200 seeds; none may exceed its ramp
+    python -m benchmarks.planning_scale --faults 200     random faults on 200 seeds; no ramp may be exceeded
 
 Forwarders are modelled (`planning_scale_model`). Servers are restarted one after another. All reports and
 advice are encoded and decoded as on the wire. Processor time is that of the planner's state machine alone,
@@ -52,7 +52,7 @@
     reports_per_s: float = 0.0
     up_bytes_per_s: float = 0.0
     down_bytes_per_s: float = 0.0
-    ramp_excess: float = 0.0  # maximum number of attempts beyond a ramp's rate
+    ramp_excess: float = 0.0  # maximum over servers of attempts beyond the ramp's rate
     ramp_used_share: float = 0.0
     broken_sessions: int = 0
     leasing: int = 0  # forwarders that lease their shares to a planner at the end
@@ -232,7 +232,7 @@
 
 
 def format_result(plan: TierPlan, result: ScaleResult) -> str:
-    """Formats a run's line."""
+    """Formats the line of figures of a run."""
     burst = plan.ramp_burst or plan.forwarders
     return (
         f"{plan.forwarders} forwarders, {plan.servers} servers, {plan.planners} planners:"
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -52,7 +52,7 @@
         self.servers = [ModelServer(number) for number in range(plan.servers)]
         self.names = [server.address for server in self.servers]
         self.restarts: list[int] = []
-        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # per forwarder
+        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # of one forwarder
 
 
 class ModelReporter:
--- a/benchmarks/request_rate.py
+++ b/benchmarks/request_rate.py
@@ -43,7 +43,7 @@
 
 
 def median_ratio(values: Sequence[float], reference: Sequence[float]) -> float:
-    """Returns the median of the ratios of each round."""
+    """Returns the median, over all rounds, of the ratio of a round's value to its reference."""
     return PairedRatio.of(values, reference).median
 
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -67,7 +67,7 @@
     """Starts both checkouts alternately; the first round fills the caches and is discarded."""
     checkouts = {"before": before, "now": ROOT}
     for checkout in checkouts.values():
-        # Without this, a checkout without byte code would start later than a compiled one.
+        # Without compilation, a checkout that has no byte code would start later than one that has.
         compileall.compile_dir(checkout / package_of(checkout), quiet=2)
     starts: dict[str, list[Start]] = {name: [] for name in checkouts}
     with tempfile.TemporaryDirectory() as directory:
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -2,10 +2,10 @@
 
     python -m benchmarks.through [--rounds N] [--seconds S] [--connections C] [--before DIR]
 
-The bytes and the clients are the same. Relay, balancers and servers are separate processes; measured ones are
-bound to one core, all others to the rest. Measured are the platform's program, the same balancer started
-by `serve` with its own configuration format, and with `--before` the platform's program of another checkout.
-Prints ratios.
+All measured processes get the same bytes from the same clients. Relay, balancers and servers are separate
+processes; measured ones are bound to one core, all others to the rest. Measured are the platform's program,
+the same balancer started by `serve` with its own configuration format, and with `--before` the platform's
+program of another checkout. Prints ratios.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
     """The processes of a run; their configuration files are in one directory."""
 
     def __init__(self, directory: str, cores: Cores) -> None:
-        """Creates a set without processes."""
+        """Starts no process yet."""
         self._directory = Path(directory)
         self._cores = cores
         self._servers = [free_port() for _ in range(SERVERS)]
--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -1,7 +1,7 @@
 """Named behaviours of a fake server: responses and faults, each a `Behaviour` for `FakeServer`.
 
-None of them sleeps: a behaviour waits only for an event or for the end of the connection. Source: the
-project's own.
+None of them sleeps: a behaviour waits only for an event or for the end of the connection. Source:
+none; written for this project.
 """
 
 from __future__ import annotations
@@ -51,9 +51,9 @@
     connection.reset()
 
 
-def disconnects_after(body_bytes: int) -> Behaviour:
-    """Begins a response, and resets the connection after `body_bytes` of its body."""
-    return partial(_send_and_disconnect, _truncated_response(body_bytes))
+def disconnects_after(sent_body_bytes: int) -> Behaviour:
+    """Begins a response, and resets the connection after `sent_body_bytes` of its body."""
+    return partial(_send_and_disconnect, _truncated_response(sent_body_bytes))
 
 
 def stalls_after(body_bytes: int) -> Behaviour:
--- a/testkit/bodies.py
+++ b/testkit/bodies.py
@@ -14,7 +14,7 @@
 from zlib import crc32
 
 BLOCK_BYTES = 64 * 1024
-PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of any read size
+PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of the size of any read
 UNLIMITED_BYTES = 1 << 60
 
 
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -161,7 +161,7 @@
         for pool, spec in self._configuration["pools"].items():
             for name, server in spec["servers"].items():
                 server["address"] = await self._tiers.start(pool, name)
-        # After all servers have started: one that starts later could be given the same port.
+        # Chosen after all servers have started: one that starts later could be given the same port.
         self._port = free_port()
         self._tiers.balancer_port = self._port
 
--- a/testkit/listening.py
+++ b/testkit/listening.py
@@ -1,6 +1,6 @@
 """Common base of all listening fakes: a loopback port, a task for each connection, and an orderly shutdown.
 
-Reads and writes nothing on a connection itself. Source: the project's own.
+Reads and writes nothing on a connection itself. Source: none; written for this project.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
     """A fake that accepts connections on the loopback.
 
     Attributes:
-        port: Port that the fake listens on; chosen by the system at the first start, unchanged afterwards.
+        port: Port that the fake listens on; if 0, the first start sets it to one that the system chooses.
         connections: Number of accepted connections.
     """
 
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -1,6 +1,7 @@
 """A closed-loop load generator: clients that send requests one after another over persistent connections.
 
-Logs every request and never retries one. Source: the project's own; clients pause for random times.
+Logs every request and never retries one. Source: none; written for this project. Clients pause for random
+times.
 """
 
 from __future__ import annotations
--- a/testkit/polling.py
+++ b/testkit/polling.py
@@ -1,6 +1,6 @@
 """Polling of a condition for which there is no event, until the condition holds.
 
-Changes nothing itself. Source: the project's own.
+Doesn't influence the condition. Source: none; written for this project.
 """
 
 from __future__ import annotations
--- a/testkit/request_log.py
+++ b/testkit/request_log.py
@@ -1,7 +1,7 @@
 """A log of every request by trace id: what the client sent and received, and which servers ran the request.
 
-Only records and checks. Source: the rules of the platform's page PROTOCOL: one response for each request, and
-no repeated execution of a request that is not idempotent.
+The log only records and checks. Source: the rules of the platform's page PROTOCOL: one response for each
+request, and no repeated execution of a request that is not idempotent.
 """
 
 from __future__ import annotations
--- a/testkit/servers.py
+++ b/testkit/servers.py
@@ -1,7 +1,7 @@
 """A fake server whose behaviour is a function of the request, given by the test.
 
-Reads each request completely before it responds; `streaming_server` has a server that does not. Source: the
-project's own; `behaviours` has responses and common faults by name.
+Reads each request completely before it responds; `streaming_server` has a server that does not. Source:
+none; written for this project. `behaviours` has responses and common faults by name.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/clock.py
+++ b/testkit/simulation/clock.py
@@ -1,6 +1,6 @@
 """Simulated time: a queue of scheduled calls, each made at its due time.
 
-Never reads a clock and never waits. Source: standard discrete event simulation with a heap of due times.
+Never reads a real clock and never waits. Source: standard discrete event simulation with a heap of due times.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-START_MS = 1_000_000.0  # start time of a run; not 0, which as a server's start means "long ago"
+START_MS = 1_000_000.0  # start time of a run; not 0: a server's start time of 0 means "long ago"
 
 
 class _ScheduledCall(NamedTuple):
--- a/testkit/simulation/discovery.py
+++ b/testkit/simulation/discovery.py
@@ -1,6 +1,7 @@
 """Discovery in simulated time: one service that handles polls one at a time, with faults.
 
-Never changes the servers. Source: `balancing.endpoint_freshness`, whose polls the service responds to.
+The service reads the servers' entries and never changes a server. Source: `balancing.endpoint_freshness`,
+whose polls the service responds to.
 """
 
 from __future__ import annotations
@@ -28,9 +29,9 @@
 class SimDiscovery:
     """A discovery service with a queue of polls, and subscriptions.
 
-    Each poll occupies the service for `call_ms`, and fails if it has waited longer than
-    `response_timeout_ms`. A successful poll begins a subscription, which is notified of each change
-    `notice_ms` later, until `drop_subscriptions`.
+    Each poll occupies the service for `call_ms`. It fails if it has waited longer than `response_timeout_ms`
+    in the queue, or if the service is down. A successful poll begins a subscription, which is notified of
+    each change `notice_ms` later, until `drop_subscriptions`.
 
     Attributes:
         up: Whether the service is up; set by tests.
--- a/testkit/simulation/faults.py
+++ b/testkit/simulation/faults.py
@@ -1,6 +1,6 @@
 """Random faults of a simulated tier, determined by a seed: planners, partitions and forwarders.
 
-Servers are not affected. Source: the project's own.
+Servers are not affected. Source: none; written for this project.
 """
 
 from __future__ import annotations
@@ -30,7 +30,8 @@
     """Schedules `count` faults at random times in an interval of the run.
 
     Each is one of: a planner that is killed and restarted, later or at once; a partition that heals; a
-    forwarder that dies; a forwarder that joins; a planner whose advice is delayed for a while.
+    forwarder that dies; a forwarder that joins, unless all configured instances have; a planner whose advice
+    is delayed for a while.
     """
     for _ in range(count):
         # All random values are drawn for every fault, so that a seed's later faults don't depend on its kind.
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -1,7 +1,7 @@
 """A simulated forwarder: the program's own balancer and planning state machine in the simulated tier.
 
 Makes no decisions itself: it passes events to the program's state machines and carries out their actions.
-Source: the project's own; `dispatch.dispatcher` does the same with real sockets.
+Source: none; written for this project. `dispatch.dispatcher` does the same with real sockets.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -1,6 +1,7 @@
 """The simulated network: carries attempts to servers, and their outcomes back to the forwarders.
 
-Never chooses a server. Source: the project's own; a connection that fails does so almost immediately.
+Never chooses a server. Source: none; written for this project. A connection that fails does so almost
+immediately.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/plan.py
+++ b/testkit/simulation/plan.py
@@ -1,6 +1,6 @@
 """Description of a simulated tier: sizes, rates, times and terms, and the matching settings of its balancers.
 
-Holds values only. Source: the project's own; the settings are those of `balancing.settings`.
+Holds values only. Source: none; written for this project. The settings are those of `balancing.settings`.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/planner.py
+++ b/testkit/simulation/planner.py
@@ -1,6 +1,6 @@
 """A simulated planner, and scripts for the advice that it sends.
 
-All decisions are made by the program's own planner state machine. Source: the project's own.
+All decisions are made by the program's own planner state machine. Source: none; written for this project.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/protocols.py
+++ b/testkit/simulation/protocols.py
@@ -1,6 +1,6 @@
 """The forwarder's interface for the other components of a simulated tier, which avoids circular imports.
 
-Contains declarations only. Source: the project's own; implemented by `forwarder.SimForwarder`.
+Contains declarations only. Source: none; written for this project. Implemented by `forwarder.SimForwarder`.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/ramp_check.py
+++ b/testkit/simulation/ramp_check.py
@@ -1,6 +1,7 @@
 """Measurement of how far the attempts sent to a server exceeded its slow-start ramp.
 
-Only counts. Source: the rate of a ramp in `TierPlan`, integrated over each window of time.
+Only counts attempts and influences none. Source: the rate of a ramp in `TierPlan`, integrated over each
+window of time.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -1,6 +1,6 @@
 """A simulated server: cores, a queue, warm-up, and faults that a test sets.
 
-Has no influence on where attempts are sent. Source: the project's own; first come, first served.
+Has no influence on where attempts are sent. Source: none; written for this project.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
         self._running = 0
         self._queue: deque[QueuedAttempt] = deque()
         self._overloaded = False
-        self._threshold_crossed_ms: float | None = None  # start of the time beyond the threshold
+        self._threshold_crossed_ms: float | None = None  # since when the load is beyond the threshold
 
     def entry(self) -> ServerEntry:
         """Returns the server's current entry for an endpoint list."""
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -1,6 +1,6 @@
 """A tier in simulated time: assembly of its components, and the events that a test causes.
 
-Reads no clock, so runs with the same seed are identical. Source: the project's own.
+Reads no clock, so runs with the same seed are identical. Source: none; written for this project.
 """
 
 from __future__ import annotations
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -1,7 +1,7 @@
 """The requests that arrive at a simulated tier, and their outcomes.
 
-Does not depend on the state of the balancers. Source: the project's own; arrivals are a seeded Poisson
-process.
+Does not depend on the state of the balancers. Source: none; written for this project. Arrivals are a seeded
+Poisson process.
 """
 
 from __future__ import annotations
--- a/testkit/streaming_server.py
+++ b/testkit/streaming_server.py
@@ -1,6 +1,6 @@
-"""A fake server whose function is called after a request's head, and reads the body at its own rate.
+"""A fake server that calls a function after a request's head; the function reads the body at its own rate.
 
-Reads no part of a body that the function does not read. Source: the project's own; `bodies` has the framing.
+The server itself reads no part of a body. Source: none; written for this project. `bodies` has the framing.
 """
 
 from __future__ import annotations
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,6 +1,7 @@
-"""The balancer's real components between fakes of its peers, and scripted decisions for it.
+"""Starts the balancer's real components between fake clients, servers and discovery.
 
-Ports are assigned by the operating system; all waits are for events, not for time to pass.
+A test can replace the balancer's decisions by scripted ones (`ScriptedBalancer`). Ports are assigned by the
+operating system; all waits are for events, not for time to pass.
 """
 
 from __future__ import annotations
@@ -37,12 +38,12 @@
 
 
 class ScriptedBalancer:
-    """Scripted decisions: each request's attempts go to the given servers in order, then the request fails.
+    """Scripted decisions: a request's attempts go to the given servers in order, until one ends as final.
 
-    Every event is recorded, so that a test sees exactly what the balancer's decisions would receive. Endpoint
-    lists are watched as the balancer does, unless `watches_lists` is false because the test makes each poll
-    itself. A test may set `override` to decide on events before the script does; if it returns None, the
-    script decides.
+    If the last attempt isn't final, the request fails. Every event is recorded, so that a test sees exactly
+    what the balancer's decisions would receive. Endpoint lists are watched as the balancer does, unless
+    `watches_lists` is false because the test makes each poll itself. A test may set `override` to decide on
+    all other events before the script does; if it returns None, the script decides.
     """
 
     def __init__(self, servers: list[int], timeout_ms: float = 0.0, watches_lists: bool = True) -> None:
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -46,11 +46,11 @@
     """Blocks the last byte of each request on a reused connection, which the pool writes in a callback."""
 
     def __init__(self, connection_pool: ConnectionPool) -> None:
-        """Blocks the last bytes of all further requests."""
+        """Blocks the last byte of every request from now on."""
         self._pending_writes: list[Callable[[], None]] = []
         connection_pool.schedule_last_byte = self._pending_writes.append  # type: ignore[method-assign]
 
-    async def wait_until_blocked(self) -> None:
+    async def wait_until_last_byte_blocked(self) -> None:
         """Waits until all of a request but its last byte is written."""
         await wait_until(lambda: self._pending_writes, "the last byte of a request is blocked")
 
--- a/tests/race_conditions/skipping_clock.py
+++ b/tests/race_conditions/skipping_clock.py
@@ -21,7 +21,7 @@
 
 
 class _SkippingSelector(selectors.DefaultSelector):
-    """Waits QUIET_S for data, and skips the rest of the wait if none arrives."""
+    """Shortens a wait with a timeout to QUIET_S; if no data arrives, counts the timeout as skipped."""
 
     skipped_s = 0.0
 
@@ -35,7 +35,7 @@
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock includes the skipped waits."""
+    """An event loop whose clock advances by the skipped waits alone; elapsed time does not count."""
 
     def __init__(self) -> None:
         self._skipping_selector = _SkippingSelector()
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -1,7 +1,7 @@
-"""After a client disconnects while its request waits, nothing more is sent to a server.
+"""After a client disconnects while its request waits, nothing more is sent to a server for it.
 
 Two kinds of disconnect are tested: one that the balancer detects as it reads, and one that it has not
-detected when it is about to send, because reading is paused.
+detected when it is about to send, because reading from the client is paused.
 """
 
 from __future__ import annotations
@@ -49,31 +49,31 @@
 ) -> socket.socket:
     """Connects a client that sends a request and all but one of those that may queue behind it.
 
-    The sweep is disabled: once reading is paused, only the poll and the check before each attempt can detect
-    a disconnect. By default the poll is disabled too.
+    The listener's sweep is disabled: once reading is paused, only the listener's poll for disconnects and the
+    check before each attempt can detect one. By default the poll is disabled too.
     """
     balancer.listener.SWEEP_INTERVAL_MS = NEVER_MS
     balancer.listener.DISCONNECT_POLL_INTERVAL_MS = disconnect_poll_ms
-    client = connect_client(balancer.port)
-    client.sendall(b"".join(request_bytes() for _ in range(ClientConnection.MAX_QUEUED_REQUESTS)))
-    return client
+    client_socket = connect_client(balancer.port)
+    client_socket.sendall(b"".join(request_bytes() for _ in range(ClientConnection.MAX_QUEUED_REQUESTS)))
+    return client_socket
 
 
-async def pause_reading(balancer: RunningBalancer, client: socket.socket) -> None:
+async def pause_reading(balancer: RunningBalancer, client_socket: socket.socket) -> None:
     """Fills the queue of a pipelining client whose first request is in flight, so that reading is paused."""
-    client.sendall(request_bytes())
+    client_socket.sendall(request_bytes())
     connection = only_connection(balancer)
     connection.enforce_time_limits = lambda _: None  # type: ignore[method-assign]  # disables a sweep that is already due
     await wait_until(lambda: connection.queue_full, "reading from the client is paused")
 
 
 async def disconnect_undetected(
-    balancer: RunningBalancer, client: socket.socket, disconnect: Disconnect = socket.socket.close
+    balancer: RunningBalancer, client_socket: socket.socket, disconnect: Disconnect = socket.socket.close
 ) -> None:
     """Disconnects a pipelining client with reading paused: the kernel knows of it, the program does not."""
-    await pause_reading(balancer, client)
+    await pause_reading(balancer, client_socket)
     connection = only_connection(balancer)
-    disconnect(client)
+    disconnect(client_socket)
     await wait_until(connection.has_disconnected, "the kernel has received the disconnect")
     assert balancer.dispatcher.pending_requests
 
@@ -86,11 +86,11 @@
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
             assert 2.0 * Listener.DISCONNECT_POLL_INTERVAL_MS <= MAX_DETECTION_MS
-            client = connect_pipelining_client(balancer, Listener.DISCONNECT_POLL_INTERVAL_MS)
+            client_socket = connect_pipelining_client(balancer, Listener.DISCONNECT_POLL_INTERVAL_MS)
             await wait_until_requested(upstream)
-            await pause_reading(balancer, client)
-            client.close()
-            # Only the poll can detect it, since the upstream delays its response.
+            await pause_reading(balancer, client_socket)
+            client_socket.close()
+            # Only the poll can detect the disconnect: no attempt begins, and checks, before the response.
             await wait_until_disconnect_detected(script.events)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
@@ -100,14 +100,14 @@
 
 
 def test_pipelined_request_is_not_started_after_a_response_if_the_client_has_disconnected() -> None:
-    """The response arrives before the poll that detects disconnects; the next request must not start."""
+    """Guards against starting the next request if a response arrives before the poll for disconnects."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
         async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
-            client = connect_pipelining_client(balancer)
+            client_socket = connect_pipelining_client(balancer)
             await wait_until_requested(upstream)
-            await disconnect_undetected(balancer, client)
+            await disconnect_undetected(balancer, client_socket)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
             await wait_until(lambda: not balancer.listener.connection_count, "the connection is closed")
@@ -117,7 +117,7 @@
 
 
 def test_request_is_not_served_if_the_client_disconnects_before_it_is_read() -> None:
-    """The client sends and disconnects at once, while the balancer's event loop is busy."""
+    """Guards against serving a client that sends and disconnects while the event loop is busy."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -125,9 +125,9 @@
         async with balancer_in_front_of(upstream, script) as balancer:
             disconnected: list[ClientConnection] = []
             balancer.listener.on_connection_closed = disconnected.append  # type: ignore[method-assign]
-            client = connect_client(balancer.port)
-            client.sendall(request_bytes("move", b"x"))
-            close_and_block_until_delivered(client)
+            client_socket = connect_client(balancer.port)
+            client_socket.sendall(request_bytes("move", b"x"))
+            close_and_block_until_delivered(client_socket)
             await wait_until(lambda: disconnected, "the balancer has read the end of stream")
             assert not any(isinstance(event, RequestArrived) for event in script.events)
             assert not upstream.requests
@@ -136,20 +136,20 @@
 
 
 def test_last_byte_of_a_request_is_not_written_after_a_disconnect() -> None:
-    """The client disconnects after the balancer wrote the request's first bytes and before its last one."""
+    """Guards against completing a request whose client disconnects before its last byte is written."""
 
     async def scenario() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
-            client = connect_client(balancer.port)
-            client.sendall(request_bytes())
+            client_socket = connect_client(balancer.port)
+            client_socket.sendall(request_bytes())
             await wait_until_requested(upstream)
             await wait_until_nothing_in_flight(balancer)  # the connection to the server is pooled
             last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
-            client.sendall(request_bytes("move", b"x"))
-            await last_byte.wait_until_blocked()
-            client.close()
+            client_socket.sendall(request_bytes("move", b"x"))
+            await last_byte.wait_until_last_byte_blocked()
+            client_socket.close()
             await wait_until_disconnect_detected(script.events)
             last_byte.release()
             await wait_until_nothing_in_flight(balancer)
@@ -185,24 +185,24 @@
         self._monkeypatch.undo()
 
     def release(self) -> None:
-        """Returns the connection to the pool."""
+        """Hands the connection over to the pool."""
         self._released.set()
 
 
 def test_nothing_is_written_to_a_connection_established_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The connection becomes available after the disconnect: it is pooled, and nothing is written to it."""
+    """Guards against a write when the connection to the server is ready only after a disconnect."""
 
     async def scenario() -> None:
         upstream = FakeServer()
         script = ScriptedBalancer([1])
         async with balancer_in_front_of(upstream, script) as balancer:
             connect = ConnectBarrier(monkeypatch)
-            client = connect_client(balancer.port)
-            client.sendall(request_bytes("move", b"x"))
+            client_socket = connect_client(balancer.port)
+            client_socket.sendall(request_bytes("move", b"x"))
             await connect.wait_until_blocked()
-            client.close()
+            client_socket.close()
             await wait_until_disconnect_detected(script.events)
             connect.release()
             await wait_until_nothing_in_flight(balancer)
@@ -232,17 +232,17 @@
 
 
 def test_queued_request_is_not_dispatched_after_a_disconnect() -> None:
-    """A request queued for lack of a server is not sent to one that becomes ready after the disconnect."""
+    """Guards against a dispatch to a server that becomes ready after the queued request's disconnect."""
 
     async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
             events = record_events(decisions)
-            client = connect_client(balancer.port)
-            client.sendall(request_bytes("move", b"x"))
+            client_socket = connect_client(balancer.port)
+            client_socket.sendall(request_bytes("move", b"x"))
             await wait_until(lambda: decisions.queued, "the request is queued")
-            client.close()
+            client_socket.close()
             await wait_until_disconnect_detected(events)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until(lambda: balancer.dispatcher.has_ready_server, "the server is ready")
@@ -258,13 +258,13 @@
 
 
 async def fail_attempt_after_detected(disconnect: Disconnect) -> None:
-    """The attempt fails after the balancer has detected the disconnect; there must be no second attempt."""
+    """Asserts that there is no second attempt if the first fails after the disconnect is detected."""
     upstream = DelayedResponseServer(fails_with(500))
     async with balancer_in_front_of(upstream) as balancer:
-        client = connect_client(balancer.port)
-        client.sendall(request_bytes())
+        client_socket = connect_client(balancer.port)
+        client_socket.sendall(request_bytes())
         await wait_until_requested(upstream)
-        disconnect(client)
+        disconnect(client_socket)
         await wait_until(lambda: not balancer.dispatcher.pending_requests, "the disconnect is detected")
         upstream.release()
         await wait_until_nothing_in_flight(balancer)
@@ -272,12 +272,12 @@
 
 
 async def fail_attempt_after_undetected(disconnect: Disconnect) -> None:
-    """The attempt fails before the balancer, with reading paused, has detected the disconnect."""
+    """Asserts that there is no second attempt if the first fails before the disconnect is detected."""
     upstream = DelayedResponseServer(fails_with(500))
     async with balancer_in_front_of(upstream) as balancer:
-        client = connect_pipelining_client(balancer)
+        client_socket = connect_pipelining_client(balancer)
         await wait_until_requested(upstream)
-        await disconnect_undetected(balancer, client, disconnect)
+        await disconnect_undetected(balancer, client_socket, disconnect)
         upstream.release()
         await wait_until_nothing_in_flight(balancer)
         assert len(upstream.requests) == 1
@@ -303,7 +303,7 @@
 
 
 def test_hedged_request_is_not_sent_after_an_undetected_disconnect() -> None:
-    """The hedged request would go to another server while the first attempt is in flight."""
+    """Guards against an attempt at a second server when a hedge is due after an undetected disconnect."""
 
     async def scenario() -> None:
         first = await DelayedResponseServer().start()
@@ -313,9 +313,9 @@
             script.override = lambda event: (
                 [Send(1, 2, 0.0)] if isinstance(event, TimerFired) and event.cookie == 1 else None
             )
-            client = connect_pipelining_client(balancer)
+            client_socket = connect_pipelining_client(balancer)
             await wait_until_requested(first)
-            await disconnect_undetected(balancer, client)
+            await disconnect_undetected(balancer, client_socket)
             balancer.dispatcher._deliver(TimerFired(1))
             assert script.attempt_ends()[-1].outcome is Outcome.DISCARDED
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
@@ -330,7 +330,7 @@
 
 
 def test_last_byte_of_a_request_is_not_written_after_an_undetected_disconnect() -> None:
-    """With reading paused, the last byte is due before the disconnect is detected."""
+    """Guards against completing a request whose last byte is due before the disconnect is detected."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -344,9 +344,9 @@
                 lambda: not balancer.listener.connection_count, "the other client's connection is closed"
             )
             last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
-            client = connect_pipelining_client(balancer)
-            await last_byte.wait_until_blocked()
-            await disconnect_undetected(balancer, client)
+            client_socket = connect_pipelining_client(balancer)
+            await last_byte.wait_until_last_byte_blocked()
+            await disconnect_undetected(balancer, client_socket)
             last_byte.release()
             await wait_until_nothing_in_flight(balancer)
             assert len(upstream.requests) == 1
@@ -355,15 +355,15 @@
 
 
 def test_queued_request_is_not_dispatched_after_an_undetected_disconnect() -> None:
-    """With reading paused, a server becomes ready before the disconnect is detected."""
+    """Guards against a dispatch to a server that becomes ready before the disconnect is detected."""
 
     async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, lifecycle="leaving") as balancer:
             decisions = decisions_of(balancer)
-            client = connect_pipelining_client(balancer)
+            client_socket = connect_pipelining_client(balancer)
             await wait_until(lambda: decisions.queued, "the request is queued")
-            await disconnect_undetected(balancer, client)
+            await disconnect_undetected(balancer, client_socket)
             balancer.discovery.change(upstream.entry("a"))
             await wait_until_nothing_in_flight(balancer)
             assert not upstream.requests
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -85,7 +85,7 @@
 
 
 class PublishedListings:
-    """Listings that the source has published, and the resulting state of each server."""
+    """Listings that the discovery client has published, and the resulting state of each server."""
 
     def __init__(self) -> None:
         self.listings: asyncio.Queue[Listing] = asyncio.Queue()
@@ -100,7 +100,7 @@
         self.version = listing.version
         self.listings.put_nowait(listing)
 
-    async def next(self) -> Listing:
+    async def next_listing(self) -> Listing:
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.listings.get()
 
@@ -113,7 +113,7 @@
     plan = DiscoveryPlan(("127.0.0.1", discovery.port), initial_list=known)
     source = Discovery(plan, received, lambda _: None)
     source.start()
-    assert (await received.next()).kind is ListKind.CACHED
+    assert (await received.next_listing()).kind is ListKind.CACHED
     try:
         yield source, discovery, received
     finally:
@@ -132,9 +132,9 @@
             fetch = await discovery.call()
             assert "after" not in fetch.target
             watch.respond_with_changes(43, a="leaving")
-            await received.next()
+            await received.next_listing()
             fetch.respond_with_full_list(42, a="active", b="active")
-            response = await received.next()  # every call publishes exactly one listing
+            response = await received.next_listing()  # every call publishes exactly one listing
             assert (response.kind, response.version, response.entries) == (ListKind.DELTA, 43, ())
             assert received.states[1] is ServerState.DRAINING
 
@@ -151,9 +151,9 @@
             source.fetch()
             fetch = await discovery.call()
             fetch.respond_with_full_list(45, b="active")  # a is no longer listed
-            await received.next()
+            await received.next_listing()
             watch.respond_with_changes(43, a="leaving")
-            await received.next()
+            await received.next_listing()
             assert list(received.states) == [2]
             assert received.version == 45
 
@@ -161,14 +161,14 @@
 
 
 def test_lower_version_is_accepted_after_a_restart_of_discovery() -> None:
-    """A lower version is no stale response if nothing else was received during the call."""
+    """Guards against ignoring a lower version as stale when nothing else arrived during the call."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
             source.fetch()
             fetch = await discovery.call()
             fetch.respond_with_full_list(2, b="leaving")
-            listing = await received.next()
+            listing = await received.next_listing()
             assert (listing.kind, listing.version) == (ListKind.FULL, 2)
             assert received.states == {2: ServerState.DRAINING}
 
@@ -196,7 +196,7 @@
 def test_watch_without_an_established_connection_fails_long_before_its_wait_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the bound on the list's age: an unresponsive address took the watch's full wait."""
+    """Guards against a watch of an unresponsive address that fails only after its full wait."""
 
     async def scenario() -> None:
         monkeypatch.setattr(Discovery, "CONNECT_TIMEOUT_S", 0.05)
@@ -204,7 +204,7 @@
         full_listener.bind(("127.0.0.1", 0))
         full_listener.listen(0)
         backlog_clients = [socket.socket() for _ in range(4)]
-        for client in backlog_clients:  # fill the backlog, so that further connections get no response
+        for client in backlog_clients:  # fills the backlog, so that further connections get no response
             client.setblocking(False)
             client.connect_ex(full_listener.getsockname())
         block_until_readable(full_listener.fileno())
@@ -214,9 +214,9 @@
             DiscoveryPlan(full_listener.getsockname(), initial_list=known), received, lambda _: None
         )
         source.start()
-        await received.next()
+        await received.next_listing()
         source.watch(watch_call())
-        assert (await received.next()).kind is ListKind.FAILED  # long before the watch's wait ends
+        assert (await received.next_listing()).kind is ListKind.FAILED  # long before the watch's wait ends
         source.stop()
         for opened_socket in (*backlog_clients, full_listener):
             opened_socket.close()
@@ -235,14 +235,14 @@
                 source.watch(watch_call(1))
                 responded = await discovery.call()
                 responded.respond_with_changes(41)
-                assert (await received.next()).kind is ListKind.DELTA
+                assert (await received.next_listing()).kind is ListKind.DELTA
             source.watch(watch_call(2, response_timeout_ms=200.0))
             silent = await discovery.call()
             if responded is not None:
                 assert silent.writer is responded.writer  # the next watch uses the same connection
             if silence == "in the body":
                 silent.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
-            failed = await received.next()
+            failed = await received.next_listing()
             assert (failed.kind, failed.call, failed.failure_reason) == (
                 ListKind.FAILED,
                 2,
@@ -266,9 +266,9 @@
             source.fetch()
             fetch = await discovery.call()
             fetch.respond_with_full_list(42, a="active", b="active")
-            assert (await received.next()).call == 0
+            assert (await received.next_listing()).call == 0
             watch.respond_with_changes(43, a="leaving")
-            assert (await received.next()).call == 7
+            assert (await received.next_listing()).call == 7
 
     run(scenario())
 
@@ -282,7 +282,7 @@
             source.watch(watch_call())
             watch = await discovery.call()
             watch.respond_with_changes(version, a="leaving")
-            failed = await received.next()
+            failed = await received.next_listing()
             assert (failed.kind, failed.version) == (ListKind.FAILED, NO_VERSION)
             assert received.states[1] is ServerState.READY
             source.watch(watch_call(2, NO_VERSION))
@@ -302,14 +302,14 @@
                 source.watch(watch_call())
                 stale_call = await discovery.call()
             source.relocate(("127.0.0.1", new_discovery.port))
-            assert (await received.next()).kind is ListKind.RELOCATED
+            assert (await received.next_listing()).kind is ListKind.RELOCATED
             source.watch(watch_call(2, NO_VERSION))
             first = await new_discovery.call()
             assert "after" not in first.target  # versions of another discovery service are not comparable
             if watching:
                 stale_call.respond_with_changes(99, a="left")
             first.respond_with_full_list(3, a="active")
-            listing = await received.next()
+            listing = await received.next_listing()
             assert (listing.kind, listing.version) == (ListKind.FULL, 3)
             new_discovery.close()
 
@@ -345,7 +345,7 @@
             for piece in split_response(text.encode()):
                 watch.writer.write(piece)
                 await watch.writer.drain()
-            await received.next()
+            await received.next_listing()
             assert received.states[1] is ServerState.DRAINING
 
     run(scenario())
@@ -359,7 +359,7 @@
             rows = [entry("a", 9, lifecycle="left"), entry("b", 9, lifecycle="asleep")]
             text = json.dumps({"generation": 42, "reset": False, "instances": rows})
             watch.writer.write(ok(text.encode()))
-            assert (await received.next()).kind is ListKind.FAILED
+            assert (await received.next_listing()).kind is ListKind.FAILED
             assert received.states == {1: ServerState.READY, 2: ServerState.READY}
 
     run(scenario())
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -34,8 +34,8 @@
 class FaultyDiscovery:
     """Discovery service for two servers, `a` and `b`; `drain_a` makes `a` start to drain.
 
-    While `faulty`, the fault handles each call; otherwise the response is correct. A fault returns whether
-    the call is over.
+    While `faulty`, the fault handles each call; otherwise the response is correct. A watch that began
+    before and ends while `faulty` gets no response. A fault returns whether the call is over.
     """
 
     def __init__(self, fault: Fault, rows: list[dict[str, Any]]) -> None:
@@ -203,8 +203,8 @@
 def test_first_watch_without_a_response_delays_a_drain_no_longer_than_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a late call: the first watch got no response, the server started to drain, and the next
-    call, which discovery would have responded to, was made only some 23 s later.
+    """Guards against a late call when the first watch gets no response and the server starts to drain: by an
+    earlier fault, the next call, which discovery would have responded to, was made only some 23 s later.
     """
 
     run(monkeypatch, lambda _: _check_no_request_reaches_a(no_response, at_start=True, faulty_s=0.5))
@@ -214,6 +214,6 @@
 def test_fault_of_discovery_delays_a_drain_no_longer_than_the_bound(
     fault: Fault, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A watch and the call after it fail with the same fault; then discovery responds."""
+    """Guards against requests to a draining server when a watch hangs and further calls fail for 3 s."""
 
     run(monkeypatch, lambda _: _check_no_request_reaches_a(fault, at_start=False, faulty_s=3.0))
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -66,8 +66,8 @@
 
 
 def test_surplus_response_before_the_last_byte_is_written_goes_to_no_other_request() -> None:
-    """Guards a client against another request's response, which arrived after the connection was found idle
-    and before the next request was written completely.
+    """Guards against passing a surplus response to the next request if it arrives after the connection was
+    found idle and before that request is written completely.
     """
 
     async def scenario() -> None:
@@ -78,10 +78,10 @@
             assert (await client.read_response()).body == b"/api?1"
             last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client.send_request("move", b"x", "/api?2")
-            await last_byte.wait_until_blocked()
+            await last_byte.wait_until_last_byte_blocked()
             await upstream.open_connections[0].send(ok(b"/api?1"))
             assert (await client.read_response()).body == b"/api?2"
-            last_byte.release()  # the last byte is no longer to be written
+            last_byte.release()  # must not write the last byte any more
             await script.next_attempt_end()
         assert [event.outcome for event in script.attempt_ends()] == [Outcome.OK, Outcome.OK]
         assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
@@ -91,7 +91,7 @@
 
 
 def test_connection_to_the_predecessor_of_a_restarted_server_is_not_reused() -> None:
-    """A server restarts with the same id and address while an attempt to its predecessor is in flight."""
+    """Guards against reuse when a server restarts, with the same id and address, during an attempt."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -115,8 +115,8 @@
 
 
 def test_connection_closed_before_the_last_byte_is_written_is_not_used() -> None:
-    """Guards non-idempotent requests: the kernel has the end of stream, unread, when the last byte is due.
-    If the byte were written, the request might have run and could not be retried.
+    """Guards against a write when the kernel has the end of stream, unread, as the last byte is due: if it
+    were written, a non-idempotent request might have run and could not be retried.
     """
 
     async def scenario() -> None:
@@ -128,7 +128,7 @@
             assert (await client.read_response()).status == 200
             last_byte = LastByteBarrier(setup.balancer.dispatcher.connection_pool)
             client.send_request("move", b"x", "/api?2")
-            await last_byte.wait_until_blocked()
+            await last_byte.wait_until_last_byte_blocked()
             connection = only_server_connection(setup.balancer)
             first.close()
             block_until_readable(balancer_descriptor(connection))
@@ -144,7 +144,7 @@
 
 
 def test_response_that_arrives_together_with_a_reset_is_delivered() -> None:
-    """The kernel has both when the event loop reads: the response is complete, so its request is served."""
+    """Guards against losing a complete response when the kernel has it and a reset before the loop reads."""
 
     async def scenario() -> None:
         async with balancer_in_front_of_manual_server() as setup:
@@ -154,7 +154,8 @@
             server_side.sendall(ok())
             block_until_readable(descriptor)
             reset(server_side)
-            block_until_reset(descriptor)  # no await since the response, so the event loop has read neither
+            # Nothing is awaited after the response is sent, so the event loop reads neither it nor the reset.
+            block_until_reset(descriptor)
             assert (await setup.client.read_response()).status == 200
         assert [event.outcome for event in setup.script.attempt_ends()] == [Outcome.OK]
 
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -88,8 +88,8 @@
 def test_request_that_arrives_while_idle_connections_are_closed_is_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against losing a received request: the kernel had its bytes, unread, when no other request was
-    pending, and the process exited without reading them.
+    """Guards against losing a received request: when the kernel has its bytes, unread, and no other request
+    is pending, the process must not exit without reading them.
     """
 
     async def scenario() -> None:
@@ -116,7 +116,7 @@
 
 
 def test_clients_in_the_backlog_are_served_when_accepting_stops() -> None:
-    """Guards against losing a received request whose connection waited for a slot when accepting stopped."""
+    """Guards against losing a received request whose connection waits for a slot when accepting stops."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -141,7 +141,7 @@
 
 
 def test_request_that_arrives_after_its_idle_connection_is_closed_is_not_read() -> None:
-    """Guards against losing a request: the balancer serves all it has read; the client may retry others."""
+    """Guards against reading a request and not serving it; the client may retry one that was not read."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -219,7 +219,7 @@
 
 @pytest.mark.usefixtures("long_client_time_limits")
 def test_eviction_for_new_connections_aborts_no_undelivered_response() -> None:
-    """Guards a connection's last response, whose request has ended but which the client has not received."""
+    """Guards against evicting a connection whose client has not yet received all of its last response."""
 
     async def scenario() -> None:
         body = b"x" * 1_000_000
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -56,7 +56,7 @@
 
 
 def test_sigterm_before_the_program_is_ready_makes_it_exit(tmp_path: Path) -> None:
-    """The program listens, its first discovery call is in flight, and no request is pending."""
+    """Guards against waiting for the first discovery call, in flight, when no request is pending."""
 
     async def scenario() -> None:
         discovery = await FakeDiscovery([]).start()
@@ -74,7 +74,7 @@
 
 
 def test_repeated_sigterm_and_sighup_neither_shorten_nor_restart_a_shutdown(tmp_path: Path) -> None:
-    """The request in flight must be served, once."""
+    """Guards the request in flight, which must be served exactly once."""
 
     async def scenario() -> None:
         upstream = await DelayedResponseServer().start()
@@ -103,7 +103,7 @@
 
 
 def test_endpoint_list_is_watched_during_a_shutdown(tmp_path: Path) -> None:
-    """A server starts to drain after SIGTERM: requests that still arrive must go to the other one."""
+    """Guards against requests to a server that drains after SIGTERM; they must go to the other server."""
 
     async def scenario() -> None:
         old = await DelayedResponseServer(serves(b"old")).start()
@@ -123,9 +123,8 @@
             process.send_signal(signal.SIGTERM)
             await wait_until_shutting_down(port)
             discovery.change(old.entry("a", lifecycle="leaving"), new.entry("b"))
-            await wait_until_watched_from(
-                discovery, discovery.generation
-            )  # the program has received the change
+            # The next watch shows that the program has received the change of the endpoint list.
+            await wait_until_watched_from(discovery, discovery.generation)
             late.send(late_request[10:])
             assert (await late.read_response()).body == b"new"
             old.release()
@@ -139,7 +138,10 @@
 
 
 def test_sighup_to_an_unreachable_address_does_not_delay_the_next_reload(tmp_path: Path) -> None:
-    """The current endpoint list stays in use. The new discovery's versions are lower than the first's."""
+    """Guards against a reload that waits for a call to an unreachable address.
+
+    The current endpoint list stays in use meanwhile. The new discovery's versions are lower than the first's.
+    """
 
     async def scenario() -> None:
         first_server = await FakeServer().start()
