--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Compare the goodput under the version with the goodput before; report `goodput_dropped` if it drops."""
+    """Compare the goodput since the version's activation with that before; report a drop."""
 
     version: Version
 
--- a/sandhatch/config/class_model.py
+++ b/sandhatch/config/class_model.py
@@ -26,9 +26,9 @@
             longer body is forwarded as it arrives.
         replay_bytes: Number of sent bytes that stay buffered for another attempt.
         ceiling_bytes: Maximum memory that one body may use.
-        writer_stall_ms: Maximum time for which the sender may send nothing.
+        writer_stall_ms: Maximum time for which the sender of a body may send nothing.
         writer_floor_bytes_per_s: Minimum rate at which the sender must send.
-        reader_stall_ms: Maximum time for which the receiver may accept nothing.
+        reader_stall_ms: Maximum time for which the receiver of a body may accept nothing.
         reader_floor_bytes_per_s: Minimum rate at which the receiver must accept.
         window_ms: Time over which rates are measured.
     """
@@ -104,7 +104,7 @@
             not idempotent.
         aim_ms: Latency objective.
         deadline_ms: Time after which a response is of no use.
-        worth: Priority weight of a response within the latency objective.
+        worth: Priority weight of a request that is served within the latency objective.
         memory_ms: Time for which servers recognise a repeated idempotency key.
         bodies: Settings for forwarding long bodies.
     """
@@ -134,8 +134,8 @@
     """A tenant.
 
     Attributes:
-        quota_per_s: The requests a second that it may always send.
-        fraction: The part of the capacity that is reserved for it.
+        quota_per_s: Quota in requests per second, over all balancer instances together.
+        fraction: The tenant's fraction of the service's traffic; the balancer does not use this value.
     """
 
     quota_per_s: Annotated[float, Field(ge=0, le=1e9)]
--- a/sandhatch/config/diff.py
+++ b/sandhatch/config/diff.py
@@ -147,8 +147,8 @@
 def find_conflicts(ours: list[Change], theirs: list[Change]) -> list[str]:
     """Return the keys in which two changes of one base conflict, in dotted form.
 
-    A conflict is a leaf that both change to different values, or a leaf that one changes while the other
-    changes an ancestor of it. A leaf that both change to the same value is no conflict.
+    A conflict is a leaf that both sides change to different values, or a leaf that one side changes while the
+    other side changes an ancestor of the leaf. A leaf that both sides change to the same value is none.
     """
     their_changes = {change.key: change for change in theirs}
     their_ancestors = {ancestor for change in theirs for ancestor in _ancestors(change.key)}
--- a/sandhatch/config/document.py
+++ b/sandhatch/config/document.py
@@ -20,7 +20,7 @@
 MAX_DEPTH = 32
 TAG_PREFIX = "tag:yaml.org,2002:"
 
-KeyPath = tuple[str | int, ...]  # keys of mappings and indices of list items, from the root
+KeyPath = tuple[str | int, ...]  # keys of mappings and indices of list items, from the document's root
 
 _INT = re.compile(r"[-+]?[0-9]{1,18}\Z")
 _FLOAT = re.compile(r"[-+]?(\.[0-9]+|[0-9]+(\.[0-9]*)?)([eE][-+]?[0-9]{1,3})?\Z")
@@ -46,7 +46,7 @@
     lines: dict[KeyPath, int] = field(default_factory=dict)
 
     def line(self, path: KeyPath) -> int:
-        """Return the line of a key or else of its nearest ancestor that exists; 0 if there is none."""
+        """Return the line of a key or else of its nearest ancestor that exists; 0 if no ancestor exists."""
         while path and path not in self.lines:
             path = path[:-1]
         return self.lines.get(path, 0)
@@ -89,7 +89,7 @@
 
     def __init__(self, file: str) -> None:
         self.document = Document(file, None)
-        self._stack: list[_OpenCollection] = []  # innermost last
+        self._stack: list[_OpenCollection] = []  # collections being read, innermost last
         self._documents = 0
 
     def add(self, event: yaml.Event) -> None:
--- a/sandhatch/config/goodput_watch.py
+++ b/sandhatch/config/goodput_watch.py
@@ -86,7 +86,7 @@
     unfinished: int = 0
 
     def tally(self, name: str) -> Tally:
-        """Return the tally of a class or pool; create it if there is none."""
+        """Return the tally of a class or pool in this block; create the tally if it does not exist."""
         tally = self.tallies.get(name)
         if tally is None:
             tally = self.tallies[name] = Tally()
@@ -271,7 +271,7 @@
         return next((drop for drop in drops if drop is not None), None)
 
     def _test(self, name: str, after: list[Block], significance: float) -> GoodputDrop | None:
-        """Return the goodput drop of one class, one pool or all classes; None if there is none."""
+        """Return the goodput drop of one class, one pool or all classes; None if there is no drop."""
         empty = Tally()
         tallies_before = [block.tallies.get(name, empty) for block in self.blocks_before]
         tallies_after = [block.tallies.get(name, empty) for block in after]
@@ -309,14 +309,14 @@
 
 
 def _explained_by_load(before: Tally, after: Tally, blocks_before: int, blocks_after: int) -> bool:
-    """Whether more weight is received per block than before, and no less weight is served per block."""
+    """Whether more priority weight is received per block than before the change, and no less is served."""
     received = (after.received / blocks_after) / (before.received / blocks_before)
     served = (after.served / blocks_after) / (before.served / blocks_before) if before.served else 1.0
     return received > MIN_LOAD_RATIO and served > MIN_SERVED_RATIO
 
 
 def worst_window(tallies: Sequence[Tally], length: int) -> float:
-    """Return the lowest goodput of any `length` consecutive blocks, or of all if there are fewer."""
+    """Return the lowest goodput of any `length` consecutive blocks, or of all blocks if there are fewer."""
     length = min(length, len(tallies))
     received = 0.0
     served = 0.0
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -44,7 +44,7 @@
         confirmed: Number of the last confirmed version, which is to be used.
         data: Content of the confirmed version.
         next_number: Number of the next version.
-        lost_version: Number of the version that was pending when the process ended; 0 for none.
+        lost_version: Number of the version that was pending when the process ended; 0 if no version was.
         rows: Rows of the history, oldest first.
         notes: Warnings about damaged files that were not used.
     """
@@ -199,7 +199,7 @@
         return {int(row["version"]) for row in state["versions"]} | {state["confirmed"], state["pending"]}
 
     def _retain_previous(self, path: Path) -> None:
-        """Link the state file under the name of the previous state too, so that one of them always exists."""
+        """Link the state file also as the previous state, so that one of the two files always exists."""
         if path.exists():
             self._before_step("link")
             spare = path.with_name(SPARE_STATE_FILE)
--- a/sandhatch/config/model.py
+++ b/sandhatch/config/model.py
@@ -83,7 +83,7 @@
         planning: Settings of this process as one of several forwarders; None without planners.
         listeners: Listening sockets by name.
         classes: Request classes by name.
-        default_class: Class of a request that names none.
+        default_class: Class of a request that names no class.
         tenants: Tenants by name.
         pools: Pools by name.
         routes: Routes in order; the first that matches applies.
--- a/sandhatch/config/planning_model.py
+++ b/sandhatch/config/planning_model.py
@@ -35,7 +35,7 @@
         bytes_per_s: Maximum rate at which data is sent to each planner.
         most_lease_ms: Longest lease that is accepted.
         hold_ms: Time for which a planner higher in the list must be healthy before it is used again.
-        shun_ms: Time for which a planner that has given wrong advice is avoided.
+        shun_ms: Time for which a planner with repeated faults is not connected to; doubled each further time.
     """
 
     name: Name | None = None
--- a/sandhatch/config/problems.py
+++ b/sandhatch/config/problems.py
@@ -15,7 +15,7 @@
 from sandhatch.config.document import Document, KeyPath
 from sandhatch.config.errors import Problem
 
-MAX_PROBLEMS = 200  # problems that are listed; the others are only counted
+MAX_PROBLEMS = 200  # problems shown to the user; further problems are only counted
 MAX_VALUE_CHARACTERS = 60
 
 # Expected values by pydantic's error type. Names in braces are keys of the error's context.
@@ -66,7 +66,7 @@
 
 
 def _value_at(data: Any, path: KeyPath) -> Any:
-    """Return the value at a path; `_MISSING` if there is none."""
+    """Return the value at a path; `_MISSING` if the path does not exist."""
     for part in path:
         try:
             data = data[part]
--- a/sandhatch/config/proposals.py
+++ b/sandhatch/config/proposals.py
@@ -82,7 +82,7 @@
         """Return a proposal.
 
         Raises:
-            RejectedError: UNKNOWN, if there is none of that number.
+            RejectedError: UNKNOWN, if no proposal has that number.
         """
         proposal = self.by_number.get(number)
         if proposal is None:
@@ -93,7 +93,7 @@
         """Remove a proposal.
 
         Raises:
-            RejectedError: UNKNOWN, if there is none of that number.
+            RejectedError: UNKNOWN, if no proposal has that number.
         """
         proposal = self.get(number)
         del self.by_number[number]
--- a/sandhatch/config/route_compilation.py
+++ b/sandhatch/config/route_compilation.py
@@ -44,7 +44,7 @@
         weighted_pools = [WeightedPool(part.pool, part.weight) for part in target.weighted.pools]
         return Split.of(weighted_pools, (target.weighted.by or "").encode(), salt)
     response = target.answer
-    assert response is not None  # the model requires exactly one of the three
+    assert response is not None  # the model requires a pool, a split or a response
     return FixedResponse(response.status, response.body.encode(), response.content_type.encode())
 
 
--- a/sandhatch/config/route_model.py
+++ b/sandhatch/config/route_model.py
@@ -41,7 +41,7 @@
 
 
 class HeaderMatch(Model):
-    """A condition on a header. Exactly one key besides `name` is given.
+    """A condition on a header. Exactly one key is given besides `name`.
 
     Attributes:
         name: Name of the header, case-insensitive.
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -85,7 +85,7 @@
         return proposal
 
     def discard(self, number: int) -> None:
-        """Discard a proposal; RejectedError if there is none of that number."""
+        """Discard a proposal; RejectedError if no proposal has that number."""
         self._proposals.remove(number)
 
     def _reject_if_stopping(self) -> None:
--- a/sandhatch/config/value_types.py
+++ b/sandhatch/config/value_types.py
@@ -67,5 +67,6 @@
 HeaderName = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,128}$")]
 AddressText = Annotated[str, AfterValidator(_check_address)]
 Pattern = Annotated[str, StringConstraints(max_length=MAX_PATTERN_CHARACTERS), AfterValidator(_check_pattern)]
-KeyText = Annotated[str, StringConstraints(pattern=r"^[0-9a-fA-F]{64}$")]  # 32 bytes
+# A key of 32 bytes, in hexadecimal digits.
+KeyText = Annotated[str, StringConstraints(pattern=r"^[0-9a-fA-F]{64}$")]
 PathText = Annotated[str, StringConstraints(max_length=MAX_PATH_CHARACTERS), AfterValidator(_check_path)]
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -19,7 +19,7 @@
 
     STAGING = "staging"
     SAVING = "saving"
-    ACTIVE = "in force"  # active, but not confirmed yet: may still be rolled back
+    ACTIVE = "in force"  # the version is active but not confirmed: it may still be rolled back
     CONFIRMING = "confirming"
     CONFIRMED = "confirmed"
     FAILED = "failed"
--- a/sandhatch/config/version_lifecycle.py
+++ b/sandhatch/config/version_lifecycle.py
@@ -63,7 +63,7 @@
         versions: Most recent versions by number, oldest first.
         active: Version that every new request is assigned to.
         confirmed: Last confirmed version, which a rollback or a restart returns to.
-        pending: Version in progress, from STAGING to its final state; None if there is none.
+        pending: Version in progress, from STAGING to its final state; None if no version is in progress.
         stopping: Whether the process is stopping and accepts no further change.
     """
 
@@ -105,12 +105,12 @@
                 case State.SAVING | State.ACTIVE:
                     pending = self.pending.number
                 case State.CONFIRMING:
-                    # The disk records the confirmation first: once that is written, the version is final.
+                    # The record names this version as confirmed: once it is on disk, the version is final.
                     confirmed = self.pending.number
         return Record(confirmed, pending, self._next_number, rows)
 
     def previous_confirmed(self) -> Version | None:
-        """Return the last version that was confirmed before `confirmed`; None if there is none."""
+        """Return the last version confirmed before the version `confirmed`; None if no version was."""
         earlier = [
             version
             for version in self.versions.values()
--- a/sandhatch/planning/actions.py
+++ b/sandhatch/planning/actions.py
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EndSession:
-    """End the session with a planner; the reason, `reason`, is sent to the planner."""
+    """End the session with a planner; the text in `reason` is sent to the planner."""
 
     planner: str
     reason: str
--- a/sandhatch/planning/backoff.py
+++ b/sandhatch/planning/backoff.py
@@ -23,7 +23,7 @@
 
 
 class Backoff:
-    """Delays whose bound doubles until `reset`, each drawn between half the minimum and the current bound."""
+    """Random delays between half the minimum and a bound, which doubles until `reset`."""
 
     def __init__(self, min_ms: float, max_ms: float, rng: Random) -> None:
         """Start at the minimum.
--- a/sandhatch/planning/errors.py
+++ b/sandhatch/planning/errors.py
@@ -23,7 +23,7 @@
 
 
 class SupersededEpochError(SessionError):
-    """A forwarder has seen a higher epoch of this planner: the system's time was set back before it started.
+    """A forwarder has seen a higher epoch of this planner, whose system time was set back before its start.
 
     Attributes:
         known_epoch: The highest epoch of this planner that the forwarder has seen.
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -27,7 +27,7 @@
 MAX_SPAN_MS = 3_600_000.0  # maximum `span_ms` that the schema of a report accepts
 REPORT_OVERHEAD_BYTES = 64
 POOL_OVERHEAD_BYTES = 32
-MAX_LOGGED_FAULTS = 3  # faults logged per planner; later ones are visible only in the status
+MAX_LOGGED_FAULTS = 3  # faults logged per planner; later faults are visible only in the status
 
 
 @dataclass
@@ -85,7 +85,8 @@
             self.terms.max_lease_ms * (1.0 + CLOCK_DRIFT) if previous_lease_ms is None else previous_lease_ms
         )
         self._selection = PlannerSelection(self.peers, self.terms.hold_ms, now_ms + previous_lease_ms)
-        self._last_ramp_shares: dict[str, Sequence[RampShare]] = {}  # most recent grants, by pool
+        # Ramp shares that were last granted to this forwarder, by pool.
+        self._last_ramp_shares: dict[str, Sequence[RampShare]] = {}
         self._ramp_shares_until_ms = -math.inf
 
     @property
@@ -114,7 +115,7 @@
         return [NotifyBalancer(name, OwnSharesLeased(self.leased_until_ms))]
 
     def drop_pool(self, name: str) -> None:
-        """Remove a pool."""
+        """Remove a pool from the forwarder's reports."""
         if self.pools.pop(name, None) is None:
             return
         for peer in self.peers.values():
@@ -277,7 +278,7 @@
         peer.credit_bytes = max(0.0, float(budget_bytes))
 
     def _previous_grants(self, pool: str, peer: PlannerPeer, now_ms: float) -> list[RampShareRow]:
-        """Ramp shares to report to a planner whose previous incarnation granted them.
+        """Ramp shares to report to a planner whose previous incarnation granted these shares.
 
         These shares stay valid, so the new incarnation must count them before it grants any.
         """
--- a/sandhatch/planning/grant_ledger.py
+++ b/sandhatch/planning/grant_ledger.py
@@ -64,7 +64,7 @@
         self._max_granted: dict[str, RampAmount] = {}
         self._total_rate = 0.0
         self._total_burst = 0.0
-        self._next_pass_ms = math.inf  # earliest expiry time of any grant
+        self._next_pass_ms = math.inf  # earliest time at which a grant expires
 
     @property
     def holders(self) -> list[str]:
@@ -92,7 +92,7 @@
         now_ms: float,
         until_ms: float,
     ) -> RampAmount:
-        """Grant as much of `requested` as is leased until `until_ms` and not granted to other forwarders.
+        """Grant as much of the ramp share `requested` as is leased until `until_ms` and not granted yet.
 
         Nothing is granted if the burst would be less than one attempt.
         """
--- a/sandhatch/planning/keys.py
+++ b/sandhatch/planning/keys.py
@@ -48,7 +48,7 @@
 
 
 class SharedKeyIdentity:
-    """HMAC-SHA256 with a key that all peers share; any of them can impersonate any other."""
+    """HMAC-SHA256 with a key that all peers share; any peer can impersonate any other."""
 
     method = "shared"
 
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -2,7 +2,7 @@
 
 Each instance owns a share of each warm-up ramp that is determined without communication
 (`default_allocation` of `sandhatch.balancing.guidance`); this module sums the shares of the instances that
-have leased theirs. No I/O, no clock. Source: leases (Gray and Cheriton 1989).
+have leased their shares. No I/O, no clock. Source: leases (Gray and Cheriton 1989).
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, instances: int, burst: float) -> None:
-        """Start without any lessor."""
+        """Start without any lessor (instance that has leased its shares)."""
         self.instances = instances
         self.burst = burst
         self._until_ms: dict[int, float] = {}  # end of each lease, by instance index
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -117,7 +117,8 @@
         rng = Random(f"{seed} {name}")
         self._backoff = {planner: Backoff(MIN_RECONNECT_MS, MAX_RECONNECT_MS, rng) for planner in planners}
         self._reconnect_ms = dict.fromkeys(planners, 0.0)
-        self._last_logged_reasons: dict[str, str] = {}  # keyed by planner name
+        # Reason in the last log line about each planner, by planner name.
+        self._last_logged_reasons: dict[str, str] = {}
         self._stopped = False
 
     def start(self) -> None:
@@ -137,16 +138,16 @@
     # ------------------------------------------------ pools
 
     def attach(self, pool: str, dispatcher: GuidedDispatcher, settings: Settings) -> None:
-        """Add a pool's dispatcher, or replace it; attempts of the replaced one are still observed."""
+        """Add or replace a pool's dispatcher; attempts of a replaced dispatcher are still observed."""
         observer = self._observers.get(pool)
         names = [request_class.name for request_class in settings.classes]
         if observer is None or not observer.is_compatible(names, settings.warm_up_ms):
             observer = self._observers[pool] = Observer(names, settings.warm_up_ms)
-        previous = self._dispatchers.get(pool)
-        if previous is dispatcher:
+        previous_dispatcher = self._dispatchers.get(pool)
+        if previous_dispatcher is dispatcher:
             return
-        if previous is not None:
-            previous.observer = _ReplacedDispatcherObserver(observer)
+        if previous_dispatcher is not None:
+            previous_dispatcher.observer = _ReplacedDispatcherObserver(observer)
         self._dispatchers[pool] = dispatcher
         dispatcher.on_guidance_rejected(self._on_guidance_rejected)
         dispatcher.observe(observer)
@@ -232,8 +233,8 @@
     def on_opened(self, connection: PlannerConnection) -> None:
         """Register an open connection.
 
-        Called by the connection itself, not after `create_connection` returns: by then the connection may
-        have ended, and would stay registered for ever.
+        Called by the connection itself, not after `create_connection` returns: when that call returns, the
+        connection may have ended already, and would stay registered for ever.
         """
         self._connections[connection.planner] = connection
 
@@ -249,7 +250,7 @@
         self._execute(self.forwarder.handle_advice(connection.planner, advice, self.clock.now_ms()))
 
     def on_protocol_violated(self, connection: PlannerConnection, reason: str) -> None:
-        """Record a violation of the protocol; it is the planner's fault only once its key is proven."""
+        """Record a violation of the protocol, as a fault of the planner only if it has proven its key."""
         if connection.established:
             self._execute(self.forwarder.protocol_violated(connection.planner, reason, self.clock.now_ms()))
 
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -18,8 +18,8 @@
 from sandhatch.planning.weights import EVIDENCE_DECAY_MS, assess_servers, median
 
 MAX_SERVERS = 20_000  # servers of a pool whose addresses one session may send
-OUTSTANDING_SMOOTHING_MS = 400.0  # time constant
-DEMAND_SMOOTHING_MS = 5_000.0  # time constant
+OUTSTANDING_SMOOTHING_MS = 400.0  # time constant of the moving average of outstanding attempts
+DEMAND_SMOOTHING_MS = 5_000.0  # time constant of the moving average of a forwarder's request rate
 MAX_DEMAND_RATIO = 4.0  # bound on a forwarder's demand relative to the median, above and below
 MAX_ROW_RATIO = 3.0  # multiple of the mean attempts per row, above which a row's attempts are weighted down
 MAX_ROW_MEAN_RATIO = 10.0  # multiple of the mean attempts per row at which a report's own mean is capped
@@ -260,8 +260,8 @@
         warmed_up = [address for address, view in self.warming_up.items() if not view.warming_up_in]
         for address in warmed_up:
             del self.warming_up[address]
-        # A view is retained while any session numbers its server, even if it is unlisted: it may be listed
-        # again.
+        # The state of a server is retained while any session numbers the server, even if no forwarder lists
+        # the server: it may be listed again.
         if len(self.servers) > 2 * MAX_SERVERS:
             numbered = self._numberings.numbered_views()
             self.servers = {address: view for address, view in self.servers.items() if id(view) in numbered}
--- a/sandhatch/planning/membership.py
+++ b/sandhatch/planning/membership.py
@@ -39,7 +39,7 @@
         version: Version of the last advice sent to the forwarder; 0 for none.
         unacknowledged: Advice sent after the last advice that the forwarder is known to have applied.
         applied: Last advice that the forwarder is known to have applied.
-        conflict: Reason why the forwarder cannot lease its shares; empty if there is none.
+        conflict: Reason why the forwarder cannot lease its shares; empty if the forwarder can lease them.
     """
 
     name: str
--- a/sandhatch/planning/messages.py
+++ b/sandhatch/planning/messages.py
@@ -25,7 +25,7 @@
 Count = Annotated[int, Meta(ge=0, lt=2**48)]
 Serial = Annotated[int, Meta(ge=0, lt=2**62)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e9)]
-Span = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]  # milliseconds
+Span = Annotated[float, Meta(ge=0.0, le=3_600_000.0)]  # duration in milliseconds, at most one hour
 
 MAX_NOTE_CHARACTERS = 300
 
@@ -73,7 +73,7 @@
     Attributes:
         pool: Name of the pool.
         instances: Number of forwarders configured for the pool.
-        instance_index: Index of this forwarder among them, from 0.
+        instance_index: Index of this forwarder among the pool's forwarders, from 0.
         burst: Burst of a warm-up ramp, in attempts, summed over all instances.
         names: Addresses of servers, numbered in this session in the order in which they are sent.
         rows: Observations by server.
@@ -126,7 +126,7 @@
 
     Attributes:
         server: Number of the server in the session.
-        weight: Advised fraction of the server's usual draws.
+        weight: Advised fraction of the server's usual random selections by the balancer.
         reason: Reason for a weight below 1.
         ratio: The measure behind the reason, as a multiple of the tier's baseline.
         reports: Number of reports that mentioned the server since the previous update.
@@ -160,7 +160,7 @@
 
     Attributes:
         epoch: Number of the planner's incarnation; later incarnations have higher numbers.
-        version: Number of this advice, above all earlier ones of the epoch.
+        version: Number of this advice, above all earlier numbers of the epoch.
         answered_serial: Serial of the report that led to this advice; the lease starts when that report was
             sent.
         lease_ms: Validity of the advice.
@@ -169,7 +169,7 @@
             `own_share` apply only then.
         learning: Whether the planner has not yet received enough reports to grant new shares.
         note: Text for the forwarder's operator.
-        pools: Advice by pool.
+        pools: Advice on each pool.
     """
 
     epoch: Serial
@@ -184,7 +184,7 @@
 
 
 class Bye(Struct, tag="bye"):
-    """The sender ends the session; `why` is the reason."""
+    """Message by which its sender ends the session; `why` is the reason."""
 
     why: Annotated[str, Meta(max_length=MAX_NOTE_CHARACTERS)] = ""
 
--- a/sandhatch/planning/numbering.py
+++ b/sandhatch/planning/numbering.py
@@ -15,7 +15,7 @@
 from sandhatch.planning.messages import WeightRow
 from sandhatch.planning.server_view import Assessment, ServerView
 
-MAX_WEIGHT_ROWS = 256  # rows for a pool in one advice, to bound the message size for large tiers
+MAX_WEIGHT_ROWS = 256  # maximum `WeightRow`s of a pool in one advice, to bound the message size
 
 
 class _ReducedServer(NamedTuple):
@@ -27,7 +27,7 @@
 
 
 class ServerNumbering:
-    """Servers in the order of their numbers, with the rows of their advised weights.
+    """Servers in the order of their numbers, and the `WeightRow` messages of their advised weights.
 
     Attributes:
         views: Servers, indexed by number.
@@ -42,7 +42,7 @@
         self._rows_version = -1
 
     def weight_rows(self, version: int) -> list[WeightRow]:
-        """Rows of the servers with a weight below 1, cached by the version of the pool's weights.
+        """`WeightRow`s of the servers with a weight below 1, cached by the version of the pool's weights.
 
         If there are more than `MAX_WEIGHT_ROWS`, only the servers with the lowest weights are included.
         """
@@ -99,5 +99,5 @@
         return numbering
 
     def numbered_views(self) -> set[int]:
-        """Object identities of the views in all numberings in use."""
+        """Object identities of the `ServerView`s in all numberings in use."""
         return {id(view) for numbering in self._by_key.values() for view in numbering.views}
--- a/sandhatch/planning/observer.py
+++ b/sandhatch/planning/observer.py
@@ -61,7 +61,7 @@
         self._classes = classes
         self._warm_up_ms = warm_up_ms
         self._request_counts = [0] * len(classes)
-        self._warming_up: set[int] = set()  # listed servers, as of the last `collect_warmed_up`
+        self._warming_up: set[int] = set()  # warming up, or warm since the last `collect_warmed_up`
         self.totals: dict[int, ServerTotals] = {}
         self.listed: dict[int, ListedServer] = {}
         self.reporters: set[PoolReporter] = set()
@@ -115,7 +115,7 @@
         elif event.outcome not in NEUTRAL_OUTCOMES:
             totals.failed += 1
         if not totals.outstanding and event.server not in self.listed:
-            self._discard_totals(event.server)  # this was the last attempt at a server that was removed
+            self._discard_totals(event.server)  # the attempt was the last at a removed server
             return
         for reporter in self.reporters:
             reporter.changed_totals.add(event.server)
--- a/sandhatch/planning/peer_connection.py
+++ b/sandhatch/planning/peer_connection.py
@@ -66,7 +66,7 @@
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Handle the events that these bytes complete."""
+        """Handle the events that the received bytes complete."""
         now_ms = self._clock.now_ms()
         try:
             for event, frame_bytes in self.session.feed(data):
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -229,7 +229,7 @@
     def _grant_end_ms(self, now_ms: float) -> float:
         """Time by which a grant made now has expired at every forwarder.
 
-        The shares that it is made from must be leased until then.
+        The shares from which the grant is made must be leased until that time.
         """
         return now_ms + self.terms.lease_ms * (1.0 + CLOCK_DRIFT)
 
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -63,7 +63,7 @@
         unacknowledged_reports: Reports of this session for which advice may still arrive.
         reporters: Reporters of this session, by pool.
         last_report_ms: Time of the last report.
-        credit_bytes: Report bytes that may be sent now.
+        credit_bytes: Bytes of reports that may be sent to the planner now.
         fault_times_ms: Times of the faults within the fault window.
         backoffs: Number of times the circuit has opened.
         backoff_until_ms: Time until which the circuit is open.
@@ -158,7 +158,7 @@
     # ------------------------------------------------ advice
 
     def rejection_reason(self, advice: Advice, max_lease_ms: float) -> str | None:
-        """Reason to reject advice regardless of what it says about pools; None if it is acceptable."""
+        """Reason to reject advice before its advice on pools is checked; None if there is no reason."""
         if advice.epoch != self.epoch:
             return f"advice of epoch {advice.epoch} in a session of epoch {self.epoch}"
         if advice.version <= self.version:
--- a/sandhatch/planning/planner_selection.py
+++ b/sandhatch/planning/planner_selection.py
@@ -16,7 +16,7 @@
     """Lease of a forwarder's own shares.
 
     Attributes:
-        lease_holder: Name of the current lease holder; None if there is none.
+        lease_holder: Name of the current lease holder; None if no planner holds the lease.
         last_lease_holder: Name of the most recent lease holder, which may still grant from the shares.
         leased_until_ms: Time until which other forwarders may use the shares.
     """
@@ -43,7 +43,7 @@
         return False
 
     def update(self, now_ms: float) -> str | None:
-        """Update the selection; returns a log line if it changed."""
+        """Update the selection of the lease holder; returns a log line if the selection changed."""
         current = self._peers[self.lease_holder] if self.lease_holder is not None else None
         if current is not None and now_ms >= current.valid_until_ms:
             self.lease_holder = None
@@ -68,7 +68,7 @@
         return None
 
     def _select(self, peers_by_rank: Iterable[PlannerPeer], now_ms: float) -> PlannerPeer | None:
-        """First planner that may get the lease now; None if there is none."""
+        """First planner that may get the lease now; None if no planner may."""
         for peer in peers_by_rank:
             if not peer.is_healthy(now_ms) or peer.applied.epoch != peer.epoch:
                 continue
@@ -81,5 +81,5 @@
             if now_ms >= self.leased_until_ms:
                 return peer
             if peer.has_recovered(now_ms, self._hold_ms):
-                return None  # the lease is reserved for this recovered planner, ahead of later ones
+                return None  # the lease is reserved for this recovered planner, ahead of later planners
         return None
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -48,7 +48,8 @@
         self.ramp_shares: dict[str, dict[str, float]] = {}
         self._terms = terms
         self._applied_versions = applied_versions
-        self._demands: dict[str, float] = {}  # bounded requests per second of each lessor
+        # Bounded requests per second of each forwarder that has leased its shares.
+        self._demands: dict[str, float] = {}
         self._total_demand = 0.0
         self._assigned_ms = -math.inf
         self._members_at_assignment = 0
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -64,7 +64,7 @@
 
 
 class _BudgetedRow(NamedTuple):
-    """A row, or None if it did not fit, and the remaining bytes of the budget."""
+    """A server's row of a report, or None if the row did not fit, and the remaining bytes of the budget."""
 
     row: Row | None
     remaining_bytes: int
@@ -82,8 +82,8 @@
         """Mark all of the observer's servers as changed, so that the first report contains them."""
         self._observer = observer
         self._is_first = True
-        self._numbers: dict[int, int] = {}  # session's number, by the balancer's number
-        self._servers: list[int] = []  # balancer's number, by the session's number
+        self._numbers: dict[int, int] = {}  # a server's number in the session, by its number in the balancer
+        self._servers: list[int] = []  # a server's number in the balancer, by its number in the session
         self._reported_totals: dict[int, ServerTotals] = {}
         self._reported_demand = dict(observer.demand)
         self._reported_readiness: dict[int, Readiness] = {}
@@ -95,7 +95,7 @@
         self._observer.reporters.discard(self)
 
     def server_of(self, number: int) -> int | None:
-        """The balancer's number for the session's number of a server; None if none has this number."""
+        """The balancer's number for the session's number of a server; None if no server has this number."""
         return self._servers[number] if number < len(self._servers) else None
 
     def discard_totals(self, server: int) -> None:
--- a/sandhatch/planning/quantile_sketch.py
+++ b/sandhatch/planning/quantile_sketch.py
@@ -38,7 +38,7 @@
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start a sketch without values."""
         self.counts: dict[int, float] = {}
         self.total = 0.0
 
--- a/sandhatch/planning/readiness.py
+++ b/sandhatch/planning/readiness.py
@@ -11,6 +11,6 @@
 class Readiness(IntEnum):
     """Readiness of a server; planners store one byte for each pair of server and forwarder."""
 
-    NOT_READY = 0  # removed from the list, or draining
+    NOT_READY = 0  # the server was removed from the endpoint list, or is draining
     WARM = 1
     WARMING_UP = 2
--- a/sandhatch/planning/receive_limit.py
+++ b/sandhatch/planning/receive_limit.py
@@ -29,7 +29,7 @@
         self._updated_ms = now_ms
 
     def take(self, frame_bytes: int, now_ms: float) -> bool:
-        """Take one frame of this size from the buckets; False if it exceeds the limit."""
+        """Take one frame of this size from the buckets; False if the frame exceeds the limit."""
         elapsed_s = (now_ms - self._updated_ms) / 1000.0
         self._updated_ms = now_ms
         self._frames = min(self._max_frames, self._frames + self._frames_per_s * elapsed_s) - 1.0
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -22,7 +22,7 @@
 from sandhatch.runtime.clock import Clock
 
 TICK_MS = 100.0
-CLOSE_TIMEOUT_MS = 2_000.0  # time for a forwarder to read the pending output before the abort
+CLOSE_TIMEOUT_MS = 2_000.0  # time for a forwarder to read pending output before its connection is aborted
 SILENCE_TIMEOUT_MS = 30_000.0  # time without a report after which a session is closed
 LISTEN_BACKLOG = 1_024
 MAX_FORWARDER_BYTES_PER_S = 262_144.0
@@ -48,13 +48,13 @@
         self.last_report_ms = server.clock.now_ms()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Admit the connection, or close it if there are too many."""
+        """Admit the connection, or close it if too many connections are open."""
         super().connection_made(transport)
         if not self._planner_server.admit(self):
             self.close(f"{self._planner_server.max_connections} connections are there already")
 
     def data_received(self, data: bytes) -> None:
-        """Count these bytes, and handle the events that they complete."""
+        """Count the received bytes, and handle the events that they complete."""
         self._planner_server.bytes_in += len(data)
         super().data_received(data)
 
@@ -71,7 +71,7 @@
             case Bye():
                 self._close_transport()
             case Hello():
-                pass  # the session has already responded
+                pass  # the session has already responded to the `Hello`
             case _:
                 raise SessionError(f"a {type(event).__name__} from a forwarder")
 
--- a/sandhatch/planning/server_totals.py
+++ b/sandhatch/planning/server_totals.py
@@ -21,7 +21,7 @@
     __slots__ = ("failed", "ok", "outstanding", "rejected", "sketch", "spent_ms")
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Start with all counters at zero."""
         self.outstanding = 0
         self.ok = 0
         self.failed = 0
--- a/sandhatch/planning/server_view.py
+++ b/sandhatch/planning/server_view.py
@@ -19,7 +19,7 @@
     """Weight advised for a server, with the evidence for it.
 
     Attributes:
-        weight: Fraction of the server's draws that should be accepted.
+        weight: Fraction of the server's random selections that should be accepted.
         reason: Reason for the reduced weight; empty at weight 1.
         ratio: Ratio of the measured value behind `reason` to the tier's baseline.
         reports: Number of reports that mentioned the server since the previous update.
@@ -38,7 +38,7 @@
         address: Address of the server as `host:port`.
         outstanding: Attempts in flight from all forwarders.
         listed_in: Number of forwarders that list the server as ready.
-        warming_up_in: Number of those forwarders that report the server to be warming up.
+        warming_up_in: Number of forwarders that list the server as ready and report it to be warming up.
         reports: Number of reports that mentioned the server since the last update of the weights.
         assessment: Weight last advised, with the evidence.
         attempts: Decayed number of ended attempts.
@@ -124,7 +124,7 @@
         return self._failed / self.attempts if self.attempts else 0.0
 
     def assess(self, weight: float, reason: str, ratio: float) -> bool:
-        """Set the weight, rounded to `WEIGHT_STEP`; returns whether the weight changed."""
+        """Set the server's advised weight, rounded to `WEIGHT_STEP`; returns whether the weight changed."""
         weight = min(1.0, max(0.0, round(weight / WEIGHT_STEP) * WEIGHT_STEP))
         changed = weight != self.assessment.weight
         if changed or (weight < 1.0 and reason != self.assessment.reason):
--- a/sandhatch/planning/terms.py
+++ b/sandhatch/planning/terms.py
@@ -41,7 +41,7 @@
 
     Attributes:
         report_ms: Interval between reports to a planner.
-        bytes_per_s: Maximum rate of report bytes to each planner.
+        bytes_per_s: Maximum rate of the reports to each planner, in bytes per second.
         max_lease_ms: Longest lease that is accepted.
         hold_ms: Time for which a planner earlier in the configured order must be healthy before the lease
             returns to that planner.
--- a/sandhatch/planning/weights.py
+++ b/sandhatch/planning/weights.py
@@ -19,10 +19,10 @@
 # Excess over twice the tier's failure rate, plus one failure, that does not reduce a weight.
 MAX_TOLERATED_EXCESS_FAILURE_RATE = 0.05
 MIN_WEIGHT = 0.1
-MIN_LOAD_FACTOR = 0.3  # lower bound of the factor for outstanding attempts; its upper bound is 2.0 minus this
+MIN_LOAD_FACTOR = 0.3  # lower bound of the factor for outstanding attempts; 2.0 minus it is the upper bound
 EXCESS_REMOVAL_MS = 1_000.0  # time in which outstanding attempts in excess of the mean should complete
-FEEDBACK_LAG_MS = 500.0  # delay from an attempt to the first draws with a weight that reflects it
-MERIT_STEP_PER_S = 0.3  # maximum change of a merit
+FEEDBACK_LAG_MS = 500.0  # delay from an attempt to the use of a weight that reflects the attempt
+MERIT_STEP_PER_S = 0.3  # maximum change of a server's merit per second
 MIN_REPORTED_FAILURE_RATE = 0.01  # minimum divisor of the reported ratio of failure rates
 
 # Reasons for a weight, used in advice and in the planner's status.
@@ -38,7 +38,7 @@
     Attributes:
         weight: Target weight, at most 1.
         reason: Reason for a weight below 1; empty at weight 1.
-        ratio: Ratio of the server's latency or failure rate to the tier's.
+        ratio: Ratio of the server's latency or failure rate to that of the tier.
     """
 
     weight: float
@@ -75,7 +75,7 @@
 
 
 def median(values: Iterable[float]) -> float:
-    """Upper median of the values; 0 if there are none."""
+    """Upper median of the values; 0 if there are no values."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else 0.0
 
@@ -86,8 +86,8 @@
     Args:
         warm: Warm servers, at least one.
         median_latency_ms: Median of the forwarders' mean response times; 0 if unknown.
-        span_ms: Time since the last update, to which the maximum change of a merit is proportional; infinite
-            for no bound.
+        span_ms: Time since the last update, to which the maximum change of a server's merit (weight justified
+            by latency and failures) is proportional; infinite for no bound.
 
     Returns:
         Whether a weight changed.
@@ -139,7 +139,7 @@
 
     Args:
         view: Evidence on the server.
-        median_relative_latency: Median over the tier's warm servers.
+        median_relative_latency: Median of the relative latencies of the tier's warm servers.
         tier_failure_rate: Fraction of all the tier's attempts that failed.
     """
     weight = 1.0
--- a/sandhatch/routing/coverage.py
+++ b/sandhatch/routing/coverage.py
@@ -59,8 +59,8 @@
         cover = next((other for other in earlier.find_covering(route) if routes[other].covers(route)), None)
         if cover is not None:
             found.append(CoveredRoute(index, cover))
-            continue  # the covering route also covers every route that this one covers
+            continue  # the earlier covering route also covers every route that this route covers
         if route.regex is not None or route.headers:
-            continue  # a route with a regular expression or headers does not certainly cover another one
+            continue  # a route with a regular expression or headers does not certainly cover another route
         earlier.add(index, route)
     return found
--- a/sandhatch/routing/route.py
+++ b/sandhatch/routing/route.py
@@ -99,7 +99,7 @@
         return all(condition.matches(query.headers) for condition in self.headers)
 
     def covers(self, other: Route) -> bool:
-        """Whether this route certainly matches whenever `other` does, exact path and prefix aside."""
+        """Whether this route certainly matches whenever `other` matches, exact path and prefix aside."""
         if self.regex is not None or self.headers:
             return False
         if self.hosts and not (other.hosts and all(self._covers_host(host) for host in other.hosts)):
--- a/sandhatch/routing/table.py
+++ b/sandhatch/routing/table.py
@@ -1,6 +1,6 @@
 """The compiled route table: from a request's listener, host, path, method, headers and class to one route.
 
-The target is that of the first route, in the order of the file, whose conditions all hold; if there is none,
+The target is that of the first route, in the order of the file, whose conditions all hold; if no route's do,
 the default target. Routes are indexed by path: exact paths and prefixes in dictionaries that are looked up by
 the path and by each of its prefixes, the other routes in one list; and the routes of one path by host. Only
 routes for the path and host are examined, so the cost of a lookup depends on the length of the path and not
--- a/sandhatch/routing/targets.py
+++ b/sandhatch/routing/targets.py
@@ -43,7 +43,7 @@
     Attributes:
         pools: Names of the pools, without those of weight 0.
         cumulative_weights: Running sums of the weights.
-        by: Name, in lower case, of the header whose value assigns a client to one pool; empty for none.
+        by: Name, in lower case, of the header whose value assigns a client to one pool; empty for no header.
         salt: Key of the hash function, which makes the hashes differ from those of other splits.
     """
 
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -27,7 +27,7 @@
     assert found.warnings == ()
     settings = pool_settings(found.model, found.model.pools["price-store"])
     assert [request_class.name for request_class in settings.classes][3] == "place-order"
-    assert settings.tier == 2  # only the first tier rejects requests before work is spent on them
+    assert settings.tier == 2  # not the first tier: this pool does not reject requests early
 
 
 def test_every_error_is_reported_at_once_with_its_line() -> None:
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -137,7 +137,8 @@
     for _ in range(60):
         worse.add_block(0.98, 20)
     worse.begin()
-    assert any(worse.add_block(0.1, 60) for _ in range(40))  # more load, but less served than before
+    # More requests arrive, but less is served than before the change.
+    assert any(worse.add_block(0.1, 60) for _ in range(40))
 
 
 def test_only_the_pools_that_a_change_affects_are_compared() -> None:
@@ -170,7 +171,7 @@
     drop = watch.close(52 * BLOCK_MS + 2_000.0, 2_000.0)
     assert drop is not None
     assert drop.after == 0.0
-    watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # ends too late to count
+    watch.request_ended(45 * BLOCK_MS, "order", "web", 1.0, True, False)  # the request ends too late to count
 
 
 def test_blocks_of_a_confirmed_change_become_the_baseline_of_the_next_change() -> None:
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -122,7 +122,7 @@
 def test_a_kill_at_any_step_leaves_one_complete_version(tmp_path: Path) -> None:
     """The process is killed at every write, in the middle of a write, at every rename and flush of a first
     start, a commit, a confirmation and a rollback. The state loaded afterwards is that from before or after
-    the interrupted save, never another one.
+    the interrupted save, never another state.
     """
     uninterrupted = CrashInjector(0)
     history = History(str(tmp_path / "complete"), uninterrupted)
@@ -151,7 +151,7 @@
             assert saved is not None, step_name
             assert (saved.confirmed, saved.lost_version) in (before[:2], after[:2]), step_name
             assert saved.data == {"v": saved.confirmed}
-            save(reopened, *STEPS[-1])  # the reopened directory can be written
+            save(reopened, *STEPS[-1])  # the reopened state directory can be written
         reopened.close()
 
 
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -104,7 +104,7 @@
     owner.carry_out()
     assert version.state is State.FAILED
     assert owner.discarded == [2]
-    owner.lifecycle.staged(owner.staging.pop())  # a late report: what was staged is released
+    owner.lifecycle.staged(owner.staging.pop())  # reported after the rollback: the staged version is released
     owner.carry_out()
     assert owner.discarded == [2, 2]
     assert owner.active_version.number == 1
--- a/tests/planning/test_configuration_versions.py
+++ b/tests/planning/test_configuration_versions.py
@@ -74,7 +74,7 @@
 async def replace_the_link(
     fake_servers: FakeServers, key: Path, planner: PlannerServer, running: RunningService
 ) -> None:
-    """Check that the new link takes over the end of the shares' lease."""
+    """Check that the new link keeps the old link's end of the lease of the forwarder's shares."""
     link = running.service.forwarding.link
     assert link is not None
     await wait_until(lambda: link.forwarder.leased_to == "p0")
--- a/tests/planning/test_forwarder.py
+++ b/tests/planning/test_forwarder.py
@@ -108,7 +108,7 @@
 
 
 def test_advice_rejected_by_the_balancer_is_not_acknowledged() -> None:
-    """An acknowledgement would make the planner count valid earlier grants as superseded."""
+    """If rejected advice were acknowledged, the planner would count valid earlier grants as superseded."""
     driver = ForwarderDriver("p0")
     driver.connect("p0")
     driver.respond("p0")
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -58,7 +58,8 @@
 
     def simulate(restart: bool) -> Tier:
         tier = Tier(plan, seed)
-        tier.servers[0].slowdown = tier.servers[1].slowdown = 3.0  # the planner advises reduced weights
+        # The planner advises reduced weights for these two servers.
+        tier.servers[0].slowdown = tier.servers[1].slowdown = 3.0
         if restart:
             tier.at(20_000.0, lambda: tier.kill_planner("p0"))
             tier.at(20_300.0, lambda: tier.start_planner("p0"))
--- a/tests/planning/test_grant_ledger.py
+++ b/tests/planning/test_grant_ledger.py
@@ -91,7 +91,7 @@
         self._lessors.end(index)
 
     def apply(self, index: int) -> None:
-        """Let a forwarder apply the last received advice, which supersedes its earlier grants."""
+        """Let a forwarder apply the last received advice, which supersedes the forwarder's earlier grants."""
         name = str(index)
         own = [grant for grant in self._received if grant.forwarder == name]
         applied = max((grant.version for grant in own), default=0)
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -290,8 +290,8 @@
     run(scenario())
 
 
-# More than the operating system buffers for a connection that the peer does not read; it may go on accepting
-# bytes for a moment.
+# More bytes than the operating system buffers for a connection whose peer does not read; the system may
+# accept some bytes even after that.
 SYSTEM_BUFFER_BYTES = 64 * 1024 * 1024
 
 
@@ -354,7 +354,7 @@
 
 
 def test_a_connection_that_ends_immediately_is_retried() -> None:
-    """The connection may end before `create_connection` returns, and must not stay registered as open."""
+    """Guards against registering a connection that ended before `create_connection` returned as open."""
 
     async def script(connection: ForwarderConnection) -> None:
         await connection.send_raw(b"\0\0\0\5hello")
--- a/tests/planning/test_load.py
+++ b/tests/planning/test_load.py
@@ -26,7 +26,8 @@
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0, rows=[Row(0, 5)])
     view = planner.pools["core"].load.servers[ADDRESSES[0]]
-    forwarder.report(250.0, not_ready=[0], rows=[Row(0, 3)])  # the server is draining
+    # Server 0 is draining, with three attempts in flight.
+    forwarder.report(250.0, not_ready=[0], rows=[Row(0, 3)])
     assert view.outstanding == 3
     forwarder.report(500.0, not_ready=[0])
     assert (view.outstanding, view.listed_in) == (0, 0)
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -31,7 +31,7 @@
     assert not advice.learning
     assert advice.pools[0].weights is None  # one of four forwarders is below the required fraction
     now = report_rounds(planner, [forwarder], now, 40, SLOW_SERVER_ROWS)
-    planner.forwarder_connected("f0", now)  # all weights are sent again in a new session
+    planner.forwarder_connected("f0", now)  # a new session, in which all weights are sent again
     forwarder.has_named_servers = False
     assert advised_weights(forwarder.report(now))  # the wait for the other forwarders is over
 
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -85,7 +85,10 @@
 
 
 def test_a_planner_whose_clock_was_set_back_starts_above_its_earlier_epoch() -> None:
-    """Only the epoch is taken from the system's time; a forwarder that has seen a higher epoch reports it."""
+    """Guards against an epoch below an earlier one, since a new epoch is taken from the system's time.
+
+    A forwarder that has seen a higher epoch reports that epoch to the planner, which continues above it.
+    """
 
     async def scenario() -> None:
         async with (
--- a/tests/planning/test_session.py
+++ b/tests/planning/test_session.py
@@ -131,7 +131,7 @@
 
 
 def test_a_proof_replayed_from_another_session_is_rejected() -> None:
-    """A recorded handshake is sent to the planner again."""
+    """A forwarder's recorded `Hello` and proof are sent again, in a new session with the planner."""
     forwarder, planner = session_pair()
     hello = forwarder.take_output()
     receive(planner, hello)
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -206,7 +206,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_random_sequences_of_faults_do_not_exceed_the_ramp(seed: int) -> None:
-    """Faults are killed, restarted or slow planners, partitions, losses, and terminated or new forwarders."""
+    """Faults: killed, restarted or slow planners, partitions, lost messages, ended or new forwarders."""
     rng = Random(seed)
     forwarder_count = rng.choice([3, 8, 20])
     plan = replace(
--- a/tests/planning/test_weights.py
+++ b/tests/planning/test_weights.py
@@ -32,7 +32,7 @@
 
 
 def test_outstanding_attempts_have_little_influence_when_attempts_are_short() -> None:
-    """The reported number of short outstanding attempts is out of date when it is received."""
+    """Guards against weights that follow noise: a count of short attempts is out of date on arrival."""
     assert weights_after({2: Row(2, 8, 4, 0, 0, 40.0)}).get(2, WeightRow(2, 1.0)).weight > 0.8
 
 
