--- a/sandhatch/cli/changes.py
+++ b/sandhatch/cli/changes.py
@@ -161,7 +161,7 @@
 
 
 def show_version(response: Response, console: Console) -> None:
-    """Print a version's state, the reason for it, and the times until its rollback and its watch's end."""
+    """Print a version's state, the reason, and the times left until its rollback and goodput watch's end."""
     console.line(f"version {response['version']}: {response['state']}")
     if response.get("why"):
         console.problems([response["why"]])
--- a/sandhatch/cli/console.py
+++ b/sandhatch/cli/console.py
@@ -22,7 +22,7 @@
     FAILED = 1  # the configuration has errors, or the change failed or was rolled back
     USAGE = 2
     UNREACHABLE = 3  # no service responds at the control socket
-    CONFLICT = 4  # the change conflicts with another
+    CONFLICT = 4  # the change conflicts with another change
     BUSY = 5  # another change is in progress, or too many proposals are stored; try again later
 
 
--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -92,7 +92,7 @@
     signal.signal(
         signal.SIGHUP, signal.SIG_IGN
     )  # a planner does not reload its configuration; it has to be restarted
-    # Imported here, since the other verbs start faster without the planner and its event loop.
+    # Imported here, so that the verbs that run no planner start faster without uvloop and the planner.
     import uvloop
 
     from sandhatch.cli.planner_program import serve
@@ -105,10 +105,8 @@
 
 def _make_key(args: argparse.Namespace, console: Console) -> int:
     """Write a key into a new file that only its owner may read; never overwrite an existing file."""
-    from sandhatch.planning.keys import (
-        new_private_key,
-        public_key,
-    )  # imports the optional cryptography package
+    # Imported here, because sandhatch.planning.keys needs the optional cryptography package.
+    from sandhatch.planning.keys import new_private_key, public_key
 
     key = os.urandom(SHARED_KEY_BYTES) if args.shared else new_private_key()
     try:
@@ -165,7 +163,7 @@
 
 
 def _show_explanation(server: dict[str, Any], console: Console) -> None:
-    """Print the explanation of a server's guidance; the keys are those of the control protocol."""
+    """Print why a server has its advised weight; the keys of `server` are set by the control protocol."""
     console.line(f"{server['server']} in {server['pool']}: listed by {server['listed_by']} forwarders")
     ratio = f", {server['ratio']:g} times the tier's baseline" if server["ratio"] else ""
     console.line(f"  weight {server['weight']:g}: {server['why']}{ratio}")
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -24,7 +24,7 @@
 from sandhatch.runtime.process import freeze_garbage_collector, raise_descriptor_limit, shutdown_event
 
 RESERVED_DESCRIPTORS = 64  # descriptors for log, control socket and event loop, not for forwarders
-SEND_DELAY_S = 0.05  # delay before exit in which the last messages are sent
+SEND_DELAY_S = 0.05  # delay before exit in which the last messages to forwarders are sent
 
 
 async def serve(config: PlannerConfig, control_path: str, console: Console) -> int:
@@ -109,7 +109,7 @@
                 )
 
     def _explain(self, address: Any, pool: Any) -> dict[str, Any]:
-        """Explain a server's guidance, in the given pool or in every pool that has the server."""
+        """Explain a server's advised weight, in the given pool or in every pool that has the server."""
         if not isinstance(address, str):
             return fault_response(
                 FaultReason.INVALID, f"server: expected an address as host:port, got {address!r:.60}"
--- a/sandhatch/cli/serve.py
+++ b/sandhatch/cli/serve.py
@@ -60,7 +60,7 @@
         return ExitCode.FAILED
     console.problems(checked.warnings)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)  # ignored until the service can reload its file
-    # Imported here, since the other verbs start faster without the service and its event loop.
+    # Imported here, so that the verbs that run no service start faster without uvloop and the service.
     import uvloop
 
     from sandhatch.cli.service_program import serve
--- a/sandhatch/cli/service_call.py
+++ b/sandhatch/cli/service_call.py
@@ -16,7 +16,8 @@
 from sandhatch.control.client import Client
 
 TIMEOUT_S = 60.0
-WAIT_TIMEOUT_S = 86_400.0  # limit on a call that waits until a change is confirmed or rolled back
+# Time limit on the response to a call that waits until a change is confirmed or rolled back.
+WAIT_TIMEOUT_S = 86_400.0
 
 Response = dict[str, Any]  # one JSON object of the control protocol
 BuildArguments = Callable[[argparse.Namespace], dict[str, Any]]
@@ -26,7 +27,7 @@
     RejectionReason.CONFLICT.value: ExitCode.CONFLICT,
     RejectionReason.BUSY.value: ExitCode.BUSY,
     RejectionReason.FULL.value: ExitCode.BUSY,
-}  # key: `why` of a response
+}  # exit code of a rejected call, by the response's `why`
 FAILURE_STATES = (State.FAILED.value, State.ROLLED_BACK.value, State.LOST.value)
 CHANGE_VERBS = ("commit", "confirm")
 
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -60,7 +60,7 @@
 def _build_service(
     args: argparse.Namespace, checked: CheckedConfiguration, console: Console, loop: asyncio.AbstractEventLoop
 ) -> Service:
-    """Build the service with the version saved in the state directory, if any, or else with the file's."""
+    """Build the service with the version saved in the state directory, or else with that of the file."""
     history: History | None = None
     saved: StoredState | None = None
     if args.state:
--- a/sandhatch/cli/status.py
+++ b/sandhatch/cli/status.py
@@ -1,6 +1,7 @@
 """The verbs that show a running service's state: status, history and show.
 
-The control socket's responses are printed unchanged. The keys are those of the control protocol.
+The control socket's responses are printed as text and tables, and unchanged with `--json`. Their keys are
+those of the control protocol.
 """
 
 from __future__ import annotations
--- a/sandhatch/control/errors.py
+++ b/sandhatch/control/errors.py
@@ -21,7 +21,8 @@
     """The received bytes can't be used as a call or a response, and nothing more is read from their sender.
 
     Raised in the server for a line that is too long or not a JSON object, and if the incomplete calls of all
-    peers together exceed the buffer limit; in the client, for such a line in place of a response.
+    peers together exceed the buffer limit; in the client, for a response that is too long or not a JSON
+    object.
     """
 
 
@@ -30,4 +31,4 @@
 
 
 class UnreachableError(Exception):
-    """No process responds at the path, or its response is unusable; the message names path and cause."""
+    """No process responds at the path, or the response is unusable; the message names path and cause."""
--- a/sandhatch/control/framing.py
+++ b/sandhatch/control/framing.py
@@ -74,5 +74,5 @@
 
 
 def fault_response(reason: FaultReason, text: str) -> dict[str, Any]:
-    """Return the response to a failed call that has no conflicting keys or problems to list."""
+    """Return the response to a failed call with no conflicting configuration keys or problems to list."""
     return {"ok": False, "why": reason.value, "text": text, "keys": [], "problems": []}
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -1,7 +1,7 @@
 """The control socket of a service or a planner: a Unix-domain socket that only its owner and root may use.
 
 There are limits on the number of connections, on the bytes buffered for all peers together, and on the time
-to receive a call. Which calls are permitted is decided by `calls` and the transactions.
+to receive a call. Which calls are permitted is decided by `calls` and `config.transactions`.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 MAX_BUFFERED_BYTES = 96 * 1024 * 1024  # limit on the bytes of incomplete calls, over all peers
 CALL_TIMEOUT_S = 10.0  # limit on receiving a call from its first byte on, and on sending its response
 IDLE_TIMEOUT_S = 300.0  # limit on a connection's idle time between calls
-PROBE_TIMEOUT_S = 1.0  # limit on connecting to another process that may own the path
+PROBE_TIMEOUT_S = 1.0  # limit on connecting to a process that may own the socket's path
 READ_BYTES = 65536
 PRIVATE_SOCKET_UMASK = 0o177  # permits only the owner to connect
 
@@ -184,7 +184,7 @@
     """Remove the socket of a process that has ended.
 
     Raises:
-        ControlError: The path belongs to a running process or to another kind of file.
+        ControlError: The path belongs to a running process's socket or to a file that is no socket.
     """
     try:
         mode = Path(path).stat().st_mode
@@ -205,7 +205,7 @@
 
 
 def _bind_private(path: str) -> socket.socket:
-    """Bind a socket at the path; from its creation on, only its owner can connect."""
+    """Bind a socket at the path; from the socket's creation on, only its owner can connect."""
     listening_socket = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     previous_umask = os.umask(PRIVATE_SOCKET_UMASK)
     try:
--- a/sandhatch/control/status_calls.py
+++ b/sandhatch/control/status_calls.py
@@ -44,7 +44,7 @@
         }
 
     def _pool_rows(self) -> dict[str, Any]:
-        """Return each pool's row by the first digits of its fingerprint."""
+        """Return each pool's state for the response, by the first digits of its configuration's hash."""
         return {
             pool.fingerprint[:SHOWN_FINGERPRINT_DIGITS]: {
                 "pool": pool.name,
--- a/sandhatch/control/version_calls.py
+++ b/sandhatch/control/version_calls.py
@@ -14,7 +14,7 @@
 
 
 class VersionCalls:
-    """Each method runs one operation and returns the version's row, or raises RejectedError."""
+    """Each method runs one operation and returns the version's response row, or raises RejectedError."""
 
     def __init__(self, service: Service) -> None:
         """Serve calls on the service."""
@@ -46,7 +46,7 @@
         return version_row(version, self._service.now_ms)
 
     async def rollback(self, call: Call) -> dict[str, Any]:
-        """Roll back the pending version, or commit the configuration of an earlier version anew."""
+        """Roll back the pending version, or commit an earlier version's configuration as a new version."""
         version = self._service.rollback(call.author, call.optional_integer("to"))
         return await self._row_when_decided(version, call.flag("wait", False))
 
--- a/sandhatch/control/version_row.py
+++ b/sandhatch/control/version_row.py
@@ -8,10 +8,10 @@
 
 
 def version_row(version: Version, now_ms: float) -> dict[str, Any]:
-    """Return the version's row; its keys are set by the protocol.
+    """Return the version's state for a response; the keys are set by the control protocol.
 
-    An active version's row has the milliseconds left until it is rolled back unless it is confirmed, and
-    until its goodput comparison ends.
+    An active version's state has the milliseconds left until the version is rolled back unless it is
+    confirmed, and the milliseconds left until its goodput comparison ends.
     """
     row: dict[str, Any] = {
         "version": version.number,
--- a/sandhatch/platform/graceful_shutdown.py
+++ b/sandhatch/platform/graceful_shutdown.py
@@ -14,7 +14,7 @@
 from sandhatch.runtime.clock import Clock
 
 ACCEPT_MS = 550.0  # new connections continue to arrive for up to 400 ms after SIGTERM
-RESPONSE_READ_MS = 100.0  # time after the longest deadline in which clients read the last responses
+RESPONSE_READ_MS = 100.0  # time for clients to read the last responses, after the longest request deadline
 POLL_INTERVAL_S = 0.01
 # The platform sends SIGKILL no earlier than min(longest deadline, MAX_COUNTED_DEADLINE_MS) + LATE_ARRIVAL_MS
 # after SIGTERM. Requests that arrive later than LATE_ARRIVAL_MS must get their responses before SIGKILL too.
@@ -26,13 +26,13 @@
     """Limits the time left of requests that arrive late in a shutdown, so that responses precede SIGKILL."""
 
     def __init__(self, clock: Clock) -> None:
-        """Sets no limit until `begin` is called."""
+        """Sets no limit on requests until `begin` is called."""
         self._clock = clock
-        self._late_arrival_from_ms = math.inf  # Unix milliseconds
-        self._respond_by_ms = math.inf  # Unix milliseconds
+        self._late_arrival_from_ms = math.inf  # Unix milliseconds; requests from then on are late
+        self._respond_by_ms = math.inf  # Unix milliseconds; time by which late requests need responses
 
     def begin(self, longest_deadline_ms: float) -> None:
-        """Starts the limit; called when SIGTERM is received.
+        """Starts the limit on late requests; called when SIGTERM is received.
 
         Args:
             longest_deadline_ms: Longest deadline of any request class.
@@ -42,7 +42,7 @@
         self._respond_by_ms = self._late_arrival_from_ms + counted_deadline_ms - RESPONSE_READ_MS
 
     def limit(self, time_left_ms: float) -> float:
-        """Returns the time that a request arriving now may take, at most the time left that it states."""
+        """Returns the time that a request arriving now may take, at most `time_left_ms`, which it states."""
         now_ms = self._clock.now_ms()
         if now_ms < self._late_arrival_from_ms:
             return time_left_ms
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -22,7 +22,8 @@
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.telemetry.event_recorder import Recorder, requested_record_scope
 
-OWN_DESCRIPTORS = 24  # descriptors that the process itself needs: listener, discovery, files
+# Descriptors that no connection to a client or server may use: those for the listener, discovery and files.
+OWN_DESCRIPTORS = 24
 MIN_CONNECTION_DESCRIPTORS = 8
 
 
--- a/sandhatch/platform/reload.py
+++ b/sandhatch/platform/reload.py
@@ -1,6 +1,6 @@
-"""Reload of the platform's program on SIGHUP: the discovery client moves to the address in the file.
+"""Reload of the platform's program on SIGHUP: the discovery client moves to the configured address.
 
-Other keys of the file take effect at the next start. A file with errors changes nothing.
+Other keys of the configuration file take effect at the next start. A file with errors changes nothing.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class DiscoveryReload:
-    """Reloads the platform's configuration whenever `trigger` is called."""
+    """Reads the platform's configuration file again whenever `trigger` is called."""
 
     def __init__(self, discovery: Discovery, logger: Logger) -> None:
         """Creates a reload that moves `discovery` to the address in the configuration file."""
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -42,9 +42,9 @@
         return self._dispatcher.has_ready_server
 
     def limits(self, _client: ClientConnection, _message: Message) -> StreamLimits | None:
-        """Returns None, for no streaming: the platform's bodies are small.
+        """Returns None, so that no body is streamed: the platform's bodies are small.
 
-        A request therefore begins once its last byte is received.
+        The handling of a request therefore begins once its last byte is received.
         """
         return None
 
--- a/sandhatch/runtime/clock.py
+++ b/sandhatch/runtime/clock.py
@@ -11,7 +11,7 @@
 from heapq import heapify, heappop, heappush
 from math import ceil
 
-MIN_COMPACT_SIZE = 1024  # number of timers up to which the heap is not searched for cancelled ones
+MIN_COMPACT_SIZE = 1024  # number of timers up to which the heap is not searched for cancelled timers
 
 
 class Timer:
@@ -42,7 +42,7 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Reads the system's time; timers fire on `loop`."""
+        """Reads the system's time; the timers' functions are called on `loop`."""
         self._loop = loop
         self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
         self._heap: list[tuple[float, int, Timer]] = []  # due time, serial number that breaks ties, timer
--- a/sandhatch/runtime/coalescing_runner.py
+++ b/sandhatch/runtime/coalescing_runner.py
@@ -22,8 +22,8 @@
         """Requests a run and returns immediately.
 
         If no run is in progress, one is started on the running event loop. During a run, however often
-        `trigger` is called, exactly one more run follows; calls before a requested run begins add none. A run
-        therefore always begins after the last call.
+        `trigger` is called, exactly one more run follows; calls before a requested run begins add no run.
+        A run therefore always begins after the last call of `trigger`.
         """
         self._requested = True
         if self._task is None or self._task.done():
--- a/sandhatch/runtime/descriptor_budget.py
+++ b/sandhatch/runtime/descriptor_budget.py
@@ -13,10 +13,10 @@
 
     @property
     def connection_count(self) -> int:
-        """Descriptors in use."""
+        """Number of descriptors that the pool's connections use."""
 
     def close_longest_idle(self) -> bool:
-        """Closes the connection that has been idle for longest; returns False if none is idle."""
+        """Closes the connection that has been idle for longest; returns False if no connection is idle."""
 
 
 class DescriptorBudget:
@@ -24,7 +24,7 @@
 
     Attributes:
         limit: Maximum number of descriptors in use.
-        holders: Connections of each pool; each pool adds and removes its own entry.
+        holders: Connections of each pool; each pool adds and removes its own connections object.
     """
 
     def __init__(self) -> None:
@@ -34,11 +34,11 @@
 
     @property
     def used(self) -> int:
-        """Descriptors in use by all pools."""
+        """Number of descriptors in use by all pools."""
         return sum(holder.connection_count for holder in self.holders)
 
     def ensure_one_free(self) -> bool:
-        """Ensures that one more descriptor may be used; closes an idle connection of any pool if necessary.
+        """Tries to have one descriptor free, by closing an idle connection of any pool if necessary.
 
         Returns:
             Whether a descriptor is free.
--- a/sandhatch/runtime/flow_statistics.py
+++ b/sandhatch/runtime/flow_statistics.py
@@ -1,4 +1,4 @@
-"""Counters over all flows of a process, for the status and for measurements.
+"""Counters over all flows (streamed bodies) of a process, for the status and for measurements.
 
 Every flow is counted without sampling, and no decision depends on a counter. Source:
 docs/operators/bodies.md, "What you see".
@@ -8,7 +8,7 @@
 
 
 class FlowStatistics:
-    """Counters that every flow updates.
+    """Counters that every flow (streamed body) updates.
 
     Attributes:
         open: Flows that have not ended.
@@ -16,7 +16,7 @@
         opened: Flows opened since the start.
         bytes: Bytes forwarded, in both directions.
         peak_bytes: Maximum number of bytes that one flow has buffered.
-        ceiling_exceeded_count: Number of times that a flow buffered more than its ceiling.
+        ceiling_exceeded_count: Number of times that a flow buffered more than its limit.
     """
 
     __slots__ = ("bytes", "ceiling_exceeded_count", "max_open", "open", "opened", "peak_bytes")
--- a/sandhatch/runtime/in_flight_ids.py
+++ b/sandhatch/runtime/in_flight_ids.py
@@ -31,8 +31,8 @@
         """Creates an empty set of ids."""
         self.in_flight: set[bytes] = set()
         self.finished: dict[bytes, float] = {}
-        # The entries of `finished`, oldest first. A dict alone would not do: finding its first key takes ever
-        # longer as its first keys are deleted.
+        # Finish times and ids of `finished`, oldest first. A dict alone would be slow: finding its first key
+        # takes ever longer as its first keys are deleted.
         self._finished_queue: deque[tuple[float, bytes]] = deque()
         self.retention_ms = retention_ms
 
--- a/sandhatch/runtime/logger.py
+++ b/sandhatch/runtime/logger.py
@@ -62,7 +62,7 @@
     """Logs unhandled exceptions, one line each with the innermost frames; the loop continues."""
 
     def report(_loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Logs the context that the loop passes to its exception handler."""
+        """Logs the error in the context that the loop passes to its exception handler."""
         error = context.get("exception")
         frames = ""
         if error is not None:
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -13,35 +13,36 @@
 class MemoryBudget:
     """Limits the bytes that all connections together may buffer.
 
-    Protects the process's memory limit. A limit for each connection alone would not, as there are hundreds of
-    connections.
+    Helps to keep the process below its memory limit. A limit for each connection alone would not, as there
+    are hundreds of connections.
 
     Attributes:
         used_bytes: Bytes that are counted at present; may exceed `limit_bytes`, see `update_usage`.
         limit_bytes: Maximum number of bytes that may be reserved.
     """
 
-    # Fraction of the process's memory limit; the rest is for the program, its tables and system reserves.
+    # Part of the process's memory limit that buffers may use; the rest is for the program, its tables and
+    # system reserves.
     MEMORY_LIMIT_FRACTION = 0.25
 
     def __init__(self, memory_mb: float) -> None:
         """Creates an empty budget; `memory_mb` is the memory limit of the process."""
         self.used_bytes = 0
-        self._waiters: dict[MemoryWaiter, None] = {}  # ordered set: first come, first served
+        self._waiters: dict[MemoryWaiter, None] = {}  # ordered set: the longest waiting is granted first
         self._is_granting = False
         self.set_limit(memory_mb)
 
     def set_limit(self, memory_mb: float) -> None:
         """Changes the process's memory limit.
 
-        Bytes that exceed a lowered limit stay counted; nothing is granted until the use fits the new limit.
+        Bytes that exceed a lowered limit stay counted; no reservation is granted until it fits the new limit.
         """
         self.limit_bytes = int(memory_mb * BYTES_PER_MB * self.MEMORY_LIMIT_FRACTION)
         self._grant_waiters()
 
     @property
     def free_bytes(self) -> int:
-        """Bytes that may still be reserved; 0 while there are waiters."""
+        """Bytes that may still be reserved; 0 while other reservations wait."""
         return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
     def update_usage(self, old_bytes: int, new_bytes: int) -> bool:
--- a/sandhatch/runtime/process.py
+++ b/sandhatch/runtime/process.py
@@ -11,8 +11,8 @@
 import signal
 
 # Net allocations before a collection of the youngest generation, its collections before one of the second
-# generation, and those of the second before one of the oldest. Well above Python's defaults, because objects
-# created after the start are short-lived and form few cycles.
+# generation, and those of the second before one of the oldest. These thresholds are well above Python's
+# defaults, because objects created after the start are short-lived and form few cycles.
 GC_THRESHOLDS = (20_000, 20, 100)
 
 
--- a/sandhatch/runtime/shared_resources.py
+++ b/sandhatch/runtime/shared_resources.py
@@ -60,9 +60,9 @@
         self.share_descriptors(connection_descriptors)
 
     def share_descriptors(self, connection_descriptors: int) -> None:
-        """Divides the descriptors: half to servers, and a tenth less than half to clients.
+        """Divides the descriptors: half for connections to servers, a tenth less than half for clients'.
 
-        If more are in use already, the limits apply to new connections only.
+        If more descriptors are in use already, the limits apply to new connections only.
         """
         self.max_clients = connection_descriptors * 9 // 20
         self.descriptors.limit = connection_descriptors // 2
--- a/sandhatch/service/access_log.py
+++ b/sandhatch/service/access_log.py
@@ -19,7 +19,7 @@
     """Appends lines to a file. Lines that can't be written are dropped and counted in `dropped`."""
 
     def __init__(self, path: str, service: Service) -> None:
-        """Open the file for appending and register for the service's finished requests.
+        """Open the file for appending and register as the receiver of the service's finished requests.
 
         Raises:
             OSError: The file can't be opened.
--- a/sandhatch/service/errors.py
+++ b/sandhatch/service/errors.py
@@ -4,4 +4,4 @@
 
 
 class StageError(Exception):
-    """A version can't be staged; the message names the configuration key and the cause."""
+    """A version can't be staged (prepared to become active); the message names the key and the cause."""
--- a/sandhatch/service/forwarding.py
+++ b/sandhatch/service/forwarding.py
@@ -25,12 +25,12 @@
     """The link to the planners, if any are configured; replaced when their configuration changes."""
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
-        """Start without a link; `seed` seeds the link's random draws."""
+        """Start without a link to planners; `seed` seeds the link's random draws."""
         self._shared = shared
         self._seed = seed
         self._spec: Planning | None = None
         # End of the last lease granted over an earlier link of this process, in Unix milliseconds; until then
-        # other forwarders may use the leased shares. None if there was no earlier link.
+        # other forwarders may use the shares that this process leased. None if there was no earlier link.
         self._earlier_leases_until_ms: float | None = None
         self.link: ForwarderLink | None = None
 
@@ -93,7 +93,7 @@
         from sandhatch.planning.link import ForwarderLink
 
         # `previous_lease_ms` is None without an earlier link of this process: whether an earlier process has
-        # leased its shares can't be known. An earlier link, in contrast, knows until when its leases last.
+        # leased its shares can't be known. The end of an earlier link's leases, in contrast, is known.
         previous_lease_ms = None
         if self._earlier_leases_until_ms is not None:
             previous_lease_ms = max(0.0, self._earlier_leases_until_ms - now_ms)
@@ -117,7 +117,7 @@
             self.link.stop()
 
     def status(self) -> dict[str, Any] | None:
-        """Return the status of the link; None if there is no link to planners."""
+        """Return the status of the link to the planners; None if there is no link."""
         return self.link.status() if self.link is not None else None
 
 
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -1,5 +1,6 @@
 """Compares the goodput under a new version with the goodput before it, from the service's requests.
 
+Goodput is the priority weight of the requests served in time over that of all requests received.
 `config.goodput_watch` decides whether a fall in goodput is significant; this module supplies the
 requests.
 """
@@ -30,7 +31,7 @@
         self.watch = GoodputWatch(first.model.watch.block_ms, first.model.watch.before_ms)
 
     def begin(self, version: Version, confirmed: Version) -> None:
-        """Start the comparison; limited to the changed pools if only pools have changed."""
+        """Start the comparison; compare only the changed pools if nothing but pools has changed."""
         spec = version.checked.model.watch
         changes = diff(confirmed.data, version.data)
         changed_pools = frozenset(
--- a/sandhatch/service/limits.py
+++ b/sandhatch/service/limits.py
@@ -42,7 +42,7 @@
 
 
 def apply_limits(shared: SharedResources, checked: CheckedConfiguration) -> None:
-    """Set the limits of a version that becomes active. The retention time of ids is never shortened."""
+    """Set the limits of a version that becomes active, but never shorten the retention of request ids."""
     shared.share_descriptors(connection_descriptors(checked))
     shared.memory_budget.set_limit(checked.model.limits.memory_mb)
     in_flight_ids = shared.in_flight_ids
--- a/sandhatch/service/listeners.py
+++ b/sandhatch/service/listeners.py
@@ -47,7 +47,7 @@
         """Bind those addresses of a version that no active listener has.
 
         Raises:
-            StageError: An address can't be bound; the others have been released again.
+            StageError: An address can't be bound; the version's other new addresses have been released again.
         """
         staged: dict[str, Listener] = {}
         for name, spec in version.checked.model.listeners.items():
@@ -73,7 +73,7 @@
             listener.close()
 
     def activate(self, version: Version) -> None:
-        """Start accepting on the version's listeners and stop accepting on the others."""
+        """Start accepting on the version's listeners and stop accepting on all other listeners."""
         staged = self._staged.pop(version.number, {})
         wanted = {
             listener_key(name, spec.address): name for name, spec in version.checked.model.listeners.items()
@@ -100,10 +100,10 @@
         self._closing.append(listener)
 
     def _open(self, listener: Listener, key: str) -> None:
-        """Start accepting.
+        """Start accepting on the listener.
 
         After a rollback the address is bound anew. If another process has bound it meanwhile, binding is
-        retried until it succeeds or the active version has no such listener.
+        retried until binding succeeds or the active version no longer has the listener.
         """
         if self.active.get(key) is not listener or self.stopping:
             return
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -63,7 +63,9 @@
         """Start without any pool."""
         self._shared = shared
         self.server_registry = ServerRegistry()
-        self.by_fingerprint: dict[str, RunningPool] = {}  # key: fingerprint
+        self.by_fingerprint: dict[
+            str, RunningPool
+        ] = {}  # key: fingerprint (hash) of the pool's configuration
 
     def stage(self, checked: CheckedConfiguration) -> dict[str, RunningPool]:
         """Return the version's pools by name, reused or newly built, and increment their version counts."""
@@ -79,7 +81,8 @@
 
     def _build(self, name: str, fingerprint: str, checked: CheckedConfiguration) -> RunningPool:
         spec = checked.model.pools[name]
-        # The fingerprint covers the configured seed and differs between pools, so that draws are independent.
+        # The fingerprint covers the configured seed and differs between pools, so that the pools' random
+        # draws are independent.
         seed = int(fingerprint[:15], 16)
         plan = PoolPlan(pool_settings(checked.model, spec), seed, spec.max_connections, spec.drain_grace_ms)
         dispatcher = Dispatcher(plan, self._shared, partial(self._build_source, name, spec))
@@ -100,7 +103,7 @@
         now_ms: float,
         first: bool,
     ) -> None:
-        """Make the pools the active ones in place of the previous ones.
+        """Make these pools the active ones in place of the previous pools.
 
         A new pool inherits the state of the previous pool of its name. A pool that becomes active again after
         a rollback uses all of its servers again.
@@ -155,7 +158,7 @@
     def withdraw_unlisted(self, active_pools: dict[str, RunningPool], now_ms: float) -> None:
         """Stop superseded pools from sending to servers that are not ready in the active pool of their name.
 
-        This applies to a pool from `WITHDRAW_BEFORE_GRACE_END_MS` before its drain grace period ends.
+        A superseded pool stops at `WITHDRAW_BEFORE_GRACE_END_MS` before its drain grace period ends.
         """
         for pool in self.by_fingerprint.values():
             superseded_at_ms = pool.superseded_at_ms
--- a/sandhatch/service/readiness.py
+++ b/sandhatch/service/readiness.py
@@ -1,4 +1,4 @@
-"""Waits until a pool can serve: its endpoint list has a ready server and, if required, one can be reached.
+"""Waits until a pool can serve: its endpoint list has a ready server which, if required, is reachable.
 
 No request is sent. The whole wait is bounded by `STAGE_TIMEOUT_S`.
 """
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -18,7 +18,7 @@
 
 
 class Reload:
-    """Reloads the configuration file when `trigger` is called; calls during a reload cause one more."""
+    """Reloads the configuration file when `trigger` is called; calls during a reload cause another."""
 
     def __init__(self, service: Service, path: str) -> None:
         """Reload the file at `path` into the service."""
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -39,7 +39,7 @@
     """
 
     def __init__(self, shared: SharedResources, seed: int) -> None:
-        """Start without a version; `seed` seeds the draws among the targets of a split."""
+        """Start without a version; `seed` seeds the random choice of a pool on split routes."""
         self._shared = shared
         self._rng = Random(seed)
         self.current: RunningVersion | None = None
@@ -154,7 +154,8 @@
         limits = version.limits[event.class_index]
         message.limits = limits
         if message.flow is not None:
-            # The class's deadline bounds the servers' work; a streamed body has a time limit of its own.
+            # The deadline of the request's class bounds the servers' work; streamed bodies have a time limit
+            # of their own.
             expires_in = message.value(b"x-expires-in-ms")
             time_left_ms = limits.total_ms if expires_in is None else min(limits.total_ms, float(expires_in))
             event.time_left_ms = time_left_ms
--- a/sandhatch/service/running_version.py
+++ b/sandhatch/service/running_version.py
@@ -39,7 +39,7 @@
         self.open_requests = 0
         self.retired = False
         model = self.checked.model
-        # Any pool will do: the classes and tenants are the same in every pool.
+        # The parser may come from any pool: request classes and tenants are the same in every pool.
         any_pool = next(iter(model.pools.values()), None)
         self.requests = (
             RequestHeaderParser(pool_settings(model, any_pool), model.default_class) if any_pool else None
--- a/sandhatch/service/server_registry.py
+++ b/sandhatch/service/server_registry.py
@@ -38,7 +38,7 @@
         return self._listed_since_ms.setdefault(address, now_ms)
 
     def retain(self, addresses: set[str]) -> None:
-        """Forget since when all other addresses were listed: listed again, one may be another process."""
+        """Forget the listing times of all other addresses: listed again, each may be a new process."""
         self._listed_since_ms = {
             address: since_ms for address, since_ms in self._listed_since_ms.items() if address in addresses
         }
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -116,7 +116,7 @@
 
     @property
     def now_ms(self) -> float:
-        """Unix milliseconds."""
+        """The current time in Unix milliseconds."""
         return self.clock.now_ms()
 
     # ------------------------------------------------ start and shutdown
@@ -202,7 +202,7 @@
         return self.transactions.propose(self.now_ms, number, checked, author, comment, merge, size)
 
     def commit(self, proposal: int, confirm_within_ms: float | None = None, watched: bool = True) -> Version:
-        """Start the change to a proposal.
+        """Start the change to a proposal's configuration.
 
         Args:
             proposal: Number of the proposal.
@@ -228,7 +228,7 @@
         return self.lifecycle.extend(self.now_ms, within_ms, number)
 
     def rollback(self, author: str = "", to: int | None = None) -> Version:
-        """Roll back the pending version, or commit the content of an earlier one."""
+        """Roll back the pending version, or commit the content of an earlier version."""
         if to is not None and to not in self.lifecycle.versions:
             return self.commit(self._propose_saved(to, author).number)
         result = self.transactions.rollback(self.now_ms, author, to)
@@ -265,7 +265,7 @@
         return self._store.rows()
 
     async def wait_until_decided(self, version: Version, until_terminal: bool = False) -> Version:
-        """Wait until a version is active or in a terminal state; with `until_terminal`, for the latter."""
+        """Wait until a version is active or in a terminal state; with `until_terminal`, until terminal."""
         while version.state not in TERMINAL_STATES and (until_terminal or version.state not in RUNNING):
             await self.changes.changed.wait()
         return version
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -74,7 +74,7 @@
         store.on_saved = self.execute_actions
 
     def execute_actions(self) -> None:
-        """Execute the lifecycle's pending actions, then the actions that result from them."""
+        """Execute the lifecycle's pending actions, then the actions that result from these."""
         if self._executing_actions:
             return
         self._executing_actions = True
@@ -112,7 +112,7 @@
         task.add_done_callback(self._staging_tasks.discard)
 
     def cancel_staging(self) -> None:
-        """Cancel the staging of versions."""
+        """Cancel the versions' staging (preparation) in progress."""
         for task in list(self._staging_tasks):
             task.cancel()
 
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -44,7 +44,7 @@
         history: History | None,
         saved: StoredState | None,
     ) -> None:
-        """Save into `history`, or nowhere if None; `saved` is what the state directory held at the start."""
+        """Save into `history`, or nowhere if it is None; `saved` is what `history` held at the start."""
         self._shared = shared
         self._lifecycle = lifecycle
         self._history = history
@@ -61,7 +61,7 @@
         return tuple(sorted([*earlier, *rows], key=lambda row: row.number)[-MAX_RECORDS:])
 
     def confirmed_content(self, number: int) -> dict[str, Any] | None:
-        """Return the configuration of a version that an earlier process confirmed; None if there is none."""
+        """Return the configuration of a version that an earlier process confirmed; None if not saved."""
         if self._history is None:
             return None
         if not any(row.number == number and row.state is State.CONFIRMED for row in self._earlier_rows):
--- a/sandhatch/telemetry/event_recorder.py
+++ b/sandhatch/telemetry/event_recorder.py
@@ -82,9 +82,9 @@
         self._stream = stream or sys.stderr
         self._addresses: Sequence[str] = []
         self._list_failure = ""
-        self._list_confirmed_at_ms: float | None = None  # when the list was last known to be current
+        self._list_confirmed_at_ms: float | None = None  # when the endpoint list was last known to be current
         self._records_lists_only = scope is RecordScope.LISTS
-        self._sends_by_server: Counter[int] = Counter()  # sends since `_interval_start_ms`
+        self._sends_by_server: Counter[int] = Counter()  # attempts sent since `_interval_start_ms`
         self._interval_start_ms = 0.0
         self._oldest_list_age_ms = 0.0
 
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -1,4 +1,4 @@
-"""The fleet report: counts over all instances, second by second, from the lines of their event recorders.
+"""The fleet report: counts over all instances, second by second, from the lines that event recorders log.
 
     python -m sandhatch.telemetry.fleet_report LOG...
 
--- a/sandhatch/telemetry/record_format.py
+++ b/sandhatch/telemetry/record_format.py
@@ -23,7 +23,7 @@
     ServerState,
 )
 
-LINE_PREFIX = "sandhatch-record "  # followed by one JSON object, to the end of the line
+LINE_PREFIX = "sandhatch-record "  # a JSON object follows the prefix, to the end of the line
 
 # Values of the key `in`: the name of the event's class, or `Sends` for a line that only counts sends.
 SENDS_EVENT = "Sends"
@@ -97,7 +97,7 @@
 
 
 def action_fields(action: Action, list_age_ms: float) -> list[Any] | None:
-    """Returns an action's entry under `out`: its name, then its values. None if it is not recorded."""
+    """Returns an action's list under the line's key `out`: name, then values. None if it is not recorded."""
     match action:
         case Send():
             return [SEND_ACTION, action.request, action.server, round(action.timeout_ms, 1), list_age_ms]
@@ -130,7 +130,7 @@
 class RecordedServer:
     """One server of a recorded endpoint list."""
 
-    number: int  # number local to the instance
+    number: int  # the server's number, local to the instance
     address: str  # `host:port`, the same for all instances
     is_ready: bool
     started_at_s: float  # Unix seconds; 0 if the server started long ago
--- a/tests/cli/test_output.py
+++ b/tests/cli/test_output.py
@@ -41,16 +41,16 @@
 
 
 class FakeClient:
-    """Gives every call the same response, in place of a control socket, and records the operations."""
+    """Gives every call the same response, in place of a control socket, and records the operations called."""
 
     def __init__(self, response: Response) -> None:
         self.response = response
         self.operations: list[str] = []
-        self.path = ""
+        self.connected_path = ""
 
     def connect(self, path: str, timeout_s: float) -> FakeClient:
         assert timeout_s > 0.0
-        self.path = path
+        self.connected_path = path
         return self
 
     def __enter__(self) -> FakeClient:
@@ -86,7 +86,7 @@
     args = argparse.Namespace(verb=verb, json=False, control="unused.sock")
     assert call_service(args, console, lambda _args: {}, lambda _response, _console: None) == code
     assert service.operations == [verb]
-    assert service.path == "unused.sock"
+    assert service.connected_path == "unused.sock"
 
 
 def test_exit_codes_match_the_help_text(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/control/test_control.py
+++ b/tests/control/test_control.py
@@ -221,7 +221,7 @@
 
 
 def test_other_calls_get_responses_while_ten_thousand_routes_are_checked(tmp_path: Path) -> None:
-    """A long configuration is checked on a thread, which leaves the event loop free, and then committed."""
+    """A long configuration is checked on a thread, which leaves the event loop free; its commit succeeds."""
 
     async def scenario() -> None:
         async with (
@@ -255,7 +255,7 @@
         async with service_with_control_socket(tmp_path) as (_, _, path):
             monkeypatch.setattr("sandhatch.control.server.peer_uid", lambda _socket: os.geteuid() + 4711)
             async with Peer(path) as peer:
-                assert await peer.reader.read() == b""  # closed without a response
+                assert await peer.reader.read() == b""  # the server closes the connection without a response
             monkeypatch.undo()
             async with Peer(path) as peer:
                 assert (await peer.call("status"))["ok"]
--- a/tests/platform/harness.py
+++ b/tests/platform/harness.py
@@ -118,7 +118,7 @@
             client.send(first_bytes)
             await client.writer.drain()
             if len(clients) > min_clients:
-                await asyncio.sleep(POLL_S)  # the program has not accepted all of them yet
+                await asyncio.sleep(POLL_S)  # the program has not accepted all clients yet
     return clients
 
 
--- a/tests/platform/test_process.py
+++ b/tests/platform/test_process.py
@@ -97,7 +97,7 @@
 
 
 def test_descriptor_limit_holds_with_more_clients_than_descriptors(tmp_path: Path) -> None:
-    """Guards against EMFILE: the program continues to serve clients, including new ones."""
+    """Guards against EMFILE from too many clients: the program continues to serve old and new clients."""
 
     async def scenario() -> None:
         upstream = await FakeServer().start()
@@ -131,7 +131,7 @@
             await check_served(port)
             for client in idle:
                 client.writer.close()
-            # Each client sends before the next one connects, so that none is idle.
+            # Each client sends before the next one connects, so that no client is idle.
             incomplete = request_bytes()[:-2]
             busy = await use_up_descriptors(process, port, limit, min_clients=12, first_bytes=incomplete)
             await check_served(port)
@@ -184,7 +184,9 @@
     async def wait_until_new_is_followed(self) -> None:
         """Waits until the program has the new discovery's complete list and polls for changes."""
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
-            assert await self.new.calls.get() == "/v1/endpoints"  # the complete list first
+            assert (
+                await self.new.calls.get() == "/v1/endpoints"
+            )  # the program first requests the complete list
             assert "after=" in await self.new.calls.get()
 
 
@@ -244,7 +246,7 @@
 def test_invalid_value_is_reported_in_one_line_with_exit_code_2(
     tmp_path: Path, change: dict[str, Any], words: list[str]
 ) -> None:
-    """The line names the key and the value."""
+    """The logged line names the configuration key and its invalid value."""
 
     async def scenario() -> None:
         path = tmp_path / "config.json"
@@ -263,7 +265,7 @@
 def test_missing_or_malformed_file_is_reported_in_one_line_with_exit_code_2(
     tmp_path: Path, text: str | None
 ) -> None:
-    """The line names the environment variable that holds the file's path."""
+    """The logged line names the environment variable that holds the configuration file's path."""
 
     async def scenario() -> None:
         path = tmp_path / "config.json"
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -65,7 +65,7 @@
     ids.end(b"a", 0.0)
     ids.begin(b"a")
     ids.end(b"a", 50.0)
-    ids.end(b"b", 120.0)  # the retention time of the first end of `a` has passed
+    ids.end(b"b", 120.0)  # the retention time since id `a` first ended has passed
     assert b"a" in ids
     ids.end(b"c", 150.0)
     assert b"a" not in ids
--- a/tests/service/conftest.py
+++ b/tests/service/conftest.py
@@ -11,6 +11,7 @@
 
     The balancer abandons an idempotent attempt after a few times its class's mean latency, here some ten
     milliseconds, in favour of a retry. If the test's process is not scheduled for that long, all attempts in
-    flight are abandoned at once; some use up the retry budget, and the requests of the others are rejected.
+    flight are abandoned at once; some use up the retry budget, and the requests of the other attempts are
+    rejected.
     """
     monkeypatch.setattr("sandhatch.balancing.policy.balancer.SLOW_FACTOR", 1e9)
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -1,4 +1,4 @@
-"""A service between fake servers and clients, with a record of every finished request."""
+"""A service between fake servers and clients, with a record of every request that has finished."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
     cooldown_ms, ConnectionPool.COOLDOWN_MS = (
         ConnectionPool.COOLDOWN_MS,
         0.0,
-    )  # connections are reused at once
+    )  # idle connections are reused at once
     try:
         await service.start()
         yield running
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -29,7 +29,7 @@
                 fake_servers.config(discovered_pool(discovery), fake_servers.pool("o1"))
             )
             client.send_request()
-            # The pool received the list before the version became active.
+            # The pool received its endpoint list before the version became active.
             assert (await client.read_response()).body == b"b1"
             discovery.change(
                 fake_servers.servers["b1"].entry("b1", lifecycle="leaving"),
--- a/tests/service/test_listener_changes.py
+++ b/tests/service/test_listener_changes.py
@@ -18,15 +18,15 @@
 def test_version_with_a_listener_whose_address_is_in_use_fails_to_stage() -> None:
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "o1")
-        first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
+        first_config = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
-            async with serving(first) as running:
-                second = deepcopy(first)
-                second["listeners"]["extra"] = {"address": "127.0.0.1:0"}
-                second["listeners"]["back"] = {"address": f"127.0.0.1:{taken.getsockname()[1]}"}
-                version = await running.commit(second)
+            async with serving(first_config) as running:
+                second_config = deepcopy(first_config)
+                second_config["listeners"]["extra"] = {"address": "127.0.0.1:0"}
+                second_config["listeners"]["back"] = {"address": f"127.0.0.1:{taken.getsockname()[1]}"}
+                version = await running.commit(second_config)
                 assert version.state is State.FAILED
                 assert "listeners.back.address" in version.why
                 assert "in use" in version.why
@@ -41,14 +41,14 @@
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "o1")
         port = free_port()
-        first = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
-        first["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
-        async with serving(first) as running, HttpClient(port) as before:
+        first_config = fake_servers.config(fake_servers.pool("a1"), fake_servers.pool("o1"))
+        first_config["listeners"]["back"] = {"address": f"127.0.0.1:{port}"}
+        async with serving(first_config) as running, HttpClient(port) as before:
             before.send_request()
             assert (await before.read_response()).body == b"a1"
-            second = deepcopy(first)
-            del second["listeners"]["back"]
-            await running.commit(second, until_terminal=False, confirm_within_ms=60_000.0)
+            second_config = deepcopy(first_config)
+            del second_config["listeners"]["back"]
+            await running.commit(second_config, until_terminal=False, confirm_within_ms=60_000.0)
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", port)
             assert await before.read_to_end() == b""  # a removed listener closes its idle connections
@@ -68,17 +68,17 @@
         released = asyncio.Event()
 
         fake_servers.behaviours.update(dict.fromkeys(names, waits_for(released, serves(b"done"))))
-        first = fake_servers.config(
+        first_config = fake_servers.config(
             fake_servers.pool(*names), fake_servers.pool("o1"), limits={"sockets": 1024, "memory_mb": 64}
         )
-        async with serving(first) as running:
+        async with serving(first_config) as running:
             clients = [await HttpClient(running.port).__aenter__() for _ in range(20)]
             for client in clients:
                 client.send_request()
             await running.wait_until(
                 lambda: sum(len(fake_servers.servers[name].requests) for name in names) == 20
             )
-            small = deepcopy(first) | {"limits": {"sockets": 80, "memory_mb": 16}}
+            small = deepcopy(first_config) | {"limits": {"sockets": 80, "memory_mb": 16}}
             small["pools"]["web"]["max_connections"] = 1
             await running.commit_and_confirm(small)
             assert running.service.shared.max_clients < 20
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -71,7 +71,7 @@
             assert successor.latency.responses == previous.latency.responses
             client.send_request()
             assert (await client.read_response()).body == b"a1"
-            # The readiness check opened at most one connection; the request reused the pooled one.
+            # The readiness check opened at most one connection; the request reused an idle connection.
             assert fake_servers.servers["a1"].connections <= before + 1
             assert previous_dispatcher.connection_pool.connection_count == 0
         fake_servers.close()
@@ -142,7 +142,7 @@
 
 
 def test_unlisted_server_gets_no_new_attempts_from_older_versions_after_the_grace() -> None:
-    """A request of the old version whose retry falls due after the grace period finds the server draining."""
+    """A request of the old version whose retry falls due after the drain grace finds the server draining."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "a2", "o1")
@@ -212,7 +212,7 @@
 
 
 def test_servers_that_warm_up_get_a_small_share_after_a_change() -> None:
-    """Half of the servers are new: they get under a tenth of the attempts, where an even draw gives half."""
+    """Half of the servers are new: they get under a tenth of the attempts; an even choice gives half."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "a2", "a3", "a4", "o1")
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.usefixtures("no_slow_attempts")
 def test_no_request_uses_a_mixture_of_two_versions() -> None:
-    """Under constant load, each request uses the route, pool and servers of the version it arrived under.
+    """Under load, each request uses the route, pool and servers of the version active at its arrival.
 
     Each request gets one response, no non-idempotent request runs twice, and every version is freed.
     """
@@ -74,7 +74,7 @@
         await self.released.wait()
         entry = self._request_log.entries.get(self.trace_ids[0])
         if entry is not None:
-            entry.ran.clear()  # rejected before it ran
+            entry.ran.clear()  # the attempt is rejected before it runs
         await connection.send(status(503, "X-Never-Ran: 1\r\n"))
 
 
