--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -30,7 +30,7 @@
 DEADLINE_MS = 3_000.0
 MAX_QUEUED_ATTEMPTS = 600  # attempts queued at a server; high enough that the queue never fills
 OVERLOAD_ATTEMPTS_PER_CORE = 4  # attempts in flight per core above which a server becomes slow after a while
-WARM_UP_MS = 2_000.0  # start of each run, excluded from goodput
+WARM_UP_MS = 2_000.0  # duration of the start of each run, excluded from goodput
 BURST_BEGIN_MS, BURST_END_MS = 8_000.0, 13_000.0
 BURST_FACTOR = 1.5
 END_MS = 30_000.0
@@ -86,7 +86,7 @@
 
 @contextmanager
 def fixed_limit(limit: float) -> Iterator[None]:
-    """Sets admission control's limit of attempts in flight per server, over all instances, for the block."""
+    """Sets admission control's limit of attempts in flight per server (all instances) within the block."""
     before = admission_control.MAX_ATTEMPTS_PER_SERVER
     admission_control.MAX_ATTEMPTS_PER_SERVER = limit
     try:
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Prints a line per scenario, and the mean and minimum ratio of goodput to the best fixed limit's."""
+    """Prints a line per scenario, and the mean and minimum ratio of admission control's to fixed goodput."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/benchmarks/checkouts.py
+++ b/benchmarks/checkouts.py
@@ -1,6 +1,6 @@
 """Other checkouts of the project that benchmarks compare with this one.
 
-The checkouts are only read. The package had another name before the project was renamed.
+The checkouts are only read. Older ones have the package under the name it had before the project was renamed.
 """
 
 from __future__ import annotations
--- a/benchmarks/commits.py
+++ b/benchmarks/commits.py
@@ -40,12 +40,12 @@
 
 
 def p99(values: list[float]) -> float:
-    """Returns the 99th percentile, or the maximum of at most a hundred values."""
+    """Returns the 99th percentile of the values, or their maximum if there are at most a hundred."""
     return statistics.quantiles(values, n=100)[98] if len(values) > 100 else max(values)
 
 
 def max_lateness_ms(running: RunningService, activated_ms: dict[int, float]) -> float:
-    """Returns the longest time from the end of a version to the last request routed by it.
+    """Returns the longest time from the end of a configuration version to the last request routed by it.
 
     A version ends when its successor is activated. The time is 0 if no version was used after its end. If a
     version was activated more than once, only its last activation is considered.
@@ -64,7 +64,7 @@
 
 
 async def commit_under_load(commits: int, seed: int, pause_s: float) -> str:
-    """Commits random versions under load; returns a line of figures."""
+    """Commits random configuration versions under load; returns the line of figures to print."""
     fake_servers = await FakeServers().start(*SERVERS)
     config_variants = configuration_variants(fake_servers)
     async with serving(config_variants[0]) as running:
@@ -105,7 +105,7 @@
 
 
 def format_p99(running: RunningService, baseline_end: int, commits_end: int) -> str:
-    """Formats the p99 latency with and without commits, and their ratio.
+    """Formats the p99 latencies of requests with and without commits, and their ratio.
 
     Args:
         running: Service with its request records.
--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -41,7 +41,8 @@
 RELAY = "relay"
 BALANCER = "balancer"
 MODULE_ARGUMENTS = ("-m", "benchmarks.long_bodies", "--role")
-# Client and server processes share seven cores, so a slow peer must not be treated as stalled.
+# Long limits: client and server processes share the unmeasured cores, so a peer that waits for a core must
+# not be treated as stalled.
 PROGRESS_LIMITS = {"stall_ms": 120_000, "floor_bytes_per_s": 0}
 
 
@@ -129,7 +130,7 @@
     transferred_bytes: int = 0
 
     async def collect(self, clients: asyncio.subprocess.Process) -> None:
-        """Counts the result lines of a client process, and prints progress after each tenth of all bodies."""
+        """Counts the results a client process prints; prints progress after each tenth of all bodies."""
         assert clients.stdout is not None
         async for line in clients.stdout:
             result, _, transferred = line.decode().rstrip().rpartition(" ")
@@ -161,7 +162,7 @@
 
 
 async def measure_many(args: argparse.Namespace, processes: Processes) -> str:
-    """Sends many bodies concurrently; returns a line of figures."""
+    """Sends many bodies concurrently; returns the line of figures to print."""
     servers = [await processes.start_peer("server") for _ in range(WORKERS)]
     port = free_port()
     balancer = await processes.start_balancer(port, servers, args.memory_mb)
@@ -184,7 +185,7 @@
 
 
 def print_accounting(status: Mapping[str, Any]) -> None:
-    """Prints the distribution of speeds, and the balancer's accounting of the bodies."""
+    """Prints the distribution of the peers' speeds, and the balancer's accounting of the bodies' memory."""
     speeds = ", ".join(
         f"{speed:g} MB/s {weight}" if speed else f"full {weight}" for speed, weight in SPEED_WEIGHTS.items()
     )
@@ -202,7 +203,7 @@
 
 
 async def measure_large(args: argparse.Namespace, processes: Processes) -> str:
-    """Sends one body at a time through relay and balancer alternately; returns a line with their ratio."""
+    """Sends one body at a time by relay and balancer in turn; returns a line with the throughput ratio."""
     server = await processes.start_peer("sink")
     # Relay and balancer share the measured core, so only one of them passes a body at a time.
     ports = {RELAY: await processes.start_peer("relay", "--to", str(server), is_measured=True)}
@@ -226,7 +227,7 @@
 
 
 async def run(args: argparse.Namespace) -> None:
-    """Compares with the relay unless --rounds is 0, and sends many bodies at once unless --bodies is 0."""
+    """Compares balancer and relay unless --rounds is 0, sends many bodies at once unless --bodies is 0."""
     cores = split_cores()
     lines = []
     for measure, count in ((measure_large, args.rounds), (measure_many, args.bodies)):
--- a/benchmarks/long_bodies_memory.py
+++ b/benchmarks/long_bodies_memory.py
@@ -17,8 +17,9 @@
 
 MIB = 1024 * 1024
 SAMPLE_S = 0.5
-WARM_UP_FRACTION = 0.2  # fraction at the start of the run, left out of the summary
-TAIL_FRACTION = 0.1  # fraction at the end, left out of the summary: fewer bodies are open
+WARM_UP_FRACTION = 0.2  # fraction of the run's duration at its start, left out of the summary
+# Fraction of the run's duration at its end, left out of the summary because fewer bodies are open then.
+TAIL_FRACTION = 0.1
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +53,7 @@
             await asyncio.sleep(SAMPLE_S)
 
     def summary(self, begin_s: float, end_s: float) -> str:
-        """Formats memory between warm-up and tail: range, least-squares slope in MiB a minute, peaks."""
+        """Formats memory between warm-up and end of the run: range, least-squares slope (MiB/min), peaks."""
         span_s = end_s - begin_s
         samples = [
             sample
--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -1,6 +1,6 @@
 """Clients and servers of the long-body benchmark, throttled to mixed speeds or unthrottled.
 
-They run in separate processes (`long_bodies --role`); the throttled ones verify every body's checksum.
+They run in separate processes (`long_bodies --role`); throttled peers verify every body's checksum.
 """
 
 from __future__ import annotations
@@ -131,7 +131,7 @@
             if status != "200":
                 return ExchangeResult(status)
             is_intact = await self._read(reader, response_head.headers)
-            # A second response, or bytes after the first, would arrive now.
+            # A second response, or bytes after the first response, would arrive now.
             writer.write_eof()
             surplus = await asyncio.wait_for(reader.read(), SURPLUS_TIMEOUT_S)
             outcome = RESPONDED if is_intact and not surplus else "wrong bytes"
@@ -163,7 +163,7 @@
 
 
 async def run_clients(port: int, first: int, count: int, max_concurrent: int, size: int, seed: int) -> None:
-    """Runs exchanges, at most `max_concurrent` concurrently, and prints the outcome and bytes of each."""
+    """Runs exchanges, at most `max_concurrent` concurrently, and prints each one's outcome and bytes."""
     slots = asyncio.Semaphore(max_concurrent)
     await asyncio.gather(
         *(_run_exchange(slots, port, number, size, seed) for number in range(first, first + count))
@@ -172,7 +172,8 @@
 
 async def _run_exchange(slots: asyncio.Semaphore, port: int, number: int, size: int, seed: int) -> None:
     async with slots:
-        # Created only once a slot is free, because the throttle's time starts at its creation.
+        # The exchange is created only once a slot is free, because the throttle's time starts at its
+        # creation.
         result = await Exchange(port, number, size, seed).run()
         print(result.outcome, result.transferred_bytes, flush=True)
 
--- a/benchmarks/planned.py
+++ b/benchmarks/planned.py
@@ -3,7 +3,7 @@
     python -m benchmarks.planned [--part service|age|failures] [--seeds N] [--jobs N]
 
 Reports the fraction of requests served within the latency objective: by load, number of forwarders and fault
-of the tier (service); by delay and loss of the link to the planners (age); and with failing planners
+of the tier (service); by message delay and loss on the link to the planners (age); and with failing planners
 (failures). Progress is printed on standard error, a table at the end. No clock is read, so the same seeds
 give the same figures.
 """
@@ -54,7 +54,7 @@
     work_ms: float = 100.0
     link_ms: float = 1.0
     loss: float = 0.0
-    fault: str = ""  # fault of the planners: KILLED or NOT_KILLED; empty in runs that end at END_MS
+    fault: str = ""  # fault of the planners: KILLED or NOT_KILLED, or empty: the run ends at END_MS
 
 
 @dataclass(frozen=True)
@@ -63,7 +63,9 @@
 
     case: Case
     goodput_share: float
-    ramp_excess: float  # maximum over restarted servers of attempts beyond the ramp's rate, in ramp bursts
+    # Maximum over restarted servers of the attempts beyond the rate of the slow-start ramp, as a multiple of
+    # the ramp's burst.
+    ramp_excess: float
 
 
 def make_tier(case: Case) -> Tier:
@@ -130,7 +132,7 @@
 
 
 def age_cases(seeds: int) -> list[Case]:
-    """Returns the cases by delay and loss of the link to the planners."""
+    """Returns the cases by message delay and loss on the link to the planners."""
     delays_and_losses = [(1.0, 0.0), (100.0, 0.0), (250.0, 0.0), (1_000.0, 0.0)]
     delays_and_losses += [(1.0, loss) for loss in (0.02, 0.1, 0.25, 0.5)]
     return [
@@ -159,7 +161,7 @@
 
 
 def run_cases(cases: list[Case], jobs: int) -> dict[Case, list[Result]]:
-    """Returns the results by case; those of all seeds are grouped under the case with seed 0."""
+    """Returns the results by case; the results of all seeds are grouped under the case with seed 0."""
     results: dict[Case, list[Result]] = {}
     with Pool(jobs) as pool:
         for done, result in enumerate(pool.imap(run_case, cases), 1):
--- a/benchmarks/planning_link.py
+++ b/benchmarks/planning_link.py
@@ -26,7 +26,7 @@
 from testkit.ports import free_port, wait_until_listening
 
 SERVERS = 8
-STABILIZE_S = 1.0  # time between resuming a forwarder and the start of its measurement
+STABILIZE_S = 1.0  # seconds between resuming a suspended forwarder and the start of its measurement
 IDLE_S = 4.0
 LEASED_TIMEOUT_S = 60.0
 ALONE = "alone"  # name of the forwarder without planners
@@ -47,7 +47,7 @@
 
     rates: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
     costs_us: dict[str, list[float]] = field(default_factory=lambda: {ALONE: [], CONNECTED: []})
-    link_bytes_per_s: list[float] = field(default_factory=list)  # traffic to one planner
+    link_bytes_per_s: list[float] = field(default_factory=list)  # traffic from the forwarder to one planner
 
 
 def forwarder_config(port: int, servers: list[int], planning: dict[str, Any] | None) -> dict[str, Any]:
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -35,7 +35,7 @@
 WARM_UP_MS = 4_000.0  # start of the run, excluded from the figures
 FIRST_RESTART_MS = 2_500.0
 TICK_MS = 100.0
-PLANNER_AGE_MS = 60_000.0  # age of the planners at the start, by which their learning period is over
+PLANNER_AGE_MS = 60_000.0  # planners' age at the start of the run; their learning period is over by then
 PARTITION_AFTER_MS = 1_500.0  # time from the planner's restart to the start of the partition
 PARTITION_HEALS_AFTER_MS = 4_500.0  # time from the planner's restart to the end of the partition
 MEASURED_PLANNER = "p0"
@@ -46,16 +46,16 @@
 
 @dataclass
 class ScaleResult:
-    """Figures of one run; those of a planner are the first planner's."""
+    """Figures of one run; figures of a planner are those of the first planner."""
 
     core_share: float = 0.0
     reports_per_s: float = 0.0
     up_bytes_per_s: float = 0.0
     down_bytes_per_s: float = 0.0
-    ramp_excess: float = 0.0  # maximum over servers of attempts beyond the ramp's rate
+    ramp_excess: float = 0.0  # maximum over servers of attempts beyond the slow-start ramp's rate
     ramp_used_share: float = 0.0
     broken_sessions: int = 0
-    leasing: int = 0  # forwarders that lease their shares to a planner at the end
+    leasing: int = 0  # forwarders that lease their ramp shares to a planner at the end of the run
 
 
 class ScaleRun:
@@ -250,8 +250,8 @@
     """Result of a run with random faults."""
 
     seed: int
-    ramp_excess: float  # attempts beyond the ramp's rate, as a fraction of the ramp's burst
-    rejections: int  # number of rejected guidance events
+    ramp_excess: float  # attempts beyond the slow-start ramp's rate, as a fraction of the ramp's burst
+    rejections: int  # number of guidance events that the balancers rejected
 
 
 def run_with_faults(seed: int) -> FaultRunResult:
--- a/benchmarks/planning_scale_model.py
+++ b/benchmarks/planning_scale_model.py
@@ -23,7 +23,7 @@
 from testkit.simulation.clock import START_MS
 from testkit.simulation.plan import POOL, REQUEST_CLASS, TierPlan
 
-STEP_S = 0.25  # interval between a forwarder's steps
+STEP_S = 0.25  # seconds between a forwarder's steps of simulated time
 CLASS = RequestClass(objective_ms=150.0, deadline_ms=1_000.0, effect=Effect.IDEMPOTENT, name=REQUEST_CLASS)
 
 
@@ -52,13 +52,13 @@
         self.servers = [ModelServer(number) for number in range(plan.servers)]
         self.names = [server.address for server in self.servers]
         self.restarts: list[int] = []
-        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # of one forwarder
+        self.attempts_per_step = plan.rate_per_s / plan.forwarders * STEP_S  # attempts of one forwarder
 
 
 class ModelReporter:
     """Test double for the reporter that `Observer.new_reporter` returns, with the same methods.
 
-    The first report has the names of all servers; every report has rows of servers drawn at random.
+    The first report has the names of all servers; every report has data on servers drawn at random.
     """
 
     def __init__(self, model: Model) -> None:
@@ -140,7 +140,8 @@
         probability = max(model.attempts_per_step / len(model.servers), 0.5)
         for number in self.ramp.warming_servers(now_ms):
             server = model.servers[number]
-            # Each draw models one attempt; a server without ramp credit ends the draws.
+            # Each random draw models one attempt. The draws end when the ramp (slow start) admits no more
+            # attempts to the server.
             while model.rng.random() < probability and self.ramp.admits(server, now_ms):
                 self.ramp.spend_credit(server, now_ms)
                 server.sent_ms.append(now_ms)
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,7 +1,7 @@
 """Processes that a benchmark starts and measures, bound to separate cores.
 
-Only processes that the benchmark started are terminated. Figures come from proc(5), binding uses
-sched_setaffinity(2).
+Only processes that the benchmark started are terminated. Processor time and memory are read
+from proc(5); binding to cores uses sched_setaffinity(2).
 """
 
 from __future__ import annotations
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -55,17 +55,17 @@
                 transport.write(data)  # type: ignore[attr-defined]
 
     def pause_writing(self) -> None:
-        """Stops reading on the other side."""
+        """Stops reading on the relay's other connection."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.pause_reading()
 
     def resume_writing(self) -> None:
-        """Resumes reading on the other side."""
+        """Resumes reading on the relay's other connection."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.resume_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Forwards the bytes to the other side, or buffers them until it is connected."""
+        """Forwards the bytes to the relay's other connection, or buffers them until that is open."""
         assert self.peer is not None
         if self.peer.transport is None:
             self.buffered.append(data)
@@ -73,7 +73,7 @@
             self.peer.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - name required by asyncio
-        """Closes the other side."""
+        """Closes the relay's other connection."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.close()
 
--- a/benchmarks/request_rate.py
+++ b/benchmarks/request_rate.py
@@ -43,7 +43,7 @@
 
 
 def median_ratio(values: Sequence[float], reference: Sequence[float]) -> float:
-    """Returns the median, over all rounds, of the ratio of a round's value to its reference."""
+    """Returns the median, over all rounds, of the ratio of a round's value to the same round's reference."""
     return PairedRatio.of(values, reference).median
 
 
@@ -72,10 +72,10 @@
 
 
 def format_rates(rates: Mapping[str, Sequence[float]]) -> str:
-    """Formats the latest round's rates, by name."""
+    """Formats the latest round's requests per second, by target name."""
     return "  ".join(f"{name} {values[-1]:.0f}/s" for name, values in rates.items())
 
 
 def format_costs(costs_us: Mapping[str, Sequence[float]]) -> str:
-    """Formats the median processor time per request, by name."""
+    """Formats the median processor time per request, by target name."""
     return ", ".join(f"{name} {statistics.median(values):.0f}" for name, values in costs_us.items())
--- a/benchmarks/rollback.py
+++ b/benchmarks/rollback.py
@@ -2,11 +2,11 @@
 
     python -m benchmarks.rollback [--good N] [--services K]
 
-Bad changes replace a pool's servers by servers of which all fail, half fail, or all respond past the latency
-objective. Printed are the time to the rollback and the goodput lost, weighted by priority, in the ten seconds
-after the commit, with and without the watch. Good changes are commits of harmless keys under load while
-servers fail in bursts; printed is the number that was rolled back. Services run concurrently, each with its
-own servers and clients.
+Bad changes replace a pool's servers by servers that all fail, of which half fail, or that all respond later
+than the latency objective. Printed are the time to the rollback and the goodput lost, weighted by priority,
+in the ten seconds after the commit, with and without the watch. Good changes are commits of harmless keys
+under load while servers fail in bursts; printed is the number of commits rolled back. Services run
+concurrently, each with its own servers and clients.
 """
 
 from __future__ import annotations
@@ -29,13 +29,14 @@
 from testkit.wire import ReceivedRequest, ok
 from tests.service.harness import FakeServers, serving
 
-# Settings of the watch for bad changes, and of a shorter one for good changes.
+# Settings of the watch after a commit (which rolls it back) for bad changes, and of a shorter watch for good
+# ones.
 WATCH = {"window_ms": 10_000, "before_ms": 6_000, "block_ms": 100, "significance": 0.001}
 SHORT_WATCH = WATCH | {"window_ms": 4_000}
-BASELINE_S = 6.5  # time under load before a commit, longer than the baseline that the watch uses
+BASELINE_S = 6.5  # seconds under load before a commit; more than the watch's `before_ms`
 OBSERVED_S = 10.0
 OBJECTIVE_S = 0.5
-LATE_RESPONSE_S = 0.6  # response time of late servers, past the objective
+LATE_RESPONSE_S = 0.6  # response time of late servers, longer than OBJECTIVE_S
 PRIORITY_WEIGHTS = {"order": 5.0, "look": 1.0}
 SERVERS_BEFORE = ("a1", "a2", "a3", "a4")
 SERVERS_AFTER = ("b1", "b2", "b3", "b4")
@@ -47,7 +48,7 @@
 
 
 async def responds_late(request: ReceivedRequest, connection: FakeConnection) -> None:  # noqa: ARG001 - a `Behaviour`
-    """Responds past the latency objective."""
+    """Responds later than the latency objective."""
     await asyncio.sleep(LATE_RESPONSE_S)
     await connection.send(ok())
 
@@ -78,15 +79,15 @@
 
 @dataclass(frozen=True, slots=True)
 class BadChange:
-    """Result of a bad change."""
+    """Result of a configuration change that makes servers fail or respond late."""
 
-    rolled_back_after_s: float | None  # None if it was not rolled back
-    goodput_lost: float  # fraction of the priority weight requested within OBSERVED_S
+    rolled_back_after_s: float | None  # None if the change was not rolled back
+    goodput_lost: float  # lost part of the priority weight of the requests in OBSERVED_S
 
 
 @dataclass(frozen=True, slots=True)
 class GoodChanges:
-    """Result of a series of good changes."""
+    """Result of a series of harmless configuration changes."""
 
     committed: int
     rolled_back: int
@@ -145,7 +146,7 @@
 
 
 def goodput_lost(entries: Sequence[Entry]) -> float:
-    """Returns the fraction of the requested priority weight not served within the latency objective."""
+    """Returns the part of the requests, weighted by priority, not served within the latency objective."""
     requested = sum(PRIORITY_WEIGHTS[entry.request_class] for entry in entries)
     served = sum(
         PRIORITY_WEIGHTS[entry.request_class]
--- a/benchmarks/routes.py
+++ b/benchmarks/routes.py
@@ -49,7 +49,7 @@
 
 
 def lookup_cost_us(kind: str, size: int) -> float:
-    """Returns the minimum of several rounds, in microseconds per lookup."""
+    """Returns the minimum lookup cost of several rounds, in microseconds per lookup."""
     table = RouteTable(make_routes(kind, size), "d")
     queries = make_queries(kind, size, Random(size))
     min_elapsed_s = float("inf")
--- a/benchmarks/services.py
+++ b/benchmarks/services.py
@@ -1,4 +1,4 @@
-"""Changes that benchmarks make to a service in their own process; none affects a balancing decision."""
+"""Changes that benchmarks make to a service in their own process; they affect no balancing decision."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def record_activation_times(service: Service, activated_ms: dict[int, float]) -> None:
-    """Records by number when each version becomes active, by wrapping a method: there is no hook for it."""
+    """Records when each configuration version becomes active, by number, by wrapping a method."""
     recording_activate = partial(_activate_and_record, service.changes.activate, service, activated_ms)
     service.changes.activate = recording_activate  # type: ignore[method-assign]
 
--- a/benchmarks/start.py
+++ b/benchmarks/start.py
@@ -28,7 +28,7 @@
 
 START_TIMEOUT_S = 20.0
 POLL_S = 0.001
-MEMORY_DELAY_S = 0.2  # time between the first accepted connection and the reading of memory
+MEMORY_DELAY_S = 0.2  # seconds between the first accepted connection and the reading of memory
 MIB = 1024 * 1024
 
 
@@ -64,10 +64,10 @@
 
 
 def measure(before: Path, rounds: int) -> dict[str, list[Start]]:
-    """Starts both checkouts alternately; the first round fills the caches and is discarded."""
+    """Starts the programs of both checkouts alternately; the first round fills caches and is discarded."""
     checkouts = {"before": before, "now": ROOT}
     for checkout in checkouts.values():
-        # Without compilation, a checkout that has no byte code would start later than one that has.
+        # Without this compilation, a checkout without byte code would start later than one with byte code.
         compileall.compile_dir(checkout / package_of(checkout), quiet=2)
     starts: dict[str, list[Start]] = {name: [] for name in checkouts}
     with tempfile.TemporaryDirectory() as directory:
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -3,9 +3,9 @@
     python -m benchmarks.through [--rounds N] [--seconds S] [--connections C] [--before DIR]
 
 All measured processes get the same bytes from the same clients. Relay, balancers and servers are separate
-processes; measured ones are bound to one core, all others to the rest. Measured are the platform's program,
-the same balancer started by `serve` with its own configuration format, and with `--before` the platform's
-program of another checkout. Prints ratios.
+processes; measured processes are bound to one core, all others to the rest. Measured are the platform's
+program, the same balancer started by `serve` with its own configuration format, and with `--before` the
+platform's program of another checkout. Prints ratios.
 """
 
 from __future__ import annotations
@@ -54,8 +54,9 @@
 class Samples:
     """Measurements by target, one value per round."""
 
-    rates: dict[str, list[float]] = field(default_factory=dict)  # requests per second
-    costs_us: dict[str, list[float]] = field(default_factory=dict)  # processor time per request
+    rates: dict[str, list[float]] = field(default_factory=dict)  # requests per second, by target name
+    # Processor time per request, by target name.
+    costs_us: dict[str, list[float]] = field(default_factory=dict)
 
     def add(self, name: str, rate: float, cost_us: float) -> None:
         """Adds a target's values of one round."""
@@ -75,7 +76,11 @@
         self.by_name: dict[str, Target] = {}
 
     async def start(self, before: str) -> None:
-        """Starts the servers and all targets, and waits until they listen."""
+        """Starts the servers and all targets, and waits until they listen.
+
+        Args:
+            before: Checkout of an earlier version that is measured too; empty for none.
+        """
         for port in self._servers:
             server = ("--role", "server", "--port", str(port))
             self._processes.append(await spawn(*MODULE_ARGUMENTS, *server, cores=self._cores.rest))
@@ -109,7 +114,7 @@
         self._add(name, port, process)
 
     async def _start_service(self) -> None:
-        """Starts the balancer by `serve`, with its own configuration format."""
+        """Starts the balancer by the `serve` command, with the balancer's own configuration format."""
         port = free_port()
         servers = {
             f"s{number}": {"address": f"127.0.0.1:{server}"} for number, server in enumerate(self._servers)
--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -1,6 +1,6 @@
 """Named behaviours of a fake server: responses and faults, each a `Behaviour` for `FakeServer`.
 
-None of them sleeps: a behaviour waits only for an event or for the end of the connection. Source:
+No behaviour sleeps: it waits only for an event or for the end of the connection. Source:
 none; written for this project.
 """
 
@@ -12,7 +12,7 @@
 from testkit.servers import Behaviour, FakeConnection
 from testkit.wire import ReceivedRequest, ok, status
 
-# Every behaviour takes a request, although few use it.
+# Every behaviour takes a request, although few behaviours use the argument.
 # ruff: noqa: ARG001
 
 
@@ -57,7 +57,7 @@
 
 
 def stalls_after(body_bytes: int) -> Behaviour:
-    """Begins a response, and sends nothing more after `body_bytes` of its body."""
+    """Begins a response, and sends nothing after the first `body_bytes` of its body."""
     return partial(_send_and_stall, _truncated_response(body_bytes))
 
 
@@ -83,5 +83,5 @@
 
 
 def _truncated_response(body_bytes: int) -> bytes:
-    """Returns a response whose Content-Length is one byte more than its body has."""
+    """Returns a response whose Content-Length is one byte more than the size of its body."""
     return ok(b"x" * (body_bytes + 1))[:-1]
--- a/testkit/bodies.py
+++ b/testkit/bodies.py
@@ -14,7 +14,7 @@
 from zlib import crc32
 
 BLOCK_BYTES = 64 * 1024
-PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of the size of any read
+PATTERN_BYTES = BLOCK_BYTES + 997  # not a multiple of the size of any socket read
 UNLIMITED_BYTES = 1 << 60
 
 
@@ -26,7 +26,7 @@
         self._block = Random(seed).randbytes(PATTERN_BYTES)
 
     def pieces(self, size: int, max_piece_bytes: int = 0) -> Iterator[memoryview]:
-        """Yields the first `size` bytes in pieces of at most `max_piece_bytes`, or of any size if 0."""
+        """Yields the first `size` bytes in pieces of at most `max_piece_bytes`; 0 for no maximum."""
         view = memoryview(self._block)
         piece_bytes = max_piece_bytes or len(view)
         offset = 0
@@ -63,7 +63,7 @@
         self.crc = crc32(piece, self.crc)
 
 
-Pause = Callable[[Body], Awaitable[None]]  # awaited after each piece is read
+Pause = Callable[[Body], Awaitable[None]]  # function awaited after each piece of a body is read
 
 
 class BodyReader:
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -30,7 +30,7 @@
 ROOT = Path(__file__).parent.parent
 EXAMPLE = ROOT / "deploy" / "own-example.yaml"
 NON_IDEMPOTENT = frozenset(("place-order", "save-quote", "send-drawing"))
-# Percentage of requests of each class.
+# Percentage of the demo's requests that have each request class.
 CLASS_WEIGHTS = {"view-config": 38, "save-quote": 30, "send-drawing": 18, "place-order": 14}
 MIN_SERVICE_TIME_S = 0.02
 MAX_SERVICE_TIME_S = 0.04
@@ -131,7 +131,7 @@
     """One run of the demo, with its files in the given directory."""
 
     def __init__(self, directory: str) -> None:
-        """Creates a run that has started nothing."""
+        """Creates a run of the demo; no server or balancer is started yet."""
         self._directory = Path(directory)
         self._control = f"{directory}/sandhatch.sock"
         self._port = 0  # port of the balancer
@@ -161,7 +161,8 @@
         for pool, spec in self._configuration["pools"].items():
             for name, server in spec["servers"].items():
                 server["address"] = await self._tiers.start(pool, name)
-        # Chosen after all servers have started: one that starts later could be given the same port.
+        # The port is chosen after all servers have started: a server that starts later could be given the
+        # same.
         self._port = free_port()
         self._tiers.balancer_port = self._port
 
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -66,7 +66,7 @@
         self.wake()
 
     def wake(self) -> None:
-        """Makes the pending watches check the generation again."""
+        """Makes the pending watches check whether the list's generation has changed."""
         self._generation_changed.set()
         self._generation_changed = asyncio.Event()
 
@@ -91,7 +91,7 @@
         return {"generation": self.generation, "reset": True, "instances": active_entries}
 
     async def _delta(self, target: str) -> dict[str, Any]:
-        """Returns the changes after the watch's generation, once there are any or its wait expires."""
+        """Returns the changes after the watch's generation, once it has changed or the wait expires."""
         if self.silent:
             await asyncio.Event().wait()
         after = int(target.partition("after=")[2].partition("&")[0])
--- a/testkit/listening.py
+++ b/testkit/listening.py
@@ -34,7 +34,7 @@
         """Serves one connection until it ends; the caller of this method closes it."""
 
     async def start(self) -> Self:
-        """Listens on `port`, or on a port that the system chooses if it is 0."""
+        """Listens on `port`, or on a port that the system chooses if `port` is 0."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", self.port, backlog=self.BACKLOG)
         self.port = int(self._server.sockets[0].getsockname()[1])
         return self
@@ -54,7 +54,7 @@
         try:
             await self.serve_connection(reader, writer)
         except asyncio.CancelledError:
-            pass  # cancelled by `close`
+            pass  # the connection's task was cancelled by `close`
         except self.CONNECTION_ERRORS:
             pass
         finally:
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -15,7 +15,7 @@
 from testkit.request_log import RequestLog
 from testkit.wire import read_http_response
 
-REQUEST_NUMBERS = count(1)  # numbers for trace ids, unique over all generators of the process
+REQUEST_NUMBERS = count(1)  # numbers in the trace ids of requests; unique in the process
 
 
 class RequestChoice(NamedTuple):
@@ -108,6 +108,6 @@
         ).encode()
 
     async def stop(self) -> None:
-        """Stops sending requests, and waits until those in flight are complete."""
+        """Stops sending requests, and waits until the requests in flight are complete."""
         self._stopping.set()
         await asyncio.gather(*self._tasks)
--- a/testkit/planners.py
+++ b/testkit/planners.py
@@ -1,7 +1,7 @@
 """Fake planners that follow a script once the handshake is complete.
 
-The script determines the advice. Source: `docs/planning-link.md`; the program's own session code seals the
-frames.
+The script determines the advice that a planner sends. Source: `docs/planning-link.md`; the program's own
+session code seals the frames.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         return advice
 
     async def send_advice(self, advice: Advice) -> None:
-        """Sends advice."""
+        """Sends the advice to the forwarder."""
         self.session.send(advice)
         await self.send_raw(self.session.take_output())
 
--- a/testkit/ports.py
+++ b/testkit/ports.py
@@ -24,7 +24,7 @@
     """Waits until a process listens on a port.
 
     Raises:
-        RuntimeError: No process did so within ten seconds.
+        RuntimeError: No process listened on the port within ten seconds.
     """
     for _ in range(CONNECT_RETRIES):
         with suppress(OSError):
--- a/testkit/request_log.py
+++ b/testkit/request_log.py
@@ -11,7 +11,7 @@
 
 from testkit.wire import Response
 
-REJECTED_STATUSES = (429, 503)  # statuses that state that the request did not run
+REJECTED_STATUSES = (429, 503)  # response statuses that state that no server ran the request
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
         """Returns the violations of the rules, one line each.
 
         Violations are a request without a response or with several, a request of a class in `non_idempotent`
-        that ran more than once, and one of such a class that was rejected although it ran.
+        that ran more than once, and a request of such a class that was rejected although it ran.
         """
         faults = []
         for trace, entry in self.entries.items():
--- a/testkit/simulation/clock.py
+++ b/testkit/simulation/clock.py
@@ -9,7 +9,7 @@
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-START_MS = 1_000_000.0  # start time of a run; not 0: a server's start time of 0 means "long ago"
+START_MS = 1_000_000.0  # clock at the start of a run; not 0, as a server's start time 0 means "long ago"
 
 
 class _ScheduledCall(NamedTuple):
--- a/testkit/simulation/discovery.py
+++ b/testkit/simulation/discovery.py
@@ -15,7 +15,7 @@
 from testkit.simulation.protocols import ForwarderPort
 from testkit.simulation.server import SimServer
 
-UNREACHABLE_MS = 1.0  # time after which a poll fails while discovery is down
+UNREACHABLE_MS = 1.0  # milliseconds after which a poll fails while discovery is down
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,9 +59,11 @@
         self._queue: deque[QueuedPoll] = deque()
         self._is_busy = False
         self._version = 0
-        self._changed_in_version: dict[int, int] = {}  # version of each server's last change, by number
-        self._known_version: dict[int, int] = {}  # latest version sent to each forwarder, by its number
-        self._subscribers: dict[int, ForwarderPort] = {}  # subscribed forwarders by number
+        # List version of each server's last change, by server number.
+        self._changed_in_version: dict[int, int] = {}
+        # Latest list version sent to each forwarder, by forwarder number.
+        self._known_version: dict[int, int] = {}
+        self._subscribers: dict[int, ForwarderPort] = {}  # subscribed forwarders by forwarder number
 
     def change(self, servers: list[SimServer]) -> None:
         """Publishes changed servers; all subscribers are notified after the notification delay."""
--- a/testkit/simulation/forwarder.py
+++ b/testkit/simulation/forwarder.py
@@ -69,7 +69,8 @@
             components: Components shared with the tier's other forwarders.
             number: Number of the forwarder in its tier.
             balancer_seed: Seed of the balancer's random choices.
-            previous_lease_ms: How long ramp shares of an earlier incarnation may still be leased.
+            previous_lease_ms: Milliseconds for which slow-start shares may still be leased to an earlier
+                incarnation.
         """
         settings = components.settings
         plan = components.plan
@@ -115,7 +116,7 @@
             case GuidanceRejected():
                 self._on_guidance_rejected(action)
             case _:
-                pass  # the simulation has no counterpart of the other actions
+                pass  # other actions of the balancer have no counterpart in the simulation
 
     def _on_guidance_rejected(self, action: GuidanceRejected) -> None:
         self.guidance_rejections.append(action.why)
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -22,7 +22,7 @@
 
 
 class SimAttempt:
-    """One attempt. Only its first outcome counts; a later one, such as a timeout, is ignored."""
+    """One attempt. Only its first outcome counts; a later outcome, such as a timeout, is ignored."""
 
     def __init__(
         self, forwarder: ForwarderPort, send: Send, clock: SimulatedClock, workload: Workload
--- a/testkit/simulation/planner.py
+++ b/testkit/simulation/planner.py
@@ -53,7 +53,7 @@
         self._first: Advice | None = None
 
     def __call__(self, advice: Advice) -> Iterable[ArrivingMessage]:
-        """Returns the first advice in place of the given one."""
+        """Returns the first advice in place of the given advice."""
         if self._first is None:
             self._first = advice
         return [ArrivingMessage(0.0, self._first)]
@@ -63,7 +63,7 @@
     """One incarnation of a planner."""
 
     def __init__(self, name: str, epoch: int, now_ms: float, plan: TierPlan) -> None:
-        """Creates a planner without faults and without retained state."""
+        """Creates a planner without faults and without state of an earlier incarnation."""
         self.machine = Planner(name, epoch, now_ms, plan.planner_terms)
         self.up = True
         self.script: Script = passes_advice
--- a/testkit/simulation/planning_link.py
+++ b/testkit/simulation/planning_link.py
@@ -61,7 +61,7 @@
             self.disconnect(forwarder, name)
 
     def start_planner(self, name: str) -> None:
-        """Starts a new incarnation of a planner, with its previous script and without retained state."""
+        """Starts a new incarnation of a planner, with its previous script but without its previous state."""
         previous = self.planners[name]
         planner = SimPlanner(name, previous.machine.epoch + 1, self._clock.now_ms, self._plan)
         planner.script = previous.script
@@ -101,7 +101,7 @@
         forwarder.perform_planning_actions(actions)
 
     def disconnect(self, forwarder: ForwarderPort, planner: str) -> None:
-        """Ends a forwarder's session with a planner, if there is one."""
+        """Ends a forwarder's session with a planner, if there is a session."""
         if forwarder.sessions.pop(planner, None) is not None and forwarder.machine is not None:
             forwarder.machine.disconnected(planner)
 
@@ -169,7 +169,7 @@
         forwarder.perform_planning_actions(forwarder.machine.handle_advice(planner, advice, now_ms))
 
     def _loses_message(self, forwarder: ForwarderPort, planner: str) -> bool:
-        """Decides at random whether a message is lost; ends its session if so."""
+        """Decides at random whether a message is lost; a loss ends the message's session."""
         if self._plan.link_loss and self._rng.random() < self._plan.link_loss:
             self.disconnect(forwarder, planner)
             return True
--- a/testkit/simulation/ramp_check.py
+++ b/testkit/simulation/ramp_check.py
@@ -1,7 +1,7 @@
 """Measurement of how far the attempts sent to a server exceeded its slow-start ramp.
 
-Only counts attempts and influences none. Source: the rate of a ramp in `TierPlan`, integrated over each
-window of time.
+Only counts attempts and doesn't influence them. Source: the rate of a ramp in `TierPlan`, integrated over
+each window of time.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 def attempts_beyond_ramp(plan: TierPlan, started_ms: float, sent_ms: list[float]) -> float:
     """Returns the maximum, over all windows, of attempts in excess of the integral of the ramp's rate.
 
-    An excess of up to the ramp's burst is permitted.
+    The ramp (slow start) permits an excess of up to its burst.
 
     Args:
         plan: Tier description with the ramp's rate, initial share and duration.
@@ -32,7 +32,7 @@
 
 
 def _allowed_attempts(plan: TierPlan, age_ms: float) -> float:
-    """Returns the integral of the ramp's rate from a server's start to this age."""
+    """Returns the integral of the slow-start ramp's rate from a server's start to this age."""
     ramp_ms = min(max(0.0, age_ms), plan.warm_up_ms)
     share = plan.initial_capacity_share
     area = share * ramp_ms + (1.0 - share) * ramp_ms * ramp_ms / (2.0 * plan.warm_up_ms)
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -15,14 +15,14 @@
 from testkit.simulation.clock import SimulatedClock
 from testkit.simulation.plan import TierPlan
 
-EndAttempt = Callable[[Outcome], None]  # called with the outcome of an attempt
+EndAttempt = Callable[[Outcome], None]  # function called with the outcome of an attempt when it ends
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedAttempt:
     """An attempt that waits for a core."""
 
-    work_ms: float  # time on a core of a warm server
+    work_ms: float  # time that the attempt occupies a core of a warm server
     end: EndAttempt
 
 
@@ -42,9 +42,9 @@
         sent_ms: Time at which each attempt was sent to the server.
     """
 
-    OVERLOAD_MS = 1_500.0  # time with `overload_attempts` or more attempts that causes overload
-    RECOVERY_MS = 3_000.0  # time below the recovery threshold that ends overload
-    RECOVERY_SHARE = 0.3  # recovery threshold, as a fraction of `overload_attempts`
+    OVERLOAD_MS = 1_500.0  # duration of `overload_attempts` or more attempts that causes overload
+    RECOVERY_MS = 3_000.0  # duration of a load at or below the recovery threshold that ends overload
+    RECOVERY_SHARE = 0.3  # threshold of attempts for recovery, as a fraction of `overload_attempts`
     OVERLOAD_SLOWDOWN = 3.0
 
     def __init__(self, number: int, plan: TierPlan, clock: SimulatedClock) -> None:
@@ -62,7 +62,8 @@
         self._running = 0
         self._queue: deque[QueuedAttempt] = deque()
         self._overloaded = False
-        self._threshold_crossed_ms: float | None = None  # since when the load is beyond the threshold
+        # Time since which the load has been high enough to begin overload, or low enough to end it.
+        self._threshold_crossed_ms: float | None = None
 
     def entry(self) -> ServerEntry:
         """Returns the server's current entry for an endpoint list."""
@@ -111,7 +112,7 @@
         self._run_queue()
 
     def _update_overload(self) -> None:
-        """Updates the overload state: it changes after the load has been high or low for long enough."""
+        """Begins overload after the load has been high for long enough, ends it after it has been low."""
         threshold = self._plan.overload_attempts
         if not threshold:
             return
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -32,7 +32,8 @@
         Args:
             plan: Description of the tier.
             seed: Seed of all random choices.
-            previous_lease_ms: How long ramp shares of an earlier incarnation may still be leased.
+            previous_lease_ms: Milliseconds for which slow-start shares may still be leased to earlier
+                incarnations of the forwarders.
         """
         self.plan = plan
         self.rng = Random(seed)
@@ -110,7 +111,7 @@
         return server
 
     def replace(self, number: int) -> SimServer:
-        """Removes a server, which completes its attempts, and adds one, which warms up."""
+        """Removes a server, which completes its attempts, and adds another, which warms up."""
         self.servers[number].up = False
         self._publish([self.servers[number]])
         return self.add()
@@ -138,7 +139,7 @@
         self.link.kill_planner(name, self.forwarders)
 
     def start_planner(self, name: str) -> None:
-        """Starts a new incarnation of a planner, without retained state."""
+        """Starts a new incarnation of a planner, without the state of the previous one."""
         self.link.start_planner(name)
 
     def follow(self, name: str, script: Script) -> None:
@@ -152,5 +153,5 @@
     # ------------------------------------------------ results
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """Returns the share of requests arriving in the interval that were served in time; 0 without any."""
+        """Returns the share of requests arriving in the interval served in time; 0 without requests."""
         return self.workload.goodput_share(begin_ms, end_ms)
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -16,14 +16,16 @@
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.protocols import ForwarderPort
 
-# Fixed share of the plan's work in every request; a random part contributes the rest on average.
+# Work that every request has, as a share of the plan's mean work; a random part is the rest on average.
 FIXED_WORK_SHARE = 0.25
-TAIL_INDEX = 2.1  # index of the Pareto distribution for a heavy tail; at 2 its variance would be infinite
+# Index of the Pareto distribution of the work of requests with a heavy tail; at 2 its variance would be
+# infinite.
+TAIL_INDEX = 2.1
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request that has not had its final response."""
+    """A request of the workload that has not had its final response."""
 
     arrived_ms: float
     work_ms: float
@@ -34,7 +36,7 @@
     """A request that has had its final response."""
 
     arrived_ms: float
-    in_time: bool  # served within the latency objective
+    in_time: bool  # whether the request was served within the latency objective
 
 
 class Workload:
@@ -48,7 +50,7 @@
         Args:
             plan: Description of the tier.
             clock: Clock of the run.
-            forwarders: Forwarders of the tier; the list is shared, so that later ones get requests too.
+            forwarders: Forwarders of the tier; the list is shared, so that later forwarders get requests too.
             rng: Random generator for arrivals alone, so that all variants of a plan get the same arrivals.
         """
         self.completed: list[CompletedRequest] = []
@@ -84,12 +86,12 @@
         return (FIXED_WORK_SHARE + (1.0 - FIXED_WORK_SHARE) * random_part) * self._plan.work_ms
 
     def work_ms_of(self, request: int) -> float:
-        """Returns the work of a request; the plan's mean for a request that has been completed."""
+        """Returns the work of a request; for a completed request, the plan's mean work."""
         pending = self._pending.get(request)
         return pending.work_ms if pending is not None else self._plan.work_ms
 
     def complete(self, request: int, served: bool) -> None:
-        """Records the final response of a request; a second one is ignored."""
+        """Records the final response of a request; a second response is ignored."""
         pending = self._pending.pop(request, None)
         if pending is None:
             return
@@ -97,7 +99,7 @@
         self.completed.append(CompletedRequest(pending.arrived_ms, in_time))
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """Returns the share of requests arriving in the interval that were served in time; 0 without any."""
+        """Returns the share of requests arriving in the interval served in time; 0 without requests."""
         in_time = [
             request.in_time
             for request in self.completed
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -38,7 +38,7 @@
 
 
 class ScriptedBalancer:
-    """Scripted decisions: a request's attempts go to the given servers in order, until one ends as final.
+    """Scripted decisions: a request's attempts go to the given servers in order, until an outcome is final.
 
     If the last attempt isn't final, the request fails. Every event is recorded, so that a test sees exactly
     what the balancer's decisions would receive. Endpoint lists are watched as the balancer does, unless
@@ -158,7 +158,7 @@
     Args:
         entries: Servers, in the form that `testkit.platform.entry` returns.
         script: Decisions to use in place of the balancer's own.
-        limits: Keys of the settings' `PolicyLimits`.
+        limits: Keys of the settings' `PolicyLimits` to replace.
         stats: The settings' `Stats`.
         categories: The settings' `Categories`.
         base: Settings to which the arguments above are applied; the default is `SETTINGS`.
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -112,7 +112,7 @@
 ) -> None:
     rng = Random(seed)
     data = random_messages(rng, is_request)
-    # Never opened, so that each message is returned complete.
+    # The collector never opens a message, so the parser returns each message complete.
     unsplit = MessageCollector(make_parser(is_request), 1 << 40)
     for offset in range(0, len(data), 50_000):
         unsplit.feed(data[offset : offset + 50_000])
@@ -122,7 +122,7 @@
         fragmented.feed(piece)
     assert fragmented.parser.fault is None
     assert not fragmented.parser.has_partial_message
-    # Trailers are returned with a streamed body and dropped with a completely buffered one.
+    # The parser returns the trailers of a streamed body and drops those of a completely buffered body.
     assert [row._replace(trailers=()) for row in fragmented.messages] == [
         row._replace(trailers=()) for row in unsplit.messages
     ]
@@ -163,7 +163,7 @@
 
 
 class ParsedByH11(NamedTuple):
-    """Messages that h11 finds in some bytes, and the text of its error; empty if there is none."""
+    """Messages that h11 finds in some bytes, and the text of h11's error, empty without an error."""
 
     messages: list[ParsedMessage]
     fault: str
@@ -180,7 +180,7 @@
 
 
 def next_h11_message(connection: h11.Connection) -> ParsedMessage | None:
-    """Returns the next message; None if it is incomplete.
+    """Returns the next message that h11 finds; None if the message is incomplete.
 
     Raises:
         h11.RemoteProtocolError: The message is malformed.
@@ -242,7 +242,7 @@
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.booleans())
 def test_accepted_input_has_the_same_meaning_to_h11(seed: int, is_request: bool) -> None:
-    """Rejecting more than h11 is allowed; a different end of a message would allow request smuggling."""
+    """Guards against request smuggling: the parser may reject more than h11, but not see other ends."""
     rng = Random(seed)
     data = random_messages(rng, is_request)
     if rng.random() < 0.8:
@@ -292,7 +292,7 @@
 
 
 def test_body_of_known_length_is_returned_as_views_of_the_read_buffer() -> None:
-    """The parser must not copy the body."""
+    """Guards against a copy of the body by the parser."""
     parser = RequestParser()
     parser.on_head = lambda _message: parser.stream(0, MAX_BODY_BYTES)
     assert parser.feed(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab") == []
--- a/tests/project/documentation.py
+++ b/tests/project/documentation.py
@@ -1,4 +1,4 @@
-"""Finds project paths mentioned in a documentation page, and those of them that don't exist.
+"""Finds project paths mentioned in a documentation page, and mentioned paths that don't exist.
 
 Only code spans (text in single backticks) are searched, not fenced blocks. Both follow the CommonMark syntax
 as far as the project's pages use it.
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -1,7 +1,8 @@
 """Barriers for tests that force two events into a given order.
 
 A test blocks one event (a server's response, a request's last byte), lets the other happen, waits for the
-resulting state, and then releases the first. Every wait is for a named state; none relies on a sleep.
+resulting state, and then releases the first. Every wait is for a state of the program or a fake, and no wait
+relies on a sleep.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 class LastByteBarrier:
-    """Blocks the last byte of each request on a reused connection, which the pool writes in a callback."""
+    """Blocks the last byte, written by a callback of the pool, of each request on a reused connection."""
 
     def __init__(self, connection_pool: ConnectionPool) -> None:
         """Blocks the last byte of every request from now on."""
@@ -51,7 +52,7 @@
         connection_pool.schedule_last_byte = self._pending_writes.append  # type: ignore[method-assign]
 
     async def wait_until_last_byte_blocked(self) -> None:
-        """Waits until all of a request but its last byte is written."""
+        """Waits until a request is written except for its last byte."""
         await wait_until(lambda: self._pending_writes, "the last byte of a request is blocked")
 
     def release(self) -> None:
--- a/tests/race_conditions/skipping_clock.py
+++ b/tests/race_conditions/skipping_clock.py
@@ -16,7 +16,7 @@
 
 from sandhatch.runtime import clock
 
-# Time without data after which nothing is in transit between two loopback sockets of this process.
+# Seconds without data after which no data is taken to be in transit between loopback sockets of this process.
 QUIET_S = 0.004
 
 
@@ -35,7 +35,7 @@
 
 
 class SkippingLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock advances by the skipped waits alone; elapsed time does not count."""
+    """An event loop whose clock advances by the skipped waits alone, not by the time that really elapses."""
 
     def __init__(self) -> None:
         self._skipping_selector = _SkippingSelector()
@@ -60,7 +60,7 @@
     try:
         loop.run_until_complete(scenario(loop))
     finally:
-        unfinished = asyncio.all_tasks(loop)  # tasks of fakes that a fault leaves waiting
+        unfinished = asyncio.all_tasks(loop)  # tasks of fake peers that still wait when the test ends
         for task in unfinished:
             task.cancel()
         if unfinished:
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -38,7 +38,7 @@
     wait_until_requested,
 )
 
-MAX_DETECTION_MS = 100.0  # time after a disconnect from which no attempt may begin
+MAX_DETECTION_MS = 100.0  # milliseconds after a disconnect from which no attempt may begin
 NEVER_MS = 1e9
 
 Disconnect = Callable[[socket.socket], None]
@@ -47,7 +47,7 @@
 def connect_pipelining_client(
     balancer: RunningBalancer, disconnect_poll_ms: float = NEVER_MS
 ) -> socket.socket:
-    """Connects a client that sends a request and all but one of those that may queue behind it.
+    """Connects a client that sends a request and all but one of the requests that may queue behind it.
 
     The listener's sweep is disabled: once reading is paused, only the listener's poll for disconnects and the
     check before each attempt can detect one. By default the poll is disabled too.
@@ -90,7 +90,8 @@
             await wait_until_requested(upstream)
             await pause_reading(balancer, client_socket)
             client_socket.close()
-            # Only the poll can detect the disconnect: no attempt begins, and checks, before the response.
+            # Only the poll can detect the disconnect: the check before an attempt is not reached before the
+            # response.
             await wait_until_disconnect_detected(script.events)
             upstream.release()
             await wait_until_nothing_in_flight(balancer)
@@ -100,7 +101,7 @@
 
 
 def test_pipelined_request_is_not_started_after_a_response_if_the_client_has_disconnected() -> None:
-    """Guards against starting the next request if a response arrives before the poll for disconnects."""
+    """Guards against starting a disconnected client's next request if a response precedes the poll."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -180,7 +181,7 @@
         return connection
 
     async def wait_until_blocked(self) -> None:
-        """Waits until the connection is established; later ones are not delayed."""
+        """Waits until the connection is established; later connections are not delayed."""
         await self._established.wait()
         self._monkeypatch.undo()
 
@@ -192,7 +193,7 @@
 def test_nothing_is_written_to_a_connection_established_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a write when the connection to the server is ready only after a disconnect."""
+    """Guards against a write when the connection to the server is ready only after the client disconnects."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -232,7 +233,7 @@
 
 
 def test_queued_request_is_not_dispatched_after_a_disconnect() -> None:
-    """Guards against a dispatch to a server that becomes ready after the queued request's disconnect."""
+    """Guards against dispatching a queued request to a server that becomes ready after the client left."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -258,7 +259,7 @@
 
 
 async def fail_attempt_after_detected(disconnect: Disconnect) -> None:
-    """Asserts that there is no second attempt if the first fails after the disconnect is detected."""
+    """Asserts that no second attempt is made if the first fails after the client's disconnect is detected."""
     upstream = DelayedResponseServer(fails_with(500))
     async with balancer_in_front_of(upstream) as balancer:
         client_socket = connect_client(balancer.port)
@@ -272,7 +273,7 @@
 
 
 async def fail_attempt_after_undetected(disconnect: Disconnect) -> None:
-    """Asserts that there is no second attempt if the first fails before the disconnect is detected."""
+    """Asserts that no second attempt is made if the first fails before the disconnect is detected."""
     upstream = DelayedResponseServer(fails_with(500))
     async with balancer_in_front_of(upstream) as balancer:
         client_socket = connect_pipelining_client(balancer)
@@ -303,7 +304,7 @@
 
 
 def test_hedged_request_is_not_sent_after_an_undetected_disconnect() -> None:
-    """Guards against an attempt at a second server when a hedge is due after an undetected disconnect."""
+    """Guards against a hedge (second, parallel attempt) that is due after an undetected disconnect."""
 
     async def scenario() -> None:
         first = await DelayedResponseServer().start()
@@ -335,7 +336,7 @@
     async def scenario() -> None:
         upstream = FakeServer()
         async with balancer_in_front_of(upstream, ScriptedBalancer([1])) as balancer:
-            # The other client's request leaves a pooled connection to the server.
+            # Another client's request leaves a connection to the server in the pool.
             with connect_client(balancer.port) as other:
                 other.sendall(request_bytes())
                 await wait_until_requested(upstream)
@@ -355,7 +356,9 @@
 
 
 def test_queued_request_is_not_dispatched_after_an_undetected_disconnect() -> None:
-    """Guards against a dispatch to a server that becomes ready before the disconnect is detected."""
+    """Guards against dispatching a queued request to a server that is ready before the disconnect is
+    detected.
+    """
 
     async def scenario() -> None:
         upstream = FakeServer()
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -122,7 +122,7 @@
 
 
 def test_complete_list_older_than_received_watch_events_is_ignored() -> None:
-    """Guards against undoing a drain by a complete list that was created before it and arrives after it."""
+    """Guards against undoing a drain by a complete list created before the drain and received later."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -150,7 +150,7 @@
             watch = await discovery.call()
             source.fetch()
             fetch = await discovery.call()
-            fetch.respond_with_full_list(45, b="active")  # a is no longer listed
+            fetch.respond_with_full_list(45, b="active")  # server a is no longer listed
             await received.next_listing()
             watch.respond_with_changes(43, a="leaving")
             await received.next_listing()
@@ -161,7 +161,7 @@
 
 
 def test_lower_version_is_accepted_after_a_restart_of_discovery() -> None:
-    """Guards against ignoring a lower version as stale when nothing else arrived during the call."""
+    """Guards against ignoring a lower version, of a restarted discovery, as stale: no other response came."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -226,7 +226,9 @@
 
 @pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty response"])
 def test_watch_without_a_response_times_out(silence: str) -> None:
-    """Wherever discovery stops responding, the watch fails with its number and its connection is closed."""
+    """Wherever discovery stops responding, the watch is reported as failed under its number, and its
+    connection is closed.
+    """
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -239,7 +241,7 @@
             source.watch(watch_call(2, response_timeout_ms=200.0))
             silent = await discovery.call()
             if responded is not None:
-                assert silent.writer is responded.writer  # the next watch uses the same connection
+                assert silent.writer is responded.writer  # the second watch uses the first one's connection
             if silence == "in the body":
                 silent.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 80\r\n\r\n{")
             failed = await received.next_listing()
@@ -257,7 +259,7 @@
 
 
 def test_listing_has_the_number_of_the_call_it_responds_to() -> None:
-    """Guards the list's age: a complete list polled during a watch must not count as the watch's response."""
+    """Guards against a wrong list age: a list polled in a watch must not count as the watch's response."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -275,7 +277,7 @@
 
 @pytest.mark.parametrize("version", [3, 40])
 def test_events_that_do_not_apply_to_the_cached_list_count_as_a_failed_call(version: int) -> None:
-    """The events can't be applied: no server changes, and the next call requests the complete list."""
+    """Guards against applying watch events to another list version; the next call requests the full list."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -293,7 +295,7 @@
 
 @pytest.mark.parametrize("watching", [True, False])
 def test_change_of_address_is_published_and_responses_of_the_old_one_are_ignored(watching: bool) -> None:
-    """The address changes (SIGHUP) with or without a call in flight; further calls go to the new one."""
+    """Discovery's address changes (SIGHUP), during a call or not; further calls go to the new address."""
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -35,7 +35,8 @@
     """Discovery service for two servers, `a` and `b`; `drain_a` makes `a` start to drain.
 
     While `faulty`, the fault handles each call; otherwise the response is correct. A watch that began
-    before and ends while `faulty` gets no response. A fault returns whether the call is over.
+    before and ends while `faulty` gets no response. A fault (a function) returns whether it has ended the
+    call.
     """
 
     def __init__(self, fault: Fault, rows: list[dict[str, Any]]) -> None:
@@ -156,8 +157,8 @@
 async def _check_no_request_reaches_a(fault: Fault, at_start: bool, faulty_s: float) -> None:
     """Asserts that `a` gets no request once the bound on the list's age and the drain grace have passed.
 
-    Discovery becomes faulty at the start or during a watch, `a` starts to drain at that moment, and discovery
-    responds again after `faulty_s`.
+    Discovery becomes faulty at the program's start or during a watch, `a` starts to drain at that moment, and
+    discovery responds again after `faulty_s`.
     """
     loop = asyncio.get_running_loop()
     a, b = await FakeServer().start(), await FakeServer().start()
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -67,7 +67,7 @@
 
 def test_surplus_response_before_the_last_byte_is_written_goes_to_no_other_request() -> None:
     """Guards against passing a surplus response to the next request if it arrives after the connection was
-    found idle and before that request is written completely.
+    found idle and before the next request is written completely.
     """
 
     async def scenario() -> None:
@@ -81,7 +81,7 @@
             await last_byte.wait_until_last_byte_blocked()
             await upstream.open_connections[0].send(ok(b"/api?1"))
             assert (await client.read_response()).body == b"/api?2"
-            last_byte.release()  # must not write the last byte any more
+            last_byte.release()  # the pool must not write the last byte any more
             await script.next_attempt_end()
         assert [event.outcome for event in script.attempt_ends()] == [Outcome.OK, Outcome.OK]
         assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
@@ -91,7 +91,7 @@
 
 
 def test_connection_to_the_predecessor_of_a_restarted_server_is_not_reused() -> None:
-    """Guards against reuse when a server restarts, with the same id and address, during an attempt."""
+    """Guards against reuse of a connection whose server restarts in an attempt, with its id and address."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -115,8 +115,8 @@
 
 
 def test_connection_closed_before_the_last_byte_is_written_is_not_used() -> None:
-    """Guards against a write when the kernel has the end of stream, unread, as the last byte is due: if it
-    were written, a non-idempotent request might have run and could not be retried.
+    """Guards against writing a request's last byte when the kernel has the server's end of stream, unread: if
+    the byte were written, a non-idempotent request might have run and could not be retried.
     """
 
     async def scenario() -> None:
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -79,8 +79,8 @@
 
 
 @pytest.fixture
-def long_client_time_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Raises the clients' time limits, so that none expires on a busy computer."""
+def long_connection_time_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Raises the balancer's time limits on client connections, so none expires on a busy computer."""
     for limit in ("FIRST_REQUEST_TIMEOUT_MS", "REQUEST_TIMEOUT_MS", "LINGER_TIMEOUT_MS"):
         monkeypatch.setattr(ClientConnection, limit, RESPONSE_TIMEOUT_S * 1000.0)
 
@@ -107,7 +107,8 @@
 
             monkeypatch.setattr(balancer.listener, "close_idle", close_idle_as_a_request_arrives)
             await drain(balancer)
-            assert len(upstream.requests) == 1  # sent before the process may exit
+            # The request is sent to the server before the process may exit.
+            assert len(upstream.requests) == 1
             response = await read_until_close(client)
             assert response.startswith(b"HTTP/1.1 200")
             assert b"Connection: close" in response
@@ -141,7 +142,7 @@
 
 
 def test_request_that_arrives_after_its_idle_connection_is_closed_is_not_read() -> None:
-    """Guards against reading a request and not serving it; the client may retry one that was not read."""
+    """Guards against reading a request and not serving it; the client may retry an unread request."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -173,9 +174,9 @@
     return polls
 
 
-@pytest.mark.usefixtures("long_client_time_limits")
+@pytest.mark.usefixtures("long_connection_time_limits")
 def test_process_does_not_exit_before_its_last_response_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards a response in transit: a process that exits with unread received bytes resets the connection."""
+    """Guards against losing a response in transit: exit with unread received bytes resets the connection."""
 
     async def scenario() -> None:
         upstream = FakeServer()
@@ -198,7 +199,7 @@
 def test_request_that_arrives_late_in_a_shutdown_gets_a_response_before_sigkill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards a received request with the longest deadline, which could exceed the time until SIGKILL."""
+    """Guards against SIGKILL before the response to a request whose deadline may be later than SIGKILL."""
 
     async def scenario() -> None:
         monkeypatch.setattr(graceful_shutdown, "LATE_ARRIVAL_MS", 0.0)
@@ -217,7 +218,7 @@
     run(scenario())
 
 
-@pytest.mark.usefixtures("long_client_time_limits")
+@pytest.mark.usefixtures("long_connection_time_limits")
 def test_eviction_for_new_connections_aborts_no_undelivered_response() -> None:
     """Guards against evicting a connection whose client has not yet received all of its last response."""
 
@@ -243,7 +244,7 @@
 
 
 def test_idle_connection_with_an_unread_request_is_not_closed_by_the_idle_timeout() -> None:
-    """Guards a request that arrives just as the idle timeout of its connection expires."""
+    """Guards against losing a request that arrives just as the idle timeout of its connection expires."""
 
     async def scenario() -> None:
         upstream = FakeServer()
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -33,7 +33,7 @@
 async def wait_until_shutting_down(port: int) -> None:
     """Waits until the program has received SIGTERM: it is no longer ready, or rejects connections.
 
-    The program goes on accepting for half a second; on a busy computer, this test may not run within it.
+    The program goes on accepting for half a second; on a busy computer, this check may run only later.
     """
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
@@ -56,7 +56,7 @@
 
 
 def test_sigterm_before_the_program_is_ready_makes_it_exit(tmp_path: Path) -> None:
-    """Guards against waiting for the first discovery call, in flight, when no request is pending."""
+    """Guards against an exit delayed by the first discovery call, in flight, with no request pending."""
 
     async def scenario() -> None:
         discovery = await FakeDiscovery([]).start()
@@ -74,7 +74,7 @@
 
 
 def test_repeated_sigterm_and_sighup_neither_shorten_nor_restart_a_shutdown(tmp_path: Path) -> None:
-    """Guards the request in flight, which must be served exactly once."""
+    """Guards against losing or repeating the request in flight during the signals."""
 
     async def scenario() -> None:
         upstream = await DelayedResponseServer().start()
@@ -140,7 +140,8 @@
 def test_sighup_to_an_unreachable_address_does_not_delay_the_next_reload(tmp_path: Path) -> None:
     """Guards against a reload that waits for a call to an unreachable address.
 
-    The current endpoint list stays in use meanwhile. The new discovery's versions are lower than the first's.
+    The current endpoint list stays in use meanwhile. The new discovery's list versions are lower than the
+    first's.
     """
 
     async def scenario() -> None:
--- a/tests/streaming/harness.py
+++ b/tests/streaming/harness.py
@@ -105,7 +105,7 @@
 
     @property
     def requests_seen(self) -> int:
-        """Number of requests that all servers have received."""
+        """Number of requests that the servers have received together."""
         return sum(len(server.received_requests) for server in self.servers)
 
     def active_configuration(self) -> Any:
@@ -146,7 +146,7 @@
                 "servers": {f"s{n}": {"address": f"127.0.0.1:{s.port}"} for n, s in enumerate(servers)},
                 "new_servers": "warm",
                 "max_attempts": 3,
-                "connect_timeout_ms": 10_000,  # long, so that a busy machine does not cause time-outs
+                "connect_timeout_ms": 10_000,  # long, so that connects don't time out on a busy machine
             }
             | overrides.pop("pool", {})
         },
@@ -164,7 +164,7 @@
             pools = running.service.pools.by_fingerprint.values()
             await running.wait_until(lambda: all(pool.dispatcher.has_ready_server for pool in pools))
             for server in servers:
-                server.connections = 0  # exclude connections of health checks
+                server.connections = 0  # don't count the connections of earlier health checks
             yield Deployment(running, servers, DecisionRecorder(next(iter(pools)).dispatcher))
     finally:
         for server in servers:
--- a/tests/streaming/test_changes_in_mid_body.py
+++ b/tests/streaming/test_changes_in_mid_body.py
@@ -44,7 +44,7 @@
             )
             servers[server_name]["state"] = "draining"
             await deployment.running.commit_and_confirm(data)
-            await asyncio.sleep(2.1)  # longer than the grace period
+            await asyncio.sleep(2.1)  # longer than the grace period of a drain
             client.send(REST)
             assert (await read_response(client))[0] == 200
             for _ in range(8):
--- a/tests/streaming/test_client_failures.py
+++ b/tests/streaming/test_client_failures.py
@@ -1,4 +1,6 @@
-"""Clients that disconnect in mid-body: attempts are cancelled and not counted against the server."""
+"""Clients that disconnect in mid-body: their attempts are cancelled and not counted as failures of the
+server.
+"""
 
 from __future__ import annotations
 
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -102,12 +102,12 @@
     assert fixture.flow.credit_bytes == 256 * KIB
     fixture.flow.push(b"x" * 64 * KIB)
     assert fixture.flow.credit_bytes == 192 * KIB
-    assert fixture.source.paused  # no sink is attached yet
+    assert fixture.source.paused  # the flow has no sink yet
     sink = FakeSink()
     fixture.flow.attach(sink)
     assert not fixture.source.paused
     sink.capacity_bytes = 1000
-    fixture.flow.push(b"y" * 100 * KIB)  # exceeds the replay buffer, which is released
+    fixture.flow.push(b"y" * 100 * KIB)  # more than the replay buffer holds, so that it is released
     assert fixture.observer.notifications == ["unrepeatable"]
     assert fixture.flow.memory_bytes == 100 * KIB - 1000
     assert fixture.source.paused
@@ -162,11 +162,11 @@
 
 
 def test_credit_is_limited_to_the_reservation_while_memory_is_short() -> None:
-    fixture = FlowFixture(memory_mb=0.5)  # budget of 128 KiB, of which the flow has reserved 96
+    fixture = FlowFixture(memory_mb=0.5)  # memory budget of 128 KiB, of which the flow has 96
     assert fixture.flow.credit_bytes == 128 * KIB
     other = fixture.memory_budget.reserve(120 * KIB, lambda: None)
-    assert other is not None  # the other request waits
-    assert fixture.flow.credit_bytes == 96 * KIB  # no free memory is granted ahead of the waiter
+    assert other is not None  # the second reservation waits for memory
+    assert fixture.flow.credit_bytes == 96 * KIB  # free memory goes to the waiting reservation first
     sink = FakeSink(capacity_bytes=0)
     fixture.flow.attach(sink)
     fixture.flow.push(b"x" * 96 * KIB)
@@ -174,7 +174,7 @@
     assert fixture.source.paused
     sink.send(1 << 20)
     fixture.flow.drained()
-    assert fixture.flow.credit_bytes == 32 * KIB  # minimum credit of the request and of the response
+    assert fixture.flow.credit_bytes == 32 * KIB  # minimum for the request and minimum for the response
     assert not fixture.source.paused
 
 
@@ -189,7 +189,7 @@
     fixture.flow.push(b"more")
     fixture.flow.end([])
     fixture.flow.drained()
-    # The leased bytes belong to the response now.
+    # The bytes that the request's flow leased to the response belong to the response now.
     assert fixture.memory_budget.used_bytes == Flow.MIN_CREDIT_BYTES
     assert fixture.statistics.open == 0
     assert sink.end is None
@@ -253,7 +253,7 @@
         fixture.flow.push(b"x")
         slow_side = fixture.flow.find_slow_side(fixture.clock.current_ms)
     assert slow_side == SlowSide(Side.SOURCE, "4 bytes a second over 2000 ms")
-    assert fixture.clock.current_ms == 4_000.0  # end of the window after the fast one
+    assert fixture.clock.current_ms == 4_000.0  # end of the 2 s window after the fast window
 
 
 def test_time_without_a_sink_between_two_attempts_is_not_counted() -> None:
@@ -280,7 +280,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
 def test_random_event_order_streams_the_same_bytes_within_the_ceiling(seed: int) -> None:
-    """The source respects its credit; sinks are attached, fall behind and fail in random order."""
+    """The source sends no more than its credit; sinks are attached, fall behind and fail in random order."""
     rng = Random(seed)
     fixture = FlowFixture(memory_mb=rng.choice([0.5, 1.0, 64.0]))
     body = rng.randbytes(rng.choice([0, 10, 70, 300, 900]) * KIB + rng.randrange(5))
--- a/tests/streaming/test_many_uploads.py
+++ b/tests/streaming/test_many_uploads.py
@@ -1,4 +1,4 @@
-"""A thousand concurrent uploads that exceed the memory limit: each of them gets a response."""
+"""A thousand concurrent uploads that exceed the memory limit: each upload gets a response."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     assert len(results) == UPLOAD_COUNT
     served = results.count(200)
     assert served > 500
-    # A read that exceeds the budget is counted briefly before it is released.
+    # The bytes of a read that exceeds the memory budget count as used briefly, before they are released.
     assert peak.peak_bytes <= deployment.memory_budget.limit_bytes + 64 * KIB
     assert deployment.flow_statistics.max_open < UPLOAD_COUNT  # some requests have waited for memory
     await deployment.wait_until_idle()
@@ -75,7 +75,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """1000 uploads of 96 KiB exceed the share of 64 MB that bodies may use. Each upload gets one response;
-    those that do not fit even after waiting are rejected with Retry-After.
+    uploads for which there is no memory even after waiting are rejected with Retry-After.
     """
     for limit in ("FIRST_REQUEST_TIMEOUT_MS", "REQUEST_TIMEOUT_MS", "LINGER_TIMEOUT_MS"):
         monkeypatch.setattr(ClientConnection, limit, float(UNREACHED_LIMIT_MS))
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -62,7 +62,7 @@
 def test_response_waits_for_memory_before_it_begins_but_not_afterwards() -> None:
     async def scenario() -> None:
         async with deployed(serve_body(8 * MIB), limits={"memory_mb": 16}) as deployment:
-            # Enough memory to read a head, but not for the buffered part of a body.
+            # The free memory suffices for reading a message's head, but not for the buffered part of a body.
             reserved_bytes = reserve_all_but(deployment.memory_budget, 40 * KIB)
             async with HttpClient(deployment.port) as client:
                 client.send(download_head())
@@ -115,9 +115,9 @@
 
 
 def test_disconnect_in_mid_response_with_a_queued_upload_releases_all_memory() -> None:
-    """Memory released by the response must not be granted to the next upload on the same lost connection."""
+    """Guards against granting the ended response's memory to the next upload on the lost connection."""
     upload_hold_bytes = 16 * KIB
-    first_part = BODY.prefix(64 * KIB)  # amount that is buffered before a response is streamed
+    first_part = BODY.prefix(64 * KIB)  # part buffered before the response is streamed
 
     async def serve_first_part(request: StreamedRequest) -> None:
         await request.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(64 * MIB)) + first_part)
@@ -133,7 +133,7 @@
             await read_response_head(client)
             await client.reader.readexactly(len(first_part))
             response_memory_bytes = budget.used_bytes
-            # The right-hand side is the memory for which the upload will wait.
+            # The upload will wait for the memory on the right-hand side of this comparison.
             assert response_memory_bytes > upload_hold_bytes + 2 * Flow.MIN_CREDIT_BYTES
             reserved_bytes = budget.free_bytes - 8 * KIB
             budget.update_usage(0, reserved_bytes)
--- a/tests/streaming/test_rejected_bodies.py
+++ b/tests/streaming/test_rejected_bodies.py
@@ -38,13 +38,13 @@
     async def scenario() -> None:
         async with deployed(store_upload) as deployment, HttpClient(deployment.port) as client:
             client.send(upload_head(None) + chunked(BODY.prefix(100 * KIB)))
-            await deployment.server.arrivals.get()  # the request has been forwarded
+            await deployment.server.arrivals.get()  # the request's head has reached the server
             client.send(malformed_bytes + upload_head(3) + b"abc")
             status, headers = await read_response_head(client)
             assert status in (400, 413, 431)
             assert headers["connection"] == "close"
             await deployment.wait_until_idle()
-            # The remaining bytes are not parsed as a request.
+            # The bytes after the malformed body are not parsed as a request.
             assert len(deployment.server.received_requests) == 1
             assert deployment.decisions.outcomes == [Outcome.CANCELLED]
 
--- a/tests/streaming/test_server_failures.py
+++ b/tests/streaming/test_server_failures.py
@@ -69,8 +69,8 @@
 
 
 def test_truncated_response_resets_the_connection_of_an_http_1_0_client() -> None:
-    """HTTP/1.0 has no chunks, so without a length only the close marks the end of the body. A normal close
-    would make a truncated response look complete.
+    """HTTP/1.0 has no chunks, so without a Content-Length only the close marks the end of the body. A normal
+    close would make a truncated response look complete.
     """
 
     async def scenario() -> None:
@@ -103,7 +103,8 @@
             client.send(upload_head(8 * MIB))
             client.send(BODY.prefix(300 * KIB))
             status, headers = await read_response_head(client)
-            assert (status, headers["connection"]) == (200, "close")  # the rest of the body is not read
+            # The connection closes because the balancer doesn't read the rest of the upload.
+            assert (status, headers["connection"]) == (200, "close")
             assert await client.reader.readexactly(6) == b"enough"
             await deployment.wait_until_idle()
             assert deployment.decisions.outcomes == [Outcome.OK]
@@ -158,7 +159,8 @@
             size = 4 * MIB
             client.send(upload_head(size, X_Qos="look"))
             body = BODY.prefix(size)
-            client.send(body[: 64 * KIB])  # buffered before the first attempt; the rest follows the failure
+            # This part is buffered before the first attempt; the rest is sent after the attempt has failed.
+            client.send(body[: 64 * KIB])
             await deployment.wait_until(lambda: len(deployment.decisions.attempt_ends) == 1)
             assert not deployment.decisions.events_of(Unrepeatable)
             client.send(body[64 * KIB :])
@@ -191,11 +193,11 @@
     run(scenario())
 
 
-MAX_UPLOADS = 60  # enough uploads that each server is selected for at least one attempt
+MAX_UPLOADS = 60  # with this many uploads, each server is selected at least once
 
 
 def test_long_upload_is_retried_after_a_failed_connect() -> None:
-    """No bytes were written to the server, so even a non-idempotent request is retried."""
+    """No bytes of the upload were written to the server, so even a non-idempotent request is retried."""
 
     async def scenario() -> None:
         async with deployed(store_upload, store_upload) as deployment:
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -31,8 +31,8 @@
     upload_head,
 )
 
-# Stall limit of the side under test; the other side has the long limits of the harness. Large enough that a
-# busy machine does not delay a side by as much.
+# Stall limit of the side under test; the other side has the long limits of the harness. This one is longer
+# than a busy machine delays a side.
 STALL_MS = 1_000
 CLIENT_STALLS: Any = {"request": {"writer_stall_ms": STALL_MS}}
 SERVER_STALLS: Any = {"request": {"reader_stall_ms": STALL_MS}}
@@ -83,7 +83,8 @@
             assert (await response_to_trickle(client)).status == 408
             await deployment.wait_until_idle()
             await deployment.wait_until_server_idle()
-            assert deployment.decisions.outcomes == [Outcome.CANCELLED]  # not the server's fault
+            # The attempt is not counted as a failure of the server.
+            assert deployment.decisions.outcomes == [Outcome.CANCELLED]
             assert [(record.status, record.truncated_by) for record in deployment.records] == [
                 (408, "client")
             ]
@@ -106,7 +107,7 @@
 
 
 def test_short_body_has_the_same_progress_limits_as_a_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """With other limits, 60 KiB over a slow link would be rejected although 70 KiB would be accepted."""
+    """Guards against rejecting 60 KiB over a slow link, by stricter limits, while accepting 70 KiB."""
     monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1_000.0)
     monkeypatch.setattr(ClientConnection, "REQUEST_TIMEOUT_MS", 1_000.0)
 
@@ -128,7 +129,7 @@
 
 
 def test_server_stalled_in_mid_upload_of_a_fast_client_times_out_without_retry() -> None:
-    """The server may have run the non-idempotent request: it fails and is neither rejected nor retried."""
+    """Guards against rejecting or retrying a non-idempotent request that the server may have run."""
 
     async def read_part_and_stall(request: StreamedRequest) -> None:
         await request.body(stop_at=MIB)
@@ -196,8 +197,8 @@
     run(scenario())
 
 
-# Rate far below the minimum rate of the other side, so that a limit applied to the wrong side is detected.
-# The margin is larger than any delay on a busy machine.
+# Rate of the slow side, far below the minimum rate of the other side, so that a limit applied to the wrong
+# side is detected. The margin is larger than any delay on a busy machine.
 SLOW_BYTES_PER_S = MIB
 TIGHT_FLOOR_BYTES_PER_S = 10 * MIB
 SLOW_PIECE_BYTES = 16 * KIB
@@ -213,7 +214,7 @@
 
 
 def tight_limits(side: str) -> dict[str, int]:
-    """Returns limits for the writer or the reader that only a fast side satisfies."""
+    """Returns progress limits for `side` that only a fast peer satisfies."""
     return {
         f"{side}_stall_ms": STALL_MS,
         f"{side}_floor_bytes_per_s": TIGHT_FLOOR_BYTES_PER_S,
@@ -223,7 +224,7 @@
 
 @pytest.mark.parametrize("slow_side", ["client", "server"])
 def test_slow_side_above_its_own_minimum_rate_is_served_to_the_end(slow_side: str) -> None:
-    """Each side has its own limits: a far slower side must not be counted against the other one."""
+    """Guards against applying one side's limits to the other, far slower side, which has its own limits."""
     serve = store_slowly if slow_side == "server" else store_upload
     limits = tight_limits("writer" if slow_side == "server" else "reader")
     pause_s = SLOW_PIECE_BYTES / SLOW_BYTES_PER_S if slow_side == "client" else None
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -58,7 +58,7 @@
                 assert body.complete
             await deployment.wait_until_idle()
             assert deployment.server.connections == 1  # the server connection was reused
-            if size != 64 * KIB + 1:  # a body of this size may be complete in one read
+            if size != 64 * KIB + 1:  # a body of 64 KiB + 1 may be complete in one read
                 assert len(deployment.decisions.events_of(AnswerStarted)) == (2 if size else 0)
             assert deployment.decisions.outcomes == [Outcome.OK, Outcome.OK]
 
@@ -105,7 +105,7 @@
 
 
 def test_memory_of_a_request_with_a_slow_server_stays_below_its_ceiling() -> None:
-    """The flow statistics record every change, so no peak is missed by sampling."""
+    """Checked by the flow statistics, which record every change of memory, so that no peak is missed."""
 
     async def pause(_body: Body) -> None:
         await asyncio.sleep(0.001)
--- a/tests/testkit/test_request_log.py
+++ b/tests/testkit/test_request_log.py
@@ -17,7 +17,7 @@
     request_log.add("t1", "look", 0.0).responses.append(response(200))
     request_log.add("t2", "order", 0.0).responses.append(response(503))
     request_log.add_run("t1", "a")
-    request_log.add_run("t1", "b")  # an idempotent request may run twice
+    request_log.add_run("t1", "b")  # no fault: an idempotent request may run on two servers
     request_log.add_run("unknown", "a")
     assert request_log.faults(NON_IDEMPOTENT) == []
     assert request_log.statuses() == {200: 1, 503: 1}
--- a/tests/testkit/test_simulation.py
+++ b/tests/testkit/test_simulation.py
@@ -77,7 +77,7 @@
     plan = TierPlan(ramp_per_s=50.0, initial_capacity_share=0.1, warm_up_ms=20_000.0)
     assert attempts_beyond_ramp(plan, START_MS, []) == 0.0
     assert attempts_beyond_ramp(plan, START_MS, [START_MS + 1.0] * 5) == pytest.approx(5.0, abs=0.01)
-    # The server is warm at the time of these attempts.
+    # The server's warm-up is over at the time of these attempts.
     assert attempts_beyond_ramp(plan, START_MS, [START_MS + 30_000.0] * 5) == 0.0
 
 
