--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -1,14 +1,16 @@
 """Freshness of the endpoint list: a bound on its age, and the requests to discovery that keep it fresh.
 
 `Freshness` decides when to send a request, of which kind, how long discovery may hold it, and when to abandon
-it. It does no I/O and reads no clock. Sources: the protocol's limits for lists (6 s until a change counts as
-notified, 200 ms from a response to the next request, 4 s after a change of address), and the settings.
+it. It does no I/O and reads no clock. Sources: the protocol's limits for lists (6 s until an instance is
+taken to know of a change, 200 ms from a response to the next request, 4 s after a change of address), and the
+settings.
 
 A single bound limits the list's age. A list is fresh as of its last complete response. The next complete
-response is due `notified_ms` later: from then on every change that discovery has counts as notified to this
-instance, whether it was received or not. Only a complete response moves this bound; a failure, a pause, a
-rejection or a malformed response does not. A watch waits for at most a third of the bound, so that a silent
-watch is detected early; the rest of the bound is for the requests that follow, which queue at discovery.
+response is due `notified_ms` later: from then on this instance is taken to know of every change that
+discovery has, whether or not the instance has received the change. Only a complete response moves this bound;
+a failure, a pause, a rejection or a malformed response does not. A watch waits for at most a third of the
+bound, so that a silent watch is detected early; the rest of the bound is for the requests that follow, which
+queue at discovery.
 
 A request is one of three kinds, and each is sent as a `WatchList` action:
 
@@ -52,16 +54,17 @@
 SUSPICION_COOKIE = REQUEST_COOKIE + 1
 COOKIES = (REQUEST_COOKIE, SUSPICION_COOKIE)
 
-NOTIFIED_MS = 6_000.0  # time from a change at discovery until it counts as notified
-RELOCATED_MS = 4_000.0  # time until changes count as notified after discovery has changed its address
+NOTIFIED_MS = 6_000.0  # time from a change at discovery until instances are taken to know of the change
+RELOCATED_MS = 4_000.0  # time from a change of discovery's address until the list there is taken to be known
 MIN_NOTIFIED_MS = 1_000.0  # limits the request rate at discovery under settings with tiny intervals
 
 
 def list_age_bound_ms(settings: Settings) -> float:
-    """Return the bound on a list's age: the time after which a change at discovery counts as notified.
+    """Return the bound on a list's age: the time after which an instance is taken to know of a change.
 
-    A change then counts as notified whether it was received or not. An instance that neither watches nor
-    polls counts as notified of all changes that are older than the settings' poll interval.
+    The instance is then taken to know of the change at discovery whether or not the list has reached the
+    instance. An instance that neither watches nor polls is taken to know of all changes that are older than
+    the settings' poll interval.
     """
     if not settings.polled_discovery:
         return NOTIFIED_MS
@@ -119,8 +122,9 @@
 
 def _pacing(settings: Settings, notified_ms: float) -> Pacing:
     if not settings.polled_discovery:
-        # Pushed lists come from the instance's own agent, whose changes count as notified as soon as it is
-        # back. No other instance queues there, and a pause must fit into the shortest grace period.
+        # Pushed lists come from the instance's own agent. As soon as the agent is back, the instance is taken
+        # to know of the agent's changes, received or not. No other instance queues at the agent, and a pause
+        # must fit into the shortest grace period.
         return Pacing(0.0, 100.0, 500.0)
     # Once the list is overdue, each instance sends about one request per bound, so that a discovery service
     # that can serve all instances within the bound is not saturated by rejections. The pause must leave time
--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -30,7 +30,7 @@
     DELTA = "delta"  # changed entries only
     CACHED = "cached"  # the last complete list that this instance knew; may be out of date
     FAILED = "failed"  # a request to discovery failed or the subscription broke; no entries
-    RELOCATED = "moved"  # discovery has a new address, and requests in flight have ended; no entries
+    RELOCATED = "moved"  # discovery has moved; calls pending at its old address were cancelled; no entries
 
 
 @dataclass(slots=True, frozen=True)
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -279,7 +279,8 @@
         """
         if self.retry_rules.may_reject(request):
             mean_ms = self.latency.mean_ms[request.class_index]
-            # The suggested wait has jitter, as many requests are rejected at the same time.
+            # Many requests may be rejected at the same time: jitter spreads their retries. Where
+            # `max_retry_after_ms` is suggested instead, the wait has no jitter.
             wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())
             if self.now_ms + wait_ms + mean_ms > request.objective_deadline_ms:
                 wait_ms = self.settings.max_retry_after_ms
--- a/sandhatch/balancing/settings.py
+++ b/sandhatch/balancing/settings.py
@@ -139,7 +139,7 @@
     # ---- discovery
     polled_discovery: bool = False  # endpoint lists are received only on request
     one_shot_watches: bool = False  # a watch ends with each response and has to be renewed
-    poll_interval_ms: float = 10_000.0  # age from which a change counts as notified even without a poll
+    poll_interval_ms: float = 10_000.0  # age from which a change is taken to be known, even without a poll
     drain_grace_ms: float = 0.0  # maximum time from the notification of draining to the last send
 
     # ---- responses
--- a/sandhatch/cli/planner_program.py
+++ b/sandhatch/cli/planner_program.py
@@ -108,19 +108,19 @@
                     f"op: unknown operation {name!r:.60}; known operations: status, explain",
                 )
 
-    def _explain(self, address: Any, pool: Any) -> dict[str, Any]:
+    def _explain(self, server_address: Any, pool: Any) -> dict[str, Any]:
         """Explain a server's advised weight, in the given pool or in every pool that has the server."""
-        if not isinstance(address, str):
+        if not isinstance(server_address, str):
             return fault_response(
-                FaultReason.INVALID, f"server: expected an address as host:port, got {address!r:.60}"
+                FaultReason.INVALID, f"server: expected an address as host:port, got {server_address!r:.60}"
             )
         if not isinstance(pool, str | None):
             return fault_response(FaultReason.INVALID, f"pool: expected the name of a pool, got {pool!r:.60}")
         planner = self._server.planner
         now_ms = self._server.clock.now_ms()
         pools = [pool] if pool is not None else list(planner.pools)
-        explanations = [planner.explain(name, address, now_ms) for name in pools]
+        explanations = [planner.explain(name, server_address, now_ms) for name in pools]
         servers = [explanation for explanation in explanations if explanation is not None]
         if not servers:
-            return fault_response(FaultReason.UNKNOWN, f"no forwarder has named server {address:.80}")
+            return fault_response(FaultReason.UNKNOWN, f"no forwarder has named server {server_address:.80}")
         return {"ok": True, "servers": servers}
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -81,7 +81,10 @@
         """
 
     def republish(self) -> None:
-        """Publish the last known complete endpoint list, or fetch the list."""
+        """Publish the complete endpoint list again.
+
+        A source that calls a discovery service fetches the list anew; a static source publishes its own list.
+        """
 
 
 class Observer(Protocol):
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -184,7 +184,8 @@
                 self._request_flow = None
                 flow.end(event.trailers)
                 return events[index + 1 :]
-            if not isinstance(event, Message):  # always true: only pieces of the body precede its end
+            # For the type checker; always true: events up to the `BodyEnd` of a body are pieces of that body.
+            if not isinstance(event, Message):
                 flow.push(event)
         fault = self._parser.fault
         if fault is not None and self._request_flow is flow:
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -79,7 +79,8 @@
         holders = min(self.instances, int(self.burst))
         if holders == 0:
             return ZERO_AMOUNT
-        # The instances with a share have consecutive indices from -label on, modulo the number of instances.
+        # The `holders` instances that own a share of this server's ramp have consecutive indices, which start
+        # at the server's negated label and are taken modulo the number of instances.
         first = -label % self.instances
         last = first + holders
         wrapped = counts[max(0, last - self.instances)]
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -151,9 +151,9 @@
                 plan.load.update_weights(span_ms, unbounded_steps=self.is_learning(now_ms))
         for name, member in list(self.members.items()):
             if now_ms - member.last_report_ms >= self.terms.member_timeout_ms:
-                self._remove(name)
+                self._remove_member(name)
 
-    def _remove(self, name: str) -> None:
+    def _remove_member(self, name: str) -> None:
         """Remove a forwarder that has stopped reporting.
 
         Its grants stay valid until they expire; its own shares are no longer leased to this planner.
--- a/sandhatch/planning/server_totals.py
+++ b/sandhatch/planning/server_totals.py
@@ -31,11 +31,11 @@
 
     def copy(self) -> ServerTotals:
         """Copy of the current counters."""
-        other = ServerTotals()
-        other.outstanding = self.outstanding
-        other.ok = self.ok
-        other.failed = self.failed
-        other.rejected = self.rejected
-        other.spent_ms = self.spent_ms
-        other.sketch = dict(self.sketch)
-        return other
+        duplicate = ServerTotals()
+        duplicate.outstanding = self.outstanding
+        duplicate.ok = self.ok
+        duplicate.failed = self.failed
+        duplicate.rejected = self.rejected
+        duplicate.spent_ms = self.spent_ms
+        duplicate.sketch = dict(self.sketch)
+        return duplicate
--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -39,7 +39,8 @@
     Attributes:
         version: Version of the list.
         reachable_ms: Time since which discovery has this version and is reachable.
-        notified_ms: Time from then until the change counts as notified.
+        notified_ms: Time from `reachable_ms` until instances are taken to know of the change, whether or not
+            they have received the new list.
     """
 
     version: int
@@ -230,7 +231,10 @@
     # ------------------------------------------------ results
 
     def max_lateness_ms(self) -> float:
-        """Return the longest time from when a change counts as notified to its receipt; may be below 0."""
+        """Return the longest time by which an instance received a change late; below 0 if all were early.
+
+        An instance is late from when the instance is taken to know of the change, see `Change.notified_ms`.
+        """
         worst = float("-inf")
         for change in self.changes:
             notified_ms = change.reachable_ms + change.notified_ms
--- a/tests/balancing/endpoint_freshness/test_bound.py
+++ b/tests/balancing/endpoint_freshness/test_bound.py
@@ -1,13 +1,15 @@
 """The bound on the age of an endpoint list under faults of discovery, in simulated time and over seeds.
 
-Whatever fails at discovery, each instance receives a change soon after it counts as notified, and the load on
-discovery stays bounded.
+Some time after discovery has a change, an instance is taken to know of the change, whether or not the list
+has reached the instance. Whatever fails at discovery, each instance receives a change soon after that time,
+and the load on discovery stays bounded.
 
 Two discovery services are simulated. Both serve one request after the other, and a rejected request costs as
 much as a served one. The first queues a request for up to 3 s and serves 2.7 per second, or those of all
 instances in 4 s; the second queues it for up to 1 s and serves 4 per second, or those of all instances in
-2.5 s. The lateness of an instance is the time from when a change counts as notified to its receipt. It must
-not exceed the grace period of the settings, which is 2 s and 1 s respectively.
+2.5 s. The lateness of an instance is the time from when the instance is taken to know of a change to when
+the instance receives the change. The lateness must not exceed the grace period of the settings, which is 2 s
+and 1 s respectively.
 """
 
 from __future__ import annotations
@@ -172,7 +174,11 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_pushed_list_is_received_within_700_ms_of_the_agents_return(seed: int) -> None:
-    """Changes count as notified when the agent is back, and the shortest grace period in use is 0.7 s."""
+    """The instance's own agent pushes the list.
+
+    The instance is taken to know of a change as soon as its agent is back, whether or not the list has
+    reached the instance. The shortest grace period in use is 0.7 s.
+    """
     fleet = Fleet(1, seed, 100.0, 1_000.0, pushed=True)
     fleet.at(5_000.0, fleet.go_down)
     fleet.at(6_000.0, lambda: fleet.change(reachable_ms=NEVER, notified_ms=0.0))
--- a/tests/balancing/endpoint_freshness/test_polling.py
+++ b/tests/balancing/endpoint_freshness/test_polling.py
@@ -21,9 +21,10 @@
     driver.advance(2000.0)
     assert [action for action in driver.actions if isinstance(action, WatchList)] == [WatchList(True)]
     gaps = [measure_gap_after_failure(driver) for _ in range(12)]
-    # A change counts as notified 6 s after discovery has it, whatever failed. A poll half the grace period
-    # later gets its response within the grace period, so no pause is longer. No pause is short enough for a
-    # retry storm.
+    # An instance is taken to know of a change 6 s after discovery has the change, whatever failed and whether
+    # or not the list has reached the instance. A poll that is sent at most half the grace period after these
+    # 6 s gets its response within the grace period, so the gap from a failed poll to the next poll is at most
+    # 6 s and half the grace period. From the second failure on, no gap is short enough for a retry storm.
     assert min(gaps[1:]) >= 2_000.0
     assert max(gaps) <= 7_000.0 + 100.0
     assert sum(gaps[6:]) / 6 > 4_000.0
--- a/tests/balancing/policy/test_latency_estimates.py
+++ b/tests/balancing/policy/test_latency_estimates.py
@@ -41,7 +41,8 @@
 
 
 def test_new_instance_learns_the_latency_from_its_first_responses() -> None:
-    # Guards against keeping the initial estimate, derived from the objective and far above the real latency.
+    # The initial latency estimate is a third of the objective, here 1000 ms; the real latency is 100 ms.
+    # Guards against an instance that keeps the initial estimate in spite of its first responses.
     driver = make_driver(
         replace(PLAIN, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, objective_ms=3000.0, deadline_ms=9000.0)))
     )
--- a/tests/balancing/policy/test_outlier_detection.py
+++ b/tests/balancing/policy/test_outlier_detection.py
@@ -72,13 +72,13 @@
 
 def visits_by_server(slow_ms: float) -> Counter[int]:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10)
-    seen: Counter[int] = Counter()
+    sends_by_server: Counter[int] = Counter()
     for _ in range(1500):
         (server,) = sends(driver.request(class_index=1))
-        seen[server] += 1
+        sends_by_server[server] += 1
         driver.advance(slow_ms if server == 0 else 10.0)
         driver.end_attempt(driver.next_id, 0, Outcome.OK)
-    return seen
+    return sends_by_server
 
 
 def test_sequential_requests_visit_a_slower_server_less_often() -> None:
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -126,8 +126,10 @@
     """
 
     async def scenario() -> None:
-        script = ScriptedBalancer([1])
-        async with loopback(never_responds, clients=3, script=script, machine=FEW_DESCRIPTORS) as network:
+        scripted_balancer = ScriptedBalancer([1])
+        async with loopback(
+            never_responds, clients=3, script=scripted_balancer, machine=FEW_DESCRIPTORS
+        ) as network:
             network.pool._max_connections = 3
             for client in network.clients:
                 client.send_request("move", b"x")
@@ -206,8 +208,10 @@
 
     async def scenario() -> None:
         released = asyncio.Event()
-        script = ScriptedBalancer([1])
-        async with loopback(delays_until(released), script=script, machine=FEW_DESCRIPTORS) as network:
+        scripted_balancer = ScriptedBalancer([1])
+        async with loopback(
+            delays_until(released), script=scripted_balancer, machine=FEW_DESCRIPTORS
+        ) as network:
             listener, budget = network.balancer.listener, network.balancer.shared.max_clients
             network.pool._max_connections = 200
             reused = network.client
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -308,9 +308,9 @@
 
     async def scenario() -> None:
         first = await DelayedResponseServer().start()
-        second = await FakeServer().start()
+        second_server = await FakeServer().start()
         script = ScriptedBalancer([1])
-        async with running(first.entry("a"), second.entry("b"), script=script) as balancer:
+        async with running(first.entry("a"), second_server.entry("b"), script=script) as balancer:
             script.override = lambda event: (
                 [Send(1, 2, 0.0)] if isinstance(event, TimerFired) and event.cookie == 1 else None
             )
@@ -322,10 +322,10 @@
             assert any(isinstance(event, ClientDisconnected) for event in script.events)
             first.release()
             await wait_until_nothing_in_flight(balancer)
-            assert not second.requests
-            assert second.connections == 0
+            assert not second_server.requests
+            assert second_server.connections == 0
         first.close()
-        second.close()
+        second_server.close()
 
     run(scenario())
 
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -226,8 +226,8 @@
 
 @pytest.mark.parametrize("silence", ["before the head", "in the body", "after an empty response"])
 def test_watch_without_a_response_times_out(silence: str) -> None:
-    """Wherever discovery stops responding, the watch is reported as failed under its number, and its
-    connection is closed.
+    """Wherever discovery stops responding, a FAILED listing with the number of the watch call is published,
+    and the next watch call uses another connection.
     """
 
     async def scenario() -> None:
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -34,9 +34,9 @@
 class FaultyDiscovery:
     """Discovery service for two servers, `a` and `b`; `drain_a` makes `a` start to drain.
 
-    While `faulty`, the fault handles each call; otherwise the response is correct. A watch that began
-    before and ends while `faulty` gets no response. A fault (a function) returns whether it has ended the
-    call.
+    While `faulty`, each new call is passed to `fault`, which returns True if it has dealt with the call, and
+    False if the call is to get the normal response. While not `faulty`, each new call gets the normal
+    response, except that a call gets none if its wait for a change ends while `faulty`.
     """
 
     def __init__(self, fault: Fault, rows: list[dict[str, Any]]) -> None:
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -54,7 +54,7 @@
 
 
 class RejectsFirstAttempt:
-    """A server's behaviour: the first attempt waits for `released`, and is rejected before it runs.
+    """A server's behaviour: the first attempt waits for `released`, and is rejected without running.
 
     Later attempts succeed.
     """
@@ -74,7 +74,7 @@
         await self.released.wait()
         entry = self._request_log.entries.get(self.trace_ids[0])
         if entry is not None:
-            entry.ran.clear()  # the attempt is rejected before it runs
+            entry.ran.clear()  # the server has received the attempt, but rejects it without running it
         await connection.send(status(503, "X-Never-Ran: 1\r\n"))
 
 
