--- a/tests/balancing/driver.py
+++ b/tests/balancing/driver.py
@@ -59,7 +59,7 @@
         self.now = start
         self.listed: dict[int, ServerEntry] = {}
         self.requests: dict[int, RequestRecord] = {}
-        self.unfinished: list[int] = []  # requests without a final response or with attempts in flight
+        self.unfinished: list[int] = []  # ids of requests without a final response or with attempts in flight
         self.timers: list[tuple[float, int]] = []
         self.probes: list[int] = []
         self.actions: list[Action] = []
@@ -67,7 +67,7 @@
         self.warming_sends = 0
         self.allowed_warming_sends = 0.0
 
-    # events
+    # Events fed to the balancer.
 
     def feed(self, event: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, event)
@@ -99,7 +99,7 @@
         return self.feed(RequestArrived(self.next_id, class_index, time_left_ms, tenant, expected_ms=hint_ms))
 
     def _add_allowed_warming_sends(self) -> None:
-        """Add a request's fair share of sends to warming servers, by their present capacity."""
+        """Allow warming servers their fair share of one request, reduced to their present capacity."""
         ready = [entry for entry in self.listed.values() if entry.state is ServerState.READY]
         warming = [entry for entry in ready if self.is_warming_up(entry)]
         if warming:
@@ -165,7 +165,7 @@
     def _settled(record: RequestRecord) -> bool:
         return record.finished and all(attempt.outcome is not None for attempt in record.attempts)
 
-    # rules
+    # Rules checked for the balancer's actions.
 
     def check_responses(self) -> None:
         slack = self.settings.response_slack_ms
@@ -235,8 +235,8 @@
                 assert cells == {(entry.zone, entry.cell)}, "keyed request retried outside its cell"
         if self.is_warming_up(entry):
             self.warming_sends += 1
-            # The bound is the fair share of the traffic, reduced to the present capacity of the warming
-            # servers, plus a margin of 10 % and 4 initial sends.
+            # Sends to warming servers are bounded by these servers' fair share of all requests, reduced to
+            # their present capacity, plus a margin of 10 % and 4 initial sends.
             assert self.warming_sends <= 4 + 1.1 * self.allowed_warming_sends, (
                 "server overloaded while it is warming up"
             )
--- a/tests/balancing/guidance/test_ramp_allocation.py
+++ b/tests/balancing/guidance/test_ramp_allocation.py
@@ -1,4 +1,4 @@
-"""Division of a ramp among instances without guidance."""
+"""Division of a ramp (rate of sends to a warming server) among instances without guidance."""
 
 from __future__ import annotations
 
--- a/tests/balancing/guidance/test_shared_ramp.py
+++ b/tests/balancing/guidance/test_shared_ramp.py
@@ -38,7 +38,7 @@
     ramp.add_servers([server], 1_000.0)
     ramp.grant([RampShare(7, 1.0, 2.0)], 2_000.0, 4_000.0, 5_000.0, 2_100.0)
     assert ramp.allocation(server, 2_500.0) == RampAllocation(1.0, 2.0)
-    # Decay in the second half of the lease.
+    # The leased share of the ramp decays in the second half of the lease.
     assert ramp.allocation(server, 3_500.0) == RampAllocation(0.5, 2.0)
     assert ramp.allocation(server, 4_000.0) == RampAllocation(0.0, 0.0)
     assert ramp.allocation(server, 5_000.0) == RampAllocation(0.25, 1.0)
@@ -58,7 +58,7 @@
 def test_credit_is_capped_by_the_burst_of_the_current_grant() -> None:
     ramp, server = SharedRamp(replace(SETTINGS, ramp_burst=40.0)), FakeServer(7)
     ramp.add_servers([server], 1_000.0)
-    assert ramp.admits(server, 9_000.0)  # the bucket is full, with credit for ten requests
+    assert ramp.admits(server, 9_000.0)  # the server's bucket is full, with credit for ten sends
     ramp.grant([RampShare(7, 0.1, 1.0)], 9_000.0, 11_000.0, 12_000.0, 9_000.0)
     assert count_admitted(ramp, server, 9_000, 9_001) == 1
     assert not ramp.admits(server, 9_001.0)
--- a/tests/balancing/guidance/test_state.py
+++ b/tests/balancing/guidance/test_state.py
@@ -1,4 +1,4 @@
-"""Guidance from planners: weights, bounds and expiry."""
+"""Guidance from planners: weights of servers, their bounds, and the expiry of guidance."""
 
 from __future__ import annotations
 
--- a/tests/balancing/policy/test_admission_control.py
+++ b/tests/balancing/policy/test_admission_control.py
@@ -59,7 +59,8 @@
 
 
 def test_mean_attempts_in_flight_stay_below_the_servers_capacity() -> None:
-    # Guards against latency as the only signal: far below the objective it admits more than servers can run.
+    # Guards against admission by latency alone: while latency is far below the objective, more attempts would
+    # be admitted than servers can run at once.
     driver = make_driver(servers=4)
     in_flight_counts = []
     for n in range(3000):  # 90 attempts would be in flight if all were admitted
--- a/tests/balancing/policy/test_balancer.py
+++ b/tests/balancing/policy/test_balancer.py
@@ -33,7 +33,7 @@
 def test_draw_is_uniform_among_token_holders(seed: int) -> None:
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=10, seed=seed)
     for _ in range(4):
-        driver.request()  # four servers lose their tokens: their attempts don't end
+        driver.request()  # four servers are no longer believed idle: their attempts don't end
     busy = {t.server for o in driver.requests.values() for t in o.attempts}
     counts: Counter[int] = Counter()
     for _ in range(6000):
@@ -62,7 +62,7 @@
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     driver.request()
     driver.request()  # each server now has one attempt in flight
-    (third,) = sends(driver.request())  # no token is left: a second attempt at one of the servers
+    (third,) = sends(driver.request())  # no server is believed idle: a second attempt at one server
     first = next(r for r, o in driver.requests.items() if o.attempts[0].server == third)
     # The third request's attempt is still in flight at the same server.
     driver.end_attempt(first, 0, Outcome.OK)
@@ -73,7 +73,7 @@
 
 
 def test_sequential_requests_of_an_instance_visit_every_server() -> None:
-    # Guards against a single token that makes a low-rate instance always return to its first server.
+    # Guards against a low-rate instance that always returns to its first server, the only one believed idle.
     driver = make_driver(servers=10)
     seen = set()
     for _ in range(100):
@@ -84,7 +84,8 @@
 
 
 def test_attempts_without_tokens_are_spread_evenly() -> None:
-    # Guards against a third attempt at one server while another server has one attempt.
+    # Guards against uneven load when no server is believed idle: a third attempt at one server while another
+    # server has one attempt.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=5)
     for _ in range(10):
         driver.request()
@@ -93,8 +94,8 @@
 
 
 def test_fewest_attempts_rule_applies_only_while_attempts_outnumber_servers() -> None:
-    # Guards the fallback of the PULL policy: if no server has a token (is believed idle), any ready server
-    # may be drawn, also a server that failed and whose token is withheld.
+    # Guards against a server that gets no requests after a failure although no server is believed idle (has
+    # a token): then any ready server may be drawn, also the failed server, whose token is withheld.
     counts: Counter[bool] = Counter()
     for seed in range(600):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -109,7 +110,8 @@
 def test_slow_servers_share_the_load_while_attempts_outnumber_servers() -> None:
     # Guards against a pile-up: without slow servers all requests go to the rest, which become slow in turn.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=4)
-    # These requests show the balancer that servers 0 to 2 are slow, so that their tokens are withheld.
+    # These requests show the balancer that servers 0 to 2 are slow: it stops believing at least two servers
+    # idle (withholds their tokens).
     for _ in range(200):
         (server,) = sends(driver.request(class_index=1))
         driver.advance(5.0 if server == 3 else 20.0)
@@ -192,7 +194,8 @@
 
 
 def test_request_without_time_for_a_response_is_rejected_at_once() -> None:
-    # Guards servers against work whose result comes too late, and against time-outs of attempts sent late.
+    # Guards against attempts sent with too little time left: servers work for results that come too late,
+    # and the attempts time out.
     driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=2)
     mean_ms = driver.balancer.latency.mean_ms[0]
     driver.request(0, time_left_ms=0.2 * mean_ms)
--- a/tests/balancing/policy/test_connection_reuse.py
+++ b/tests/balancing/policy/test_connection_reuse.py
@@ -15,7 +15,8 @@
 
 
 def test_loss_on_an_idle_connection_lowers_the_idle_limit() -> None:
-    # Guards against connections dropped silently while idle: after one loss they are closed before use.
+    # Guards against requests lost on connections that were dropped silently while idle: after one loss, idle
+    # connections are closed sooner.
     driver = make_driver(servers=1)
     driver.request()
     driver.end_attempt(driver.next_id, 0, Outcome.OK)
--- a/tests/balancing/policy/test_outlier_detection.py
+++ b/tests/balancing/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: withheld tokens, circuits and ejections of failing or slow servers."""
+"""Outlier detection: withheld tokens (marks of idle servers), circuits, and ejections of outliers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def test_fast_failing_server_does_not_attract_requests() -> None:
-    # Guards against a server that fails fast and therefore regains its token first.
+    # Guards against a server that attracts requests by failing fast: it would be believed idle again first.
     driver = make_driver(servers=10)
     sends_by_server: Counter[int] = Counter()
     for _ in range(400):
@@ -33,7 +33,7 @@
 
 
 def test_client_error_fails_the_request_and_does_not_count_against_the_server() -> None:
-    # Guards servers against being blamed for invalid requests, which every server rejects.
+    # Guards against blaming a server for invalid requests, which every server rejects.
     driver = make_driver(servers=2)
     for _ in range(50):
         driver.request(0)
@@ -63,7 +63,7 @@
         driver.request(1)
         driver.end_attempt(*driver.open_attempts()[-1], Outcome.ERROR)
         driver.advance(1.0)
-    driver.advance(60.0)  # the servers' short pause without tokens after each failure has passed
+    driver.advance(60.0)  # the short pause of each server after its last failure has passed
     drawn_servers = set()
     for _ in range(6):
         drawn_servers |= set(sends(driver.request(1)))
@@ -82,7 +82,7 @@
 
 
 def test_sequential_requests_visit_a_slower_server_less_often() -> None:
-    # Guards against overload of slow kinds of servers, and of servers that stay slow while draws are even.
+    # Guards against overload of slow servers, which even draws send as many requests as others and keep slow.
     assert visits_by_server(40.0)[0] < 75
     assert visits_by_server(10.0)[0] > 120
 
--- a/tests/balancing/policy/test_probing.py
+++ b/tests/balancing/policy/test_probing.py
@@ -70,7 +70,7 @@
 
 
 def test_probe_rate_falls_while_almost_no_server_is_idle() -> None:
-    # Guards against a thundering herd on a single server that becomes idle, seen by many instances.
+    # Guards against a thundering herd: many instances see by probes that a single server has become idle.
     driver = make_driver(
         replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=200
     )
--- a/tests/balancing/policy/test_retry_rules.py
+++ b/tests/balancing/policy/test_retry_rules.py
@@ -56,7 +56,7 @@
 
 
 class AttemptedRequest:
-    """A request with attempts at one server, sent at 100 ms, of the given outcomes; None is in flight."""
+    """A request with attempts at one server, sent at 100 ms, of the given outcomes (None: in flight)."""
 
     def __init__(
         self, settings: Settings, request_class: RequestClass, outcomes: list[Outcome | None]
--- a/tests/balancing/policy/test_slow_start.py
+++ b/tests/balancing/policy/test_slow_start.py
@@ -41,7 +41,7 @@
         for server in sends(driver.request()):
             sends_by_server[server] += 1
             driver.end_attempt(*driver.open_attempts()[-1], Outcome.OK)
-    # Warm servers would receive 50 requests each. These starting servers have a tenth of a warm server's
+    # Warm servers would receive 50 requests each. The starting servers have a tenth of a warm server's
     # capacity, and three times their own capacity makes them fail.
     assert max(sends_by_server.values()) < 3 * 0.1 * 50 + 2
 
@@ -49,12 +49,13 @@
 def test_simultaneous_idle_reports_do_not_overspend_the_credit_of_a_warming_server() -> None:
     driver = Driver(replace(PROBING, warm_up_ms=3000.0, initial_capacity_share=0.2), seed=1)
     driver.update_list(ListKind.DELTA, (ServerEntry(0, started_ms=driver.now),))
-    for _ in range(12):  # earns a credit of 2.4; each drawn request waits for a load report
+    # The requests earn credit for 2.4 sends to the warming server; drawn requests wait for a load report.
+    for _ in range(12):
         driver.request()
     assert len(driver.probes) > 3
     while driver.probes:
         driver.respond_to_probe((0.0, 0.0))
-    # The random initial credit of less than one is added to the earned credit.
+    # A random initial credit of less than one send is added to the credit earned by the requests.
     assert driver.warming_sends <= 3
 
 
--- a/tests/balancing/policy/test_zone_routing.py
+++ b/tests/balancing/policy/test_zone_routing.py
@@ -35,6 +35,6 @@
 
 
 def test_requests_overflow_to_other_zones_while_the_own_zone_has_a_higher_cost() -> None:
-    # Guards against a zone with more traffic than its own servers can serve; low-rate instances never run out
-    # of tokens there.
+    # Guards against requests that stay in a zone with more traffic than its servers can serve: low-rate
+    # instances always believe some of these servers idle.
     assert zones_drawn(0.02, Outcome.ERROR)[0] > 30
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -90,6 +90,6 @@
     tier.at(5_000.0, lambda: setattr(tier.discovery, "up", True))
     tier.run(30_000.0)
     calls = tier.discovery.poll_times_ms
-    assert max_in_one_second(calls) <= 40  # at most one poll per instance in any second
+    assert max_in_one_second(calls) <= 40  # 40 instances: a mean of at most one poll each in any second
     assert len(tier.discovery.notified_ms) == 40
     assert max(tier.discovery.notified_ms.values()) <= 1_000_000.0 + 5_000.0 + 1.5 * PLAN.poll_interval_ms
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -1,7 +1,7 @@
 """A release in simulated time: six of ten servers are replaced within seconds, with few or many instances.
 
-Servers become slow when too many requests are in flight at them for long, and stay slow until few are. A
-warm server that is overloaded at the start is therefore lost for the rest of the release.
+Servers become slow when too many requests are in flight at them for long, and stay slow until few requests
+are. A warm server that is overloaded at the start is therefore lost for the rest of the release.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def run_release(instances: int, seed: int, with_outlier: bool = False) -> Tier:
-    """Replace servers 0 to 5 at random times; 6 to 9 stay. An outlier makes server 6 fail fast meanwhile."""
+    """Replace servers 0 to 5 at random times; servers 6 to 9 stay. An outlier, server 6, may fail fast."""
     tier = Tier(replace(PLAN, forwarders=instances), seed)
     if with_outlier:
         tier.at(BEGIN_MS - 4_000.0, lambda: setattr(tier.servers[6], "broken", True))
@@ -44,7 +44,7 @@
 
 
 def goodput(instances: int, with_outlier: bool = False) -> float:
-    """Return the mean goodput share over the seeds, once all servers are replaced."""
+    """Return the mean goodput share over the seeds, once servers 0 to 5 are replaced."""
     return mean(
         run_release(instances, seed, with_outlier).goodput_share(BEGIN_MS + RELEASE_MS, END_MS)
         for seed in SEEDS
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("instances", [1, 3])
 def test_load_that_warming_servers_cannot_take_does_not_overload_warm_ones(instances: int) -> None:
-    assert goodput(instances) > 0.55  # about 0.3 if warming servers count as warm servers
+    assert goodput(instances) > 0.55  # goodput is about 0.3 if warming servers count as warm
 
 
 @pytest.mark.parametrize("instances", [3, 7])
--- a/tests/balancing/simulation/test_slow_start.py
+++ b/tests/balancing/simulation/test_slow_start.py
@@ -102,13 +102,13 @@
 def test_sends_to_several_warming_servers_stay_within_their_budget(
     instances: int, demand: str, load: float
 ) -> None:
-    """With uneven demand a third of all requests goes to one instance."""
+    """Under uneven demand, one of several instances receives at least a third of all requests."""
     shares = {0: 0.5 * instances} if demand == "uneven" and instances > 1 else {}
     run = RestartRun(replace(PLAN, forwarders=instances, demand=shares), load, 1)
     run.restart(5_000.0, *range(5))
     run.run(14_000.0)
     assert run.peak_budget_use <= 1.0
-    assert run.min_sent > 0  # each warming server gets some requests
+    assert run.min_sent > 0  # each restarted server gets some requests while it warms up
 
 
 @pytest.mark.parametrize("instances", [3, 20, 230])
@@ -122,7 +122,7 @@
 
 @pytest.mark.parametrize("instances", [3, 20, 30])
 def test_server_that_starts_after_a_release_gets_no_saved_credit(instances: int) -> None:
-    """Guards against credit saved by each instance, which made three servers exceed their small budgets."""
+    """Guards against send credit saved by each instance, which made three servers exceed small budgets."""
     for seed in range(3):
         run = RestartRun(replace(SLOW_SINGLE_CORE, forwarders=instances), 1.05, seed)
         run.restart(5_000.0, *range(12))
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that are inconsistent with each other."""
+"""Balancer settings that are inconsistent with each other."""
 
 from __future__ import annotations
 
--- a/tests/balancing/test_state_transfer.py
+++ b/tests/balancing/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""State that a successor inherits from its predecessor."""
+"""State that a balancer inherits from its predecessor when the settings change."""
 
 from __future__ import annotations
 
--- a/tests/simulator/wire_examples.py
+++ b/tests/simulator/wire_examples.py
@@ -7,7 +7,7 @@
 SERVER_A = 0x0A124A07_2BC3
 SERVER_B = 0x0A9011F2_2BEC
 
-# Record that defines list number 0 with both servers.
+# Record that defines endpoint list number 0 with servers A and B.
 CATALOG = (
     "05 00000000 00000002"
     "0000000000000000 0a124a07 2bc3 3f800000 01 00 0000 00"
@@ -35,5 +35,5 @@
 
 
 def parse_hex(text: str) -> bytes:
-    """Return the bytes of records that are written in hexadecimal, with optional spaces."""
+    """Return the bytes of records that are written in hexadecimal, with or without spaces."""
     return bytes.fromhex(text.replace(" ", ""))
