--- a/tests/config/fake_owner.py
+++ b/tests/config/fake_owner.py
@@ -27,7 +27,7 @@
 
 
 class FakeOwner:
-    """Carries out actions as a service would, step by step; records the active version and the disk state."""
+    """Carries out the lifecycle's actions step by step; records the active version and the disk state."""
 
     def __init__(self) -> None:
         self.lifecycle = VersionLifecycle(Version(1, 0, checked(), State.STAGING))
@@ -93,7 +93,7 @@
 
 @contextmanager
 def expect_rejection(reason: RejectionReason) -> Iterator[pytest.ExceptionInfo[RejectedError]]:
-    """Expect a call to be rejected for this reason."""
+    """Expect the `with` block to raise RejectedError with this reason."""
     with pytest.raises(RejectedError) as info:
         yield info
     assert info.value.reason is reason, info.value
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -215,5 +215,5 @@
     with pytest.raises(CheckError) as caught:
         checked(data)
     assert len(caught.value.problems) == 201
-    # There are 5,000 errors and one warning about a pool that no route leads to; 200 of them are shown.
+    # There are 5,000 errors and one warning about a pool that no route leads to; 200 messages are shown.
     assert "4801 more problems" in caught.value.problems[-1].text
--- a/tests/config/test_goodput_watch.py
+++ b/tests/config/test_goodput_watch.py
@@ -111,7 +111,8 @@
         false_alarms += any(
             [driver.add_block(bursty_goodput(), driver.rng.randrange(5, 30)) for _ in range(60)]  # noqa: C419
         )
-    # Ranking single blocks, without the comparison with the worst window before, gives 10 alarms.
+    # Ranking single blocks, without the comparison with the worst window before the change, gives 10 false
+    # alarms.
     assert false_alarms == 0
 
 
@@ -127,7 +128,7 @@
 
 
 def test_a_load_increase_that_fills_the_pool_is_not_reported() -> None:
-    """Three times the requests arrive and as many as before are served: the change made nothing worse."""
+    """Three times as many requests arrive and the same number is served: the change made nothing worse."""
     driver = WatchDriver()
     for _ in range(60):
         driver.add_block(0.98, 20)
@@ -137,7 +138,7 @@
     for _ in range(60):
         worse.add_block(0.98, 20)
     worse.begin()
-    # More requests arrive, but less is served than before the change.
+    # More requests arrive, but fewer are served than before the change.
     assert any(worse.add_block(0.1, 60) for _ in range(40))
 
 
--- a/tests/config/test_history.py
+++ b/tests/config/test_history.py
@@ -109,7 +109,8 @@
     history.save(Record(confirmed, pending, max(confirmed, pending) + 1, rows), contents)
 
 
-# Saves in order: confirmed version, pending version or 0, and contents; behind each, what it stands for.
+# Saves in order: confirmed version, pending version or 0, and contents; behind each save, the operation that
+# makes it.
 STEPS: list[tuple[int, int, dict[int, Any]]] = [
     (1, 0, {1: {"v": 1}}),  # first start
     (1, 2, {1: {"v": 1}, 2: {"v": 2}}),  # commit of version 2, pending
--- a/tests/config/test_transactions.py
+++ b/tests/config/test_transactions.py
@@ -65,7 +65,7 @@
 
 
 def test_a_merge_of_valid_changes_with_an_invalid_result_is_rejected() -> None:
-    """One change removes a pool that no route leads to, the other adds a route to it; they share no key."""
+    """One change removes a pool without routes, the other adds a route to the pool; they share no key."""
     with_spare_pool = sample(pools__spare={"servers": {"s": {"address": "127.0.0.1:1"}}})
     owner = FakeOwner()
     owner.activate_and_confirm(with_spare_pool)
@@ -104,7 +104,8 @@
     owner.carry_out()
     assert version.state is State.FAILED
     assert owner.discarded == [2]
-    owner.lifecycle.staged(owner.staging.pop())  # reported after the rollback: the staged version is released
+    # The version is reported as staged only after its rollback, and is discarded again.
+    owner.lifecycle.staged(owner.staging.pop())
     owner.carry_out()
     assert owner.discarded == [2, 2]
     assert owner.active_version.number == 1
--- a/tests/planning/harness.py
+++ b/tests/planning/harness.py
@@ -112,7 +112,7 @@
 async def planner_server(
     name: str = "p0", terms: PlannerTerms | None = None, **options: Any
 ) -> AsyncIterator[PlannerServer]:
-    """A real planner that started 60 s ago, and so is not learning."""
+    """A real planner that started 60 s ago, and so no longer waits for an earlier process's grants to end."""
     clock = Clock(asyncio.get_running_loop())
     log_lines: list[str] = []
     server = PlannerServer(name, ("127.0.0.1", 0), KEY, clock, log_lines.append, terms, **options)
--- a/tests/planning/machines.py
+++ b/tests/planning/machines.py
@@ -126,7 +126,7 @@
     """Let all forwarders report every 250 ms; returns the time after the last round.
 
     Each report states one attempt in flight and four successful attempts of 10 ms at each server, unless
-    `rows` contains another row for the server.
+    `rows` contains another `Row` for the server.
     """
     special_rows = rows or {}
     now = start_ms
@@ -140,5 +140,5 @@
 
 
 def advised_weights(advice: Advice) -> dict[int, WeightRow]:
-    """Advised weight rows by server number."""
+    """The `WeightRow` messages of the advice, by server number."""
     return {row.server: row for row in advice.pools[0].weights or []}
--- a/tests/planning/test_goodput.py
+++ b/tests/planning/test_goodput.py
@@ -69,8 +69,9 @@
     steady = simulate(False)
     restarted = simulate(True)
     weights = [f.balancer.guidance_state.weight(0, restarted.now) for f in restarted.forwarders]
-    assert max(weights) < 0.95  # the new incarnation has advised reduced weights again
-    # With about 45 attempts per server in 3 s, random variation alone changes a share by 0.02 and more.
+    assert max(weights) < 0.95  # the restarted planner has advised reduced weights again
+    # With about 45 attempts per server in 3 s, random variation alone changes a server's share of attempts by
+    # 0.02 and more.
     assert largest_change(restarted) < largest_change(steady) + 0.03
     assert restarted.goodput_share(20_000.0, 31_000.0) > steady.goodput_share(20_000.0, 31_000.0) - 0.03
     assert not [why for forwarder in restarted.forwarders for why in forwarder.guidance_rejections]
@@ -121,7 +122,7 @@
     killed = simulate(2, True)
     planned = simulate(2, False)
     assert killed > without - 0.02
-    assert planned > without + 0.01  # one forwarder has six times the demand of each other
+    assert planned > without + 0.01  # one forwarder has six times the demand of any other forwarder
 
 
 def test_a_forwarder_that_reports_ten_times_its_load_does_not_reduce_the_goodput() -> None:
--- a/tests/planning/test_grant_ledger.py
+++ b/tests/planning/test_grant_ledger.py
@@ -31,7 +31,7 @@
     assert ledger.granted("a", 200.0) == RampAmount(1.0, 5.0)
     assert ledger.grant("b", 3, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == ZERO_AMOUNT
     applied["a"] = 2
-    assert ledger.granted("a", 200.0) == RampAmount(0.2, 1.0)  # superseded grants are removed on each access
+    assert ledger.granted("a", 200.0) == RampAmount(0.2, 1.0)  # the call removes superseded grants
     assert ledger.grant("b", 4, RampAmount(1.0, 5.0), leased, 200.0, 2_200.0) == RampAmount(0.8, 5.0)
 
 
@@ -77,7 +77,7 @@
         self._applied: dict[str, int] = {}
         self._ledger = GrantLedger(self.LABEL, self._applied)
         self._lessors = Lessors(self.INSTANCES, self.BURST)
-        self._lease_ends_ms: dict[int, float] = {}  # earliest end of each lease at its lessor, by index
+        self._lease_ends_ms: dict[int, float] = {}  # earliest end of each lease, by its lessor's index
         self._received: list[ReceivedGrant] = []
         self._version = 0
 
@@ -110,7 +110,7 @@
             self._received.append(ReceivedGrant(str(index), self._version, granted, until_ms))
 
     def usable(self) -> RampAmount:
-        """Sum of the maximum amounts that the forwarders may use now."""
+        """Sum, over the forwarders, of the largest valid grant of each."""
         valid: dict[str, list[RampAmount]] = {}
         for grant in self._received:
             if grant.until_ms > self.now_ms:
@@ -120,7 +120,7 @@
         return RampAmount(rate, burst)
 
     def leased(self) -> RampAmount:
-        """Sum of the shares that the lessors do not use now."""
+        """Sum of the ramp shares that are leased now, and so not used by their lessors."""
         lessors = sum(end_ms > self.now_ms for end_ms in self._lease_ends_ms.values())
         return RampAmount(lessors / self.INSTANCES, lessors * self.BURST / self.INSTANCES)
 
--- a/tests/planning/test_link.py
+++ b/tests/planning/test_link.py
@@ -338,7 +338,7 @@
             clock = forwarder.dispatcher.clock
             successor = FakeDispatcher(clock)
             forwarder.link.attach("core", successor, SETTINGS)
-            assert successor.events  # the new balancer is notified at once of the current lease
+            assert successor.events  # the new balancer is told of the current lease at once
             await wait_until(lambda: len(successor.received_guidance) > 2)
             other_settings = replace(SETTINGS, warm_up_ms=1_000.0)
             last = FakeDispatcher(clock, other_settings)
@@ -354,7 +354,7 @@
 
 
 def test_a_connection_that_ends_immediately_is_retried() -> None:
-    """Guards against registering a connection that ended before `create_connection` returned as open."""
+    """Guards against registering as open a connection that ended before `create_connection` returned."""
 
     async def script(connection: ForwarderConnection) -> None:
         await connection.send_raw(b"\0\0\0\5hello")
--- a/tests/planning/test_planner.py
+++ b/tests/planning/test_planner.py
@@ -29,11 +29,11 @@
     now = report_rounds(planner, [forwarder], 250.0, 16, SLOW_SERVER_ROWS)
     advice = forwarder.report(now)
     assert not advice.learning
-    assert advice.pools[0].weights is None  # one of four forwarders is below the required fraction
+    assert advice.pools[0].weights is None  # too few forwarders have reported: one of four
     now = report_rounds(planner, [forwarder], now, 40, SLOW_SERVER_ROWS)
     planner.forwarder_connected("f0", now)  # a new session, in which all weights are sent again
     forwarder.has_named_servers = False
-    assert advised_weights(forwarder.report(now))  # the wait for the other forwarders is over
+    assert advised_weights(forwarder.report(now))  # the planner no longer waits for other forwarders
 
 
 def test_weights_change_at_once_while_learning_and_in_small_steps_afterwards() -> None:
@@ -58,7 +58,7 @@
 
 
 def test_a_lease_is_measured_from_the_sending_of_the_acknowledged_advice() -> None:
-    """A late report, or one that acknowledges old advice, does not extend the lease."""
+    """A late report, or a report that acknowledges old advice, does not extend the lease of ramp shares."""
     planner = Planner("p0", 1, -10_000.0)
     forwarder = ReportingForwarder(planner, 0)
     forwarder.report(0.0)
@@ -66,7 +66,7 @@
     acknowledged = forwarder.version
     assert planner.pools["core"].lessors is not None
     for now, number in ((900.0, 1), (1_150.0, 0)):
-        forwarder.version = acknowledged  # the last applied advice is the one sent at 100 ms
+        forwarder.version = acknowledged  # the forwarder last applied the advice sent at 100 ms
         forwarder.report(now)
         lessors = planner.pools["core"].lessors
         assert lessors.count(now + planner.terms.lease_ms) == number
--- a/tests/planning/test_planner_selection.py
+++ b/tests/planning/test_planner_selection.py
@@ -23,7 +23,7 @@
     driver.connect("p0")
     driver.rounds(4, "p0")
     assert driver.machine.leased_to == "p0"
-    driver.tick(250.0)  # this report acknowledges the last received advice
+    driver.tick(250.0)  # the report sent here acknowledges the last received advice
     lease_end_ms = driver.machine.leased_until_ms
     for _ in range(20):
         driver.tick(250.0)
--- a/tests/planning/test_server.py
+++ b/tests/planning/test_server.py
@@ -85,7 +85,7 @@
 
 
 def test_a_planner_whose_clock_was_set_back_starts_above_its_earlier_epoch() -> None:
-    """Guards against an epoch below an earlier one, since a new epoch is taken from the system's time.
+    """Guards against a restarted planner with an epoch below its last: epochs are taken from system time.
 
     A forwarder that has seen a higher epoch reports that epoch to the planner, which continues above it.
     """
--- a/tests/planning/test_shared_ramp.py
+++ b/tests/planning/test_shared_ramp.py
@@ -19,8 +19,8 @@
 from testkit.simulation.ramp_check import attempts_beyond_ramp
 from testkit.simulation.tier import Tier
 
-# The load exceeds the ramp, so that the ramp is the limit; with few servers, many draws select the server
-# that is warming up.
+# The load exceeds the ramp, so that the ramp is the limit; with few servers, the balancers
+# often consider the server that is warming up.
 PLAN = TierPlan(
     forwarders=20,
     servers=4,
@@ -33,11 +33,11 @@
 )
 RESTART_MS = 9_500.0  # by this time all forwarders lease their shares to the first planner
 SEEDS = (1, 2)
-RAMP_ATTEMPTS = 60.0 * (0.1 * 6.0 + 0.9 * 3.0)  # total number of attempts that the ramp admits
+RAMP_ATTEMPTS = 60.0 * (0.1 * 6.0 + 0.9 * 3.0)  # attempts that a server's ramp admits in all
 
 
 def checked_ramp_use(tier: Tier, server: int = 0) -> float:
-    """Check that a restarted server's ramp was not exceeded; returns the used fraction of the ramp."""
+    """Check that a restarted server's ramp was not exceeded; returns the used part of the ramp's attempts."""
     node = tier.servers[server]
     burst = tier.plan.ramp_burst or tier.settings.instances
     assert attempts_beyond_ramp(tier.plan, node.started_ms, node.sent_ms) <= burst + 1e-6
@@ -57,7 +57,8 @@
 def test_the_ramp_check_detects_attempts_beyond_the_ramp() -> None:
     started_ms = 1_000.0
     assert attempts_beyond_ramp(PLAN, started_ms, [started_ms + 1.0] * 20) == pytest.approx(20.0, abs=0.01)
-    even = [started_ms + 100.0 * n for n in range(60)]  # ten per second; the ramp begins with six
+    # Ten attempts per second; the ramp begins with six attempts per second.
+    even = [started_ms + 100.0 * n for n in range(60)]
     assert 1.0 < attempts_beyond_ramp(PLAN, started_ms, even) < 20.0
 
 
@@ -112,7 +113,7 @@
 
 
 # If the burst is smaller than the number of forwarders, only some of them get a share of the ramp, and only
-# requests that arrive at those can be sent to the server.
+# requests that arrive at these forwarders can be sent to the server that is warming up.
 @pytest.mark.parametrize(("burst", "min_used"), [(1.0, 0.05), (2.5, 0.05), (7.0, 0.25), (40.0, 0.6)])
 def test_bursts_smaller_and_larger_than_the_number_of_forwarders_are_not_exceeded(
     burst: float, min_used: float
@@ -181,7 +182,7 @@
     assert "f3" in granted()
     tier.run(RESTART_MS + 3_000.0 + plan.planner_terms.member_timeout_ms + 600.0)
     assert "f3" not in granted()
-    # The own share of f3 is not granted to any forwarder, since another process may replace f3.
+    # f3's own quarter of the ramp is granted to no forwarder, since another process may replace f3.
     assert sum(granted().values()) <= 0.75 + 1e-9
     checked_ramp_use(tier)
 
--- a/tests/planning/test_weights.py
+++ b/tests/planning/test_weights.py
@@ -8,7 +8,7 @@
 
 
 def weights_after(rows: dict[int, Row], forwarder_count: int = 4) -> dict[int, WeightRow]:
-    """Advised weight rows, by server, after all forwarders have sent 40 reports with these rows."""
+    """Advised `WeightRow` messages by server number, after 40 reports of each forwarder with these rows."""
     planner = Planner("p0", 1, -10_000.0)
     forwarders = reporting_forwarders(planner, forwarder_count)
     now = report_rounds(planner, forwarders, 0.0, 40, rows)
@@ -32,7 +32,7 @@
 
 
 def test_outstanding_attempts_have_little_influence_when_attempts_are_short() -> None:
-    """Guards against weights that follow noise: a count of short attempts is out of date on arrival."""
+    """Guards against weights that follow noise: a reported count of short attempts is soon out of date."""
     assert weights_after({2: Row(2, 8, 4, 0, 0, 40.0)}).get(2, WeightRow(2, 1.0)).weight > 0.8
 
 
--- a/tests/service/harness.py
+++ b/tests/service/harness.py
@@ -19,7 +19,7 @@
 from testkit.servers import FakeConnection, FakeServer
 from testkit.wire import RESPONSE_TIMEOUT_S, ReceivedRequest, ok
 
-TEST_LIMIT_S = 300.0  # limit per test; on an idle machine, every test takes less than a tenth
+TEST_LIMIT_S = 300.0  # limit per test; on an idle machine, every test takes less than 30 s
 CONNECT_TIMEOUT_MS = 20_000  # longer than any connect takes, even if the test's process is scheduled late
 
 
@@ -104,7 +104,7 @@
         return self.service.propose(json.dumps(data).encode(), base, **more).number
 
     async def commit(self, data: dict[str, Any], until_terminal: bool = True, **more: Any) -> Version:
-        """Commit a change and wait for a terminal state; otherwise, only until it is active."""
+        """Commit a change and wait until its version is terminal, or only active without `until_terminal`."""
         version = self.service.commit(self.propose(data), **more)
         async with asyncio.timeout(RESPONSE_TIMEOUT_S):
             return await self.service.wait_until_decided(version, until_terminal=until_terminal)
@@ -132,10 +132,11 @@
     checked = check_text(json.dumps(saved.data if saved else data))
     service = Service(checked, asyncio.get_running_loop(), history, saved)
     running = RunningService(service)
+    # Without a cooldown, idle connections are reused at once.
     cooldown_ms, ConnectionPool.COOLDOWN_MS = (
         ConnectionPool.COOLDOWN_MS,
         0.0,
-    )  # idle connections are reused at once
+    )
     try:
         await service.start()
         yield running
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -78,7 +78,7 @@
 
 
 def test_rollback_from_discovery_to_static_servers_uses_all_servers_again() -> None:
-    """The superseded pool stops using its servers near the end of its drain grace; a rollback undoes that."""
+    """The superseded pool stops using its servers late in its drain grace; a rollback undoes this change."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "b1", "o1")
--- a/tests/service/test_pool_changes.py
+++ b/tests/service/test_pool_changes.py
@@ -39,7 +39,7 @@
                 assert (await client.read_response()).body == b"o1"
             client.send_request()
             assert (await client.read_response()).body == b"b1"
-            # One of the two connections is the readiness check at the start.
+            # One of the two connections is that of the readiness check at the start.
             assert fake_servers.servers["o1"].connections == 2
         fake_servers.close()
 
@@ -142,7 +142,7 @@
 
 
 def test_unlisted_server_gets_no_new_attempts_from_older_versions_after_the_grace() -> None:
-    """A request of the old version whose retry falls due after the drain grace finds the server draining."""
+    """A request of the old version whose retry falls due after the drain grace finds its server draining."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "a2", "o1")
@@ -188,7 +188,7 @@
                 for server in balancer.server_list.servers.values()
             }
             assert warming == {"a1": False, "a2": True, "o2": False}
-            # A further change of the pool neither restarts the warm-up nor resets the slow-start credit.
+            # A further change of the pool neither restarts a2's warm-up nor resets its slow-start credit.
             slow_start = balancer.slow_start
             assert isinstance(slow_start, SlowStart)
             (warming_up,) = slow_start.credits
@@ -212,7 +212,7 @@
 
 
 def test_servers_that_warm_up_get_a_small_share_after_a_change() -> None:
-    """Half of the servers are new: they get under a tenth of the attempts; an even choice gives half."""
+    """The new servers, half of all, get under a tenth of the attempts; without slow start they get half."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "a2", "a3", "a4", "o1")
--- a/tests/service/test_serve_process.py
+++ b/tests/service/test_serve_process.py
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("step", ["propose", "commit", "in force", "confirm", "rollback"])
 def test_confirmed_version_is_active_after_sigkill_at_any_step_of_a_change(tmp_path: Path, step: str) -> None:
-    """The process gets SIGKILL after the step, or during the call for `commit`; once it is started again, the
-    version that was confirmed last serves requests.
+    """The process gets SIGKILL after `step`, for `commit` during the call; once the process is started again,
+    the version that was confirmed last serves requests.
     """
 
     async def scenario() -> None:
--- a/tests/service/test_versions.py
+++ b/tests/service/test_versions.py
@@ -30,7 +30,8 @@
 def test_no_request_uses_a_mixture_of_two_versions() -> None:
     """Under load, each request uses the route, pool and servers of the version active at its arrival.
 
-    Each request gets one response, no non-idempotent request runs twice, and every version is freed.
+    Each request gets one response, no non-idempotent request runs twice, and every version but the
+    active one is freed.
     """
 
     async def scenario() -> None:
--- a/tests/service/version_churn.py
+++ b/tests/service/version_churn.py
@@ -40,7 +40,7 @@
 
 
 def check_no_mixture(running: RunningService, config_by_version: dict[int, dict[str, Any]]) -> None:
-    """Assert that the route, pool and servers of every record belong to its version."""
+    """Assert that each request record's route, pool and servers belong to the record's version."""
     for record in running.records:
         data = config_by_version[record.version]
         to = data["default"] if record.route == "default" else data["routes"][0]["to"]
