--- a/tests/discovery/test_client.py
+++ b/tests/discovery/test_client.py
@@ -41,7 +41,7 @@
 
 
 async def next_call(balancer: RunningBalancer, part: str) -> str:
-    """Target of the next request to discovery that contains `part`; earlier requests are skipped."""
+    """Target of the next request to discovery whose target contains `part`; earlier requests are skipped."""
     async with asyncio.timeout(RESPONSE_TIMEOUT_S):
         while True:
             call = await balancer.discovery.calls.get()
@@ -55,7 +55,7 @@
 
 
 def order_watch(balancer: RunningBalancer, number: int) -> None:
-    """Order a watch from generation 1 on, as the balancer does where discovery is polled."""
+    """Order a watch of the list from generation 1 on, as the balancer does where discovery is polled."""
     balancer.dispatcher._execute(WatchList(True, number, 1, 20_000.0, 20_000.0))
 
 
@@ -64,7 +64,7 @@
 
 
 def test_known_list_is_published_first_and_changes_follow() -> None:
-    """The configuration's `known` list is used at the start, and the watch continues from its generation."""
+    """The configuration's `known` list is used first; the watch continues from the list's generation."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
@@ -96,7 +96,7 @@
 
 
 def test_restarted_server_gets_new_connections() -> None:
-    """A later start time means that pooled connections lead to a process that has ended."""
+    """Guards against reuse of pooled connections to an ended process: the server has a later start time."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
@@ -146,7 +146,7 @@
 
 
 def test_generation_that_goes_back_causes_a_fetch_of_the_complete_list() -> None:
-    """Guards against applying changes to another list than theirs, after discovery restarts its count."""
+    """Guards against applying changes to the wrong list, after discovery restarts its generation count."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
@@ -212,7 +212,7 @@
 
 
 def test_polled_discovery_publishes_a_failure_and_accepts_another_poll() -> None:
-    """Polled discovery makes no call before one is ordered, and publishes FAILED when the call fails."""
+    """Polled discovery gets no call before a poll is ordered; FAILED is published when the call fails."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1], watches_lists=False)
@@ -258,7 +258,7 @@
             assert server_numbers(change) == [2]
             assert received_updates(script, ListKind.DELTA) == [change]
             network.balancer.discovery_client.stop()
-            # After `stop`, a new address is ignored: no call is made.
+            # After `stop`, a new address of discovery is ignored: the client makes no call to it.
             network.balancer.discovery_client.relocate(("127.0.0.1", old.port))
         assert all("after=" in call for call in remaining_calls(old))
         new.stop()
--- a/tests/discovery/test_large_lists.py
+++ b/tests/discovery/test_large_lists.py
@@ -63,7 +63,7 @@
     for number in range(SERVER_COUNT):
         actions = balancer.handle(2.0 + number / 1e6, RequestArrived(number, 0, 1_000.0))
         used |= {action.server for action in actions if isinstance(action, Send)}
-    assert len(used) == SERVER_COUNT  # at first each server is believed idle: no attempt is in flight
+    assert len(used) == SERVER_COUNT  # each server is believed idle at first, so each gets a request
 
 
 def test_change_within_a_large_list_is_applied() -> None:
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
 def test_expired_drain_grace_period_discards_an_attempt_that_is_connecting(change: str) -> None:
-    """Guards against writing to a server whose grace period ends while a connection is established."""
+    """Guards against writing to a server whose drain grace period ends while an attempt is connecting."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
--- a/tests/dispatch/test_endpoint_updates.py
+++ b/tests/dispatch/test_endpoint_updates.py
@@ -76,7 +76,7 @@
 
 def test_restored_servers_are_ready_once_the_source_lists_them(updates: EndpointUpdates) -> None:
     updates.apply(listing(ListKind.FULL, (1, READY)), 0.0)
-    assert not updates.restore()  # no withdrawal is in force
+    assert not updates.restore()  # no withdrawal by a configuration is in force
     updates.withdraw(frozenset(), 50.0)
     assert updates.restore()
     updates.apply(listing(ListKind.FULL, (1, READY)), 60.0)
--- a/tests/dispatch/test_exchange.py
+++ b/tests/dispatch/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests the table of open exchanges: a single response, and removal once no attempt is pending."""
+"""Tests the table of open exchanges: one response, and removal of an exchange without pending attempts."""
 
 from __future__ import annotations
 
--- a/tests/dispatch/test_forwarding.py
+++ b/tests/dispatch/test_forwarding.py
@@ -15,7 +15,7 @@
 
 
 def test_request_is_forwarded_unchanged_except_hop_by_hop_headers_and_remaining_time() -> None:
-    """Guards against changes of method, target, body and ids, and against a longer remaining time."""
+    """Guards against a changed method, target, body or id, and a longer remaining time of the request."""
 
     async def scenario() -> None:
         body = bytes(range(256)) * 8
@@ -63,7 +63,7 @@
 
 
 def test_hedged_requests_produce_one_response() -> None:
-    """Guards against a second response: both attempts succeed, but only the first response is forwarded."""
+    """Guards against two responses to one request: both of its attempts succeed, the first is forwarded."""
 
     async def scenario() -> None:
         may_respond = [asyncio.Event(), asyncio.Event()]
@@ -114,7 +114,7 @@
 
 
 def test_client_disconnect_is_delivered_to_the_balancer_and_its_attempt_still_ends() -> None:
-    """Guards ClientDisconnected: the request is closed, and its attempt still ends once, marked as final."""
+    """Guards against a lost ClientDisconnected event, and an attempt that does not end once, as final."""
 
     async def scenario() -> None:
         may_respond = asyncio.Event()
@@ -150,14 +150,14 @@
 
 
 def send_after_response(event: Event) -> list[Action] | None:
-    """Fail a request after a discarded attempt, and then start another attempt."""
+    """After a discarded attempt, fail the request, and then ask for another attempt at it."""
     if isinstance(event, AttemptEnded) and event.outcome is Outcome.DISCARDED and not event.final:
         return [Fail(event.request), Send(event.request, 1, 0.0)]
     return None
 
 
 def test_sends_beyond_max_attempts_or_after_the_response_are_discarded() -> None:
-    """Guards against attempts beyond the limit or after the response: they end as DISCARDED, unwritten."""
+    """Guards against attempts beyond the limit or after the response: those end as DISCARDED, unwritten."""
 
     async def scenario() -> None:
         scripted_balancer = ScriptedBalancer([1] * 6)
--- a/tests/dispatch/test_keyed_retries.py
+++ b/tests/dispatch/test_keyed_retries.py
@@ -1,4 +1,4 @@
-"""Tests retries of requests that are idempotent with a key, using the real balancer."""
+"""Tests retries of requests that only an idempotency key makes idempotent, using the real balancer."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_request_with_a_key_that_may_have_run_is_not_retried_in_another_zone() -> None:
-    """Guards against retrying a request with a key in another zone once it may have run."""
+    """Guards against a second run in another zone, by a retry of a request with a key that may have run."""
 
     async def scenario() -> None:
         async with fake_servers(fails_with(500), fails_with(500), serve_ok) as servers:
@@ -50,7 +50,7 @@
 
 
 def test_request_with_a_key_is_not_retried_after_the_servers_have_forgotten_the_key() -> None:
-    """Guards against a second run of a request whose key is forgotten when the first attempt fails."""
+    """Guards against a second run of a request whose idempotency key the servers forget before a retry."""
 
     async def scenario() -> None:
         categories = [dict(category) for category in SETTINGS["Categories"]]
--- a/tests/downstream/test_connection_limits.py
+++ b/tests/downstream/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Tests of client connection limits over loopback: time, memory, descriptors, and eviction order."""
+"""Tests of the limits on client connections over loopback: time, memory, descriptors, eviction order."""
 
 from __future__ import annotations
 
@@ -62,14 +62,17 @@
 
 
 def test_client_that_does_not_read_takes_bounded_memory() -> None:
-    """No further request is begun for a client until it has read its responses."""
+    """Guards against unbounded buffering: requests of a client that reads nothing are begun only until unread
+    responses have filled the balancer's send buffer for that client.
+    """
 
     async def scenario() -> None:
         sent = 400
         async with loopback(serves(b"x" * 64_000), clients=0) as network:
             writer = await connect_with_small_buffers(network)
             (connection,) = network.balancer.listener._connections
-            for number in range(sent):  # no more requests than may be pipelined
+            # Each request is sent once the server has the previous one, so that few requests are pipelined.
+            for number in range(sent):
                 writer.write(request_bytes())
                 responded = number + 1
                 await wait_until(
@@ -187,7 +190,7 @@
 
 
 async def fill_with_requests(network: Loopback, count: int, budget: int) -> list[HttpClient]:
-    """Connect clients whose responses are delayed, asserting that the budget is never exceeded."""
+    """Connect clients whose responses are delayed, asserting that client connections stay within `budget`."""
     clients = []
     for _ in range(count):
         requests_before = len(network.server.requests)
@@ -200,8 +203,9 @@
 
 
 def test_client_budget_is_enforced_without_aborting_requests_in_flight() -> None:
-    """While every slot has a request in flight, a new client waits in the backlog, and is served once a slot
-    is free. Silent connections are evicted before idle ones that have had a request.
+    """While every permitted client connection has a request in flight, a new client waits in the backlog, and
+    is served once another connection can be closed. Silent connections are evicted before idle ones that
+    have had a request.
     """
 
     async def scenario() -> None:
@@ -229,7 +233,9 @@
 
 
 def test_connections_share_one_memory_budget() -> None:
-    """A request beyond the memory budget gets 503 with Retry-After, others are served; memory is released."""
+    """A request beyond the memory budget gets 503 with Retry-After, and requests that fit are served; the
+    memory of all requests is released at the end.
+    """
 
     async def scenario() -> None:
         released = asyncio.Event()
--- a/tests/downstream/test_requests.py
+++ b/tests/downstream/test_requests.py
@@ -1,4 +1,4 @@
-"""Tests of requests over loopback: malformed input, pipelining, ids, and exactly one response to each."""
+"""Tests of requests over loopback: malformed input, pipelining, ids, and exactly one response per request."""
 
 from __future__ import annotations
 
@@ -217,7 +217,7 @@
             assert [(await network.client.read_response()).status for _ in range(2)] == [502, 200]
             first = script.received_events(RequestArrived)[0]
             end = await script.next_event(AttemptEnded, lambda event: event.request == first.request)
-            assert end.final  # the balancer is still notified of the attempt's end
+            assert end.final  # the balancer is still notified of the end of the request's attempt
 
     run(scenario())
 
--- a/tests/downstream/test_silent_clients.py
+++ b/tests/downstream/test_silent_clients.py
@@ -27,7 +27,7 @@
 from tests.race_conditions.skipping_clock import run as skip
 
 POLLED_SETTINGS = SETTINGS | {"Discovery": "on_request"}
-SILENCE_LIMIT_S = 3.0  # time within which a silent client must get an error or a close
+SILENCE_LIMIT_S = 3.0  # seconds within which a silent client must get an error or be disconnected
 BUSY_RESPONSE = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 
 
@@ -158,7 +158,7 @@
     """
 
     async def scenario() -> None:
-        # This process has the clients and the servers.
+        # This process holds the descriptors of the clients and of the servers.
         assert raise_descriptor_limit(2 * limit + 500) >= 2 * limit + 500
         async with fake_servers(serve_ok, serve_ok) as servers:
             failing = FailingDiscovery(servers, fault)
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -36,7 +36,7 @@
 
 
 class MessageCollector:
-    """Feeds a parser as a connection does, opens messages when possible, and collects them."""
+    """Feeds a parser like a connection, opens messages to stream their bodies, and collects all messages."""
 
     def __init__(self, parser: RequestParser | ResponseParser, open_at_bytes: int) -> None:
         self.parser = parser
@@ -242,7 +242,7 @@
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.booleans())
 def test_accepted_input_has_the_same_meaning_to_h11(seed: int, is_request: bool) -> None:
-    """Guards against request smuggling: the parser may reject more than h11, but not see other ends."""
+    """Guards against request smuggling: the parser may reject more than h11, but not find other messages."""
     rng = Random(seed)
     data = random_messages(rng, is_request)
     if rng.random() < 0.8:
--- a/tests/streaming/test_flow.py
+++ b/tests/streaming/test_flow.py
@@ -107,7 +107,7 @@
     fixture.flow.attach(sink)
     assert not fixture.source.paused
     sink.capacity_bytes = 1000
-    fixture.flow.push(b"y" * 100 * KIB)  # more than the replay buffer holds, so that it is released
+    fixture.flow.push(b"y" * 100 * KIB)  # more than the replay buffer holds, so that the buffer is released
     assert fixture.observer.notifications == ["unrepeatable"]
     assert fixture.flow.memory_bytes == 100 * KIB - 1000
     assert fixture.source.paused
@@ -174,7 +174,8 @@
     assert fixture.source.paused
     sink.send(1 << 20)
     fixture.flow.drained()
-    assert fixture.flow.credit_bytes == 32 * KIB  # minimum for the request and minimum for the response
+    # The credit is the flow's minimum memory for the request plus that for the response.
+    assert fixture.flow.credit_bytes == 32 * KIB
     assert not fixture.source.paused
 
 
@@ -253,7 +254,7 @@
         fixture.flow.push(b"x")
         slow_side = fixture.flow.find_slow_side(fixture.clock.current_ms)
     assert slow_side == SlowSide(Side.SOURCE, "4 bytes a second over 2000 ms")
-    assert fixture.clock.current_ms == 4_000.0  # end of the 2 s window after the fast window
+    assert fixture.clock.current_ms == 4_000.0  # end of the 2 s rate window after the fast one
 
 
 def test_time_without_a_sink_between_two_attempts_is_not_counted() -> None:
@@ -280,7 +281,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
 def test_random_event_order_streams_the_same_bytes_within_the_ceiling(seed: int) -> None:
-    """The source sends no more than its credit; sinks are attached, fall behind and fail in random order."""
+    """The source sends only what the flow allows; sinks are attached, lag and fail in random order."""
     rng = Random(seed)
     fixture = FlowFixture(memory_mb=rng.choice([0.5, 1.0, 64.0]))
     body = rng.randbytes(rng.choice([0, 10, 70, 300, 900]) * KIB + rng.randrange(5))
--- a/tests/streaming/test_many_uploads.py
+++ b/tests/streaming/test_many_uploads.py
@@ -74,8 +74,8 @@
 def test_thousand_concurrent_uploads_under_a_64_mb_limit_get_one_response_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """1000 uploads of 96 KiB exceed the share of 64 MB that bodies may use. Each upload gets one response;
-    uploads for which there is no memory even after waiting are rejected with Retry-After.
+    """1000 uploads of 96 KiB exceed the part of the 64 MB limit that bodies may use. Each upload gets one
+    response; uploads for which there is no memory even after waiting are rejected with Retry-After.
     """
     for limit in ("FIRST_REQUEST_TIMEOUT_MS", "REQUEST_TIMEOUT_MS", "LINGER_TIMEOUT_MS"):
         monkeypatch.setattr(ClientConnection, limit, float(UNREACHED_LIMIT_MS))
--- a/tests/streaming/test_memory.py
+++ b/tests/streaming/test_memory.py
@@ -121,7 +121,7 @@
 
     async def serve_first_part(request: StreamedRequest) -> None:
         await request.connection.send(head("HTTP/1.1 200 OK", Content_Length=str(64 * MIB)) + first_part)
-        await request.connection.reader.read()  # returns when the connection ends
+        await request.connection.reader.read()  # returns once the balancer disconnects
 
     async def scenario() -> None:
         request = {"hold_bytes": upload_hold_bytes}
--- a/tests/streaming/test_slow_sides.py
+++ b/tests/streaming/test_slow_sides.py
@@ -31,8 +31,8 @@
     upload_head,
 )
 
-# Stall limit of the side under test; the other side has the long limits of the harness. This one is longer
-# than a busy machine delays a side.
+# Stall limit of the side under test; the other side has the long limits of the harness. One
+# second is longer than a busy machine delays a side.
 STALL_MS = 1_000
 CLIENT_STALLS: Any = {"request": {"writer_stall_ms": STALL_MS}}
 SERVER_STALLS: Any = {"request": {"reader_stall_ms": STALL_MS}}
@@ -107,7 +107,7 @@
 
 
 def test_short_body_has_the_same_progress_limits_as_a_long_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against rejecting 60 KiB over a slow link, by stricter limits, while accepting 70 KiB."""
+    """Guards against stricter limits for short bodies: 60 KiB over a slow link rejected, 70 KiB accepted."""
     monkeypatch.setattr(ClientConnection, "FIRST_REQUEST_TIMEOUT_MS", 1_000.0)
     monkeypatch.setattr(ClientConnection, "REQUEST_TIMEOUT_MS", 1_000.0)
 
--- a/tests/streaming/test_streamed_bodies.py
+++ b/tests/streaming/test_streamed_bodies.py
@@ -105,7 +105,7 @@
 
 
 def test_memory_of_a_request_with_a_slow_server_stays_below_its_ceiling() -> None:
-    """Checked by the flow statistics, which record every change of memory, so that no peak is missed."""
+    """Asserts the peak memory in the flow statistics, which record every change, so no peak is missed."""
 
     async def pause(_body: Body) -> None:
         await asyncio.sleep(0.001)
--- a/tests/upstream/test_connection_reuse.py
+++ b/tests/upstream/test_connection_reuse.py
@@ -223,7 +223,7 @@
 
 
 def test_dead_reused_connection_without_a_replacement_ends_as_connect_failed() -> None:
-    """Guards the 'could not connect' row of the outcome table: the connection fails before the last byte."""
+    """Guards against another outcome than CONNECT_FAILED if the last byte of a request is unsent."""
 
     async def scenario() -> None:
         scripted_balancer = ScriptedBalancer([1])
--- a/tests/upstream/test_outcomes.py
+++ b/tests/upstream/test_outcomes.py
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize(("behave", "outcome"), [row[1:] for row in TABLE], ids=[row[0] for row in TABLE])
 def test_response_maps_to_the_outcome_in_the_protocol_table(behave: Behaviour, outcome: Outcome) -> None:
-    """Guards the outcome table: a wrong outcome could let a non-idempotent request run twice."""
+    """Guards against a wrong outcome of a response, which could let a non-idempotent request run twice."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
@@ -112,21 +112,21 @@
 
 
 def test_refused_connection_ends_as_connect_failed() -> None:
-    """Guards the 'could not connect' row of the outcome table: no process listens at the address."""
+    """Guards against an outcome other than CONNECT_FAILED when no process listens at the address."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))  # the socket is bound and never listens
         run(assert_connect_fails(listening_port(unused)))
 
 
 def test_connect_timeout_ends_as_connect_failed() -> None:
-    """Guards the 'could not connect' row of the outcome table: the host does not respond."""
+    """Guards against an outcome other than CONNECT_FAILED when the host does not respond to the connect."""
     with full_backlog() as port:
         run(assert_connect_fails(port, connect_timeout_ms=100))
 
 
 def test_attempt_timeout_closes_the_connection() -> None:
-    """Guards the 'timed out' row of the outcome table: closing the connection cancels the attempt, and the
-    request may have run.
+    """Guards against a timed-out attempt that keeps its connection: only closing it cancels the attempt,
+    whose request may have run.
     """
 
     async def scenario() -> None:
@@ -209,7 +209,7 @@
 
 @pytest.mark.parametrize("silent", [False, True], ids=["reset", "silent"])
 def test_failure_after_any_response_byte_means_the_request_may_have_run(silent: bool) -> None:
-    """Guards against a retry of a non-idempotent request that was answered before all of it was sent."""
+    """Guards against a retry of a non-idempotent request that was answered before its last byte was sent."""
 
     async def scenario(listener: socket.socket) -> None:
         script = ScriptedBalancer([1])
