--- a/testkit/behaviours.py
+++ b/testkit/behaviours.py
@@ -17,7 +17,7 @@
 
 
 def responds(data: bytes) -> Behaviour:
-    """Writes these bytes unchanged in response to each request."""
+    """Writes `data` unchanged in response to each request."""
     return partial(_send, data)
 
 
--- a/testkit/demo.py
+++ b/testkit/demo.py
@@ -161,8 +161,8 @@
         for pool, spec in self._configuration["pools"].items():
             for name, server in spec["servers"].items():
                 server["address"] = await self._tiers.start(pool, name)
-        # The port is chosen after all servers have started: a server that starts later could be given the
-        # same.
+        # The balancer's port is chosen after all servers have started: a server that starts later could be
+        # given the same port.
         self._port = free_port()
         self._tiers.balancer_port = self._port
 
--- a/testkit/discovery.py
+++ b/testkit/discovery.py
@@ -33,7 +33,7 @@
         generation: Generation of the endpoint list.
         entries: Current entries, by instance id.
         calls: Queue of the targets of all requests.
-        raw_responses: Raw responses that replace regular ones, one per request.
+        raw_responses: Raw responses that replace regular responses, one per request.
         delay_s: Delay of each complete list, in seconds.
         silent: Whether watches get no response.
     """
@@ -91,7 +91,7 @@
         return {"generation": self.generation, "reset": True, "instances": active_entries}
 
     async def _delta(self, target: str) -> dict[str, Any]:
-        """Returns the changes after the watch's generation, once it has changed or the wait expires."""
+        """Returns the changes after the watch's generation, once the list has changed or the wait expires."""
         if self.silent:
             await asyncio.Event().wait()
         after = int(target.partition("after=")[2].partition("&")[0])
--- a/testkit/listening.py
+++ b/testkit/listening.py
@@ -14,7 +14,7 @@
     """A fake that accepts connections on the loopback.
 
     Attributes:
-        port: Port that the fake listens on; if 0, the first start sets it to one that the system chooses.
+        port: Port that the fake listens on; if 0, the first start sets it to a port that the system chooses.
         connections: Number of accepted connections.
     """
 
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -15,7 +15,7 @@
 from testkit.request_log import RequestLog
 from testkit.wire import read_http_response
 
-REQUEST_NUMBERS = count(1)  # numbers in the trace ids of requests; unique in the process
+REQUEST_NUMBERS = count(1)  # numbers in the requests' trace ids; each number is used once in the process
 
 
 class RequestChoice(NamedTuple):
--- a/testkit/simulation/discovery.py
+++ b/testkit/simulation/discovery.py
@@ -59,14 +59,14 @@
         self._queue: deque[QueuedPoll] = deque()
         self._is_busy = False
         self._version = 0
-        # List version of each server's last change, by server number.
+        # Version of the endpoint list with each server's last change, by server number.
         self._changed_in_version: dict[int, int] = {}
         # Latest list version sent to each forwarder, by forwarder number.
         self._known_version: dict[int, int] = {}
         self._subscribers: dict[int, ForwarderPort] = {}  # subscribed forwarders by forwarder number
 
     def change(self, servers: list[SimServer]) -> None:
-        """Publishes changed servers; all subscribers are notified after the notification delay."""
+        """Publishes changed servers; all subscribed forwarders are notified after the notification delay."""
         self._version += 1
         for server in servers:
             self._changed_in_version[server.number] = self._version
@@ -74,11 +74,14 @@
             self._clock.after(self._notice_ms, partial(self._notify, forwarder))
 
     def drop_subscriptions(self) -> None:
-        """Drops all subscriptions without notice to the subscribers."""
+        """Drops the subscriptions of all forwarders without notice to them."""
         self._subscribers.clear()
 
     def poll(self, forwarder: ForwarderPort) -> None:
-        """Queues a forwarder's poll, which suspends its subscription until the response."""
+        """Receives a forwarder's poll; the forwarder is not notified of changes before a poll succeeds.
+
+        The poll is queued, or fails after UNREACHABLE_MS if the service is down.
+        """
         self.poll_times_ms.append(self._clock.now_ms)
         self._subscribers.pop(forwarder.number, None)
         if not self.up:
--- a/testkit/simulation/faults.py
+++ b/testkit/simulation/faults.py
@@ -34,7 +34,7 @@
     is delayed for a while.
     """
     for _ in range(count):
-        # All random values are drawn for every fault, so that a seed's later faults don't depend on its kind.
+        # All random values are drawn for every fault, so that a fault's kind doesn't affect later faults.
         fault_ms = rng.uniform(begin_ms, end_ms)
         planner = f"p{rng.randrange(tier.plan.planners)}"
         pairs = [
--- a/testkit/simulation/network.py
+++ b/testkit/simulation/network.py
@@ -27,7 +27,7 @@
     def __init__(
         self, forwarder: ForwarderPort, send: Send, clock: SimulatedClock, workload: Workload
     ) -> None:
-        """Creates an attempt that is sent now."""
+        """Creates an attempt that is sent to its server now."""
         self._forwarder = forwarder
         self._send = send
         self._clock = clock
@@ -55,7 +55,7 @@
     def __init__(
         self, plan: TierPlan, clock: SimulatedClock, servers: list[SimServer], workload: Workload
     ) -> None:
-        """Creates the network of these servers; the list is shared, so that later servers are included."""
+        """Creates a network with these servers; the list is shared, so that added servers are included."""
         self._plan = plan
         self._clock = clock
         self._servers = servers
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -43,8 +43,8 @@
     """
 
     OVERLOAD_MS = 1_500.0  # duration of `overload_attempts` or more attempts that causes overload
-    RECOVERY_MS = 3_000.0  # duration of a load at or below the recovery threshold that ends overload
-    RECOVERY_SHARE = 0.3  # threshold of attempts for recovery, as a fraction of `overload_attempts`
+    RECOVERY_MS = 3_000.0  # overload ends after this time at or below the recovery threshold
+    RECOVERY_SHARE = 0.3  # recovery threshold: concurrent attempts as a fraction of `overload_attempts`
     OVERLOAD_SLOWDOWN = 3.0
 
     def __init__(self, number: int, plan: TierPlan, clock: SimulatedClock) -> None:
@@ -62,7 +62,7 @@
         self._running = 0
         self._queue: deque[QueuedAttempt] = deque()
         self._overloaded = False
-        # Time since which the load has been high enough to begin overload, or low enough to end it.
+        # Time since which the load has been high enough to begin overload, or low enough to end overload.
         self._threshold_crossed_ms: float | None = None
 
     def entry(self) -> ServerEntry:
@@ -112,7 +112,7 @@
         self._run_queue()
 
     def _update_overload(self) -> None:
-        """Begins overload after the load has been high for long enough, ends it after it has been low."""
+        """Begins overload after OVERLOAD_MS of high load, and ends overload after RECOVERY_MS of low load."""
         threshold = self._plan.overload_attempts
         if not threshold:
             return
--- a/testkit/simulation/tier.py
+++ b/testkit/simulation/tier.py
@@ -111,7 +111,7 @@
         return server
 
     def replace(self, number: int) -> SimServer:
-        """Removes a server, which completes its attempts, and adds another, which warms up."""
+        """Removes a server, which completes its attempts, and adds another server, which warms up."""
         self.servers[number].up = False
         self._publish([self.servers[number]])
         return self.add()
@@ -153,5 +153,8 @@
     # ------------------------------------------------ results
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """Returns the share of requests arriving in the interval served in time; 0 without requests."""
+        """Returns the share served in time of the completed requests that arrived in the interval.
+
+        The share is 0 if there are no such requests.
+        """
         return self.workload.goodput_share(begin_ms, end_ms)
--- a/testkit/simulation/workload.py
+++ b/testkit/simulation/workload.py
@@ -16,7 +16,7 @@
 from testkit.simulation.plan import TierPlan
 from testkit.simulation.protocols import ForwarderPort
 
-# Work that every request has, as a share of the plan's mean work; a random part is the rest on average.
+# Work that every request has, as a share of the plan's mean work; a random part adds the rest on average.
 FIXED_WORK_SHARE = 0.25
 # Index of the Pareto distribution of the work of requests with a heavy tail; at 2 its variance would be
 # infinite.
@@ -50,7 +50,8 @@
         Args:
             plan: Description of the tier.
             clock: Clock of the run.
-            forwarders: Forwarders of the tier; the list is shared, so that later forwarders get requests too.
+            forwarders: Forwarders of the tier; the list is shared, so that forwarders added later get
+                requests too.
             rng: Random generator for arrivals alone, so that all variants of a plan get the same arrivals.
         """
         self.completed: list[CompletedRequest] = []
@@ -99,7 +100,10 @@
         self.completed.append(CompletedRequest(pending.arrived_ms, in_time))
 
     def goodput_share(self, begin_ms: float = 0.0, end_ms: float = math.inf) -> float:
-        """Returns the share of requests arriving in the interval served in time; 0 without requests."""
+        """Returns the share served in time of the completed requests that arrived in the interval.
+
+        The share is 0 if there are no such requests.
+        """
         in_time = [
             request.in_time
             for request in self.completed
--- a/tests/benchmarks/test_shared.py
+++ b/tests/benchmarks/test_shared.py
@@ -35,7 +35,7 @@
 def test_paired_ratio_has_the_standard_error_of_the_mean_ratio() -> None:
     ratio = PairedRatio.of([1.0, 30.0, 2.0, 4.0], [1.0, 10.0, 2.0, 4.0])
     assert ratio.median == pytest.approx(1.0)
-    # The ratios 1, 3, 1 and 1 have the standard deviation 1, and the mean of four has half of that.
+    # The ratios 1, 3, 1 and 1 have the standard deviation 1, and the mean of the four has half of that.
     assert ratio.standard_error == pytest.approx(0.5)
     assert str(ratio) == "1.000 +- 0.500"
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -40,10 +40,10 @@
 class ScriptedBalancer:
     """Scripted decisions: a request's attempts go to the given servers in order, until an outcome is final.
 
-    If the last attempt isn't final, the request fails. Every event is recorded, so that a test sees exactly
-    what the balancer's decisions would receive. Endpoint lists are watched as the balancer does, unless
-    `watches_lists` is false because the test makes each poll itself. A test may set `override` to decide on
-    all other events before the script does; if it returns None, the script decides.
+    If the last attempt's outcome isn't final, the request fails. Every event is recorded, so that a test sees
+    exactly what the balancer's decisions would receive. Endpoint lists are watched as the balancer does,
+    unless `watches_lists` is false because the test makes each poll itself. A test may set `override` to
+    decide on all other events before the script does; if `override` returns None, the script decides.
     """
 
     def __init__(self, servers: list[int], timeout_ms: float = 0.0, watches_lists: bool = True) -> None:
@@ -87,7 +87,7 @@
                     return event
 
     async def next_attempt_end(self) -> AttemptEnded:
-        """Waits for the next end of an attempt."""
+        """Waits for the next event that reports the end of an attempt."""
         return await self.next_event(AttemptEnded)
 
     def received_events(self, kind: type[EventT]) -> list[EventT]:
@@ -95,7 +95,7 @@
         return [event for event in self.events if isinstance(event, kind)]
 
     def attempt_ends(self) -> list[AttemptEnded]:
-        """Returns all ends of attempts received so far."""
+        """Returns all events that report the end of an attempt, received so far."""
         return self.received_events(AttemptEnded)
 
 
@@ -244,7 +244,7 @@
     Args:
         behaviours: Behaviour of each server.
         clients: Number of clients to connect.
-        entries: Entries of further servers, which the balancer numbers after the fake ones.
+        entries: Entries of further servers, which the balancer numbers after the fake servers.
         more: Arguments of `running`; without a `script` the decisions are the balancer's own.
     """
     async with fake_servers(*behaviours) as servers:
--- a/tests/race_conditions/harness.py
+++ b/tests/race_conditions/harness.py
@@ -56,7 +56,7 @@
         await wait_until(lambda: self._pending_writes, "the last byte of a request is blocked")
 
     def release(self) -> None:
-        """Runs the pool's write of the first request's last byte."""
+        """Runs the blocked callback, by which the pool writes the first request's last byte."""
         self._pending_writes[0]()
 
 
--- a/tests/race_conditions/test_client_disconnects.py
+++ b/tests/race_conditions/test_client_disconnects.py
@@ -101,7 +101,9 @@
 
 
 def test_pipelined_request_is_not_started_after_a_response_if_the_client_has_disconnected() -> None:
-    """Guards against starting a disconnected client's next request if a response precedes the poll."""
+    """Guards against starting a disconnected client's next request if a response precedes the poll for
+    disconnects.
+    """
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -146,7 +148,7 @@
             client_socket = connect_client(balancer.port)
             client_socket.sendall(request_bytes())
             await wait_until_requested(upstream)
-            await wait_until_nothing_in_flight(balancer)  # the connection to the server is pooled
+            await wait_until_nothing_in_flight(balancer)  # the connection to the server is in the pool
             last_byte = LastByteBarrier(balancer.dispatcher.connection_pool)
             client_socket.sendall(request_bytes("move", b"x"))
             await last_byte.wait_until_last_byte_blocked()
@@ -193,7 +195,7 @@
 def test_nothing_is_written_to_a_connection_established_after_a_disconnect(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a write when the connection to the server is ready only after the client disconnects."""
+    """Guards against sending a request on a server connection that is ready only after the client left."""
 
     async def scenario() -> None:
         upstream = FakeServer()
--- a/tests/race_conditions/test_discovery_calls.py
+++ b/tests/race_conditions/test_discovery_calls.py
@@ -36,11 +36,11 @@
     writer: asyncio.StreamWriter
 
     def respond_with_full_list(self, version: int, **states: str) -> None:
-        """Responds with all servers of this version, with their states as on the wire."""
+        """Responds with all servers of this list version, with their states as on the wire."""
         self._respond(version, states, complete=True)
 
     def respond_with_changes(self, version: int, **states: str) -> None:
-        """Responds with the servers changed up to this version, with their states as on the wire."""
+        """Responds with the servers changed up to this list version, with their states as on the wire."""
         self._respond(version, states, complete=False)
 
     def _respond(self, version: int, states: dict[str, str], complete: bool) -> None:
@@ -161,7 +161,9 @@
 
 
 def test_lower_version_is_accepted_after_a_restart_of_discovery() -> None:
-    """Guards against ignoring a lower version, of a restarted discovery, as stale: no other response came."""
+    """Guards against ignoring a restarted discovery's list as stale: its version is lower, but no other
+    response came during the call.
+    """
 
     async def scenario() -> None:
         async with running_discovery_client() as (source, discovery, received):
@@ -307,7 +309,7 @@
             assert (await received.next_listing()).kind is ListKind.RELOCATED
             source.watch(watch_call(2, NO_VERSION))
             first = await new_discovery.call()
-            assert "after" not in first.target  # versions of another discovery service are not comparable
+            assert "after" not in first.target  # list versions of two discovery services are not comparable
             if watching:
                 stale_call.respond_with_changes(99, a="left")
             first.respond_with_full_list(3, a="active")
--- a/tests/race_conditions/test_reused_connections.py
+++ b/tests/race_conditions/test_reused_connections.py
@@ -81,7 +81,7 @@
             await last_byte.wait_until_last_byte_blocked()
             await upstream.open_connections[0].send(ok(b"/api?1"))
             assert (await client.read_response()).body == b"/api?2"
-            last_byte.release()  # the pool must not write the last byte any more
+            last_byte.release()  # the pool must no longer write the request's last byte
             await script.next_attempt_end()
         assert [event.outcome for event in script.attempt_ends()] == [Outcome.OK, Outcome.OK]
         assert [request.target for request in upstream.requests] == ["/api?1", "/api?2"]
@@ -91,7 +91,9 @@
 
 
 def test_connection_to_the_predecessor_of_a_restarted_server_is_not_reused() -> None:
-    """Guards against reuse of a connection whose server restarts in an attempt, with its id and address."""
+    """Guards against reuse of a connection whose server restarts during an attempt, with the same id and
+    address.
+    """
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
@@ -154,7 +156,8 @@
             server_side.sendall(ok())
             block_until_readable(descriptor)
             reset(server_side)
-            # Nothing is awaited after the response is sent, so the event loop reads neither it nor the reset.
+            # Nothing is awaited after the response is sent, so the event loop reads neither the response nor
+            # the reset.
             block_until_reset(descriptor)
             assert (await setup.client.read_response()).status == 200
         assert [event.outcome for event in setup.script.attempt_ends()] == [Outcome.OK]
--- a/tests/race_conditions/test_shutdown.py
+++ b/tests/race_conditions/test_shutdown.py
@@ -117,7 +117,7 @@
 
 
 def test_clients_in_the_backlog_are_served_when_accepting_stops() -> None:
-    """Guards against losing a received request whose connection waits for a slot when accepting stops."""
+    """Guards against losing a received request whose connection is in the backlog when accepting stops."""
 
     async def scenario() -> None:
         upstream = DelayedResponseServer()
--- a/tests/race_conditions/test_signals.py
+++ b/tests/race_conditions/test_signals.py
@@ -56,7 +56,7 @@
 
 
 def test_sigterm_before_the_program_is_ready_makes_it_exit(tmp_path: Path) -> None:
-    """Guards against an exit delayed by the first discovery call, in flight, with no request pending."""
+    """Guards against an exit that waits for discovery's first response, although no request is pending."""
 
     async def scenario() -> None:
         discovery = await FakeDiscovery([]).start()
@@ -141,7 +141,7 @@
     """Guards against a reload that waits for a call to an unreachable address.
 
     The current endpoint list stays in use meanwhile. The new discovery's list versions are lower than the
-    first's.
+    first discovery's.
     """
 
     async def scenario() -> None:
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -7,7 +7,7 @@
 
 
 class ScriptedHolder:
-    """The connections of a pool, of which the idle ones can be closed."""
+    """The connections of a pool, whose idle connections can be closed."""
 
     def __init__(self, connection_count: int, idle: int) -> None:
         self.connection_count = connection_count
--- a/tests/telemetry/harness.py
+++ b/tests/telemetry/harness.py
@@ -54,7 +54,7 @@
 def fleet_of_two() -> tuple[Instance, Instance]:
     first = Instance("n0")
     second = Instance("n1")
-    # The instances number the same server differently.
+    # Server 10.0.0.2:80 has number 2 in the first instance and number 7 in the second.
     first.notify_list(0.0, ListKind.CACHED, (ServerEntry(1), "10.0.0.1:80"), (ServerEntry(2), "10.0.0.2:80"))
     second.notify_list(0.0, ListKind.CACHED, (ServerEntry(7), "10.0.0.2:80"))
     first.handle(100.0, RequestArrived(1, 0, 1000.0), Send(1, 2, 500.0))
--- a/tests/telemetry/test_event_recorder.py
+++ b/tests/telemetry/test_event_recorder.py
@@ -40,7 +40,7 @@
     lines = instance.json_lines
     assert lines[1]["out"] == [["watchlist", 1, 41, 2000, 2500]]
     assert (lines[2]["kind"], lines[2]["call"], lines[2]["why"]) == ("failed", 1, "no response within 2.5 s")
-    # A failed poll does not reset the endpoint list's age, here 3.1 s since the start.
+    # A failed poll does not reset the endpoint list's age, here 3.1 s, counted from the program's start.
     assert lines[3]["out"] == [["send", 1, 1, 500.0, 3100.0]]
     assert count_fleets([instance.lines])[0].seconds[3][Column.OLDEST_LIST_MS] == 3100
 
