--- a/benchmarks/long_bodies.py
+++ b/benchmarks/long_bodies.py
@@ -124,7 +124,7 @@
 class Progress:
     """Results of the exchanges that have ended so far."""
 
-    bodies: int  # total number of exchanges
+    bodies: int  # number of exchanges in the whole run, each of which transfers one body
     memory: MemorySampler
     results: Counter[str] = field(default_factory=Counter)
     transferred_bytes: int = 0
--- a/benchmarks/through.py
+++ b/benchmarks/through.py
@@ -106,9 +106,9 @@
         """Starts the platform's program of a checkout, in the same way for all checkouts."""
         port = free_port()
         entries = [entry(f"s{number}", server) for number, server in enumerate(self._servers)]
-        data = config_data(entries, 1, listen=f"127.0.0.1:{port}")
-        data["limits"]["sockets"] = SOCKETS
-        env = {"GW_CONFIG": self._write(f"{name}.json", data), "PYTHONPATH": str(checkout)}
+        configuration = config_data(entries, 1, listen=f"127.0.0.1:{port}")
+        configuration["limits"]["sockets"] = SOCKETS
+        env = {"GW_CONFIG": self._write(f"{name}.json", configuration), "PYTHONPATH": str(checkout)}
         program = ("-P", "-m", package_of(checkout))
         process = await spawn(*program, cores=self._cores.measured, env=env, cwd=str(checkout))
         self._add(name, port, process)
--- a/sandhatch/balancing/guidance/server_weights.py
+++ b/sandhatch/balancing/guidance/server_weights.py
@@ -33,29 +33,33 @@
             weight 1.
     """
 
-    __slots__ = ("_leases", "_next_expiry_ms", "by_server")
+    __slots__ = ("_lease_by_planner", "_next_expiry_ms", "by_server")
 
     def __init__(self) -> None:
         """Start with the weight 1 for all servers."""
-        self._leases: dict[str, _PlannerLease] = {}  # keyed by planner name
+        self._lease_by_planner: dict[str, _PlannerLease] = {}  # keyed by planner name
         self._next_expiry_ms = math.inf
         self.by_server: dict[int, GradualValue] = {}
 
     def set_advised(self, planner: str, weights: dict[int, float], until_ms: float) -> None:
         """Store the weights that a planner advises; they take effect at the next `update_targets`."""
-        self._leases[planner] = _PlannerLease(weights, until_ms)
+        self._lease_by_planner[planner] = _PlannerLease(weights, until_ms)
 
     def extend_lease(self, planner: str, until_ms: float) -> None:
         """Change the expiry of the weights that a planner advised before."""
-        lease = self._leases.get(planner)
+        lease = self._lease_by_planner.get(planner)
         if lease is not None:
             lease.until_ms = until_ms
 
     def update_targets(self, now_ms: float, duration_ms: float) -> None:
         """Drop expired leases, and start to move each weight to the median of the weights still advised."""
-        self._leases = {planner: lease for planner, lease in self._leases.items() if lease.until_ms > now_ms}
-        advised_weights = [lease.weights for lease in self._leases.values()]
-        self._next_expiry_ms = min((lease.until_ms for lease in self._leases.values()), default=math.inf)
+        self._lease_by_planner = {
+            planner: lease for planner, lease in self._lease_by_planner.items() if lease.until_ms > now_ms
+        }
+        advised_weights = [lease.weights for lease in self._lease_by_planner.values()]
+        self._next_expiry_ms = min(
+            (lease.until_ms for lease in self._lease_by_planner.values()), default=math.inf
+        )
         for server in set(self.by_server).union(*advised_weights):
             target = _median([weights.get(server, 1.0) for weights in advised_weights])
             gradual_weight = self.by_server.get(server)
@@ -76,7 +80,7 @@
 
     def inherit(self, previous: ServerWeights) -> None:
         """Copy the leases of a predecessor, and share its weights from now on."""
-        self._leases = dict(previous._leases)
+        self._lease_by_planner = dict(previous._lease_by_planner)
         self._next_expiry_ms = previous._next_expiry_ms
         self.by_server = previous.by_server
 
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -70,7 +70,9 @@
         self._instances = settings.instances
         self._instance_index = settings.instance_index
         self._owners = min(settings.instances, int(burst))
-        # All owners have equal shares. Instance 0 owns a share of the ramp of label 0 if any instance does.
+        # The allocation of each instance that owns a share of a server's ramp: equal for all owners and all
+        # server labels. Computed for instance 0 and label 0, because instance 0 owns a share of the ramp of a
+        # server with label 0 if any instance does.
         self._owner_allocation = default_allocation(settings.instances, 0, burst, 0)
         # The next four are keyed by server id.
         self._warming: dict[int, ListedServer] = {}
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -145,7 +145,9 @@
             self._queue(request)
         elif self.probing.is_worthwhile(request, self.latency.mean_ms[request.class_index], self.now_ms):
             self._send_probe(request, server)
-        elif request.probes and self.probing.servers_are_serial:  # all servers drawn reported themselves busy
+        elif request.probes and self.probing.servers_are_serial:
+            # Each server probed in this round was busy, did not report in time or may no longer be sent the
+            # request, and a probe of the server drawn last is not worthwhile.
             self._queue(request)
         else:
             self._send(request, server)
@@ -318,8 +320,8 @@
         """Draw uniformly from the healthy servers with the fewest own attempts.
 
         Each consecutive failure counts as an attempt; otherwise a server that does not respond would keep
-        receiving its share of requests. Servers whose token is withheld for slowness are drawn too; otherwise
-        all requests would pile up on the few other servers.
+        receiving its share of requests. Servers whose token (mark of a server believed idle) is withheld for
+        slowness are drawn too; otherwise all requests would pile up on the few other servers.
         """
         candidates: list[Server] = []
         fewest = math.inf
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -81,7 +81,19 @@
             server.circuits[class_index] = Circuit(circuit.failures - 1, circuit.open_until_ms)
 
     def record_failure(self, server: Server, class_index: int, outcome: Outcome, now_ms: float) -> None:
-        """Withhold the token after a failure; `Outcome.OK` stands for a response that was far too slow."""
+        """Count a failure of the server, and withhold the server's token (mark of a server believed idle).
+
+        The failure also opens the server's circuit for the request class, unless the server did not run the
+        request (`NEVER_RAN`) or was only slow, and may eject the server (`_eject_outlier`). While this
+        instance has more attempts in flight than there are ready servers, a slow response or a time-out is
+        only counted.
+
+        Args:
+            server: The server that failed.
+            class_index: Index of the request's class.
+            outcome: Outcome of the attempt; `Outcome.OK` stands for a response that was far too slow.
+            now_ms: The present time.
+        """
         self.failure_rate += EWMA_WEIGHT * (1.0 - self.failure_rate)
         server.consecutive_failures += 1
         if self.servers.is_oversubscribed and outcome in (Outcome.OK, Outcome.TIMEOUT):
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -78,9 +78,10 @@
 
 
 def _inherit_load(successor: Balancer, predecessor: Balancer) -> None:
-    """Transfer the window, scaled by the number of ready servers, and the mean load.
+    """Transfer the admission window, the mean load and the mean time between arrivals of requests.
 
-    The load is transferred because the predecessor's attempts in flight still load the servers.
+    The admission window is scaled by the number of ready servers. The load is transferred because the
+    predecessor's attempts in flight still load the servers.
     """
     admission = successor.admission
     before = predecessor.admission
--- a/sandhatch/config/history.py
+++ b/sandhatch/config/history.py
@@ -163,7 +163,9 @@
     # -------------------------------------------- writing
 
     def save(self, record: Record, contents: Mapping[int, dict[str, Any]]) -> None:
-        """Write the contents, then the state that references them; then remove unreferenced contents.
+        """Write the contents, then the state that references them; then remove contents not needed any more.
+
+        Contents are needed if the new state file or the previous one references them.
 
         Args:
             record: State to write.
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -131,13 +131,13 @@
             data = await reader.read(READ_BYTES)
         async with asyncio.timeout(self._call_timeout_s):
             while data:
-                calls = self._feed(lines, data)
+                received_calls = self._feed(lines, data)
                 if self._buffered_bytes > MAX_BUFFERED_BYTES:
                     raise CallError(
                         "the incomplete calls of all peers together exceed the buffer limit; try again"
                     )
-                if calls and not lines.buffered_bytes:
-                    return calls
+                if received_calls and not lines.buffered_bytes:
+                    return received_calls
                 data = await reader.read(READ_BYTES)
         return None
 
--- a/sandhatch/downstream/client_transport.py
+++ b/sandhatch/downstream/client_transport.py
@@ -20,7 +20,7 @@
 
 
 class ClientTransport(BodyEndpoint):
-    """Base of a client connection, which sets `_transport` while the connection is open."""
+    """Base class of `ClientConnection`; the subclass sets `_transport` while the connection is open."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         """Create the socket layer of a connection that `listener` has just accepted."""
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -54,11 +54,15 @@
         "warming_up",
     )
 
-    def __init__(self, empty: ServerNumbering) -> None:
-        """Start with a session that has not sent any server's address."""
+    def __init__(self, empty_numbering: ServerNumbering) -> None:
+        """Create the load of a forwarder whose session has not sent any server's address yet.
+
+        Args:
+            empty_numbering: A numbering without servers.
+        """
         self.instance_index = 0
         self.key = b""
-        self.numbering = empty
+        self.numbering = empty_numbering
         self.readiness = bytearray()
         self.warming_up: set[int] = set()
         self.outstanding: dict[int, int] = {}
@@ -127,7 +131,7 @@
             self._append_names(member, report.names)
         self._check_numbers(report, len(member.readiness))
         self._apply_readiness(member, report)
-        self._add_rows(member, report)
+        self._add_report_rows(member, report)
         if span_ms > 0.0:
             rate_per_s = sum(report.demand.values()) / span_ms * 1000.0
             decay_factor = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
@@ -187,7 +191,7 @@
         else:
             member.warming_up.discard(number)
 
-    def _add_rows(self, member: MemberLoad, report: PoolReport) -> None:
+    def _add_report_rows(self, member: MemberLoad, report: PoolReport) -> None:
         views = member.numbering.views
         baseline_ms = member.baseline_ms
         # A row counts for at most `MAX_ROW_RATIO` (three) times the mean, even if a forwarder reports many
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -18,8 +18,9 @@
 from sandhatch.planning.pool_plan import PoolPlan
 from sandhatch.planning.terms import PlannerTerms
 
-# Time for which a new incarnation waits for configured forwarders to report, in multiples of
-# `share_lease_ms`.
+# Maximum time after the start of an incarnation, in multiples of `share_lease_ms`, for which the incarnation
+# waits until enough of a pool's configured forwarders (`min_reporting_fraction`) report, before it advises
+# weights in the pool.
 MAX_WAIT_SHARE_LEASES = 4.0
 
 
--- a/sandhatch/runtime/clock.py
+++ b/sandhatch/runtime/clock.py
@@ -80,7 +80,8 @@
                 return
             self._wakeup.cancel()
         self._wakeup_ms = due_ms
-        # Rounded up, because the event loop's timers have a resolution of 1 ms.
+        # The delay is rounded up to whole milliseconds, because the event loop's timers have a resolution of
+        # 1 ms.
         delay_s = max(0, ceil(due_ms - self.now_ms())) / 1000.0
         self._wakeup = self._loop.call_later(delay_s, self._fire_due)
 
--- a/sandhatch/telemetry/fleet_report.py
+++ b/sandhatch/telemetry/fleet_report.py
@@ -172,11 +172,11 @@
     records = sorted(
         (record for log in logs for record in parse_records(log)), key=lambda record: record.time_s
     )
-    fleets: dict[int, Fleet] = {}
+    fleet_by_tier: dict[int, Fleet] = {}
     for record in records:
-        fleet = fleets.setdefault(record.tier, Fleet(warm_up_s))
+        fleet = fleet_by_tier.setdefault(record.tier, Fleet(warm_up_s))
         fleet.add(record, int(record.time_s - records[0].time_s))
-    return fleets
+    return fleet_by_tier
 
 
 def format_counts(fleet: Fleet) -> str:
--- a/testkit/simulation/server.py
+++ b/testkit/simulation/server.py
@@ -135,6 +135,7 @@
         """Returns the speed as a fraction of that of a warm server that is neither slow nor overloaded."""
         share = 1.0
         if self.started_ms:
+            # First the elapsed fraction of the warm-up, then the fraction of a warm server's capacity.
             share = min(1.0, (self._clock.now_ms - self.started_ms) / self._plan.warm_up_ms)
             share = self._plan.initial_capacity_share + (1.0 - self._plan.initial_capacity_share) * share
         return share / self.slowdown / (self.OVERLOAD_SLOWDOWN if self._overloaded else 1.0)
