--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -29,7 +29,7 @@
     received_ms: dict[int, float] = field(default_factory=dict)  # time at which each version was first known
     in_flight: WatchList | None = None
     responded_ms: float = float("-inf")
-    connected: bool = False  # whether the connection of its watch is still open
+    connected: bool = False  # whether the connection of the instance's watch is still open
 
 
 @dataclass
@@ -122,7 +122,7 @@
                     self._respond(instance, instance.in_flight)
 
     def fall_silent(self) -> None:
-        """Requests in flight get no response; those sent from now on do."""
+        """Leave requests in flight without a response; requests sent from now on get one."""
         for instance in self.instances:
             if instance.in_flight is not None:
                 instance.connected = False
@@ -136,7 +136,7 @@
                 )
 
     def occupy(self, duration_ms: float) -> None:
-        """Requests of other clients arrive that occupy discovery for this time."""
+        """Occupy discovery for `duration_ms` with requests of other clients."""
         self._busy_until_ms = max(self.now, self._busy_until_ms) + duration_ms
 
     def go_down(self) -> None:
@@ -246,7 +246,7 @@
 
 
 def max_in_one_second(times_ms: list[float]) -> int:
-    """Return the largest number of these times within any one second."""
+    """Return the largest number of `times_ms` that lie within any one second."""
     times = sorted(times_ms)
     max_count = first = 0
     for last, time_ms in enumerate(times):
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -1,7 +1,7 @@
-"""Requests to a draining server while discovery fails, on real connections with a skipping clock.
+"""Requests to a draining server while discovery fails, on real connections.
 
-The first test reproduces a failure from the simulation of a whole fleet; the others cover further faults by
-which an endpoint list could become stale.
+The event loop's clock jumps over idle waits. The first test reproduces a failure from the simulation of a
+whole fleet; the other tests cover further faults by which an endpoint list could become stale.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
         self.rows = rows
         self.generation = 1
         self.calls = 0
-        self.watching = 0  # number of calls that wait for a change
+        self.watching = 0  # number of calls to discovery that wait for a change of the list
         self._changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -204,8 +204,9 @@
 def test_first_watch_without_a_response_delays_a_drain_no_longer_than_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a late call when the first watch gets no response and the server starts to drain: by an
-    earlier fault, the next call, which discovery would have responded to, was made only some 23 s later.
+    """Guards against a late discovery call when the first watch gets no response and the server starts to
+    drain: by an earlier fault, the next call, which discovery would have responded to, was made only
+    some 23 s later.
     """
 
     run(monkeypatch, lambda _: _check_no_request_reaches_a(no_response, at_start=True, faulty_s=0.5))
