--- a/sandhatch/balancing/settings.py
+++ b/sandhatch/balancing/settings.py
@@ -180,8 +180,8 @@
 
     # ---- weights and prices
     over_quota_weight: float = 1.0  # priority weight of a request over quota, as a fraction of its class's
-    # Prices from the section `Deductions` of the simulator's settings. Decisions weigh only those of
-    # cross-zone attempts and probes.
+    # Prices from the section `Deductions` of the settings text that simulator and platform give. Decisions
+    # weigh only those of cross-zone attempts and probes.
     price_cross_zone: float = 0.0  # price of cross-zone attempts, per first attempt
     price_probe: float = 0.0  # price of probes, per first attempt
     price_waste: float = 0.0  # price of server work without a response, as a fraction of all work
