--- a/sandhatch/downstream/client_transport.py
+++ b/sandhatch/downstream/client_transport.py
@@ -20,15 +20,15 @@
 
 
 class ClientTransport(BodyEndpoint):
-    """Base of a client connection, which sets `_transport` while the connection is open."""
+    """Base class of `ClientConnection`; the subclass sets `_transport` while the connection is open."""
 
     def __init__(self, listener: ConnectionOwner) -> None:
         """Create the socket layer of a connection that `listener` has just accepted."""
         super().__init__()
-        self.is_ending = False  # no further request is read
+        self.is_ending = False  # True once no further request is read from the connection
         self._listener = listener
         self._transport: asyncio.Transport | None = None
-        self._disconnect_poll: select.poll | None = None  # created on first use
+        self._disconnect_poll: select.poll | None = None  # created by the first check for a disconnect
 
     @property
     def _descriptor(self) -> int:
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -2,7 +2,7 @@
 
 Each instance owns a share of each warm-up ramp that is determined without communication
 (`default_allocation` of `sandhatch.balancing.guidance`); this module sums the shares of the instances that
-have leased theirs. No I/O, no clock. Source: leases (Gray and Cheriton 1989).
+have leased their shares. No I/O, no clock. Source: leases (Gray and Cheriton 1989).
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     """
 
     def __init__(self, instances: int, burst: float) -> None:
-        """Start without any lessor."""
+        """Start without any lessor (instance that has leased its shares)."""
         self.instances = instances
         self.burst = burst
         self._until_ms: dict[int, float] = {}  # end of each lease, by instance index
@@ -79,7 +79,8 @@
         holders = min(self.instances, int(self.burst))
         if holders == 0:
             return ZERO_AMOUNT
-        # The instances with a share have consecutive indices from -label on, modulo the number of instances.
+        # The `holders` instances that own a share of this server's ramp have consecutive indices
+        # modulo the number of instances; the first index is minus the server's number (`label`).
         first = -label % self.instances
         last = first + holders
         wrapped = counts[max(0, last - self.instances)]
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -18,8 +18,8 @@
 from sandhatch.planning.weights import EVIDENCE_DECAY_MS, assess_servers, median
 
 MAX_SERVERS = 20_000  # servers of a pool whose addresses one session may send
-OUTSTANDING_SMOOTHING_MS = 400.0  # time constant
-DEMAND_SMOOTHING_MS = 5_000.0  # time constant
+OUTSTANDING_SMOOTHING_MS = 400.0  # time constant of the moving average of outstanding attempts
+DEMAND_SMOOTHING_MS = 5_000.0  # time constant of the moving average of a forwarder's request rate
 MAX_DEMAND_RATIO = 4.0  # bound on a forwarder's demand relative to the median, above and below
 MAX_ROW_RATIO = 3.0  # multiple of the mean attempts per row, above which a row's attempts are weighted down
 MAX_ROW_MEAN_RATIO = 10.0  # multiple of the mean attempts per row at which a report's own mean is capped
@@ -54,11 +54,15 @@
         "warming_up",
     )
 
-    def __init__(self, empty: ServerNumbering) -> None:
-        """Start with a session that has not sent any server's address."""
+    def __init__(self, empty_numbering: ServerNumbering) -> None:
+        """Create the load of a forwarder whose session has not sent any server's address yet.
+
+        Args:
+            empty_numbering: A numbering without servers.
+        """
         self.instance_index = 0
         self.key = b""
-        self.numbering = empty
+        self.numbering = empty_numbering
         self.readiness = bytearray()
         self.warming_up: set[int] = set()
         self.outstanding: dict[int, int] = {}
@@ -127,7 +131,7 @@
             self._append_names(member, report.names)
         self._check_numbers(report, len(member.readiness))
         self._apply_readiness(member, report)
-        self._add_rows(member, report)
+        self._add_report_rows(member, report)
         if span_ms > 0.0:
             rate_per_s = sum(report.demand.values()) / span_ms * 1000.0
             decay_factor = math.exp(-span_ms / DEMAND_SMOOTHING_MS)
@@ -187,7 +191,7 @@
         else:
             member.warming_up.discard(number)
 
-    def _add_rows(self, member: MemberLoad, report: PoolReport) -> None:
+    def _add_report_rows(self, member: MemberLoad, report: PoolReport) -> None:
         views = member.numbering.views
         baseline_ms = member.baseline_ms
         # A row counts for at most `MAX_ROW_RATIO` (three) times the mean, even if a forwarder reports many
@@ -260,8 +264,8 @@
         warmed_up = [address for address, view in self.warming_up.items() if not view.warming_up_in]
         for address in warmed_up:
             del self.warming_up[address]
-        # A view is retained while any session numbers its server, even if it is unlisted: it may be listed
-        # again.
+        # The state of a server is retained while any session numbers the server, even if no forwarder lists
+        # the server: it may be listed again.
         if len(self.servers) > 2 * MAX_SERVERS:
             numbered = self._numberings.numbered_views()
             self.servers = {address: view for address, view in self.servers.items() if id(view) in numbered}
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -18,8 +18,9 @@
 from sandhatch.planning.pool_plan import PoolPlan
 from sandhatch.planning.terms import PlannerTerms
 
-# Time for which a new incarnation waits for configured forwarders to report, in multiples of
-# `share_lease_ms`.
+# Maximum time after the start of an incarnation, in multiples of `share_lease_ms`, for which the incarnation
+# waits until enough of a pool's configured forwarders (`min_reporting_fraction`) report, before it advises
+# weights in the pool.
 MAX_WAIT_SHARE_LEASES = 4.0
 
 
@@ -151,9 +152,9 @@
                 plan.load.update_weights(span_ms, unbounded_steps=self.is_learning(now_ms))
         for name, member in list(self.members.items()):
             if now_ms - member.last_report_ms >= self.terms.member_timeout_ms:
-                self._remove(name)
+                self._remove_member(name)
 
-    def _remove(self, name: str) -> None:
+    def _remove_member(self, name: str) -> None:
         """Remove a forwarder that has stopped reporting.
 
         Its grants stay valid until they expire; its own shares are no longer leased to this planner.
@@ -229,7 +230,7 @@
     def _grant_end_ms(self, now_ms: float) -> float:
         """Time by which a grant made now has expired at every forwarder.
 
-        The shares that it is made from must be leased until then.
+        The shares from which the grant is made must be leased until that time.
         """
         return now_ms + self.terms.lease_ms * (1.0 + CLOCK_DRIFT)
 
--- a/tests/balancing/endpoint_freshness/simulated_fleet.py
+++ b/tests/balancing/endpoint_freshness/simulated_fleet.py
@@ -29,7 +29,7 @@
     received_ms: dict[int, float] = field(default_factory=dict)  # time at which each version was first known
     in_flight: WatchList | None = None
     responded_ms: float = float("-inf")
-    connected: bool = False  # whether the connection of its watch is still open
+    connected: bool = False  # whether the connection of the instance's watch is still open
 
 
 @dataclass
@@ -39,7 +39,8 @@
     Attributes:
         version: Version of the list.
         reachable_ms: Time since which discovery has this version and is reachable.
-        notified_ms: Time from then until the change counts as notified.
+        notified_ms: Time from `reachable_ms` until instances are taken to know of the change, whether or not
+            they have received the new list.
     """
 
     version: int
@@ -77,14 +78,14 @@
         self.now = 0.0
         self.version = 1
         self.changes: list[Change] = []
-        self.requests_ms: list[float] = []  # times of the requests that queue
+        self.requests_ms: list[float] = []  # times at which requests that queue at discovery were sent
         self.renewals_ms: list[float] = []
         self.rejected = 0
         self.is_up = True
         self.is_silent = False
         self._queue_ms = queue_ms
         self._service_time_ms = 1_000.0 / rate_per_s
-        self._busy_until_ms = 0.0  # time at which all requests so far are served
+        self._busy_until_ms = 0.0  # time at which discovery has served all requests so far
         self._heap: list[tuple[float, int, Callable[[], object]]] = []
         self._sequence = 0
         self.instances = [
@@ -121,7 +122,7 @@
                     self._respond(instance, instance.in_flight)
 
     def fall_silent(self) -> None:
-        """Requests in flight get no response; those sent from now on do."""
+        """Leave requests in flight without a response; requests sent from now on get one."""
         for instance in self.instances:
             if instance.in_flight is not None:
                 instance.connected = False
@@ -135,7 +136,7 @@
                 )
 
     def occupy(self, duration_ms: float) -> None:
-        """Requests of other clients arrive that occupy discovery for this time."""
+        """Occupy discovery for `duration_ms` with requests of other clients."""
         self._busy_until_ms = max(self.now, self._busy_until_ms) + duration_ms
 
     def go_down(self) -> None:
@@ -230,7 +231,10 @@
     # ------------------------------------------------ results
 
     def max_lateness_ms(self) -> float:
-        """Return the longest time from when a change counts as notified to its receipt; may be below 0."""
+        """Return the longest time by which an instance received a change late; below 0 if all were early.
+
+        An instance is late from when the instance is taken to know of the change, see `Change.notified_ms`.
+        """
         worst = float("-inf")
         for change in self.changes:
             notified_ms = change.reachable_ms + change.notified_ms
@@ -242,7 +246,7 @@
 
 
 def max_in_one_second(times_ms: list[float]) -> int:
-    """Return the largest number of these times within any one second."""
+    """Return the largest number of `times_ms` that lie within any one second."""
     times = sorted(times_ms)
     max_count = first = 0
     for last, time_ms in enumerate(times):
--- a/tests/balancing/endpoint_freshness/test_bound.py
+++ b/tests/balancing/endpoint_freshness/test_bound.py
@@ -1,13 +1,15 @@
 """The bound on the age of an endpoint list under faults of discovery, in simulated time and over seeds.
 
-Whatever fails at discovery, each instance receives a change soon after it counts as notified, and the load on
-discovery stays bounded.
+Some time after discovery has a change, an instance is taken to know of the change, whether or not the list
+has reached the instance. Whatever fails at discovery, each instance receives a change soon after that time,
+and the load on discovery stays bounded.
 
 Two discovery services are simulated. Both serve one request after the other, and a rejected request costs as
 much as a served one. The first queues a request for up to 3 s and serves 2.7 per second, or those of all
 instances in 4 s; the second queues it for up to 1 s and serves 4 per second, or those of all instances in
-2.5 s. The lateness of an instance is the time from when a change counts as notified to its receipt. It must
-not exceed the grace period of the settings, which is 2 s and 1 s respectively.
+2.5 s. The lateness of an instance is the time from when the instance is taken to know of a change to when
+the instance receives the change. The lateness must not exceed the grace period of the settings, which is 2 s
+and 1 s respectively.
 """
 
 from __future__ import annotations
@@ -18,7 +20,8 @@
 
 from tests.balancing.endpoint_freshness.simulated_fleet import Fleet, max_in_one_second
 
-# By maximum queuing time in ms: minimum requests per second, and seconds to serve a request of each instance.
+# Capacity of discovery, by its maximum queuing time in ms: minimum rate in requests per second, and time in
+# seconds in which discovery serves one request from every instance.
 RATES = {1_000.0: (4.0, 2.5), 3_000.0: (2.7, 4.0)}
 
 
@@ -111,32 +114,32 @@
 
 
 @pytest.mark.parametrize("queue_ms", list(GRACE_MS))
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
+@pytest.mark.parametrize(("count", "seed_count"), SIZES)
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.__name__ for fault in FAULTS])
 def test_change_is_received_within_the_grace_period_after_it_counts_as_notified(
-    fault: Fault, count: int, seeds: int, queue_ms: float
+    fault: Fault, count: int, seed_count: int, queue_ms: float
 ) -> None:
-    for seed in range(seeds):
+    for seed in range(seed_count):
         lateness_ms = run_with(fault, count, seed, queue_ms).max_lateness_ms()
         assert lateness_ms <= GRACE_MS[queue_ms], f"seed {seed}: {lateness_ms:.0f} ms late"
 
 
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_lateness_is_bounded_after_a_second_silence_during_recovery(count: int, seeds: int) -> None:
+@pytest.mark.parametrize(("count", "seed_count"), SIZES)
+def test_lateness_is_bounded_after_a_second_silence_during_recovery(count: int, seed_count: int) -> None:
     """Lateness exceeds the grace period by at most the response time-out of the second silent request."""
-    for seed in range(seeds):
+    for seed in range(seed_count):
         lateness_ms = run_with(falls_silent_twice, count, seed, 3_000.0).max_lateness_ms()
         assert lateness_ms <= 2_000.0 + 3_500.0, f"seed {seed}: {lateness_ms:.0f} ms late"
 
 
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
-def test_retries_of_rejected_requests_do_not_saturate_discovery(count: int, seeds: int) -> None:
+@pytest.mark.parametrize(("count", "seed_count"), SIZES)
+def test_retries_of_rejected_requests_do_not_saturate_discovery(count: int, seed_count: int) -> None:
     """Guards against a fault seen in a simulated day with 192 instances.
 
     There each rejected request was retried within a second, which kept discovery so busy that it served no
     instance.
     """
-    for seed in range(seeds):
+    for seed in range(seed_count):
         fleet = run_with(occupied_by_other_clients, count, seed, 3_000.0)
         fleet.run(60_000.0)
         has_watch = [instance.responded_ms > 55_000.0 for instance in fleet.instances]
@@ -146,16 +149,16 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=[fault.__name__ for fault in FAULTS])
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
+@pytest.mark.parametrize(("count", "seed_count"), SIZES)
 def test_request_rate_at_discovery_is_bounded_by_the_number_of_instances(
-    fault: Fault, count: int, seeds: int
+    fault: Fault, count: int, seed_count: int
 ) -> None:
     """In any second there are at most two renewals and three queuing requests per instance.
 
     Renewals don't queue; each instance sends one, and a few more are caused early by a change. Most of the
     requests that queue are rejected, or sent to an address that is down.
     """
-    for seed in range(min(seeds, 20)):
+    for seed in range(min(seed_count, 20)):
         fleet = run_with(fault, count, seed, 3_000.0)
         assert max_in_one_second(fleet.renewals_ms) <= 2.0 * count + 1
         assert max_in_one_second(fleet.requests_ms) <= 3.0 * count
@@ -172,7 +175,11 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_pushed_list_is_received_within_700_ms_of_the_agents_return(seed: int) -> None:
-    """Changes count as notified when the agent is back, and the shortest grace period in use is 0.7 s."""
+    """The instance's own agent pushes the list.
+
+    The instance is taken to know of a change as soon as its agent is back, whether or not the list has
+    reached the instance. The shortest grace period in use is 0.7 s.
+    """
     fleet = Fleet(1, seed, 100.0, 1_000.0, pushed=True)
     fleet.at(5_000.0, fleet.go_down)
     fleet.at(6_000.0, lambda: fleet.change(reachable_ms=NEVER, notified_ms=0.0))
@@ -181,7 +188,7 @@
     assert fleet.max_lateness_ms() <= 700.0
 
 
-READY_MS = 10_000.0  # time within which 9 of 10 starting processes must be ready
+READY_MS = 10_000.0  # time from the start within which 9 of 10 instances must have a list
 
 
 def first_list_times_ms(fleet: Fleet) -> list[float]:
@@ -190,17 +197,17 @@
 
 
 @pytest.mark.parametrize("queue_ms", list(GRACE_MS))
-@pytest.mark.parametrize(("count", "seeds"), SIZES)
+@pytest.mark.parametrize(("count", "seed_count"), SIZES)
 def test_nine_of_ten_instances_started_without_a_list_have_one_within_ten_seconds(
-    count: int, seeds: int, queue_ms: float
+    count: int, seed_count: int, queue_ms: float
 ) -> None:
     """All instances start at once without a list, and discovery serves their requests in turn.
 
-    The fraction is over all seeds. The remaining instances were rejected twice and have a list some seconds
-    later.
+    Nine of ten is counted over the instances of all seeds together. Discovery rejected the remaining
+    instances twice, and they have a list some seconds later.
     """
     first_ms: list[float] = []
-    for seed in range(seeds):
+    for seed in range(seed_count):
         fleet = Fleet(count, seed, rate_of(count, queue_ms), queue_ms, peers=max(1, count // 3), known=False)
         fleet.run(60_000.0)
         first_ms += first_list_times_ms(fleet)
@@ -213,7 +220,7 @@
 def test_instances_started_while_discovery_is_down_have_a_list_soon_after_its_return(
     count: int,
 ) -> None:
-    """Nine of ten instances have a list within 10 s of the return.
+    """Nine of ten instances have a list within 10 s of discovery's return.
 
     Without a cached list they can't be ready earlier; with one they are ready at once.
     """
--- a/tests/balancing/simulation/test_release.py
+++ b/tests/balancing/simulation/test_release.py
@@ -1,7 +1,7 @@
 """A release in simulated time: six of ten servers are replaced within seconds, with few or many instances.
 
-Servers become slow when too many requests are in flight at them for long, and stay slow until few are. A
-warm server that is overloaded at the start is therefore lost for the rest of the release.
+Servers become slow when too many requests are in flight at them for long, and stay slow until few requests
+are. A warm server that is overloaded at the start is therefore lost for the rest of the release.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def run_release(instances: int, seed: int, with_outlier: bool = False) -> Tier:
-    """Replace servers 0 to 5 at random times; 6 to 9 stay. An outlier makes server 6 fail fast meanwhile."""
+    """Replace servers 0 to 5 at random times; servers 6 to 9 stay. An outlier, server 6, may fail fast."""
     tier = Tier(replace(PLAN, forwarders=instances), seed)
     if with_outlier:
         tier.at(BEGIN_MS - 4_000.0, lambda: setattr(tier.servers[6], "broken", True))
@@ -44,7 +44,7 @@
 
 
 def goodput(instances: int, with_outlier: bool = False) -> float:
-    """Return the mean goodput share over the seeds, once all servers are replaced."""
+    """Return the mean goodput share over the seeds, once servers 0 to 5 are replaced."""
     return mean(
         run_release(instances, seed, with_outlier).goodput_share(BEGIN_MS + RELEASE_MS, END_MS)
         for seed in SEEDS
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("instances", [1, 3])
 def test_load_that_warming_servers_cannot_take_does_not_overload_warm_ones(instances: int) -> None:
-    assert goodput(instances) > 0.55  # goodput is about 0.3 if warming servers count as warm ones
+    assert goodput(instances) > 0.55  # goodput is about 0.3 if warming servers count as warm
 
 
 @pytest.mark.parametrize("instances", [3, 7])
@@ -63,11 +63,11 @@
 
 
 def test_warming_servers_receive_requests_in_proportion_to_their_capacity() -> None:
-    # Goodput is about 0.7 if their share is proportional to their number and the warm servers get the rest.
+    # Goodput is about 0.7 if warming servers get requests in proportion to their number, not their capacity.
     assert goodput(1) > 0.9
 
 
 @pytest.mark.parametrize("instances", [1, 3, 7])
 def test_few_warm_servers_beside_an_outlier_are_not_overloaded(instances: int) -> None:
     """Guards against sending the load that the whole tier can take to the only three servers that work."""
-    assert goodput(instances, with_outlier=True) > 0.85  # 0.34 to 0.45 without a limit per server
+    assert goodput(instances, with_outlier=True) > 0.85  # 0.34 to 0.45 without a limit on attempts per server
--- a/tests/config/test_check.py
+++ b/tests/config/test_check.py
@@ -27,7 +27,7 @@
     assert found.warnings == ()
     settings = pool_settings(found.model, found.model.pools["price-store"])
     assert [request_class.name for request_class in settings.classes][3] == "place-order"
-    assert settings.tier == 2  # only the first tier rejects requests before work is spent on them
+    assert settings.tier == 2  # not the first tier: this pool does not reject requests early
 
 
 def test_every_error_is_reported_at_once_with_its_line() -> None:
@@ -215,5 +215,5 @@
     with pytest.raises(CheckError) as caught:
         checked(data)
     assert len(caught.value.problems) == 201
-    # There are 5,000 errors and one warning about a pool that no route leads to; 200 of them are shown.
+    # There are 5,000 errors and one warning about a pool that no route leads to; 200 messages are shown.
     assert "4801 more problems" in caught.value.problems[-1].text
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("change", ["leaving", "left"])
 def test_expired_drain_grace_period_discards_an_attempt_that_is_connecting(change: str) -> None:
-    """Guards against writing to a server whose grace period ends while a connection is established."""
+    """Guards against writing to a server whose drain grace period ends while an attempt is connecting."""
 
     async def scenario() -> None:
         script = ScriptedBalancer([1])
@@ -66,7 +66,8 @@
             dispatcher = network.balancer.dispatcher
             clock = network.balancer.shared.clock
             address = ("127.0.0.1", network.server.port)
-            # The grace period is 0.5 s, and a change counts as received 6 s after the list was current.
+            # The drain grace period of 0.5 s begins 6 s (`NOTIFIED_MS`) after the list was last known to be
+            # current, so it ends at a list age of 6.5 s.
             for age_s, expired in ((5.0, False), (6.6, True)):
                 dispatcher._endpoints.current_since_ms = clock.now_ms() - 1_000.0 * age_s
                 draining = ServerEntry(1, ServerState.DRAINING)
@@ -79,7 +80,7 @@
 
 
 def test_new_requests_are_not_sent_to_a_draining_server() -> None:
-    """Guards draining with the real balancer: all further requests go to the other server."""
+    """Guards against requests to a draining server: the real balancer uses only the other server."""
 
     async def scenario() -> None:
         async with loopback(serve_ok, serve_ok) as network:
--- a/tests/http1/test_parser.py
+++ b/tests/http1/test_parser.py
@@ -36,7 +36,7 @@
 
 
 class MessageCollector:
-    """Feeds a parser as a connection does, opens messages when possible, and collects them."""
+    """Feeds a parser like a connection, opens messages to stream their bodies, and collects all messages."""
 
     def __init__(self, parser: RequestParser | ResponseParser, open_at_bytes: int) -> None:
         self.parser = parser
@@ -112,7 +112,8 @@
 ) -> None:
     rng = Random(seed)
     data = random_messages(rng, is_request)
-    # Never opened, so that each message is returned complete.
+    # `1 << 40` bytes are above the size of any message: the parser streams no body and returns each message
+    # complete.
     unsplit = MessageCollector(make_parser(is_request), 1 << 40)
     for offset in range(0, len(data), 50_000):
         unsplit.feed(data[offset : offset + 50_000])
@@ -122,7 +123,7 @@
         fragmented.feed(piece)
     assert fragmented.parser.fault is None
     assert not fragmented.parser.has_partial_message
-    # Trailers are returned with a streamed body and dropped with a completely buffered one.
+    # The parser returns the trailers of a streamed body and drops those of a completely buffered body.
     assert [row._replace(trailers=()) for row in fragmented.messages] == [
         row._replace(trailers=()) for row in unsplit.messages
     ]
@@ -163,7 +164,7 @@
 
 
 class ParsedByH11(NamedTuple):
-    """Messages that h11 finds in some bytes, and the text of its error; empty if there is none."""
+    """Messages that h11 finds in some bytes, and the text of h11's error, empty without an error."""
 
     messages: list[ParsedMessage]
     fault: str
@@ -180,7 +181,7 @@
 
 
 def next_h11_message(connection: h11.Connection) -> ParsedMessage | None:
-    """Returns the next message; None if it is incomplete.
+    """Returns the next message that h11 finds; None if the message is incomplete.
 
     Raises:
         h11.RemoteProtocolError: The message is malformed.
@@ -219,7 +220,10 @@
 
 
 def corrupt(rng: Random, data: bytes) -> bytes:
-    """Makes one or two small changes to bytes that affect the framing."""
+    """Makes one or two small random changes.
+
+    A change is to a byte among the first 400, to a line end, to the framing headers or to the last chunk.
+    """
     for _ in range(rng.randint(1, 2)):
         offset = rng.randrange(min(len(data), 400))
         kind = rng.randrange(6)
@@ -242,7 +246,7 @@
 @settings(max_examples=600, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32), st.booleans())
 def test_accepted_input_has_the_same_meaning_to_h11(seed: int, is_request: bool) -> None:
-    """Rejecting more than h11 is allowed; a different end of a message would allow request smuggling."""
+    """Guards against request smuggling: the parser may reject more than h11, but not find other messages."""
     rng = Random(seed)
     data = random_messages(rng, is_request)
     if rng.random() < 0.8:
@@ -292,7 +296,7 @@
 
 
 def test_body_of_known_length_is_returned_as_views_of_the_read_buffer() -> None:
-    """The parser must not copy the body."""
+    """Guards against a copy of the body by the parser."""
     parser = RequestParser()
     parser.on_head = lambda _message: parser.stream(0, MAX_BODY_BYTES)
     assert parser.feed(b"POST / HTTP/1.1\r\nContent-Length: 10\r\n\r\nab") == []
--- a/tests/race_conditions/test_endpoint_list_age.py
+++ b/tests/race_conditions/test_endpoint_list_age.py
@@ -1,7 +1,7 @@
-"""Requests to a draining server while discovery fails, on real connections with a skipping clock.
+"""Requests to a draining server while discovery fails, on real connections.
 
-The first test reproduces a failure from the simulation of a whole fleet; the others cover further faults by
-which an endpoint list could become stale.
+The event loop's clock jumps over idle waits. The first test reproduces a failure from the simulation of a
+whole fleet; the other tests cover further faults by which an endpoint list could become stale.
 """
 
 from __future__ import annotations
@@ -34,8 +34,9 @@
 class FaultyDiscovery:
     """Discovery service for two servers, `a` and `b`; `drain_a` makes `a` start to drain.
 
-    While `faulty`, the fault handles each call; otherwise the response is correct. A watch that began
-    before and ends while `faulty` gets no response. A fault returns whether the call is over.
+    While `faulty`, each new call is passed to `fault`, which returns True if it has dealt with the call, and
+    False if the call is to get the normal response. While not `faulty`, each new call gets the normal
+    response, except that a call gets none if its wait for a change ends while `faulty`.
     """
 
     def __init__(self, fault: Fault, rows: list[dict[str, Any]]) -> None:
@@ -44,7 +45,7 @@
         self.rows = rows
         self.generation = 1
         self.calls = 0
-        self.watching = 0  # number of calls that wait for a change
+        self.watching = 0  # number of calls to discovery that wait for a change of the list
         self._changed = asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -156,8 +157,8 @@
 async def _check_no_request_reaches_a(fault: Fault, at_start: bool, faulty_s: float) -> None:
     """Asserts that `a` gets no request once the bound on the list's age and the drain grace have passed.
 
-    Discovery becomes faulty at the start or during a watch, `a` starts to drain at that moment, and discovery
-    responds again after `faulty_s`.
+    Discovery becomes faulty at the program's start or during a watch, `a` starts to drain at that moment, and
+    discovery responds again after `faulty_s`.
     """
     loop = asyncio.get_running_loop()
     a, b = await FakeServer().start(), await FakeServer().start()
@@ -203,8 +204,9 @@
 def test_first_watch_without_a_response_delays_a_drain_no_longer_than_the_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a late call when the first watch gets no response and the server starts to drain: by an
-    earlier fault, the next call, which discovery would have responded to, was made only some 23 s later.
+    """Guards against a late discovery call when the first watch gets no response and the server starts to
+    drain: by an earlier fault, the next call, which discovery would have responded to, was made only
+    some 23 s later.
     """
 
     run(monkeypatch, lambda _: _check_no_request_reaches_a(no_response, at_start=True, faulty_s=0.5))
--- a/tests/runtime/test_budgets.py
+++ b/tests/runtime/test_budgets.py
@@ -7,7 +7,7 @@
 
 
 class ScriptedHolder:
-    """The connections of a pool, of which the idle ones can be closed."""
+    """The connections of a pool, whose idle connections can be closed."""
 
     def __init__(self, connection_count: int, idle: int) -> None:
         self.connection_count = connection_count
@@ -65,7 +65,7 @@
     ids.end(b"a", 0.0)
     ids.begin(b"a")
     ids.end(b"a", 50.0)
-    ids.end(b"b", 120.0)  # the retention time of the first end of `a` has passed
+    ids.end(b"b", 120.0)  # the retention time since id `a` first ended has passed
     assert b"a" in ids
     ids.end(b"c", 150.0)
     assert b"a" not in ids
--- a/tests/service/test_discovered_pools.py
+++ b/tests/service/test_discovered_pools.py
@@ -29,7 +29,7 @@
                 fake_servers.config(discovered_pool(discovery), fake_servers.pool("o1"))
             )
             client.send_request()
-            # The pool received the list before the version became active.
+            # The pool received its endpoint list before the version became active.
             assert (await client.read_response()).body == b"b1"
             discovery.change(
                 fake_servers.servers["b1"].entry("b1", lifecycle="leaving"),
@@ -78,7 +78,7 @@
 
 
 def test_rollback_from_discovery_to_static_servers_uses_all_servers_again() -> None:
-    """The superseded pool stops using its servers near the end of its drain grace; a rollback undoes that."""
+    """The superseded pool stops using its servers late in its drain grace; a rollback undoes this change."""
 
     async def scenario() -> None:
         fake_servers = await FakeServers().start("a1", "b1", "o1")
