--- a/benchmarks/long_bodies_peers.py
+++ b/benchmarks/long_bodies_peers.py
@@ -22,7 +22,7 @@
 SPEED_WEIGHTS = {0.0: 4, 8.0: 2, 2.0: 2, 1.0: 1}
 LEAST_PAUSE_S = 0.005
 AFTER_RESPONSE_S = 30.0
-ANSWERED = "answered"
+RESPONDED = "answered"
 RECEIVE_BYTES = 65536
 
 
@@ -90,7 +90,7 @@
     """What came of an exchange.
 
     Attributes:
-        outcome: `ANSWERED`, the response's status or an error.
+        outcome: `RESPONDED`, the response's status or an error.
         passed_bytes: the body's, if it has passed to its end.
     """
 
@@ -135,7 +135,7 @@
             # A second response, or bytes behind it, would come now.
             writer.write_eof()
             surplus = await asyncio.wait_for(reader.read(), AFTER_RESPONSE_S)
-            outcome = ANSWERED if is_as_sent and not surplus else "wrong bytes"
+            outcome = RESPONDED if is_as_sent and not surplus else "wrong bytes"
             return ExchangeResult(outcome, self._size)
         except (ConnectionError, asyncio.IncompleteReadError, TimeoutError) as error:
             return ExchangeResult(type(error).__name__)
--- a/benchmarks/planning_scale.py
+++ b/benchmarks/planning_scale.py
@@ -209,18 +209,18 @@
             return
         started_s = time.process_time()
         report = cast(Report, decode(payload))
-        answer = encode(self._planners[planner].report(forwarder.name, report, self._clock.now_ms))
+        response = encode(self._planners[planner].report(forwarder.name, report, self._clock.now_ms))
         spent_s = time.process_time() - started_s
         if self._is_measured(planner):
             self._cpu_s += spent_s
             self._reports += 1
             self._up_bytes += len(payload)
-            self._down_bytes += len(answer)
+            self._down_bytes += len(response)
         if self._loses_message():
             self._disconnect(forwarder, planner)
             return
         self._clock.after(
-            self._plan.link_ms, partial(self._advice_arrives, forwarder, planner, session, answer)
+            self._plan.link_ms, partial(self._advice_arrives, forwarder, planner, session, response)
         )
 
     def _advice_arrives(self, forwarder: ModelForwarder, planner: str, session: int, payload: bytes) -> None:
--- a/sandhatch/balancing/actions.py
+++ b/sandhatch/balancing/actions.py
@@ -124,14 +124,14 @@
         call: The request's number, which its answer carries; 0 for a standing subscription.
         after: The version after which changes are requested; `NO_VERSION` requests the complete list.
         wait_ms: How long discovery may hold the request until there is a change.
-        patience_ms: After which the request is abandoned, and counts as failed.
+        response_timeout_ms: After which the request is abandoned, and counts as failed.
     """
 
     active: bool = field(default=True)
     call: int = 0
     after: int = NO_VERSION
     wait_ms: float = 0.0
-    patience_ms: float = 0.0
+    response_timeout_ms: float = 0.0
 
 
 # ---------------------------------------------------------------- reports
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -145,7 +145,7 @@
     SPREAD_SHARE = 0.9  # of the time until the list is due, over which requests are spread at most
     # Beyond a renewal's wait, for its answer to arrive: it doesn't queue, and an instance on a part of a core
     # may read late.
-    ANSWER_MARGIN_MS = 500.0
+    RESPONSE_MARGIN_MS = 500.0
     NEXT_REQUEST_MS = 25.0  # from an answer to the next request: far below what ends a watch, no busy loop
     SUSPICION_MS = 2_000.0  # about as long as a change of a server takes to arrive by the list
 
@@ -161,7 +161,7 @@
         self._pacing = _pacing(settings, self.notified_ms)
         self._longest_wait_ms = self.notified_ms / 3.0
         # Of a request that queues: one that is abandoned loses its turn, and so may take half of the bound.
-        self._patience_ms = self.notified_ms / 2.0 + self.ANSWER_MARGIN_MS
+        self._response_timeout_ms = self.notified_ms / 2.0 + self.RESPONSE_MARGIN_MS
 
         self.state = State.NOT_STARTED
         self._kind = RequestKind.OPEN_WATCH  # of the request that is scheduled or in flight
@@ -191,7 +191,7 @@
             return self._on_first_list(update, now_ms)
         if update.kind is ListKind.FAILED:
             return self._on_failure(update, now_ms)
-        return self._on_answer(update, now_ms)
+        return self._on_response(update, now_ms)
 
     def on_timer(self, cookie: int, now_ms: float) -> list[Action]:
         """Handle one of the timers in `COOKIES`."""
@@ -241,9 +241,9 @@
         self._reset_failures()
         return self._schedule(RequestKind.COMPLETE_LIST, self._spread_ms(now_ms), now_ms)
 
-    def _on_answer(self, update: ListUpdate, now_ms: float) -> list[Action]:
+    def _on_response(self, update: ListUpdate, now_ms: float) -> list[Action]:
         self._version = update.version
-        if self._has_one_shot_watches and not self._answers_request(update):
+        if self._has_one_shot_watches and not self._is_response_to_request(update):
             return []  # to an earlier request; the one in flight stays in flight
         self._due_ms = now_ms + self.notified_ms
         self._reset_failures()
@@ -257,7 +257,7 @@
     def _on_failure(self, update: ListUpdate, now_ms: float) -> list[Action]:
         if self.state is State.SCHEDULED:
             return []
-        if self._has_one_shot_watches and not self._answers_request(update):
+        if self._has_one_shot_watches and not self._is_response_to_request(update):
             return []
         if self.state is State.SUBSCRIBED:
             self._due_ms = now_ms + self.notified_ms  # the list was fresh until the subscription broke
@@ -280,7 +280,7 @@
         self._kind = RequestKind.OPEN_WATCH
         return self._send(now_ms)
 
-    def _answers_request(self, update: ListUpdate) -> bool:
+    def _is_response_to_request(self, update: ListUpdate) -> bool:
         """Whether a list event answers the request in flight."""
         return self.state is State.IN_FLIGHT and update.call == self._request_number
 
@@ -333,8 +333,8 @@
             return [WatchList(True)]
         self._request_number += 1
         if self._kind is not RequestKind.RENEW_WATCH:
-            return [WatchList(True, self._request_number, self._version, 0.0, self._patience_ms)]
+            return [WatchList(True, self._request_number, self._version, 0.0, self._response_timeout_ms)]
         # Drawn anew each time: watches that broke together are neither renewed nor found silent in step.
         wait_ms = self._longest_wait_ms * (0.5 + 0.5 * self._rng.random())
-        patience_ms = wait_ms + self.ANSWER_MARGIN_MS
-        return [WatchList(True, self._request_number, self._version, wait_ms, patience_ms)]
+        response_timeout_ms = wait_ms + self.RESPONSE_MARGIN_MS
+        return [WatchList(True, self._request_number, self._version, wait_ms, response_timeout_ms)]
--- a/sandhatch/balancing/guidance/bounds.py
+++ b/sandhatch/balancing/guidance/bounds.py
@@ -70,7 +70,7 @@
     if not warm_weights:
         return None
     highest = max(warm_weights)
-    kept = sum(weight >= LEAST_WEIGHT_SHARE * highest for weight in warm_weights)
-    if highest > 0.0 and kept < LEAST_SERVERS_SHARE * len(warm_weights):
-        return f"only {kept} of {len(warm_weights)} ready servers keep half of the most weight"
+    retained = sum(weight >= LEAST_WEIGHT_SHARE * highest for weight in warm_weights)
+    if highest > 0.0 and retained < LEAST_SERVERS_SHARE * len(warm_weights):
+        return f"only {retained} of {len(warm_weights)} ready servers keep half of the most weight"
     return None
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -34,7 +34,7 @@
 
     # Bounds of an instance's share of the tier's capacity, in even shares.
     LEAST_PART = 0.5
-    MOST_PART = 8.0
+    MAX_PART = 8.0
     OWN_SHARE_CHANGE_MS = 3_000.0  # over which that share moves to a new value
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -70,7 +70,7 @@
             warm,
             ramp_burst(self._settings),
             self.LEAST_PART * self._even_share,
-            min(1.0, self.MOST_PART * self._even_share),
+            min(1.0, self.MAX_PART * self._even_share),
         )
         if reason is not None:
             return GuidanceRejected(event.planner, reason)
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -72,7 +72,7 @@
             events.ProbeEnded: self._on_probe_ended,
             events.ListUpdate: self._on_list_update,
             events.ClientDisconnected: self._on_client_disconnected,
-            events.AnswerStarted: self._on_answer_started,
+            events.AnswerStarted: self._on_response_started,
             events.Unrepeatable: self._on_unrepeatable,
             events.PeerMessage: lambda _event: None,  # instances have nothing to say to each other
             events.Guidance: self._on_guidance,
@@ -234,10 +234,10 @@
         self.connections.record_outcome(attempt, event.spent_ms, mean_ms, request.request_class.objective_ms)
         self._update_connection(server, outcome)
         if outcome is Outcome.OK:
-            self.outliers.record_answer(server, request, event.spent_ms, self.now)
+            self.outliers.record_response(server, request, event.spent_ms, self.now)
             if not (self.probing.enabled and self.probing.servers_are_serial):
                 self.outliers.withhold_slow(server, self.now)  # no report shows which server is idle
-            self.latency.record_answer(class_index, request.relative_size, event.spent_ms)
+            self.latency.record_response(class_index, request.relative_size, event.spent_ms)
         elif not neutral:
             self.outliers.record_failure(server, class_index, outcome, self.now)
             if outcome in NEVER_RAN:
@@ -457,7 +457,7 @@
         if request is not None:
             self._forget(request)
 
-    def _on_answer_started(self, event: events.AnswerStarted) -> None:
+    def _on_response_started(self, event: events.AnswerStarted) -> None:
         request = self.requests.get(event.request)
         if request is not None:
             request.done = True
--- a/sandhatch/balancing/policy/latency_estimates.py
+++ b/sandhatch/balancing/policy/latency_estimates.py
@@ -17,17 +17,17 @@
         """Start with a guess from the objective, which counts as one answer."""
         self.mean_ms = [cls.objective_ms / 3.0 for cls in settings.classes]
         self.low_load_ms = list(self.mean_ms)  # the latency at low load
-        self.answers = [0 for _ in settings.classes]
+        self.responses = [0 for _ in settings.classes]
         self.hint_ms = [0.0 for _ in settings.classes]
         self.time_left = [MajorityValue() for _ in settings.classes]  # at arrival
         # Over all classes: for instances of few requests, the means by class are old.
-        self._answer_ms = 0.0
-        self._answer_hint_ms = 0.0
+        self._response_ms = 0.0
+        self._response_hint_ms = 0.0
 
     @property
     def slowdown(self) -> float:
         """How many times their hinted work the answers take; infinite without hints."""
-        return self._answer_ms / self._answer_hint_ms if self._answer_hint_ms else math.inf
+        return self._response_ms / self._response_hint_ms if self._response_hint_ms else math.inf
 
     def relative_size(self, class_index: int, hint_ms: float) -> float:
         """Record a cost hint; return it relative to the mean before."""
@@ -41,15 +41,15 @@
         self.low_load_ms[class_index] += MEMORY * excess_ms * (1.0 if excess_ms < 0.0 else LOW_LOAD_RISE)
         return self.low_load_ms[class_index]
 
-    def record_answer(self, class_index: int, relative_size: float, spent_ms: float) -> None:
+    def record_response(self, class_index: int, relative_size: float, spent_ms: float) -> None:
         """Learn from the answer of a request."""
-        self.answers[class_index] += 1
-        weight = max(MEMORY, 1.0 / (1.0 + self.answers[class_index]))
+        self.responses[class_index] += 1
+        weight = max(MEMORY, 1.0 / (1.0 + self.responses[class_index]))
         self.mean_ms[class_index] += weight * (spent_ms - self.mean_ms[class_index])
         hint_ms = self.hint_ms[class_index]
         if hint_ms:
-            self._answer_ms += MEMORY * (spent_ms - self._answer_ms)
-            self._answer_hint_ms += MEMORY * (relative_size * hint_ms - self._answer_hint_ms)
+            self._response_ms += MEMORY * (spent_ms - self._response_ms)
+            self._response_hint_ms += MEMORY * (relative_size * hint_ms - self._response_hint_ms)
 
 
 @dataclass
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -34,7 +34,7 @@
     failure_rate: float = 0.1
     kind_ratios: dict[int, float] = field(default_factory=dict)
 
-    def record_answer(self, server: Server, request: Request, spent_ms: float, now_ms: float) -> None:
+    def record_response(self, server: Server, request: Request, spent_ms: float, now_ms: float) -> None:
         """Learn from an answer's time, by the mean of its class and size; one far above it is a failure."""
         mean_ms = self.latency.mean_ms[request.class_index]
         if spent_ms > SLOW_FACTOR * mean_ms * max(1.0, request.relative_size):
--- a/sandhatch/balancing/settings.py
+++ b/sandhatch/balancing/settings.py
@@ -139,7 +139,7 @@
     drain_grace_ms: float = 0.0  # from the notification that a server drains to the last send to it
 
     # ---- answers
-    answer_slack_ms: float = 5.0  # so long after a client's deadline a final answer still counts
+    response_slack_ms: float = 5.0  # so long after a client's deadline a final answer still counts
 
     # ---- servers that are warming up
     initial_capacity_share: float = 0.1  # of its full capacity, that a server has when it starts
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -71,7 +71,7 @@
 def _inherit_latency(successor: Balancer, predecessor: Balancer) -> None:
     known = predecessor.latency
     successor.latency.mean_ms = list(known.mean_ms)
-    successor.latency.answers = list(known.answers)
+    successor.latency.responses = list(known.responses)
     successor.latency.hint_ms = list(known.hint_ms)
     successor.latency.time_left = [replace(value) for value in known.time_left]
     successor.latency.low_load_ms = list(known.low_load_ms)
--- a/sandhatch/cli/changes.py
+++ b/sandhatch/cli/changes.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from sandhatch.cli.console import Console
-from sandhatch.cli.service_call import Answer, call_service
+from sandhatch.cli.service_call import Response, call_service
 from sandhatch.cli.verbs import VerbParsers
 from sandhatch.config.check import check_text
 from sandhatch.config.document import read_bytes
@@ -123,27 +123,27 @@
 # ------------------------------------------------ answers
 
 
-def _show_proposal(answer: Answer, console: Console) -> None:
-    console.problems(answer["warnings"])
+def _show_proposal(response: Response, console: Console) -> None:
+    console.problems(response["warnings"])
     console.line(
-        f"proposal {answer['proposal']}: {answer['changes']} keys differ from version {answer['base']}"
+        f"proposal {response['proposal']}: {response['changes']} keys differ from version {response['base']}"
     )
 
 
-def _show_diff(answer: Answer, console: Console) -> None:
-    console.line("\n".join(answer["changes"]) or "no key differs")
+def _show_diff(response: Response, console: Console) -> None:
+    console.line("\n".join(response["changes"]) or "no key differs")
 
 
-def _show_abort(answer: Answer, console: Console) -> None:  # noqa: ARG001 - as every answer is shown
+def _show_abort(response: Response, console: Console) -> None:  # noqa: ARG001 - as every answer is shown
     console.line("forgotten")
 
 
-def show_version(answer: Answer, console: Console) -> None:
+def show_version(response: Response, console: Console) -> None:
     """Print a version's state, the reason for it, and the times that are left."""
-    console.line(f"version {answer['version']}: {answer['state']}")
-    if answer.get("why"):
-        console.problems([answer["why"]])
-    if "confirm_in_ms" in answer:
-        console.line(f"taken back unless confirmed in {answer['confirm_in_ms'] / MS_PER_S:.1f} s")
-    if "watch_ends_in_ms" in answer:
-        console.line(f"watched for {answer['watch_ends_in_ms'] / MS_PER_S:.1f} s")
+    console.line(f"version {response['version']}: {response['state']}")
+    if response.get("why"):
+        console.problems([response["why"]])
+    if "confirm_in_ms" in response:
+        console.line(f"taken back unless confirmed in {response['confirm_in_ms'] / MS_PER_S:.1f} s")
+    if "watch_ends_in_ms" in response:
+        console.line(f"watched for {response['watch_ends_in_ms'] / MS_PER_S:.1f} s")
--- a/sandhatch/cli/planner.py
+++ b/sandhatch/cli/planner.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from sandhatch.cli.console import Console, ExitCode, warn
-from sandhatch.cli.service_call import TIMEOUT_S, Answer, show_rejection
+from sandhatch.cli.service_call import TIMEOUT_S, Response, show_rejection
 from sandhatch.cli.verbs import Handler, VerbParsers, add_control_option, add_json_option
 from sandhatch.config.errors import CheckError
 from sandhatch.config.planner import PlannerConfig, check_planner_file
@@ -128,27 +128,27 @@
 def _status(args: argparse.Namespace, console: Console) -> int:
     with Client(args.control, TIMEOUT_S) as client:
         if args.explain is not None:
-            answer = client.call("explain", server=args.explain, pool=args.pool)
+            response = client.call("explain", server=args.explain, pool=args.pool)
         else:
-            answer = client.call("status")
+            response = client.call("status")
     if args.json:
-        console.json(answer)
-    elif not answer.get("ok"):
-        show_rejection(answer, console)
+        console.json(response)
+    elif not response.get("ok"):
+        show_rejection(response, console)
     elif args.explain is not None:
-        for server in answer["servers"]:
+        for server in response["servers"]:
             _show_explanation(server, console)
     else:
-        _show_status(answer, console)
-    return ExitCode.OK if answer.get("ok") else ExitCode.FAILED
+        _show_status(response, console)
+    return ExitCode.OK if response.get("ok") else ExitCode.FAILED
 
 
-def _show_status(answer: Answer, console: Console) -> None:
-    state = "learning: it grants nothing new yet" if answer["learning"] else "advising"
-    console.line(f"planner {answer['name']}, epoch {answer['epoch']}: {state}")
-    console.line(f"{answer['reports']} reports, {answer['turned_away']} sessions refused")
-    console.table(answer["pools"], POOL_COLUMNS)
-    console.table(answer["forwarders"], FORWARDER_COLUMNS)
+def _show_status(response: Response, console: Console) -> None:
+    state = "learning: it grants nothing new yet" if response["learning"] else "advising"
+    console.line(f"planner {response['name']}, epoch {response['epoch']}: {state}")
+    console.line(f"{response['reports']} reports, {response['turned_away']} sessions refused")
+    console.table(response["pools"], POOL_COLUMNS)
+    console.table(response["forwarders"], FORWARDER_COLUMNS)
 
 
 def _show_explanation(server: dict[str, Any], console: Console) -> None:
--- a/sandhatch/cli/service_call.py
+++ b/sandhatch/cli/service_call.py
@@ -18,9 +18,9 @@
 TIMEOUT_S = 60.0
 WAIT_TIMEOUT_S = 86_400.0  # of a call that waits until a change is confirmed or rolled back
 
-Answer = dict[str, Any]  # one JSON object of the control protocol
+Response = dict[str, Any]  # one JSON object of the control protocol
 MakeArguments = Callable[[argparse.Namespace], dict[str, Any]]
-Show = Callable[[Answer, Console], None]
+Show = Callable[[Response, Console], None]
 
 EXIT_CODES = {
     RejectionReason.CONFLICT.value: ExitCode.CONFLICT,
@@ -49,20 +49,20 @@
         return ExitCode.FAILED
     timeout_s = WAIT_TIMEOUT_S if getattr(args, "wait", False) else TIMEOUT_S
     with Client(args.control, timeout_s) as client:
-        answer = client.call(args.verb, **arguments)
+        response = client.call(args.verb, **arguments)
     if args.json:
-        console.json(answer)
-    elif answer.get("ok"):
-        show(answer, console)
+        console.json(response)
+    elif response.get("ok"):
+        show(response, console)
     else:
-        show_rejection(answer, console)
-        console.problems(answer.get("problems", []))
-    return _exit_code(args.verb, answer)
+        show_rejection(response, console)
+        console.problems(response.get("problems", []))
+    return _exit_code(args.verb, response)
 
 
-def show_rejection(answer: Answer, console: Console) -> None:
+def show_rejection(response: Response, console: Console) -> None:
     """Print why a call was rejected."""
-    console.error(f"{answer.get('why')}: {answer.get('text')}")
+    console.error(f"{response.get('why')}: {response.get('text')}")
 
 
 def _show_check_error(failure: CheckError, as_json: bool, console: Console) -> None:
@@ -72,8 +72,8 @@
         console.problems(failure.problems)
 
 
-def _exit_code(verb: str, answer: Answer) -> ExitCode:
-    if not answer.get("ok"):
-        return EXIT_CODES.get(str(answer.get("why")), ExitCode.FAILED)
-    failed = verb in VERBS_THAT_CHANGE and answer.get("state") in STATES_OF_FAILURE
+def _exit_code(verb: str, response: Response) -> ExitCode:
+    if not response.get("ok"):
+        return EXIT_CODES.get(str(response.get("why")), ExitCode.FAILED)
+    failed = verb in VERBS_THAT_CHANGE and response.get("state") in STATES_OF_FAILURE
     return ExitCode.FAILED if failed else ExitCode.OK
--- a/sandhatch/cli/service_program.py
+++ b/sandhatch/cli/service_program.py
@@ -10,7 +10,7 @@
 import signal
 
 from sandhatch.cli.console import Console, ExitCode
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import CheckError, HistoryError
 from sandhatch.config.history import History, Saved
 from sandhatch.control.calls import Calls
@@ -25,7 +25,7 @@
 from sandhatch.service.validation import check_data
 
 
-async def serve(args: argparse.Namespace, checked: Checked, console: Console) -> int:
+async def serve(args: argparse.Namespace, checked: CheckedConfiguration, console: Console) -> int:
     """Run the service until a signal ends the process; return the exit code.
 
     Args:
@@ -56,7 +56,7 @@
 
 
 def _service(
-    args: argparse.Namespace, checked: Checked, console: Console, loop: asyncio.AbstractEventLoop
+    args: argparse.Namespace, checked: CheckedConfiguration, console: Console, loop: asyncio.AbstractEventLoop
 ) -> Service:
     """Make the service with the version that the state directory holds, or with the file's."""
     history: History | None = None
--- a/sandhatch/cli/status.py
+++ b/sandhatch/cli/status.py
@@ -11,7 +11,7 @@
 
 from sandhatch.cli.changes import show_version
 from sandhatch.cli.console import Console
-from sandhatch.cli.service_call import Answer, call_service
+from sandhatch.cli.service_call import Response, call_service
 from sandhatch.cli.verbs import VerbParsers
 
 POOL_COLUMNS = ("pool", "content", "versions", "ready", "servers", "connections", "requests")
@@ -39,17 +39,19 @@
     return {"version": args.version}
 
 
-def _show_status(answer: Answer, console: Console) -> None:
-    console.line(f"{answer['name']}: version {answer['in_force']} in force, {answer['confirmed']} confirmed")
-    if answer["pending"]:
-        show_version(answer["pending"], console)
-    console.table([{"content": content} | row for content, row in answer["pools"].items()], POOL_COLUMNS)
-    console.table(answer["listeners"], LISTENER_COLUMNS)
-    _show_bodies(answer["bodies"], answer["memory"], console)
-    if answer["planning"]:
-        _show_planning(answer["planning"], console)
-    if answer["proposals"]:
-        console.table(answer["proposals"], PROPOSAL_COLUMNS)
+def _show_status(response: Response, console: Console) -> None:
+    console.line(
+        f"{response['name']}: version {response['in_force']} in force, {response['confirmed']} confirmed"
+    )
+    if response["pending"]:
+        show_version(response["pending"], console)
+    console.table([{"content": content} | row for content, row in response["pools"].items()], POOL_COLUMNS)
+    console.table(response["listeners"], LISTENER_COLUMNS)
+    _show_bodies(response["bodies"], response["memory"], console)
+    if response["planning"]:
+        _show_planning(response["planning"], console)
+    if response["proposals"]:
+        console.table(response["proposals"], PROPOSAL_COLUMNS)
 
 
 def _show_bodies(bodies: dict[str, Any], memory: dict[str, Any], console: Console) -> None:
@@ -72,9 +74,9 @@
     console.table(planning["planners"], PLANNER_COLUMNS)
 
 
-def _show_history(answer: Answer, console: Console) -> None:
-    console.table(answer["versions"], HISTORY_COLUMNS)
+def _show_history(response: Response, console: Console) -> None:
+    console.table(response["versions"], HISTORY_COLUMNS)
 
 
-def _show_text(answer: Answer, console: Console) -> None:
-    console.text(answer["text"])
+def _show_text(response: Response, console: Console) -> None:
+    console.text(response["text"])
--- a/sandhatch/config/actions.py
+++ b/sandhatch/config/actions.py
@@ -66,10 +66,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Say:
+class LogMessage:
     """Write one line to the log."""
 
     text: str
 
 
-Action = Stage | DiscardStaged | Save | Apply | Retire | Watch | EndWatch | Say
+Action = Stage | DiscardStaged | Save | Apply | Retire | Watch | EndWatch | LogMessage
--- a/sandhatch/config/check.py
+++ b/sandhatch/config/check.py
@@ -1,7 +1,8 @@
 """A document checked in full: all errors at once, each with file, line, key, value and what would be right.
 
-What passes is a `Checked`, which holds the model and the compiled route table; nothing else may be staged.
-The check does no I/O, except that `check_file` reads its file. Source: docs/operators/configuration.md.
+What passes is a `CheckedConfiguration`, which holds the model and the compiled route table; nothing else may
+be staged. The check does no I/O, except that `check_file` reads its file. Source:
+docs/operators/configuration.md.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from sandhatch.config.document import Document, parse, read
 from sandhatch.config.errors import CheckError, Problem
 from sandhatch.config.model import Configuration
-from sandhatch.config.problems import model_problems, shown, sorted_problems
+from sandhatch.config.problems import format_value, model_problems, sorted_problems
 from sandhatch.config.references import ReferenceCheck
 from sandhatch.config.route_compilation import compile_route, compile_target
 from sandhatch.routing.coverage import unreachable
@@ -22,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Checked:
+class CheckedConfiguration:
     """A configuration that may be staged.
 
     Attributes:
@@ -38,14 +39,16 @@
     warnings: tuple[Problem, ...]
 
 
-def check(document: Document) -> Checked:
+def check(document: Document) -> CheckedConfiguration:
     """Check a document.
 
     Raises:
         CheckError: It has errors; the exception holds all problems.
     """
     if not isinstance(document.data, dict):
-        raise CheckError([document.problem((), f"expected a mapping of keys, got {shown(document.data)}")])
+        raise CheckError(
+            [document.problem((), f"expected a mapping of keys, got {format_value(document.data)}")]
+        )
     try:
         model = Configuration.model_validate(document.data)
     except ValidationError as failure:
@@ -61,10 +64,10 @@
         )
         problems.append(document.problem(("routes", covered.index), text, warning=True))
     table = RouteTable(routes, compile_target(model.default, b"default"))
-    return Checked(document.data, model, table, tuple(sorted_problems(problems, document)))
+    return CheckedConfiguration(document.data, model, table, tuple(sorted_problems(problems, document)))
 
 
-def check_text(text: str | bytes, file: str = "configuration") -> Checked:
+def check_text(text: str | bytes, file: str = "configuration") -> CheckedConfiguration:
     """Check a configuration's text; CheckError also where it can't be parsed.
 
     Args:
@@ -74,6 +77,6 @@
     return check(parse(text, file))
 
 
-def check_file(path: str) -> Checked:
+def check_file(path: str) -> CheckedConfiguration:
     """Check a configuration file; CheckError also where it can't be read."""
     return check(read(path))
--- a/sandhatch/config/errors.py
+++ b/sandhatch/config/errors.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-MOST_PROBLEMS_IN_MESSAGE = 3
-MOST_KEYS_IN_MESSAGE = 5
+MAX_PROBLEMS_IN_MESSAGE = 3
+MAX_KEYS_IN_MESSAGE = 5
 
 
 @dataclass(slots=True, frozen=True)
@@ -44,7 +44,7 @@
 
     def __init__(self, problems: list[Problem]) -> None:
         """Take every problem that was found."""
-        super().__init__("; ".join(map(str, problems[:MOST_PROBLEMS_IN_MESSAGE])))
+        super().__init__("; ".join(map(str, problems[:MAX_PROBLEMS_IN_MESSAGE])))
         self.problems = problems
 
 
@@ -62,7 +62,7 @@
 
     def __init__(self, keys: list[str]) -> None:
         """Take the dotted paths of all keys in conflict."""
-        super().__init__(f"both changes touch {', '.join(keys[:MOST_KEYS_IN_MESSAGE])}")
+        super().__init__(f"both changes touch {', '.join(keys[:MAX_KEYS_IN_MESSAGE])}")
         self.keys = keys
 
 
--- a/sandhatch/config/goodput_watch.py
+++ b/sandhatch/config/goodput_watch.py
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fall:
+class GoodputDrop:
     """A fall of the goodput.
 
     Attributes:
@@ -142,7 +142,7 @@
         self._first_after = 0  # the number of the first complete block after the change
         self._most_looks = 1
         self._significance = 0.0
-        self._least_fall = 1.0
+        self._min_drop = 1.0
         self._only: set[str] | None = None
 
     def _block_number(self, time_ms: float) -> int:
@@ -189,7 +189,7 @@
         now_ms: float,
         window_ms: float,
         significance: float,
-        least_fall: float,
+        min_drop: float,
         only_pools: frozenset[str] | None = None,
     ) -> None:
         """Start to watch a change that is active from now on; the block of `now_ms` counts on neither side.
@@ -198,7 +198,7 @@
             now_ms: The time.
             window_ms: How long it is watched.
             significance: The probability of a false alarm over the whole watch.
-            least_fall: The least fall of goodput that is reported.
+            min_drop: The least fall of goodput that is reported.
             only_pools: The pools that it changes, where it changes nothing else.
         """
         self._only = None if only_pools is None else {f"pool {name}" for name in only_pools}
@@ -206,7 +206,7 @@
         self._first_after = self._block_number(now_ms) + 1
         self._most_looks = max(1, math.ceil(window_ms / self._block_ms))
         self._significance = significance
-        self._least_fall = least_fall
+        self._min_drop = min_drop
 
     def end(self) -> None:
         """End the watch of a confirmed change: the blocks since are those before the next change."""
@@ -219,7 +219,7 @@
         self._after = None
         self._open.clear()
 
-    def close(self, now_ms: float, patience_ms: float) -> Fall | None:
+    def close(self, now_ms: float, patience_ms: float) -> GoodputDrop | None:
         """Close the blocks that are over and look for a fall.
 
         A block is over when its time is and all its requests have ended, or `patience_ms` later: the longest
@@ -240,7 +240,7 @@
                 closed_after = True
         return self._look() if closed_after else None
 
-    def _look(self) -> Fall | None:
+    def _look(self) -> GoodputDrop | None:
         after = self._after or []
         if len(after) < LEAST_BLOCKS_AFTER or len(self._before) < LEAST_BLOCKS_BEFORE:
             return None
@@ -248,10 +248,10 @@
         if self._only is not None:
             names = [name for name in names if name in self._only]
         significance = self._significance / (self._most_looks * max(1, len(names)))
-        falls = (self._test(name, after, significance) for name in names)
-        return next((fall for fall in falls if fall is not None), None)
+        drops = (self._test(name, after, significance) for name in names)
+        return next((drop for drop in drops if drop is not None), None)
 
-    def _test(self, name: str, after: list[Block], significance: float) -> Fall | None:
+    def _test(self, name: str, after: list[Block], significance: float) -> GoodputDrop | None:
         """Return the fall of one class or pool, if it has fallen."""
         empty = Tally()
         tallies_before = [block.tallies.get(name, empty) for block in self._before]
@@ -262,7 +262,7 @@
             return None
         before = total_before.goodput
         now = total_after.goodput
-        if before - now < self._least_fall:
+        if before - now < self._min_drop:
             return None
         if _explained_by_load(total_before, total_after, len(tallies_before), len(tallies_after)):
             return None
@@ -271,11 +271,11 @@
         worst = worst_window(tallies_before, len(tallies_after))
         p = rank_test(_group_goodputs(tallies_before, span), _group_goodputs(tallies_after, span))
         # Lower than any stretch before: guards against a long burst, of which the blocks are one sample.
-        significant = p <= significance and now < worst - self._least_fall
+        significant = p <= significance and now < worst - self._min_drop
         collapsed = now < COLLAPSE * worst and len(tallies_after) >= 2 * length
         if not significant and not collapsed:
             return None
-        return Fall(
+        return GoodputDrop(
             name=name,
             before=before,
             after=now,
--- a/sandhatch/config/model.py
+++ b/sandhatch/config/model.py
@@ -13,7 +13,7 @@
 from sandhatch.config.class_model import RequestClassModel, TenantModel
 from sandhatch.config.planning_model import Planning
 from sandhatch.config.pool_model import Pool
-from sandhatch.config.route_model import FixedAnswer, RouteModel, TargetModel
+from sandhatch.config.route_model import FixedResponse, RouteModel, TargetModel
 from sandhatch.config.value_types import AddressText, Model, Name
 
 MAX_LISTENERS = 64
@@ -103,4 +103,4 @@
     tenants: Annotated[dict[Name, TenantModel], Field(max_length=MAX_TENANTS)] = Field(default_factory=dict)
     pools: Annotated[dict[Name, Pool], Field(max_length=MAX_POOLS)]
     routes: Annotated[list[RouteModel], Field(max_length=MAX_ROUTES)] = Field(default_factory=list)
-    default: TargetModel = TargetModel(answer=FixedAnswer(status=404))
+    default: TargetModel = TargetModel(answer=FixedResponse(status=404))
--- a/sandhatch/config/planner.py
+++ b/sandhatch/config/planner.py
@@ -12,7 +12,7 @@
 
 from sandhatch.config.document import Document, read
 from sandhatch.config.errors import CheckError
-from sandhatch.config.problems import model_problems, shown, sorted_problems
+from sandhatch.config.problems import format_value, model_problems, sorted_problems
 from sandhatch.config.value_types import AddressText, KeyText, Model, Name, require_exactly_one
 
 LEAST_LEASES_PER_LOAN = 1.25  # a part must be leased to the planner for longer than a grant out of it
@@ -71,7 +71,9 @@
 def check_planner(document: Document) -> PlannerConfig:
     """Check a document; CheckError holds every problem."""
     if not isinstance(document.data, dict):
-        raise CheckError([document.problem((), f"expected a mapping of keys, got {shown(document.data)}")])
+        raise CheckError(
+            [document.problem((), f"expected a mapping of keys, got {format_value(document.data)}")]
+        )
     try:
         return PlannerConfig.model_validate(document.data)
     except ValidationError as failure:
--- a/sandhatch/config/platform.py
+++ b/sandhatch/config/platform.py
@@ -24,7 +24,7 @@
 DEFAULT_MEMORY_MB = 64.0
 LEAST_MEMORY_MB = 16
 LEAST_SOCKETS = 32
-MOST_NUMBER = 1e9  # above any limit or time that makes sense
+MAX_NUMBER = 1e9  # above any limit or time that makes sense
 
 
 @dataclass(slots=True, frozen=True)
@@ -133,7 +133,7 @@
 def _drain_grace_ms(settings: dict[str, Any]) -> float:
     guarantees = _object(settings.get("Guarantees", {}), "settings.Guarantees")
     grace_ms = guarantees.get("DrainGraceMs", 0.0)
-    if isinstance(grace_ms, bool) or not isinstance(grace_ms, int | float) or not 0 <= grace_ms < MOST_NUMBER:
+    if isinstance(grace_ms, bool) or not isinstance(grace_ms, int | float) or not 0 <= grace_ms < MAX_NUMBER:
         raise ConfigError(f"settings.Guarantees.DrainGraceMs: {grace_ms!r} is not a time in milliseconds")
     return float(grace_ms)
 
@@ -170,7 +170,7 @@
     if (
         isinstance(configured, bool)
         or not isinstance(configured, int | float)
-        or not LEAST_MEMORY_MB <= configured < MOST_NUMBER
+        or not LEAST_MEMORY_MB <= configured < MAX_NUMBER
     ):
         raise ConfigError(f"limits.memory_mb: {configured!r} is not a number of at least {LEAST_MEMORY_MB}")
     return float(configured)
--- a/sandhatch/config/problems.py
+++ b/sandhatch/config/problems.py
@@ -15,8 +15,8 @@
 from sandhatch.config.document import Document, KeyPath
 from sandhatch.config.errors import Problem
 
-MOST_PROBLEMS = 200  # reported; the rest are counted
-MOST_VALUE_CHARACTERS = 60
+MAX_PROBLEMS = 200  # reported; the rest are counted
+MAX_VALUE_CHARACTERS = 60
 
 # What would be right, by pydantic's type of error. Names in braces are those of the error's context.
 EXPECTED = {
@@ -49,11 +49,11 @@
 
 
 def sorted_problems(problems: Iterable[Problem], document: Document) -> list[Problem]:
-    """Return the problems by line, MOST_PROBLEMS at most, and how many more there are."""
+    """Return the problems by line, MAX_PROBLEMS at most, and how many more there are."""
     in_order = sorted(problems, key=lambda problem: problem.line)
-    if len(in_order) > MOST_PROBLEMS:
-        more = document.problem((), f"{len(in_order) - MOST_PROBLEMS} more problems are not shown")
-        del in_order[MOST_PROBLEMS:]
+    if len(in_order) > MAX_PROBLEMS:
+        more = document.problem((), f"{len(in_order) - MAX_PROBLEMS} more problems are not shown")
+        del in_order[MAX_PROBLEMS:]
         in_order.append(more)
     return in_order
 
@@ -75,7 +75,7 @@
     return data
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """Return a value in short; only the kind of a mapping or a list."""
     if value is None:
         return "null"
@@ -84,9 +84,9 @@
     if isinstance(value, list):
         return "a list"
     text = repr(value)
-    if len(text) <= MOST_VALUE_CHARACTERS:
+    if len(text) <= MAX_VALUE_CHARACTERS:
         return text
-    return text[: MOST_VALUE_CHARACTERS - 3] + "..."
+    return text[: MAX_VALUE_CHARACTERS - 3] + "..."
 
 
 def _message(error: ErrorDetails, value: Any) -> str:
@@ -95,7 +95,7 @@
         case "missing":
             return "required key is missing"
         case "extra_forbidden":
-            return f"unknown key with {shown(value)} as its value"
+            return f"unknown key with {format_value(value)} as its value"
         case "too_short":
             return f"expected at least {context['min_length']} items, got {context['actual_length']}"
         case "too_long":
@@ -108,4 +108,4 @@
             expectation = f"expected {EXPECTED[kind].format(**context)}"
         case _:
             expectation = error["msg"].replace("Input should be", "expected")
-    return f"{expectation}, got {shown(value)}"
+    return f"{expectation}, got {format_value(value)}"
--- a/sandhatch/config/proposals.py
+++ b/sandhatch/config/proposals.py
@@ -9,11 +9,11 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import RejectedError, RejectionReason
 
-MOST_PROPOSALS = 256
-MOST_PROPOSED_BYTES = 64 * 1024 * 1024
+MAX_PROPOSALS = 256
+MAX_PROPOSED_BYTES = 64 * 1024 * 1024
 PROPOSAL_MS = 3_600_000.0  # a proposal not committed by then is dropped
 
 
@@ -35,7 +35,7 @@
 
     number: int
     base: int
-    checked: Checked
+    checked: CheckedConfiguration
     author: str
     comment: str
     merge: bool
@@ -61,7 +61,7 @@
         """
         self._expire(now_ms)
         count = len(self.by_number)
-        if count >= MOST_PROPOSALS or self._total_bytes + size_bytes > MOST_PROPOSED_BYTES:
+        if count >= MAX_PROPOSALS or self._total_bytes + size_bytes > MAX_PROPOSED_BYTES:
             raise RejectedError(RejectionReason.FULL, f"{count} proposals wait; abort some")
 
     @property
--- a/sandhatch/config/rank_statistics.py
+++ b/sandhatch/config/rank_statistics.py
@@ -9,9 +9,9 @@
 import math
 from collections.abc import Sequence
 
-MOST_EXACT_AFTER = 6  # samples after the change, up to which the test counts every choice
-MOST_EXACT_TOTAL = 150  # and of both sides together
-MOST_CORRELATED_PART = 10  # samples are taken as correlated over at most one tenth of them
+MAX_EXACT_AFTER = 6  # samples after the change, up to which the test counts every choice
+MAX_EXACT_TOTAL = 150  # and of both sides together
+MAX_CORRELATED_PART = 10  # samples are taken as correlated over at most one tenth of them
 
 
 def rank_test(before: Sequence[float], after: Sequence[float]) -> float:
@@ -26,7 +26,7 @@
         return 1.0
     ranks = doubled_midranks([*after, *before])
     observed = sum(ranks[:after_count])
-    if after_count <= MOST_EXACT_AFTER and after_count + before_count <= MOST_EXACT_TOTAL:
+    if after_count <= MAX_EXACT_AFTER and after_count + before_count <= MAX_EXACT_TOTAL:
         return exact_probability(ranks, after_count, observed)
     return normal_probability(ranks, after_count, before_count, observed)
 
@@ -86,7 +86,7 @@
     count = len(samples)
     mean = sum(samples) / count if count else 0.0
     variation = sum((sample - mean) ** 2 for sample in samples)
-    longest = max(1, count // MOST_CORRELATED_PART)
+    longest = max(1, count // MAX_CORRELATED_PART)
     if variation <= 0.0:
         return 1
     length = 1.0
--- a/sandhatch/config/rebase.py
+++ b/sandhatch/config/rebase.py
@@ -9,18 +9,18 @@
 from collections.abc import Callable
 from typing import Any
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.diff import merge
 from sandhatch.config.errors import CheckError, MergeError, RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.version import Version
 
-MOST_KEYS_IN_TEXT = 8
+MAX_KEYS_IN_TEXT = 8
 
-CheckFunction = Callable[[dict[str, Any]], Checked]
+CheckFunction = Callable[[dict[str, Any]], CheckedConfiguration]
 
 
-def rebase(proposal: Proposal, base: Version, active: Version, check: CheckFunction) -> Checked:
+def rebase(proposal: Proposal, base: Version, active: Version, check: CheckFunction) -> CheckedConfiguration:
     """Return the configuration that the proposal would activate now.
 
     Args:
@@ -52,7 +52,7 @@
 
 def conflict(proposal: Proposal, other: Version, keys: list[str]) -> RejectedError:
     """Return the error for a proposal that conflicts with another version in these keys, if in any."""
-    shown = ", ".join(keys[:MOST_KEYS_IN_TEXT])
+    shown = ", ".join(keys[:MAX_KEYS_IN_TEXT])
     advice = f"both touch {shown}" if keys else "it can be merged"
     text = f"made from version {proposal.base}, but version {other.number} is {other.state.value}; {advice}"
     return RejectedError(RejectionReason.CONFLICT, text, keys)
--- a/sandhatch/config/references.py
+++ b/sandhatch/config/references.py
@@ -14,7 +14,7 @@
 from sandhatch.config.pool_model import Pool, Server
 from sandhatch.config.route_model import Match, TargetModel
 
-MOST_NAMES_SHOWN = 8
+MAX_NAMES_SHOWN = 8
 
 
 class ReferenceCheck:
@@ -49,7 +49,7 @@
 
     def _check_name(self, path: KeyPath, name: str, kind: str, existing: Collection[str]) -> None:
         if name not in existing:
-            names = ", ".join(sorted(existing)[:MOST_NAMES_SHOWN]) or "none"
+            names = ", ".join(sorted(existing)[:MAX_NAMES_SHOWN]) or "none"
             self._error(path, f"expected the name of a {kind} (there are: {names}), got {name!r}")
 
     # -------------------------------------------- routes
--- a/sandhatch/config/route_model.py
+++ b/sandhatch/config/route_model.py
@@ -107,7 +107,7 @@
         return self
 
 
-class FixedAnswer(Model):
+class FixedResponse(Model):
     """A response that is given without a server."""
 
     status: Annotated[int, Field(ge=200, le=599)]
@@ -122,7 +122,7 @@
 
     pool: Name | None = None
     weighted: Weighted | None = None
-    answer: FixedAnswer | None = None
+    answer: FixedResponse | None = None
 
     @model_validator(mode="after")
     def _check_one_key(self) -> Self:
--- a/sandhatch/config/transactions.py
+++ b/sandhatch/config/transactions.py
@@ -16,7 +16,7 @@
 
 from collections import OrderedDict
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.diff import diff, overlap
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.proposals import Proposal, ProposalStore
@@ -55,7 +55,7 @@
         self,
         now_ms: float,
         base: int,
-        checked: Checked,
+        checked: CheckedConfiguration,
         author: str = "",
         comment: str = "",
         merged: bool = False,
@@ -98,7 +98,7 @@
             raise RejectedError(RejectionReason.UNKNOWN, f"there is no version {number} to start from")
         return version
 
-    def _rebase(self, proposal: Proposal) -> Checked:
+    def _rebase(self, proposal: Proposal) -> CheckedConfiguration:
         """Return what the proposal would activate now: itself, or merged with what came since its base."""
         return rebase(proposal, self._base(proposal.base), self.active, self._check)
 
--- a/sandhatch/config/value_types.py
+++ b/sandhatch/config/value_types.py
@@ -13,9 +13,9 @@
 
 from sandhatch.runtime.address import read_address
 
-MOST_PATTERN_CHARACTERS = 1024
-MOST_PATTERN_MEMORY_BYTES = 1 << 20
-MOST_PATH_CHARACTERS = 4096
+MAX_PATTERN_CHARACTERS = 1024
+MAX_PATTERN_MEMORY_BYTES = 1 << 20
+MAX_PATH_CHARACTERS = 4096
 
 
 class Model(BaseModel):
@@ -43,7 +43,7 @@
     # RE2's dialect: its matching takes linear time, so no pattern can occupy the one core.
     options = re2.Options()
     options.log_errors = False
-    options.max_mem = MOST_PATTERN_MEMORY_BYTES
+    options.max_mem = MAX_PATTERN_MEMORY_BYTES
     try:
         re2.compile(text, options)
     except re2.error as problem:
@@ -66,8 +66,6 @@
 Milliseconds = Annotated[float, Field(gt=0, le=3_600_000)]
 HeaderName = Annotated[str, StringConstraints(pattern=r"^[A-Za-z0-9!#$%&'*+.^_`|~-]{1,128}$")]
 AddressText = Annotated[str, AfterValidator(_check_address)]
-Pattern = Annotated[
-    str, StringConstraints(max_length=MOST_PATTERN_CHARACTERS), AfterValidator(_check_pattern)
-]
+Pattern = Annotated[str, StringConstraints(max_length=MAX_PATTERN_CHARACTERS), AfterValidator(_check_pattern)]
 KeyText = Annotated[str, StringConstraints(pattern=r"^[0-9a-fA-F]{64}$")]  # 32 bytes
-PathText = Annotated[str, StringConstraints(max_length=MOST_PATH_CHARACTERS), AfterValidator(_check_path)]
+PathText = Annotated[str, StringConstraints(max_length=MAX_PATH_CHARACTERS), AfterValidator(_check_path)]
--- a/sandhatch/config/version.py
+++ b/sandhatch/config/version.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 
 
 class State(Enum):
@@ -37,7 +37,7 @@
     State.ROLLED_BACK: frozenset(),
     State.LOST: frozenset(),
 }
-OVER = frozenset(state for state, targets in TRANSITIONS.items() if not targets)
+TERMINAL_STATES = frozenset(state for state, targets in TRANSITIONS.items() if not targets)
 NOT_APPLIED = frozenset((State.STAGING, State.SAVING))
 RUNNING = frozenset((State.ACTIVE, State.CONFIRMING))
 
@@ -64,7 +64,7 @@
 
     number: int
     base: int
-    checked: Checked
+    checked: CheckedConfiguration
     state: State
     author: str = ""
     comment: str = ""
--- a/sandhatch/config/version_lifecycle.py
+++ b/sandhatch/config/version_lifecycle.py
@@ -11,8 +11,8 @@
     SAVING      save_failed, failed, roll_back_pending, stop    FAILED       DiscardStaged
     ACTIVE      confirm; tick at the end of the watch; at once  CONFIRMING   EndWatch if it was watched; Save
                 if it needs neither a watch nor a confirmation
-    ACTIVE      goodput_fell, roll_back_pending; tick if it is  ROLLED_BACK  EndWatch if it was watched;
-                not confirmed in time                                        Apply of the confirmed version,
+    ACTIVE      goodput_dropped, roll_back_pending; tick if it  ROLLED_BACK  EndWatch if it was watched;
+                is not confirmed in time                                     Apply of the confirmed version,
                                                                              Retire, Save
     CONFIRMING  saved                                           CONFIRMED    Retire of the one before
     CONFIRMING  save_failed, roll_back_pending                  ROLLED_BACK  Apply of the confirmed version,
@@ -35,12 +35,22 @@
 
 from collections import OrderedDict
 
-from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
+from sandhatch.config.actions import (
+    Action,
+    Apply,
+    DiscardStaged,
+    EndWatch,
+    LogMessage,
+    Retire,
+    Save,
+    Stage,
+    Watch,
+)
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.history_record import HistoryRow, Record
 from sandhatch.config.version import NOT_APPLIED, RUNNING, State, Version
 
-MOST_RECORDS = 100  # versions that the history shows and that may be a base
+MAX_RECORDS = 100  # versions that the history shows and that may be a base
 
 
 class VersionLifecycle:
@@ -118,10 +128,10 @@
         self._actions.append(Stage(version))
 
     def _forget_oldest(self) -> None:
-        """Forget the oldest versions beyond MOST_RECORDS, except those still needed."""
+        """Forget the oldest versions beyond MAX_RECORDS, except those still needed."""
         needed = {self.active.number, self.confirmed.number}
         for number in list(self.versions):
-            if len(self.versions) <= MOST_RECORDS:
+            if len(self.versions) <= MAX_RECORDS:
                 break
             if number not in needed and self.versions[number] is not self.pending:
                 del self.versions[number]
@@ -139,7 +149,10 @@
         if version is self.pending and version.state in NOT_APPLIED:
             version.transition(State.FAILED, why)
             self.pending = None
-            self._actions += [DiscardStaged(version), Say(f"version {version.number} not applied: {why}")]
+            self._actions += [
+                DiscardStaged(version),
+                LogMessage(f"version {version.number} not applied: {why}"),
+            ]
 
     def _save(self, version: Version | None) -> None:
         self._last_save += 1
@@ -168,7 +181,7 @@
     def _activate(self, now_ms: float, version: Version) -> None:
         version.transition(State.ACTIVE)
         self.active = version
-        self._actions += [Apply(version), Say(f"version {version.number} is in force")]
+        self._actions += [Apply(version), LogMessage(f"version {version.number} is in force")]
         if version.confirm_within_ms is not None:
             version.confirm_by_ms = version.confirm_within_ms + now_ms
         if version.watch_window_ms is not None:
@@ -230,12 +243,12 @@
         predecessor = self.confirmed
         self.confirmed = version
         self.pending = None
-        self._actions += [Retire(predecessor), Say(f"version {version.number} is confirmed")]
+        self._actions += [Retire(predecessor), LogMessage(f"version {version.number} is confirmed")]
         self._forget_oldest()
 
     # -------------------------------------------- rolling back
 
-    def goodput_fell(self, version: Version, why: str) -> None:
+    def goodput_dropped(self, version: Version, why: str) -> None:
         """Report that the watch has seen the goodput fall."""
         if version is self.pending and version.state is State.ACTIVE:
             self._roll_back(version, why)
@@ -260,7 +273,9 @@
         self._actions += [
             Apply(self.confirmed, back=True),
             Retire(version),
-            Say(f"version {version.number} taken back: {why}; version {self.confirmed.number} is in force"),
+            LogMessage(
+                f"version {version.number} taken back: {why}; version {self.confirmed.number} is in force"
+            ),
         ]
         self._save(None)
 
--- a/sandhatch/control/client.py
+++ b/sandhatch/control/client.py
@@ -60,6 +60,6 @@
             data = self._socket.recv(READ_BYTES)
             if not data:
                 raise UnreachableError(f"{self._path}: closed without an answer")
-            answers = lines.feed(data)
-            if answers:
-                return answers[0]
+            responses = lines.feed(data)
+            if responses:
+                return responses[0]
--- a/sandhatch/control/proposal_calls.py
+++ b/sandhatch/control/proposal_calls.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import Any
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.diff import diff
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.control.call import Call
@@ -69,6 +69,6 @@
         return {}
 
 
-async def _check_text(text: str) -> Checked:
+async def _check_text(text: str) -> CheckedConfiguration:
     """Check on a thread: requests don't wait for a long text to be checked."""
     return await asyncio.to_thread(checked_text, text.encode())
--- a/sandhatch/control/server.py
+++ b/sandhatch/control/server.py
@@ -86,7 +86,7 @@
             if uid not in (0, os.geteuid()):
                 self._logger.line(f"control: user {uid} was rejected")
             elif len(self._peers) > MAX_PEERS:
-                await self._answer(
+                await self._respond(
                     writer, fault(FaultReason.BUSY, f"{MAX_PEERS} peers are connected already")
                 )
             else:
@@ -107,9 +107,9 @@
                 if calls is None:
                     return
                 for call in calls:
-                    await self._answer(writer, await self._run(call, author))
+                    await self._respond(writer, await self._run(call, author))
         except CallError as problem:
-            await self._answer(writer, fault(FaultReason.INVALID, str(problem)))
+            await self._respond(writer, fault(FaultReason.INVALID, str(problem)))
         finally:
             self._buffered_bytes -= lines.buffered_bytes
 
@@ -149,8 +149,8 @@
             self._logger.line(f"control: {call.get('op')!r:.40}: {type(problem).__name__}: {problem}")
             return fault(FaultReason.INTERNAL, f"{type(problem).__name__}: {problem}")
 
-    async def _answer(self, writer: asyncio.StreamWriter, answer: dict[str, Any]) -> None:
-        writer.write(encode(answer))
+    async def _respond(self, writer: asyncio.StreamWriter, response: dict[str, Any]) -> None:
+        writer.write(encode(response))
         async with asyncio.timeout(self._call_timeout_s):
             await writer.drain()
 
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -81,7 +81,7 @@
         self._publish = publish
         self._log = log
         self._version = NO_VERSION
-        self._accepted_answers = 0
+        self._accepted_responses = 0
         self._connection: DiscoveryConnection | None = None  # of the watch
         self._watch: asyncio.Task[None] | None = None
         self._fetch: asyncio.Task[None] | None = None
@@ -156,7 +156,7 @@
 
     async def _run_watch(self, order: WatchList) -> None:
         """Make one call of the watch, and publish how it ended."""
-        accepted_before = self._accepted_answers
+        accepted_before = self._accepted_responses
         try:
             listing = await self._call_watch(order)
             if listing.kind is ListKind.DELTA and listing.version < order.after:
@@ -164,16 +164,16 @@
                 raise DiscoveryError(f"changes since {order.after} came with version {listing.version}")
         except (DiscoveryError, OSError) as problem:
             self._close_connection()
-            self._publish_failure(problem, order.call, order.patience_ms / 1000.0)
+            self._publish_failure(problem, order.call, order.response_timeout_ms / 1000.0)
         else:
-            self._publish_answer(listing, accepted_before, order.call)
+            self._publish_response(listing, accepted_before, order.call)
 
     async def _call_watch(self, order: WatchList) -> Listing:
         needs_complete = order.after == NO_VERSION
         target = LIST_TARGET
         if not needs_complete:
             target += b"?after=%d&wait_ms=%d" % (order.after, order.wait_ms)
-        async with asyncio.timeout(order.patience_ms / 1000.0):
+        async with asyncio.timeout(order.response_timeout_ms / 1000.0):
             if self._connection is None or not self._connection.open:
                 self._connection = DiscoveryConnection()
                 await self._connect(self._connection)
@@ -192,13 +192,13 @@
     async def _run_fetch(self) -> None:
         """Fetch the complete list on a connection of its own, and publish how that ended."""
         connection = DiscoveryConnection()
-        accepted_before = self._accepted_answers
+        accepted_before = self._accepted_responses
         try:
             async with asyncio.timeout(self.FETCH_S):
                 await self._connect(connection)
                 listing = self._parse(await connection.get(LIST_TARGET, self._host_header))
             _check_complete(listing)
-            self._publish_answer(listing, accepted_before, 0)
+            self._publish_response(listing, accepted_before, 0)
         except (DiscoveryError, OSError) as problem:
             self._publish_failure(problem, 0, self.FETCH_S)
         finally:
@@ -210,16 +210,16 @@
         async with asyncio.timeout(self.CONNECT_S):
             await asyncio.get_running_loop().create_connection(lambda: connection, *self._address)
 
-    def _parse(self, answer: Message) -> Listing:
-        if answer.status != 200:
-            raise DiscoveryError(f"answered {answer.status}")
+    def _parse(self, response: Message) -> Listing:
+        if response.status != 200:
+            raise DiscoveryError(f"answered {response.status}")
         try:
-            data = json.loads(answer.body)
+            data = json.loads(response.body)
         except (ValueError, RecursionError) as problem:
             raise DiscoveryError(f"not JSON: {problem}") from None
         return parse_listing(data, self._names)
 
-    def _publish_answer(self, listing: Listing, accepted_before: int, call: int) -> None:
+    def _publish_response(self, listing: Listing, accepted_before: int, call: int) -> None:
         """Publish an answer, unless something newer was accepted after its call began.
 
         An older version with nothing accepted in between means that discovery counts anew.
@@ -229,10 +229,10 @@
             accepted_before: the number of answers accepted when its call began.
             call: the number of its call.
         """
-        if accepted_before != self._accepted_answers and listing.version < self._version:
+        if accepted_before != self._accepted_responses and listing.version < self._version:
             listing = Listing(ListKind.DELTA, self._version, (), ())  # the call has ended, nothing changes
         else:
-            self._accepted_answers += 1
+            self._accepted_responses += 1
         self._version = listing.version
         self._publish(replace(listing, call=call))
 
--- a/sandhatch/discovery/connection.py
+++ b/sandhatch/discovery/connection.py
@@ -27,7 +27,7 @@
         """Create the protocol of a connection that is not up yet."""
         self._reader = ResponseParser(MAX_LIST_BYTES)
         self._transport: asyncio.Transport | None = None
-        self._pending_answer: asyncio.Future[Message] | None = None
+        self._pending_response: asyncio.Future[Message] | None = None
         self.open = False
         self._closed = False
 
@@ -41,14 +41,14 @@
 
     def data_received(self, data: bytes) -> None:
         """Complete the pending call, and close the connection if it can carry no other."""
-        answers = [event for event in self._reader.feed(data) if isinstance(event, Message)]
+        responses = [event for event in self._reader.feed(data) if isinstance(event, Message)]
         has_rest = self._reader.fault is not None or self._reader.has_partial_message
-        pending_answer = self._pending_answer
-        if answers and pending_answer is not None and not pending_answer.done():
-            pending_answer.set_result(answers[0])
-            if has_rest or len(answers) > 1 or not answers[0].keep_alive:
+        pending_response = self._pending_response
+        if responses and pending_response is not None and not pending_response.done():
+            pending_response.set_result(responses[0])
+            if has_rest or len(responses) > 1 or not responses[0].keep_alive:
                 self.close()
-        elif answers or self._reader.fault is not None:
+        elif responses or self._reader.fault is not None:
             self.close()
 
     def eof_received(self) -> None:
@@ -65,8 +65,8 @@
         self._closed = True
         if self._transport is not None and not self._transport.is_closing():
             self._transport.abort()
-        if self._pending_answer is not None and not self._pending_answer.done():
-            self._pending_answer.set_exception(DiscoveryError("the connection ended"))
+        if self._pending_response is not None and not self._pending_response.done():
+            self._pending_response.set_exception(DiscoveryError("the connection ended"))
 
     async def get(self, target: bytes, host: bytes) -> Message:
         """Make a call and wait for its answer.
@@ -84,6 +84,6 @@
         assert self._transport is not None
         if not self.open:  # guards against waiting on a connection that was reset as soon as it was up
             raise DiscoveryError("the connection ended")
-        self._pending_answer = asyncio.get_running_loop().create_future()
+        self._pending_response = asyncio.get_running_loop().create_future()
         self._transport.write(encode_request(b"GET", target, ((b"Host", host),), b""))
-        return await self._pending_answer
+        return await self._pending_response
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -70,19 +70,19 @@
             return Outcome.DISCARDED
         return None
 
-    def on_answer_started(self, attempt: Attempt, answer: Message, reserved_bytes: int) -> Flow | None:
+    def on_response_started(self, attempt: Attempt, response: Message, reserved_bytes: int) -> Flow | None:
         """Start to stream the answer to the client."""
-        return self.runner.bodies.start_answer(
-            self.exchange, self.attempt_number, attempt, answer, reserved_bytes
+        return self.runner.bodies.start_response(
+            self.exchange, self.attempt_number, attempt, response, reserved_bytes
         )
 
-    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+    def on_ended(self, outcome: Outcome, response: Message | None) -> None:
         """Answer the client if this is the answer, and notify the balancer."""
         attempt = self.exchange.attempts[self.attempt_number]
         # Not the start: the time a client took to send a long body says nothing of the server.
         sent_ms = self.started_ms if attempt is None else attempt.sent_ms
         self.runner.end_attempt(
-            self.exchange, self.attempt_number, self.server.number, outcome, sent_ms, answer
+            self.exchange, self.attempt_number, self.server.number, outcome, sent_ms, response
         )
 
 
@@ -110,18 +110,18 @@
         """Return DISCARDED if the server has drained for too long."""
         return Outcome.DISCARDED if self.runner.connection_pool.grace_expired(self.server) else None
 
-    def on_answer_started(
+    def on_response_started(
         self,
         attempt: Attempt,  # noqa: ARG002 - part of the protocol
-        answer: Message,  # noqa: ARG002 - part of the protocol
+        response: Message,  # noqa: ARG002 - part of the protocol
         reserved_bytes: int,  # noqa: ARG002 - part of the protocol
     ) -> Flow | None:
         """Return None: a probe's answer is never streamed."""
         return None
 
-    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+    def on_ended(self, outcome: Outcome, response: Message | None) -> None:
         """Notify the balancer, with the load report that came."""
-        self.runner.end_probe(self.server.number, outcome, self.started_ms, answer)
+        self.runner.end_probe(self.server.number, outcome, self.started_ms, response)
 
 
 class AttemptRunner:
@@ -196,7 +196,7 @@
         flow = exchange.message.flow
         # A streamed body goes to one server at a time, and to another only while all of it is kept.
         body_unavailable = flow is not None and (not flow.repeatable or exchange.pending_attempts > 1)
-        is_over = exchange.closed or exchange.answer_flow is not None or timeout_ms <= 0.0
+        is_over = exchange.closed or exchange.response_flow is not None or timeout_ms <= 0.0
         if server is None or is_over or body_unavailable or attempt_number >= self._max_attempts:
             self.end_attempt(exchange, attempt_number, action.server, Outcome.DISCARDED, now_ms, None)
             return
@@ -212,7 +212,7 @@
         server_number: int,
         outcome: Outcome,
         sent_ms: float,
-        answer: Message | None,
+        response: Message | None,
     ) -> None:
         """Act on the end of an attempt.
 
@@ -222,17 +222,17 @@
             server_number: the number of its server.
             outcome: its outcome.
             sent_ms: since when its answer was awaited, in Unix milliseconds.
-            answer: its answer, if one arrived.
+            response: its answer, if one arrived.
         """
-        if exchange.answer_flow is not None:
-            if attempt_number == exchange.answering_attempt and not exchange.answer_flow.ended:
-                self.bodies.abort_answer(exchange, TruncatedBy.SERVER)
-        elif outcome is Outcome.OK and answer is not None and not exchange.closed:
+        if exchange.response_flow is not None:
+            if attempt_number == exchange.responding_attempt and not exchange.response_flow.ended:
+                self.bodies.abort_response(exchange, TruncatedBy.SERVER)
+        elif outcome is Outcome.OK and response is not None and not exchange.closed:
             self._exchanges.close(exchange, 200)
-            exchange.client.answer(200, answer.forwarded_headers(LOAD_HEADER), answer.body)
+            exchange.client.respond(200, response.forwarded_headers(LOAD_HEADER), response.body)
         exchange.pending_attempts -= 1
-        report = report_of(answer, self._report_names, from_body=False) if self._inline_reports else ()
-        final = exchange.closed or exchange.answer_flow is not None
+        report = report_of(response, self._report_names, from_body=False) if self._inline_reports else ()
+        final = exchange.closed or exchange.response_flow is not None
         spent_ms = self.clock.now_ms() - sent_ms
         self._deliver(
             AttemptEnded(exchange.number, attempt_number, server_number, outcome, final, spent_ms, report)
@@ -255,8 +255,8 @@
         self.connection_pool.start(attempt, self._probe_timeout_ms)
 
     def end_probe(
-        self, server_number: int, outcome: Outcome, started_ms: float, answer: Message | None
+        self, server_number: int, outcome: Outcome, started_ms: float, response: Message | None
     ) -> None:
         """Notify the balancer of the end of a probe, with the load report in its answer."""
-        report = report_of(answer, self._report_names, from_body=True)
+        report = report_of(response, self._report_names, from_body=True)
         self._deliver(ProbeEnded(server_number, outcome, self.clock.now_ms() - started_ms, report))
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -117,9 +117,9 @@
         return len(self._exchanges)
 
     @property
-    def unanswered(self) -> int:
+    def pending_requests(self) -> int:
         """The number of requests that wait for their answer."""
-        return self._exchanges.unanswered
+        return self._exchanges.pending_requests
 
     # ------------------------------------------------ clients
 
@@ -179,17 +179,17 @@
     def _on_deadline(self, exchange: Exchange) -> None:
         """End the attempts of a request whose time is over, then answer what the balancer has not."""
         if any(not flow.sent for flow in exchange.open_flows):
-            if exchange.answer_flow is not None:
-                self._bodies.abort_answer(exchange, TruncatedBy.TIME)
+            if exchange.response_flow is not None:
+                self._bodies.abort_response(exchange, TruncatedBy.TIME)
             else:  # the time went on the body's transfer, in which either side may have been slow
                 exchange.truncated_by = TruncatedBy.TIME
-                self._exchanges.answer(exchange, 504)
+                self._exchanges.respond(exchange, 504)
             exchange.end_attempts(Outcome.CANCELLED)
             return
         for attempt in exchange.attempts:
             if attempt is not None:
                 attempt.time_out()
-        self._exchanges.answer(exchange, 504)
+        self._exchanges.respond(exchange, 504)
 
     # ------------------------------------------------ endpoint lists
 
@@ -273,7 +273,7 @@
         frames = traceback.format_exc(limit=-3).strip().replace("\n", " | ")
         self.logger.line(f"request {trace}: {type(event).__name__}: {problem!r}: {frames}")
         if exchange is not None:
-            self._exchanges.answer(exchange, 500)
+            self._exchanges.respond(exchange, 500)
 
     # ------------------------------------------------ actions of the balancer
 
@@ -287,9 +287,9 @@
             case Cancel(request, attempt_number):
                 self._cancel(request, attempt_number)
             case Reject(request, wait_ms):
-                self._answer(request, 503, _retry_after(wait_ms))
+                self._respond(request, 503, _retry_after(wait_ms))
             case Fail(request):
-                self._answer(request, 502)
+                self._respond(request, 502)
             case _:
                 self._act_on_pool(action)
 
@@ -320,10 +320,10 @@
         if attempt is not None:
             attempt.end(Outcome.CANCELLED)
 
-    def _answer(self, number: int, status: int, headers: Headers | None = None) -> None:
+    def _respond(self, number: int, status: int, headers: Headers | None = None) -> None:
         exchange = self._exchanges.get(number)
         if exchange is not None:
-            self._exchanges.answer(exchange, status, headers)
+            self._exchanges.respond(exchange, status, headers)
 
 
 def _retry_after(wait_ms: float) -> Headers:
--- a/sandhatch/dispatch/endpoint_updates.py
+++ b/sandhatch/dispatch/endpoint_updates.py
@@ -35,7 +35,7 @@
         self._connection_pool = connection_pool
         self._entries: dict[int, ServerEntry] = {}  # by server
         self._notified_after_ms = notified_after_ms(settings) if settings.one_shot_watches else math.inf
-        self._kept_servers: frozenset[int] | None = None  # that may be sent to; None stands for all
+        self._retained_servers: frozenset[int] | None = None  # that may be sent to; None stands for all
 
     @property
     def has_ready_server(self) -> bool:
@@ -52,8 +52,8 @@
         Returns:
             The listing as the balancer is to see it.
         """
-        if self._kept_servers is not None:
-            listing = self._drain_withdrawn(listing, self._kept_servers)
+        if self._retained_servers is not None:
+            listing = self._drain_withdrawn(listing, self._retained_servers)
         # A grace period runs from when its notice counted as received: before it came, if the list is old.
         notified_ms = min(now_ms, self.current_since_ms + self._notified_after_ms)
         if self.current_since_ms == math.inf or listing.kind in (ListKind.FULL, ListKind.DELTA):
@@ -82,20 +82,20 @@
         addresses = tuple(table[entry.server].address for entry in entries)
         return Listing(ListKind.FULL, 0, entries, addresses)
 
-    def withdraw(self, kept_servers: frozenset[int], notified_ms: float) -> list[ServerEntry]:
+    def withdraw(self, retained_servers: frozenset[int], notified_ms: float) -> list[ServerEntry]:
         """Drain all servers but some, now and in what the source publishes, until `restore`.
 
         Args:
-            kept_servers: the servers that may still be sent to.
+            retained_servers: the servers that may still be sent to.
             notified_ms: when the notice of it counted as received, in Unix milliseconds.
 
         Returns:
             The entries that have changed.
         """
-        self._kept_servers = kept_servers
+        self._retained_servers = retained_servers
         drained = []
         for server in list(self._connection_pool.table.values()):
-            if server.state is ServerState.READY and server.number not in kept_servers:
+            if server.state is ServerState.READY and server.number not in retained_servers:
                 self._connection_pool.update(
                     server.number, server.address, ServerState.DRAINING, server.started_ms, notified_ms
                 )
@@ -104,16 +104,16 @@
 
     def restore(self) -> bool:
         """End what `withdraw` began; return whether any servers were withdrawn."""
-        withdrawn = self._kept_servers is not None
-        self._kept_servers = None
+        withdrawn = self._retained_servers is not None
+        self._retained_servers = None
         return withdrawn
 
     @staticmethod
-    def _drain_withdrawn(listing: Listing, kept_servers: frozenset[int]) -> Listing:
+    def _drain_withdrawn(listing: Listing, retained_servers: frozenset[int]) -> Listing:
         """Return the listing with the ready servers that are not kept as draining."""
         entries = tuple(
             entry
-            if entry.server in kept_servers or entry.state is not ServerState.READY
+            if entry.server in retained_servers or entry.state is not ServerState.READY
             else replace(entry, state=ServerState.DRAINING)
             for entry in listing.entries
         )
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -47,10 +47,10 @@
         pending_attempts: attempts whose end the balancer has not been notified of.
         closed: whether it has been answered, or its client has left.
         status: the status of its answer; 0 if the client left before.
-        answered_ms: when it was closed, in Unix milliseconds.
+        responded_ms: when it was closed, in Unix milliseconds.
         deadline_timer: fires at the deadline.
-        answer_flow: the body of its answer, once that is streamed.
-        answering_attempt: the number of the attempt that the streamed answer comes from, or `NO_ATTEMPT`.
+        response_flow: the body of its answer, once that is streamed.
+        responding_attempt: the number of the attempt that the streamed answer comes from, or `NO_ATTEMPT`.
         truncated_by: why its body or its answer was truncated.
     """
 
@@ -65,10 +65,10 @@
     pending_attempts: int = 0
     closed: bool = False
     status: int = 0
-    answered_ms: float = 0.0
+    responded_ms: float = 0.0
     deadline_timer: Timer | None = None
-    answer_flow: Flow | None = None
-    answering_attempt: int = NO_ATTEMPT
+    response_flow: Flow | None = None
+    responding_attempt: int = NO_ATTEMPT
     truncated_by: TruncatedBy = TruncatedBy.NOTHING
 
     @property
@@ -79,7 +79,7 @@
     @property
     def open_flows(self) -> list[Flow]:
         """The flows of the answer and of the request, as far as they are open."""
-        flows = (self.answer_flow, self.message.flow)
+        flows = (self.response_flow, self.message.flow)
         return [flow for flow in flows if flow is not None and not flow.closed]
 
     def close_flows(self) -> None:
@@ -128,7 +128,7 @@
         self._in_flight_ids = in_flight_ids
 
     @property
-    def unanswered(self) -> int:
+    def pending_requests(self) -> int:
         """The number of requests that wait for their answer."""
         return sum(not exchange.closed for exchange in self.values())
 
@@ -141,20 +141,20 @@
         """Close an exchange: its client is sent nothing more, but for an answer of this status."""
         exchange.closed = True
         exchange.status = status
-        exchange.answered_ms = self._clock.now_ms()
+        exchange.responded_ms = self._clock.now_ms()
         if exchange.deadline_timer is not None:
             exchange.deadline_timer.cancel()
-        if exchange.answer_flow is not None or exchange.message.flow is not None:
+        if exchange.response_flow is not None or exchange.message.flow is not None:
             exchange.close_flows()
 
-    def answer(
+    def respond(
         self, exchange: Exchange, status: int, headers: Headers | None = None, body: bytes = b""
     ) -> None:
         """Send the final answer; a second one is dropped."""
         if exchange.closed:
             return
         self.close(exchange, status)
-        exchange.client.answer(status, headers or [], body)
+        exchange.client.respond(status, headers or [], body)
         self.remove_if_done(exchange)
 
     def remove_if_done(self, exchange: Exchange) -> None:
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -27,14 +27,14 @@
 class DownstreamClient(Sink, Protocol):
     """Where an answer goes.
 
-    The answer is either complete (`answer`), or its head comes first (`begin_answer`) and the client is the
-    sink of a flow until `end_answer` or `abort_answer`.
+    The answer is either complete (`respond`), or its head comes first (`begin_response`) and the client is
+    the sink of a flow until `end_response` or `abort_response`.
     """
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete answer."""
 
-    def begin_answer(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None:
+    def begin_response(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None:
         """Send the head of an answer whose body is streamed.
 
         Args:
@@ -44,10 +44,10 @@
             flow: brings the body, and is notified when written bytes have drained.
         """
 
-    def end_answer(self) -> None:
+    def end_response(self) -> None:
         """End the streamed answer, all of which has been sent."""
 
-    def abort_answer(self) -> None:
+    def abort_response(self) -> None:
         """Abort the streamed answer, so that the client can tell that it is truncated."""
 
     def has_disconnected(self) -> bool:
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -33,7 +33,7 @@
         self._bodies.on_request_sent(self._exchange)
 
 
-class _AnswerObserver:
+class _ResponseObserver:
     """Observes the flow of an answer's body."""
 
     def __init__(self, bodies: StreamedBodies, exchange: Exchange) -> None:
@@ -45,7 +45,7 @@
 
     def on_sent(self) -> None:
         """Note that all of the answer has been sent."""
-        self._bodies.on_answer_sent(self._exchange)
+        self._bodies.on_response_sent(self._exchange)
 
 
 class StreamedBodies:
@@ -94,12 +94,17 @@
         """Await the answer, now that all of the request has been sent."""
         for attempt in exchange.attempts:
             if attempt is not None:
-                self._connection_pool.start_answer_timeout(attempt)
+                self._connection_pool.start_response_timeout(attempt)
 
     # ------------------------------------------------ answers
 
-    def start_answer(
-        self, exchange: Exchange, attempt_number: int, attempt: Attempt, answer: Message, reserved_bytes: int
+    def start_response(
+        self,
+        exchange: Exchange,
+        attempt_number: int,
+        attempt: Attempt,
+        response: Message,
+        reserved_bytes: int,
     ) -> Flow | None:
         """Start to stream an answer: from here on it is the client's, and nothing is retried.
 
@@ -107,28 +112,30 @@
             exchange: the exchange.
             attempt_number: the number of the attempt that it comes from.
             attempt: that attempt.
-            answer: the head of the answer.
+            response: the head of the answer.
             reserved_bytes: bytes reserved for its body in the memory budget.
 
         Returns:
             The flow that takes the body, and with it the reservation; None if nobody wants the body.
         """
         terms = exchange.message.terms
-        if exchange.closed or answer.status != 200 or terms is None or exchange.answer_flow is not None:
+        if exchange.closed or response.status != 200 or terms is None or exchange.response_flow is not None:
             return None
         now_ms = self._clock.now_ms()
         self._restart_timers(exchange, attempt, terms, now_ms)
         assert attempt.connection is not None  # it brings the answer
-        flow = Flow(terms.answer, self._shared, attempt.connection, reserved_bytes, leases_to_answer=False)
-        flow.observe(_AnswerObserver(self, exchange))
-        exchange.answer_flow = flow
-        exchange.answering_attempt = attempt_number
-        exchange.status = answer.status
+        flow = Flow(
+            terms.response, self._shared, attempt.connection, reserved_bytes, leases_to_response=False
+        )
+        flow.observe(_ResponseObserver(self, exchange))
+        exchange.response_flow = flow
+        exchange.responding_attempt = attempt_number
+        exchange.status = response.status
         self._check_progress_of(exchange)
         spent_ms = now_ms - attempt.sent_ms
         self._deliver(AnswerStarted(exchange.number, attempt_number, attempt.server.number, spent_ms))
-        headers = answer.forwarded_headers(LOAD_HEADER)
-        exchange.client.begin_answer(answer.status, headers, answer.length, flow)
+        headers = response.forwarded_headers(LOAD_HEADER)
+        exchange.client.begin_response(response.status, headers, response.length, flow)
         if not flow.closed:
             flow.attach(exchange.client)
         return flow
@@ -145,21 +152,21 @@
         time_left_ms = exchange.deadline_ms - now_ms if request_streamed else terms.total_ms
         exchange.deadline_timer = self._clock.call_after(time_left_ms, lambda: self._on_deadline(exchange))
 
-    def on_answer_sent(self, exchange: Exchange) -> None:
+    def on_response_sent(self, exchange: Exchange) -> None:
         """Close an exchange whose streamed answer has been sent completely."""
         if exchange.closed:
             return
         self._exchanges.close(exchange, exchange.status)
-        exchange.client.end_answer()
+        exchange.client.end_response()
         self._exchanges.remove_if_done(exchange)
 
-    def abort_answer(self, exchange: Exchange, reason: TruncatedBy) -> None:
+    def abort_response(self, exchange: Exchange, reason: TruncatedBy) -> None:
         """Abort the streamed answer of an exchange before its end."""
         if exchange.closed:
             return
         exchange.truncated_by = reason
         self._exchanges.close(exchange, exchange.status)
-        exchange.client.abort_answer()
+        exchange.client.abort_response()
 
     # ------------------------------------------------ progress
 
@@ -186,18 +193,18 @@
 
     def _on_too_slow(self, exchange: Exchange, flow: Flow, side: Side, why: str) -> None:
         """End an exchange on behalf of the side that is too slow."""
-        is_answer = flow is exchange.answer_flow
-        server_is_slow = is_answer is (side is Side.SOURCE)
+        is_response = flow is exchange.response_flow
+        server_is_slow = is_response is (side is Side.SOURCE)
         slow_party = "server" if server_is_slow else "client"
-        body = "answer" if is_answer else "request"
+        body = "answer" if is_response else "request"
         # This line is documented in docs/operators/bodies.md.
         self._logger.line(f"request {exchange.trace_text}: {slow_party} slow at its {body}: {why}")
         if server_is_slow:
             exchange.end_attempts(Outcome.TIMEOUT)  # and the balancer learns which server it was
             return
-        answer_started = exchange.answer_flow is not None
-        self._disconnect(exchange.number, exchange.status if answer_started else 408)
-        if answer_started:
-            exchange.client.abort_answer()
+        response_started = exchange.response_flow is not None
+        self._disconnect(exchange.number, exchange.status if response_started else 408)
+        if response_started:
+            exchange.client.abort_response()
         else:
-            exchange.client.answer(408, [], b"the request did not come fast enough\n")
+            exchange.client.respond(408, [], b"the request did not come fast enough\n")
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -5,7 +5,7 @@
 PROTOCOL-sandhatch.md.
 
 It stands on three layers, each with one job: `ClientTransport` (the socket), `RequestReceiver` (bodies,
-buffered or streamed) and `AnswerSender`. This one queues requests that the client sends ahead (pipelining),
+buffered or streamed) and `ResponseSender`. This one queues requests that the client sends ahead (pipelining),
 a few at most, begins each after the answer to the one before, and enforces the limits of its states.
 """
 
@@ -16,9 +16,9 @@
 from collections import deque
 from typing import cast
 
-from sandhatch.downstream.answer_sender import AnswerSender, error_body
 from sandhatch.downstream.connection_state import ConnectionState
 from sandhatch.downstream.interfaces import ConnectionOwner
+from sandhatch.downstream.response_sender import ResponseSender, error_body
 from sandhatch.downstream.socket_poll import has_pending_event
 from sandhatch.http1.errors import Fault, FramingError
 from sandhatch.http1.message import Message
@@ -36,7 +36,7 @@
     """The client has disconnected before the handler has said whom to notify."""
 
 
-class ClientConnection(AnswerSender, asyncio.BufferedProtocol):
+class ClientConnection(ResponseSender, asyncio.BufferedProtocol):
     """One client connection; see the head of the module."""
 
     MAX_QUEUED_REQUESTS = 4
@@ -85,7 +85,7 @@
             self.since_ms = self._shared.clock.now_ms()  # of its first byte: later ones don't renew it
         if self._body_terms is not None or self._progress is not None:
             self._track_body(nbytes)
-        if not self._update_booking():
+        if not self._update_usage():
             self._reject_for_memory()
         if self.queue_full and self._transport is not None:
             self._transport.pause_reading()  # bounds a client that sends and never reads
@@ -111,12 +111,12 @@
         self._stop_buffering()  # first: what is released below must not be granted to this connection
         self._on_disconnect()
         self._close_request_flow()
-        self._answer_flow = None
+        self._response_flow = None
         self._socket_writer = None
         self._reader.close()
         self._current = None
         self._request_bytes = 0
-        self._update_booking()
+        self._update_usage()
         self._listener.on_connection_closed(self)
 
     # ------------------------------------------------ state and time limits
@@ -147,7 +147,7 @@
         if self.ending:
             return ConnectionState.CLOSING
         if self._write_paused:
-            return ConnectionState.ANSWER_UNREAD
+            return ConnectionState.RESPONSE_UNREAD
         if self._current is not None or self._waiting:
             return ConnectionState.SERVING
         if self._memory_waiter is not None:
@@ -173,7 +173,7 @@
         match state:
             case ConnectionState.CLOSING:
                 return self.LINGER_MS
-            case ConnectionState.ANSWER_UNREAD:
+            case ConnectionState.RESPONSE_UNREAD:
                 return self.REQUEST_MS
             case ConnectionState.WAITING_FOR_MEMORY:
                 assert self._body_terms is not None  # what the memory is for
@@ -189,19 +189,19 @@
     def _expire(self, state: ConnectionState) -> None:
         """End a state that has lasted longer than its limit."""
         match state:
-            case ConnectionState.CLOSING | ConnectionState.ANSWER_UNREAD:
+            case ConnectionState.CLOSING | ConnectionState.RESPONSE_UNREAD:
                 self.abort()
             case ConnectionState.WAITING_FOR_MEMORY:
-                self._answer_fault(OUT_OF_MEMORY)
+                self._respond_to_fault(OUT_OF_MEMORY)
             case ConnectionState.READING:
-                self._answer_fault(Fault(408, "the request did not come whole in time"))
+                self._respond_to_fault(Fault(408, "the request did not come whole in time"))
             case ConnectionState.FRESH | ConnectionState.IDLE:
                 self.close_if_quiet()  # one with a request unread stays: the event loop will read it
 
     def _check_progress(self, now_ms: float) -> None:
         reason = self._progress.violation(now_ms) if self._progress is not None else None
         if reason is not None:
-            self._answer_fault(Fault(408, f"the request did not come fast enough: {reason}"))
+            self._respond_to_fault(Fault(408, f"the request did not come fast enough: {reason}"))
 
     def is_quiet(self) -> bool:
         """Whether it is idle and nothing waits unread in the system."""
@@ -221,7 +221,7 @@
                 elif self._waiting:
                     self._begin(self._waiting.popleft())
                 elif self._reader.fault is not None:
-                    self._answer_fault(self._reader.fault)
+                    self._respond_to_fault(self._reader.fault)
                 elif self._reserved_bytes and self._reader.openable:
                     self._begin_streamed_request()
                 else:
@@ -244,7 +244,7 @@
         try:
             path = message.target.partition(b"?")[0]
             if path == b"/ready":
-                self.answer(200 if self._listener.ready else 503, [], b"")
+                self.respond(200 if self._listener.ready else 503, [], b"")
                 return
             self._notify_disconnect = _ignore_disconnect
             notify_disconnect = self._listener.request_handler.begin(self, message)
@@ -252,7 +252,7 @@
                 self._notify_disconnect = notify_disconnect
         except FramingError as error:
             message.keep_alive = False  # no further request is wanted from a client that sends such ones
-            self.answer(error.status, [], error_body(str(error)))
+            self.respond(error.status, [], error_body(str(error)))
 
     def _terms_of(self, message: Message) -> StreamTerms | None:
         return self._listener.request_handler.terms(self, message)
@@ -270,7 +270,7 @@
         self.fresh = False
         message.flow = flow
         self._request_bytes += message.size
-        self._update_booking()
+        self._update_usage()
         flow.push(buffered)
         self._begin(message)
 
@@ -286,20 +286,20 @@
         self.since_ms = self._shared.clock.now_ms()
         return message
 
-    def _answer_fault(self, fault: Fault) -> None:
+    def _respond_to_fault(self, fault: Fault) -> None:
         """Answer to a request that can't be completed; the connection's last answer."""
         self._current = Message()
         self._current.keep_alive = False
         self.fresh = False
         headers = RETRY_AFTER_1_S if fault.status in RETRY_AFTER_STATUSES else []
-        self.answer(fault.status, headers, error_body(fault.text))
+        self.respond(fault.status, headers, error_body(fault.text))
 
     def _reject_for_memory(self) -> None:
         """Reject what was not begun: the memory limit is reached. The client may retry it elsewhere."""
         self._discard_queued()
         self._reader.fail(OUT_OF_MEMORY)
         self._stop_buffering()
-        self._update_booking()
+        self._update_usage()
 
     def _discard_queued(self) -> None:
         self._request_bytes -= sum(message.size for message in self._waiting)
@@ -318,14 +318,14 @@
             self._notify_disconnect = None
             notify_disconnect()
 
-    def _update_booking(self) -> bool:
+    def _update_usage(self) -> bool:
         """Book what it holds of the memory budget now; whether the budget allows that much."""
         buffered_bytes = max(self._reader.buffered_bytes, self._reserved_bytes) + self._request_bytes
-        if self._transport is not None and self._answer_flow is None:  # else the flow books it
+        if self._transport is not None and self._response_flow is None:  # else the flow books it
             buffered_bytes += self._transport.get_write_buffer_size()
-        booked_before = self._booked_bytes
-        self._booked_bytes = buffered_bytes
-        return self._shared.memory_budget.book(booked_before, buffered_bytes)
+        accounted_before = self._accounted_bytes
+        self._accounted_bytes = buffered_bytes
+        return self._shared.memory_budget.update_usage(accounted_before, buffered_bytes)
 
     # ------------------------------------------------ closing
 
@@ -359,7 +359,7 @@
         self._discard_queued()
         self._close_request_flow()
         self._reader.close()
-        self._update_booking()
+        self._update_usage()
         self.since_ms = self._shared.clock.now_ms()
         self._listener.state_changed(self)
         self._shut_down_sending()
--- a/sandhatch/downstream/connection_state.py
+++ b/sandhatch/downstream/connection_state.py
@@ -17,7 +17,7 @@
     ================== ================================================= =====================================
     CLOSING            its last answer was written; what still comes is  aborted after `LINGER_MS`
                        read and discarded (lingering close)
-    ANSWER_UNREAD      an answer that the client does not read           aborted after `REQUEST_MS`
+    RESPONSE_UNREAD    an answer that the client does not read           aborted after `REQUEST_MS`
     SERVING            a request that is in flight, or queued            aborted if the client disconnected
     WAITING_FOR_MEMORY the head of a long body                           503 after the terms' `memory_wait_ms`
     RECEIVING_BODY     the first part of a body                          408 by its writer's progress limits
@@ -31,7 +31,7 @@
     """
 
     CLOSING = "closing"
-    ANSWER_UNREAD = "answer unread"
+    RESPONSE_UNREAD = "answer unread"
     SERVING = "serving"
     WAITING_FOR_MEMORY = "waiting for memory"
     RECEIVING_BODY = "receiving body"
--- a/sandhatch/downstream/interfaces.py
+++ b/sandhatch/downstream/interfaces.py
@@ -47,7 +47,8 @@
     def begin(self, client: ClientConnection, message: Message) -> DisconnectCallback | None:
         """Take a request, either complete or with the flow that brings its body.
 
-        Exactly one answer follows, now or later: through `client.answer`, or from `client.begin_answer` on.
+        Exactly one answer follows, now or later: through `client.respond`, or from `client.begin_response`
+        on.
 
         Returns:
             What to call if the client disconnects before it is answered; None if it is answered already.
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -44,7 +44,7 @@
         super().__init__(listener)
         self._shared = listener.shared
         self.since_ms = listener.shared.clock.now_ms()  # from when the time of its state counts
-        self._booked_bytes = 0  # of the memory budget, as last booked
+        self._accounted_bytes = 0  # of the memory budget, as last booked
         self._reader = RequestParser(max_messages=max_queued)
         self._reader.on_head = self._on_head
         self._continue_sent = False  # for the request that is being received
@@ -92,7 +92,7 @@
             self._progress.start_waiting(self._shared.clock.now_ms())
             return
         message.terms = terms
-        self._reader.stream(limits.hold_bytes, limits.most_bytes)
+        self._reader.stream(limits.hold_bytes, limits.max_bytes)
         self._body_terms = terms
 
     def _track_body(self, received_bytes: int) -> None:
@@ -133,7 +133,7 @@
 
     def _start_buffering(self, terms: StreamTerms) -> None:
         self._reserved_bytes = self._needed_bytes(terms)
-        self._booked_bytes += self._reserved_bytes
+        self._accounted_bytes += self._reserved_bytes
         self._progress = ProgressMonitor(terms.request.writer)
         self._progress.start_waiting(self._shared.clock.now_ms())
 
@@ -166,7 +166,7 @@
         terms = self._body_terms
         assert terms is not None
         flow = Flow(terms.request, self._shared, self, self._reserved_bytes)
-        self._booked_bytes -= self._reserved_bytes  # the flow's from here on
+        self._accounted_bytes -= self._reserved_bytes  # the flow's from here on
         self._stop_buffering()
         self._request_flow = flow
         return flow
--- a/sandhatch/http1/body_endpoint.py
+++ b/sandhatch/http1/body_endpoint.py
@@ -33,7 +33,7 @@
         if self._memory_waiter is not None:
             waiter = self._memory_waiter
             self._memory_waiter = None
-            waiter.leave()
+            waiter.cancel()
         self._reserved_bytes = 0
 
     # ------------------------------------------------ as a source
--- a/sandhatch/http1/limits.py
+++ b/sandhatch/http1/limits.py
@@ -11,7 +11,7 @@
 MAX_REQUEST_BODY_BYTES = 64 * 1024
 # The protocol says 64 KiB, but servers were seen to give good answers of 200 to 380 KiB; what all
 # connections hold together is bounded by the memory budget.
-MAX_ANSWER_BODY_BYTES = 1024 * 1024
+MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 # Beside a buffered body: rejects chunks, trailers or interim answers without end.
 MAX_FRAMING_BYTES = 1024 * 1024
 # Beside a streamed body, beyond its own size: rejects chunks of a byte each, and extensions without end.
--- a/sandhatch/http1/parser.py
+++ b/sandhatch/http1/parser.py
@@ -10,7 +10,7 @@
 import httptools
 
 from sandhatch.http1.errors import FramingError
-from sandhatch.http1.limits import MAX_ANSWER_BODY_BYTES, MAX_REQUEST_BODY_BYTES
+from sandhatch.http1.limits import MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BODY_BYTES
 from sandhatch.http1.message_parser import MessageParser
 
 
@@ -63,11 +63,11 @@
 
     _parser: httptools.HttpResponseParser | None
     # Interim ones are not counted. Of the others the first is used; any behind it costs the connection.
-    MAX_ANSWERS_IN_READ = 64
+    MAX_RESPONSES_IN_READ = 64
 
-    def __init__(self, max_body_bytes: int = MAX_ANSWER_BODY_BYTES) -> None:
+    def __init__(self, max_body_bytes: int = MAX_RESPONSE_BODY_BYTES) -> None:
         """Make a parser of a connection to a server; see `MessageParser`."""
-        super().__init__(max_body_bytes, self.MAX_ANSWERS_IN_READ)
+        super().__init__(max_body_bytes, self.MAX_RESPONSES_IN_READ)
 
     def _make_parser(self) -> httptools.HttpResponseParser:
         return httptools.HttpResponseParser(self)
--- a/sandhatch/planning/planner_peer.py
+++ b/sandhatch/planning/planner_peer.py
@@ -16,7 +16,7 @@
 from sandhatch.planning.pool_reporter import PoolReporter
 from sandhatch.planning.terms import ForwarderTerms
 
-MAX_UNANSWERED_REPORTS = 64  # that an answer may still name
+MAX_UNACKNOWLEDGED_REPORTS = 64  # that an answer may still name
 CREDIT_S = 4.0  # of the report rate, that may be saved up; the first reports carry the whole endpoint list
 
 
@@ -57,7 +57,7 @@
         valid_until_ms: When the last advice applied expires.
         healthy_since_ms: Since when its advice has come without a gap; infinite if it is not healthy.
         learning: Whether it said that it does not know enough.
-        unanswered: Reports sent in this session.
+        unacknowledged_reports: Reports sent in this session.
         reporters: The session's reporters, by pool.
         reported_ms: When it was reported to last.
         credit_bytes: Report bytes that may be sent now.
@@ -85,7 +85,7 @@
     valid_until_ms: float = -math.inf
     healthy_since_ms: float = math.inf
     learning: bool = True
-    unanswered: deque[SentReport] = field(default_factory=deque)
+    unacknowledged_reports: deque[SentReport] = field(default_factory=deque)
     reporters: dict[str, PoolReporter] = field(default_factory=dict)
     reported_ms: float = -math.inf
     credit_bytes: float = 0.0
@@ -109,7 +109,7 @@
         self.epoch = epoch
         self.serial = 0
         self.version = 0
-        self.unanswered.clear()
+        self.unacknowledged_reports.clear()
         self.reporters = reporters
         self.credit_bytes = CREDIT_S * bytes_per_s
         self.reported_ms = now_ms
@@ -136,17 +136,17 @@
         self.reports += 1
         max_credit_bytes = CREDIT_S * bytes_per_s
         self.credit_bytes = min(max_credit_bytes, self.credit_bytes + span_ms * bytes_per_s / 1000.0)
-        self.unanswered.append(SentReport(self.serial, now_ms))
-        while len(self.unanswered) > MAX_UNANSWERED_REPORTS:
-            self.unanswered.popleft()
+        self.unacknowledged_reports.append(SentReport(self.serial, now_ms))
+        while len(self.unacknowledged_reports) > MAX_UNACKNOWLEDGED_REPORTS:
+            self.unacknowledged_reports.popleft()
         return self.serial
 
     def report_sent_ms(self, serial: int) -> float | None:
         """When a report was sent; None if it is not known. Earlier ones can be answered no longer."""
-        while self.unanswered and self.unanswered[0].serial < serial:
-            self.unanswered.popleft()
-        if self.unanswered and self.unanswered[0].serial == serial:
-            return self.unanswered[0].sent_ms
+        while self.unacknowledged_reports and self.unacknowledged_reports[0].serial < serial:
+            self.unacknowledged_reports.popleft()
+        if self.unacknowledged_reports and self.unacknowledged_reports[0].serial == serial:
+            return self.unacknowledged_reports[0].sent_ms
         return None
 
     # ------------------------------------------------ advice
--- a/sandhatch/planning/pool_plan.py
+++ b/sandhatch/planning/pool_plan.py
@@ -233,4 +233,4 @@
         floor = self._terms.own_share_floor
         divisible = lessor_count * even * (1.0 - floor)
         own = floor * even + divisible * self._demands.get(forwarder, 0.0) / self._total_demand
-        return min(own, GuidanceState.MOST_PART * even, 1.0)
+        return min(own, GuidanceState.MAX_PART * even, 1.0)
--- a/sandhatch/planning/quantile_sketch.py
+++ b/sandhatch/planning/quantile_sketch.py
@@ -59,8 +59,8 @@
 
     def decay(self, keep: float) -> None:
         """Keep a fraction of all counts; buckets that become almost empty are dropped."""
-        kept = ((bucket, count * keep) for bucket, count in self.counts.items())
-        self.counts = {bucket: count for bucket, count in kept if count > MIN_COUNT}
+        retained = ((bucket, count * keep) for bucket, count in self.counts.items())
+        self.counts = {bucket: count for bucket, count in retained if count > MIN_COUNT}
         self.total = sum(self.counts.values())
 
     def quantile(self, fraction: float) -> float:
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -67,7 +67,7 @@
                 self._server.authenticated(self)
             case Report():
                 self.last_report_ms = now_ms
-                self._answer(event, now_ms)
+                self._respond(event, now_ms)
             case Bye():
                 self._close_transport()
             case Hello():
@@ -75,7 +75,7 @@
             case _:
                 raise SessionError(f"a {type(event).__name__} from a forwarder")
 
-    def _answer(self, report: Report, now_ms: float) -> None:
+    def _respond(self, report: Report, now_ms: float) -> None:
         """Send the advice that a report leads to."""
         try:
             advice = self._server.planner.report(self.name, report, now_ms)
--- a/sandhatch/platform/program.py
+++ b/sandhatch/platform/program.py
@@ -88,7 +88,7 @@
         await drain(
             self.shared.clock,
             [self.listener],
-            lambda: self.dispatcher.unanswered,
+            lambda: self.dispatcher.pending_requests,
             self._longest_deadline_ms,
         )
         self.dispatcher.source.stop()
--- a/sandhatch/platform/request_handler.py
+++ b/sandhatch/platform/request_handler.py
@@ -52,10 +52,10 @@
             FramingError: The request is rejected; the error has the status.
         """
         if message.target.partition(b"?")[0] != API_PATH:
-            client.answer(404, [], b"")
+            client.respond(404, [], b"")
             return None
         if message.method not in METHODS:
-            client.answer(405, ALLOW, b"")
+            client.respond(405, ALLOW, b"")
             return None
         parsed = self._requests.read(message)
         event = parsed.event
--- a/sandhatch/routing/coverage.py
+++ b/sandhatch/routing/coverage.py
@@ -11,7 +11,7 @@
 
 from sandhatch.routing.route import Route, normalized_prefix, prefixes
 
-MOST_COMPARED = 200  # earlier routes that a route is compared with
+MAX_COMPARED = 200  # earlier routes that a route is compared with
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,7 +40,7 @@
             self._any_path.append(index)
 
     def covering(self, route: Route) -> list[int]:
-        """Return the first MOST_COMPARED added routes whose path covers that of `route`."""
+        """Return the first MAX_COMPARED added routes whose path covers that of `route`."""
         found = list(self._any_path)
         if route.exact is not None:
             found += self._by_exact.get(route.exact, [])
@@ -48,7 +48,7 @@
         if path is not None:
             for prefix in prefixes(normalized_prefix(path)):
                 found += self._by_prefix.get(prefix, [])
-        return sorted(found)[:MOST_COMPARED]
+        return sorted(found)[:MAX_COMPARED]
 
 
 def unreachable(routes: Sequence[Route]) -> list[CoveredRoute]:
--- a/sandhatch/routing/table.py
+++ b/sandhatch/routing/table.py
@@ -15,7 +15,7 @@
 from sandhatch.routing.route import Query, Route, normalized_prefix, prefixes, wildcards
 from sandhatch.routing.targets import Target
 
-MOST_SEGMENTS = 64  # of a path, looked up one by one; guards against paths of thousands of slashes
+MAX_SEGMENTS = 64  # of a path, looked up one by one; guards against paths of thousands of slashes
 
 
 class _HostIndex:
@@ -88,8 +88,8 @@
         if exact is not None:
             yield exact
         if self._by_prefix:
-            if path.count(b"/") > MOST_SEGMENTS:
-                path = b"/".join(path.split(b"/", MOST_SEGMENTS + 1)[: MOST_SEGMENTS + 1])
+            if path.count(b"/") > MAX_SEGMENTS:
+                path = b"/".join(path.split(b"/", MAX_SEGMENTS + 1)[: MAX_SEGMENTS + 1])
             for prefix in prefixes(path.rstrip(b"/") or b"/"):  # inline: once a request
                 hosts = self._by_prefix.get(prefix)
                 if hosts is not None:
--- a/sandhatch/routing/targets.py
+++ b/sandhatch/routing/targets.py
@@ -16,11 +16,11 @@
 
 HASH_BYTES = 8
 HASH_RANGE = 2 ** (8 * HASH_BYTES)
-MOST_SALT_BYTES = 64  # the longest key that blake2b takes
+MAX_SALT_BYTES = 64  # the longest key that blake2b takes
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class FixedResponse:
     """A fixed answer."""
 
     status: int
@@ -70,7 +70,7 @@
         if self.by:
             value = next((value for name, value in headers if name.lower() == self.by), None)
             if value is not None:
-                digest = blake2b(value, digest_size=HASH_BYTES, key=self.salt[:MOST_SALT_BYTES]).digest()
+                digest = blake2b(value, digest_size=HASH_BYTES, key=self.salt[:MAX_SALT_BYTES]).digest()
                 point = int.from_bytes(digest) / HASH_RANGE
         if point is None:
             point = draw()
@@ -78,4 +78,4 @@
         return self.pools[min(index, len(self.pools) - 1)]
 
 
-Target = str | Split | Answer  # a pool's name, a split over pools, or a fixed answer
+Target = str | Split | FixedResponse  # a pool's name, a split over pools, or a fixed answer
--- a/sandhatch/runtime/memory_budget.py
+++ b/sandhatch/runtime/memory_budget.py
@@ -17,7 +17,7 @@
     of them.
 
     Attributes:
-        used_bytes: Bytes that are counted now; may exceed `limit_bytes`, see `book`.
+        used_bytes: Bytes that are counted now; may exceed `limit_bytes`, see `update_usage`.
         limit_bytes: Bytes that may be reserved.
     """
 
@@ -43,7 +43,7 @@
         """Bytes that may still be used; 0 while there are waiters."""
         return 0 if self._waiters else max(0, self.limit_bytes - self.used_bytes)
 
-    def book(self, before: int, now: int) -> bool:
+    def update_usage(self, before: int, now: int) -> bool:
         """Count a change in the bytes that one holder buffers.
 
         The change is counted in any case, because the bytes are in memory already. Bytes that become free are
@@ -80,7 +80,7 @@
         self._waiters[waiter] = None
         return waiter
 
-    def leave(self, waiter: MemoryWaiter) -> None:
+    def remove_waiter(self, waiter: MemoryWaiter) -> None:
         """Stop waiting; nothing happens if the waiter's bytes have been granted."""
         if self._waiters.pop(waiter, 0) is None:
             self._grant_waiters()
@@ -117,6 +117,6 @@
         self.size = size
         self.granted = granted
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Stop waiting; nothing happens if the bytes have been granted."""
-        self._memory_budget.leave(self)
+        self._memory_budget.remove_waiter(self)
--- a/sandhatch/service/access_log.py
+++ b/sandhatch/service/access_log.py
@@ -33,10 +33,10 @@
 
     def _row(self, record: RequestRecord) -> dict[str, Any]:
         """The line's keys and values; the keys are part of the log's format."""
-        server_name = self._service.pools.book.name
+        server_name = self._service.pools.server_registry.name
         row = {
             "t": round(record.received_at_ms, 3),
-            "ms": round(record.answered_at_ms - record.received_at_ms, 3),
+            "ms": round(record.responded_at_ms - record.received_at_ms, 3),
             "version": record.version,
             "route": record.route,
             "pool": record.pool,
--- a/sandhatch/service/goodput_monitor.py
+++ b/sandhatch/service/goodput_monitor.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.diff import diff
-from sandhatch.config.goodput_watch import Fall, GoodputWatch
+from sandhatch.config.goodput_watch import GoodputDrop, GoodputWatch
 from sandhatch.config.version import Version
 from sandhatch.runtime.clock import Clock
 from sandhatch.service.request_record import RequestRecord
@@ -23,7 +23,7 @@
         watch: What is compared; its window and block length are those of the first version.
     """
 
-    def __init__(self, clock: Clock, first: Checked) -> None:
+    def __init__(self, clock: Clock, first: CheckedConfiguration) -> None:
         """Begin to count; nothing is compared until `begin`."""
         self._clock = clock
         self.watch = GoodputWatch(first.model.watch.block_ms, first.model.watch.before_ms)
@@ -56,7 +56,7 @@
             return
         request_class = version.checked.model.classes[record.request_class]
         in_time = (
-            record.status == 200 and record.answered_at_ms <= record.received_at_ms + request_class.aim_ms
+            record.status == 200 and record.responded_at_ms <= record.received_at_ms + request_class.aim_ms
         )
         self.watch.request_ended(
             record.received_at_ms,
@@ -67,6 +67,6 @@
             record.status in OVERLOAD_STATUSES,
         )
 
-    def check(self, now_ms: float, longest_objective_ms: float) -> Fall | None:
+    def check(self, now_ms: float, longest_objective_ms: float) -> GoodputDrop | None:
         """The fall in goodput that is established by now, if any; called regularly."""
         return self.watch.close(now_ms, longest_objective_ms)
--- a/sandhatch/service/pools.py
+++ b/sandhatch/service/pools.py
@@ -16,7 +16,7 @@
 from sandhatch.balancing import Balancer
 from sandhatch.balancing.events import ServerState
 from sandhatch.balancing.state_transfer import inherit
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.pool_model import Pool
 from sandhatch.config.pool_settings import pool_settings
 from sandhatch.discovery.client import Discovery, DiscoveryPlan
@@ -62,10 +62,10 @@
     def __init__(self, shared: SharedResources) -> None:
         """Start without any pool."""
         self._shared = shared
-        self.book = ServerRegistry()
+        self.server_registry = ServerRegistry()
         self.alive: dict[str, RunningPool] = {}  # by fingerprint
 
-    def stage(self, checked: Checked) -> dict[str, RunningPool]:
+    def stage(self, checked: CheckedConfiguration) -> dict[str, RunningPool]:
         """The version's pools by name, existing and new ones, each counted as used once more."""
         pools = {}
         for name, fingerprint in pool_fingerprints(checked).items():
@@ -77,7 +77,7 @@
             pools[name] = pool
         return pools
 
-    def _build(self, name: str, fingerprint: str, checked: Checked) -> RunningPool:
+    def _build(self, name: str, fingerprint: str, checked: CheckedConfiguration) -> RunningPool:
         spec = checked.model.pools[name]
         # Derived from the configured seed too, and different in each pool, so that draws are independent.
         seed = int(fingerprint[:15], 16)
@@ -91,7 +91,7 @@
         if spec.source is None:
             return StaticSource((), notify)
         plan = DiscoveryPlan(parse_address(spec.source.discovery, "discovery"))
-        return Discovery(plan, notify, lambda text: log(f"pool {name}: {text}"), self.book.names)
+        return Discovery(plan, notify, lambda text: log(f"pool {name}: {text}"), self.server_registry.names)
 
     def activate(
         self,
@@ -135,10 +135,10 @@
         warms_up = not first and spec.new_servers == "cold"
         servers = []
         for server in (spec.servers or {}).values():
-            since_ms = self.book.listed_since_ms(server.address, now_ms if warms_up else 0.0)
+            since_ms = self.server_registry.listed_since_ms(server.address, now_ms if warms_up else 0.0)
             state = ServerState.READY if server.state == "ready" else ServerState.DRAINING
             address = parse_address(server.address, "address")
-            number = self.book.number(server.address)
+            number = self.server_registry.number(server.address)
             servers.append(StaticServer(number, address, state, server.weight, since_ms))
         return servers
 
@@ -172,7 +172,7 @@
             if pool.version_count == 0:
                 del self.alive[pool.fingerprint]
                 _stop(pool)
-        self.book.retain(
+        self.server_registry.retain(
             {server.address for pool in self.alive.values() for server in (pool.spec.servers or {}).values()}
         )
 
--- a/sandhatch/service/reload.py
+++ b/sandhatch/service/reload.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from sandhatch.config.check import Checked, check_file
+from sandhatch.config.check import CheckedConfiguration, check_file
 from sandhatch.config.errors import CheckError, RejectedError
 from sandhatch.runtime.coalescing_runner import CoalescingRunner
 from sandhatch.service.service import Service
@@ -38,7 +38,7 @@
         except RejectedError as rejected:
             logger.line(f"reload: {rejected.reason.value}: {rejected.text}")
 
-    def _commit(self, checked: Checked) -> None:
+    def _commit(self, checked: CheckedConfiguration) -> None:
         proposal = self._service.propose_checked(checked, None, AUTHOR, f"reload of {self._path}")
         try:
             version = self._service.commit(proposal.number)
--- a/sandhatch/service/request_handler.py
+++ b/sandhatch/service/request_handler.py
@@ -18,7 +18,7 @@
 from sandhatch.http1.errors import FramingError
 from sandhatch.http1.message import Message
 from sandhatch.routing.route import Query
-from sandhatch.routing.targets import Answer, Split, Target
+from sandhatch.routing.targets import FixedResponse, Split, Target
 from sandhatch.runtime.shared_resources import SharedResources
 from sandhatch.service.request_record import RequestRecord
 from sandhatch.service.running_pool import RunningPool
@@ -68,7 +68,7 @@
         query = version.query(client.listener_name, message)
         route = version.checked.table.match(query)
         target: Target = version.checked.table.default if route is None else route.target
-        if isinstance(target, Answer):
+        if isinstance(target, FixedResponse):
             raise FramingError(target.status, target.body.decode("utf-8", "replace"))
         parsed = self._read(version, message)
         reject_duplicate_id(self._shared.in_flight_ids, parsed.trace_id)
@@ -93,31 +93,31 @@
         if version is None:
             raise FramingError(503, "not ready")
         if message.method not in METHODS:
-            client.answer(405, ALLOW, b"")
+            client.respond(405, ALLOW, b"")
             return None
         query = version.query(client.listener_name, message)
         table = version.checked.table
         route = table.match(query)
         target: Target = table.default if route is None else route.target
         route_name = "default" if route is None else route.name
-        if isinstance(target, Answer):
-            self._answer(client, message, target, version, route_name, query)
+        if isinstance(target, FixedResponse):
+            self._respond(client, message, target, version, route_name, query)
             return None
         if isinstance(target, Split):
             target = target.choose(message.headers, self._rng.random)
         return self._dispatch(client, message, version, route_name, version.pools[target])
 
-    def _answer(
+    def _respond(
         self,
         client: ClientConnection,
         message: Message,
-        answer: Answer,
+        response: FixedResponse,
         version: RunningVersion,
         route: str,
         query: Query,
     ) -> None:
         now_ms = self._shared.clock.now_ms()
-        client.answer(answer.status, [(b"Content-Type", answer.content_type)], answer.body)
+        client.respond(response.status, [(b"Content-Type", response.content_type)], response.body)
         trace = message.values(b"x-trace-id")
         record = RequestRecord(
             version=version.number,
@@ -126,9 +126,9 @@
             servers=(),
             trace_id=trace[0] if trace else b"",
             request_class=query.request_class,
-            status=answer.status,
+            status=response.status,
             received_at_ms=now_ms,
-            answered_at_ms=now_ms,
+            responded_at_ms=now_ms,
         )
         self.on_request_finished(record, version)
 
@@ -178,7 +178,7 @@
             request_class,
             exchange.status,
             received_at_ms,
-            exchange.answered_ms,
+            exchange.responded_ms,
             exchange.truncated_by,
         )
         version.open -= 1
--- a/sandhatch/service/request_record.py
+++ b/sandhatch/service/request_record.py
@@ -18,7 +18,7 @@
         request_class: Name of its request class.
         status: Status of the answer; 0 if the client disconnected before one was sent.
         received_at_ms: When it was received.
-        answered_at_ms: When its answer was sent.
+        responded_at_ms: When its answer was sent.
         truncated_by: Why its body or answer was aborted: "client", "server" or "time"; else empty.
     """
 
@@ -30,5 +30,5 @@
     request_class: str
     status: int
     received_at_ms: float
-    answered_at_ms: float
+    responded_at_ms: float
     truncated_by: str = ""
--- a/sandhatch/service/running_pool.py
+++ b/sandhatch/service/running_pool.py
@@ -7,12 +7,12 @@
 from hashlib import sha256
 
 from sandhatch.balancing.events import ServerState
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.pool_model import Pool
 from sandhatch.dispatch.dispatcher import Dispatcher
 
 
-def pool_fingerprints(checked: Checked) -> dict[str, str]:
+def pool_fingerprints(checked: CheckedConfiguration) -> dict[str, str]:
     """A hash of everything that each pool is run by, by the pool's name.
 
     Pools of two versions with the same fingerprint are the same pool. The fingerprint also seeds the pool's
--- a/sandhatch/service/running_version.py
+++ b/sandhatch/service/running_version.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.pool_settings import pool_settings
 from sandhatch.config.version import Version
 from sandhatch.downstream.request_parsing import Requests
@@ -34,7 +34,7 @@
     def __init__(self, version: Version, pools: dict[str, RunningPool]) -> None:
         """Prepare a checked version to run on the given pools."""
         self.number = version.number
-        self.checked: Checked = version.checked
+        self.checked: CheckedConfiguration = version.checked
         self.pools = pools
         self.open = 0
         self.retired = False
--- a/sandhatch/service/service.py
+++ b/sandhatch/service/service.py
@@ -10,13 +10,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from sandhatch.config.check import Checked
+from sandhatch.config.check import CheckedConfiguration
 from sandhatch.config.errors import RejectedError, RejectionReason
 from sandhatch.config.history import History, Saved
 from sandhatch.config.history_record import HistoryRow
 from sandhatch.config.proposals import Proposal
 from sandhatch.config.transactions import Transactions
-from sandhatch.config.version import OVER, RUNNING, State, Version
+from sandhatch.config.version import RUNNING, TERMINAL_STATES, State, Version
 from sandhatch.config.version_lifecycle import VersionLifecycle
 from sandhatch.downstream.listener import Listener
 from sandhatch.platform.graceful_shutdown import drain
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        first: Checked,
+        first: CheckedConfiguration,
         loop: asyncio.AbstractEventLoop,
         history: History | None = None,
         saved: Saved | None = None,
@@ -86,7 +86,7 @@
         self.on_request_finished: Callable[[RequestRecord], None] = lambda _record: None
         self.stopping = False
 
-    def _first_lifecycle(self, first: Checked, saved: Saved | None) -> VersionLifecycle:
+    def _first_lifecycle(self, first: CheckedConfiguration, saved: Saved | None) -> VersionLifecycle:
         """The first version has the number of the saved one that it continues, if there is one."""
         number = saved.confirmed if saved else 1
         version = Version(number, 0, first, State.STAGING, made_ms=self.clock.now_ms())
@@ -190,7 +190,7 @@
 
     def propose_checked(
         self,
-        checked: Checked,
+        checked: CheckedConfiguration,
         base: int | None,
         author: str = "",
         comment: str = "",
@@ -262,7 +262,7 @@
 
     async def wait_until_decided(self, version: Version, over: bool = False) -> Version:
         """Wait until a version is active or has ended; with `over`, until it has ended."""
-        while version.state not in OVER and (over or version.state not in RUNNING):
+        while version.state not in TERMINAL_STATES and (over or version.state not in RUNNING):
             await self.changes.changed.wait()
         return version
 
@@ -276,9 +276,9 @@
         now_ms = self.now_ms
         current = self.request_handler.current
         if current is not None:
-            fall = self.goodput.check(now_ms, current.longest_objective_ms)
-            if fall is not None and self.lifecycle.pending is not None:
-                self.lifecycle.goodput_fell(self.lifecycle.pending, str(fall))
+            drop = self.goodput.check(now_ms, current.longest_objective_ms)
+            if drop is not None and self.lifecycle.pending is not None:
+                self.lifecycle.goodput_dropped(self.lifecycle.pending, str(drop))
             self.pools.withdraw_unlisted(current.pools, now_ms)
         self.lifecycle.tick(now_ms)
         self.changes.carry_out()
--- a/sandhatch/service/validation.py
+++ b/sandhatch/service/validation.py
@@ -6,12 +6,12 @@
 from contextlib import contextmanager
 from typing import Any
 
-from sandhatch.config.check import Checked, check, check_text
+from sandhatch.config.check import CheckedConfiguration, check, check_text
 from sandhatch.config.document import Document
 from sandhatch.config.errors import CheckError, RejectedError, RejectionReason
 
 
-def check_data(data: dict[str, Any]) -> Checked:
+def check_data(data: dict[str, Any]) -> CheckedConfiguration:
     """Check data that did not come from a file.
 
     Raises:
@@ -30,7 +30,7 @@
         raise RejectedError(RejectionReason.INVALID, f"{len(errors)} problems", problems=errors) from None
 
 
-def checked_text(text: bytes) -> Checked:
+def checked_text(text: bytes) -> CheckedConfiguration:
     """Check text in full.
 
     Raises:
--- a/sandhatch/service/version_changes.py
+++ b/sandhatch/service/version_changes.py
@@ -11,7 +11,17 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from sandhatch.config.actions import Action, Apply, DiscardStaged, EndWatch, Retire, Save, Say, Stage, Watch
+from sandhatch.config.actions import (
+    Action,
+    Apply,
+    DiscardStaged,
+    EndWatch,
+    LogMessage,
+    Retire,
+    Save,
+    Stage,
+    Watch,
+)
 from sandhatch.config.version import State, Version
 from sandhatch.config.version_lifecycle import VersionLifecycle
 from sandhatch.runtime.shared_resources import SharedResources
@@ -93,7 +103,7 @@
                 self._goodput.begin(version, self._lifecycle.confirmed)
             case EndWatch(version=version):
                 self._end_watch(version)
-            case Say(text=text):
+            case LogMessage(text=text):
                 self._shared.logger.line(text)
 
     def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
--- a/sandhatch/service/version_store.py
+++ b/sandhatch/service/version_store.py
@@ -15,7 +15,7 @@
 from sandhatch.config.history import History, Saved
 from sandhatch.config.history_record import HistoryRow, Record
 from sandhatch.config.version import State, Version
-from sandhatch.config.version_lifecycle import MOST_RECORDS, VersionLifecycle
+from sandhatch.config.version_lifecycle import MAX_RECORDS, VersionLifecycle
 from sandhatch.runtime.shared_resources import SharedResources
 
 
@@ -58,7 +58,7 @@
         rows = self._lifecycle.record().rows
         numbers = {row.number for row in rows}
         earlier = [row for row in self._earlier_rows if row.number not in numbers]
-        return tuple(sorted([*earlier, *rows], key=lambda row: row.number)[-MOST_RECORDS:])
+        return tuple(sorted([*earlier, *rows], key=lambda row: row.number)[-MAX_RECORDS:])
 
     def confirmed_content(self, number: int) -> dict[str, Any] | None:
         """The configuration of a confirmed version from before this process, None if there is none."""
--- a/sandhatch/simulator/action_encoder.py
+++ b/sandhatch/simulator/action_encoder.py
@@ -41,7 +41,7 @@
 _PROBE = 12  # ping
 
 _LONGEST_TIMER_MS = 71 * 60_000.0
-_MOST_TEXT_BYTES = 0xFFFF
+_MAX_TEXT_BYTES = 0xFFFF
 _ALL_PEERS = 0xFFFF
 _PORT_BITS = 16
 _PORT_MASK = 0xFFFF  # a server's number is its address, then its port
@@ -134,7 +134,7 @@
 
 
 def _encode_text(code: int, instance: int, text: str) -> bytes:
-    data = text.encode()[:_MOST_TEXT_BYTES]
+    data = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT_RECORD.pack(code, instance, len(data)) + data
 
 
--- a/sandhatch/simulator/event_decoder.py
+++ b/sandhatch/simulator/event_decoder.py
@@ -66,7 +66,7 @@
 _PEER_MESSAGE = 3  # neighbour_says
 _LIST_UPDATE = 4  # update
 _LIST_DEFINITION = 5  # catalog
-_ANSWER_STARTED = 6  # opened
+_RESPONSE_STARTED = 6  # opened
 _INSTANCE_KILLED = 7  # destroy
 _ATTEMPT_ENDED = 8  # attempt_end
 _REQUEST_ARRIVED = 9  # request
@@ -105,7 +105,7 @@
 _UPDATE_FIELDS = Struct(">IBII")
 _DEFINITION_FIELDS = Struct(">II")
 _ENTRY_FIELDS = Struct(">dIHfBBHB")
-_ANSWER_FIELDS = Struct(">IIHIHd")
+_RESPONSE_FIELDS = Struct(">IIHIHd")
 _ATTEMPT_FIELDS = Struct(">IIBdIHHHB")
 _REQUEST_FIELDS = Struct(">IIHIQddB")
 _START_FIELDS = Struct(">IQI")
@@ -136,7 +136,7 @@
             _PEER_MESSAGE: _decode_peer_message,
             _LIST_UPDATE: self._decode_list_update,
             _LIST_DEFINITION: self._decode_list_definition,
-            _ANSWER_STARTED: _decode_answer_started,
+            _RESPONSE_STARTED: _decode_response_started,
             _INSTANCE_KILLED: _decode_instance_killed,
             _ATTEMPT_ENDED: _decode_attempt_ended,
             _REQUEST_ARRIVED: _decode_request_arrived,
@@ -250,11 +250,11 @@
     return offset + _DISCONNECT_FIELDS.size
 
 
-def _decode_answer_started(frame: bytes, offset: int, records: list[Record]) -> int:
-    instance, request, attempt, address, port, spent_ms = _ANSWER_FIELDS.unpack_from(frame, offset)
+def _decode_response_started(frame: bytes, offset: int, records: list[Record]) -> int:
+    instance, request, attempt, address, port, spent_ms = _RESPONSE_FIELDS.unpack_from(frame, offset)
     event = AnswerStarted(request, attempt, address << _PORT_BITS | port, spent_ms)
     records.append((instance, event))
-    return offset + _ANSWER_FIELDS.size
+    return offset + _RESPONSE_FIELDS.size
 
 
 def _decode_peer_message(frame: bytes, offset: int, records: list[Record]) -> int:
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -89,7 +89,7 @@
         resources: FlowResources,
         source: Source,
         reserved_bytes: int,
-        leases_to_answer: bool = True,
+        leases_to_response: bool = True,
     ) -> None:
         """Open a flow without a sink.
 
@@ -98,7 +98,7 @@
             resources: The clock, the memory budget and the statistics of the process.
             source: Brings the body.
             reserved_bytes: Booked already in the memory budget; see `FlowMemory`.
-            leases_to_answer: Whether a part of these is for the body of the answer; False for an answer's.
+            leases_to_response: Whether a part of these is for the body of the answer; False for an answer's.
         """
         self.terms = terms
         self.source: Source | None = source
@@ -109,7 +109,7 @@
         self._clock = resources.clock
         self._statistics = resources.flows
         self._memory = FlowMemory(
-            resources.memory_budget, resources.flows, terms.ceiling_bytes, reserved_bytes, leases_to_answer
+            resources.memory_budget, resources.flows, terms.ceiling_bytes, reserved_bytes, leases_to_response
         )
         self._observer: FlowObserver | None = None
         self._sink: Sink | None = None
@@ -238,7 +238,7 @@
             return SlowSide(Side.SOURCE, reason)
         return None
 
-    def lease_to_answer(self) -> int:
+    def lease_to_response(self) -> int:
         """Hand `MIN_CREDIT_BYTES` of the reserved bytes over to the body of the other direction.
 
         So a request that has begun does not wait for the memory of its answer. The answer of another attempt
--- a/sandhatch/streaming/flow_memory.py
+++ b/sandhatch/streaming/flow_memory.py
@@ -19,7 +19,7 @@
     """The memory of one flow; see the head of the module."""
 
     __slots__ = (
-        "_booked_bytes",
+        "_accounted_bytes",
         "_budget",
         "_ceiling_bytes",
         "_leasable_bytes",
@@ -48,13 +48,13 @@
         self._statistics = statistics
         self._ceiling_bytes = ceiling_bytes
         self._reserved_bytes = reserved_bytes
-        self._booked_bytes = reserved_bytes
+        self._accounted_bytes = reserved_bytes
         self._leasable_bytes = MIN_CREDIT_BYTES if leasable else 0
 
     @property
     def available_bytes(self) -> int:
         """Bytes that the flow may buffer: its reservation, or more where the budget has more."""
-        return max(self._reserved_bytes, self._booked_bytes + self._budget.free)
+        return max(self._reserved_bytes, self._accounted_bytes + self._budget.free)
 
     def update(self, buffered_bytes: int) -> None:
         """Book what the flow buffers now, or its reservation if that is more."""
@@ -63,11 +63,11 @@
             statistics.peak_bytes = buffered_bytes
         if buffered_bytes > self._ceiling_bytes:
             statistics.over += 1
-        booked_bytes = max(buffered_bytes, self._reserved_bytes)
-        if booked_bytes != self._booked_bytes:
-            booked_before = self._booked_bytes
-            self._booked_bytes = booked_bytes
-            self._budget.book(booked_before, booked_bytes)
+        accounted_bytes = max(buffered_bytes, self._reserved_bytes)
+        if accounted_bytes != self._accounted_bytes:
+            accounted_before = self._accounted_bytes
+            self._accounted_bytes = accounted_bytes
+            self._budget.update_usage(accounted_before, accounted_bytes)
 
     def shrink_reservation(self) -> None:
         """Reserve only what a body needs that is not kept for another sink; booked with the next `update`."""
@@ -82,15 +82,15 @@
         """
         leased_bytes = self._leasable_bytes
         if not leased_bytes:
-            self._budget.book(0, MIN_CREDIT_BYTES)
+            self._budget.update_usage(0, MIN_CREDIT_BYTES)
             return False
         self._leasable_bytes = 0
         self._reserved_bytes = max(0, self._reserved_bytes - leased_bytes)
-        self._booked_bytes -= leased_bytes
+        self._accounted_bytes -= leased_bytes
         return True
 
     def release(self) -> None:
         """Book nothing any more: the flow is closed."""
         self._leasable_bytes = 0
-        self._budget.book(self._booked_bytes, 0)
-        self._booked_bytes = 0
+        self._budget.update_usage(self._accounted_bytes, 0)
+        self._accounted_bytes = 0
--- a/sandhatch/streaming/terms.py
+++ b/sandhatch/streaming/terms.py
@@ -15,7 +15,7 @@
     """Limits of the body in one direction.
 
     Attributes:
-        most_bytes: Largest body that is accepted.
+        max_bytes: Largest body that is accepted.
         hold_bytes: Bytes that are buffered before streaming begins; a smaller body is buffered completely.
         replay_bytes: Size of the replay buffer: what was sent is kept for a retry up to this size.
         ceiling_bytes: Most memory that the body may ever take.
@@ -23,7 +23,7 @@
         reader: Progress of the side that receives it.
     """
 
-    most_bytes: int
+    max_bytes: int
     hold_bytes: int
     replay_bytes: int
     ceiling_bytes: int
@@ -37,14 +37,15 @@
 
     Attributes:
         request: Of the request's body.
-        answer: Of the answer's body.
+        response: Of the answer's body.
         total_ms: Time of the complete exchange, from its begin.
         memory_wait_ms: How long a new request waits for memory before it is rejected; the key `room_wait_ms`.
-        answer_hold_ms: Time after which an answer that has begun is streamed, however little of it has come.
+        response_hold_ms: Time after which an answer that has begun is streamed, however little of it has
+            come.
     """
 
     request: BodyTerms
-    answer: BodyTerms
+    response: BodyTerms
     total_ms: float
     memory_wait_ms: float
-    answer_hold_ms: float
+    response_hold_ms: float
--- a/sandhatch/telemetry/record_format.py
+++ b/sandhatch/telemetry/record_format.py
@@ -108,7 +108,13 @@
         case Probe() | CloseIdle():
             return [type(action).__name__.lower(), action.server]
         case WatchList():
-            return ["watchlist", action.call, action.after, round(action.wait_ms), round(action.patience_ms)]
+            return [
+                "watchlist",
+                action.call,
+                action.after,
+                round(action.wait_ms),
+                round(action.response_timeout_ms),
+            ]
         case FetchList():
             return ["fetchlist"]
         case _:
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -40,19 +40,19 @@
     def blocked_by(self) -> Outcome | None:
         """Return why the request may no longer be written, None if it may."""
 
-    def on_answer_started(self, attempt: Attempt, answer: Message, reserved_bytes: int) -> Flow | None:
+    def on_response_started(self, attempt: Attempt, response: Message, reserved_bytes: int) -> Flow | None:
         """Handle the head of an answer that can be streamed; only for an attempt with `terms`.
 
         Args:
             attempt: the attempt that it answers.
-            answer: its head.
+            response: its head.
             reserved_bytes: bytes reserved in the memory budget for its body.
 
         Returns:
             The flow that takes the body, and with it the reservation; None if nobody wants the body.
         """
 
-    def on_ended(self, outcome: Outcome, answer: Message | None) -> None:
+    def on_ended(self, outcome: Outcome, response: Message | None) -> None:
         """Handle the end of the attempt, with the answer if one arrived. Called exactly once."""
 
 
@@ -72,7 +72,7 @@
         timer: the timeout, once it runs.
         connection: the connection that carries it, None before it is written and after its end.
         request_sent: whether the request has crossed the dividing line (see the head of the module).
-        answer_seen: whether any byte has come back for it.
+        response_seen: whether any byte has come back for it.
     """
 
     server: UpstreamServer
@@ -85,7 +85,7 @@
     timer: Timer | None = None
     connection: ServerConnection | None = None
     request_sent: bool = False
-    answer_seen: bool = False
+    response_seen: bool = False
 
     @property
     def ended(self) -> bool:
@@ -95,7 +95,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether the server may have begun the request."""
-        return self.request_sent or self.answer_seen
+        return self.request_sent or self.response_seen
 
     @property
     def bytes_before_streaming(self) -> int:
@@ -107,7 +107,7 @@
         return (
             Flow.MIN_CREDIT_BYTES
             if self.flow is not None
-            else max(Flow.MIN_CREDIT_BYTES, self.terms.answer.hold_bytes)
+            else max(Flow.MIN_CREDIT_BYTES, self.terms.response.hold_bytes)
         )
 
     def write(self, connection: ServerConnection) -> bool:
@@ -135,9 +135,9 @@
             self.end(blocked_by)
         return blocked_by is None
 
-    def start_answer(self, answer: Message, reserved_bytes: int) -> Flow | None:
-        """Offer the owner the head of an answer; see `AttemptOwner.on_answer_started`."""
-        return None if self.owner is None else self.owner.on_answer_started(self, answer, reserved_bytes)
+    def start_response(self, response: Message, reserved_bytes: int) -> Flow | None:
+        """Offer the owner the head of an answer; see `AttemptOwner.on_response_started`."""
+        return None if self.owner is None else self.owner.on_response_started(self, response, reserved_bytes)
 
     def time_out(self) -> None:
         """End the attempt because no answer came in time.
@@ -153,7 +153,7 @@
         """End the attempt because its connection broke before the answer was complete."""
         self.end(Outcome.RESET if self.may_have_run else Outcome.CONNECT_FAILED)
 
-    def end(self, outcome: Outcome, answer: Message | None = None) -> None:
+    def end(self, outcome: Outcome, response: Message | None = None) -> None:
         """Give the attempt its outcome; a second end is ignored."""
         owner = self.owner
         if owner is None:
@@ -166,4 +166,4 @@
         self.connection = None
         if connection is not None:
             connection.release(self)
-        owner.on_ended(outcome, answer)
+        owner.on_ended(outcome, response)
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -1,8 +1,8 @@
 """One connection to a server, which carries one attempt at a time.
 
-It writes requests, has `AnswerReceiver` take their answers, and tells its pool whether it can be used again.
-It never chooses a server and never sends a request a second time: an attempt that it can't carry goes back to
-its pool. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
+It writes requests, has `ResponseReceiver` take their answers, and tells its pool whether it can be used
+again. It never chooses a server and never sends a request a second time: an attempt that it can't carry goes
+back to its pool. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
 
 On a connection that was used before, the last byte of a request is withheld for a moment, see
 `ConnectionPool.LAST_BYTE_DELAY_MS`. Until it is written no server has all of the request, so that the pool
@@ -20,16 +20,16 @@
 from sandhatch.http1.serializer import encode_request, encode_request_head
 from sandhatch.streaming.flow import Flow
 from sandhatch.streaming.socket_writer import SCRATCH, SocketWriter
-from sandhatch.upstream.answer_receiver import BUFFERING, STREAMING, AnswerReceiver
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.outcomes import outcome_of
+from sandhatch.upstream.response_receiver import BUFFERING, STREAMING, ResponseReceiver
 from sandhatch.upstream.server import UpstreamServer
 
 if TYPE_CHECKING:
     from sandhatch.upstream.connection_pool import ConnectionPool
 
 
-class ServerConnection(AnswerReceiver, asyncio.BufferedProtocol):
+class ServerConnection(ResponseReceiver, asyncio.BufferedProtocol):
     """A connection: the sink of a streamed request, and the source of a streamed answer.
 
     Attributes:
@@ -85,18 +85,18 @@
             # answer repeated, and would be forwarded as this one's.
             self._return_attempt(attempt)
             return
-        attempt.answer_seen = True
+        attempt.response_seen = True
         events = self._reader.feed(SCRATCH[:nbytes])
-        if self._answer_state is STREAMING:
+        if self._response_state is STREAMING:
             self._on_streamed_events(attempt, events)
             return
-        fits = self._book(self._reader.buffered_bytes)
+        fits = self._update_usage(self._reader.buffered_bytes)
         if events:  # no pieces: they come only once an answer is being streamed
-            self._on_complete_answers(attempt, cast(list[Message], events))
+            self._on_complete_responses(attempt, cast(list[Message], events))
         elif self._reader.fault is not None or not fits:
             self.abort()
             attempt.connection_failed()
-        elif self._answer_state is BUFFERING:
+        elif self._response_state is BUFFERING:
             self._reserve_memory(attempt)
             if self._reserved_bytes and self._reader.openable:
                 self._start_streaming(attempt)
@@ -129,7 +129,7 @@
         """Write the request of an attempt, which this connection carries from here on."""
         self._attempt = attempt
         if attempt.terms is not None:
-            self._reader.on_head = self._on_answer_head
+            self._reader.on_head = self._on_response_head
         if attempt.flow is not None:
             self._send_streamed(attempt, attempt.flow, request)
             return
@@ -185,31 +185,31 @@
 
     # ------------------------------------------------ complete answers
 
-    def _on_complete_answers(self, attempt: Attempt, answers: list[Message]) -> None:
+    def _on_complete_responses(self, attempt: Attempt, responses: list[Message]) -> None:
         """End the attempt with the first of the answers."""
-        answer = answers[0]
-        if self._answer_state is BUFFERING:  # it was complete before it was streamed
+        response = responses[0]
+        if self._response_state is BUFFERING:  # it was complete before it was streamed
             self._stop_receiving()
-        reusable = self._detach_attempt(attempt, nothing_follows=len(answers) == 1)
+        reusable = self._detach_attempt(attempt, nothing_follows=len(responses) == 1)
         probe_body = self._probe_body
-        if probe_body and not attempt.probe and answer.body == probe_body and probe_body.strip():
+        if probe_body and not attempt.probe and response.body == probe_body and probe_body.strip():
             # The probe's answer repeated, after this request was written: its own answer is still to come.
             self.abort()
             attempt.connection = None
             attempt.connection_failed()
             return
-        self._end_attempt(attempt, answer, reusable)
+        self._end_attempt(attempt, response, reusable)
 
-    def _end_attempt(self, attempt: Attempt, answer: Message, reusable: bool) -> None:
+    def _end_attempt(self, attempt: Attempt, response: Message, reusable: bool) -> None:
         """End the attempt with its answer, and pool the connection if it can be used again."""
         attempt.connection = None
-        self._probe_body = answer.body if attempt.probe else None
-        if reusable and answer.keep_alive:
+        self._probe_body = response.body if attempt.probe else None
+        if reusable and response.keep_alive:
             self.needs_cooldown = not attempt.probe
             self._pool.put(self)
         else:
             self.abort()
-        attempt.end(outcome_of(answer), answer)
+        attempt.end(outcome_of(response), response)
 
     # ------------------------------------------------ called by the pool and by attempts
 
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -149,7 +149,7 @@
             return
         self.start_on_new_connection(attempt)
 
-    def start_answer_timeout(self, attempt: Attempt) -> None:
+    def start_response_timeout(self, attempt: Attempt) -> None:
         """Await the answer to a streamed request, now that all of it has been sent."""
         if not attempt.ended:
             attempt.sent_ms = self.clock.now_ms()
--- a/sandhatch/upstream/load_report.py
+++ b/sandhatch/upstream/load_report.py
@@ -40,21 +40,21 @@
     return values if all(0.0 <= value < VALUE_LIMIT for value in values) else ()
 
 
-def report_of(answer: Message | None, names: Sequence[str], from_body: bool) -> tuple[float, ...]:
+def report_of(response: Message | None, names: Sequence[str], from_body: bool) -> tuple[float, ...]:
     """Read the load report that an answer carries.
 
     Args:
-        answer: the answer, None if there was none.
+        response: the answer, None if there was none.
         names: the names of the wanted values.
         from_body: whether the report is the answer's body, as a probe's is, rather than a header.
 
     Returns:
         The values in the order of `names`, or an empty tuple if there is no valid report.
     """
-    if answer is None or not names:
+    if response is None or not names:
         return ()
     try:
-        text = answer.body if from_body else answer.value(LOAD_HEADER)
+        text = response.body if from_body else response.value(LOAD_HEADER)
     except FramingError:  # the header is repeated
         return ()
     return parse_report(text, names) if text else ()
--- a/sandhatch/upstream/outcomes.py
+++ b/sandhatch/upstream/outcomes.py
@@ -21,12 +21,12 @@
 NEVER_RAN_HEADER = b"x-never-ran"
 
 
-def outcome_of(answer: Message) -> Outcome:
+def outcome_of(response: Message) -> Outcome:
     """Look up the outcome that a complete answer stands for."""
-    if answer.status == 200:
+    if response.status == 200:
         return Outcome.OK
-    if answer.status in (503, 504) and answer.values(NEVER_RAN_HEADER) == [b"1"]:
+    if response.status in (503, 504) and response.values(NEVER_RAN_HEADER) == [b"1"]:
         return Outcome.FULL
-    if 400 <= answer.status < 500:
+    if 400 <= response.status < 500:
         return Outcome.CLIENT_ERROR
     return Outcome.ERROR
--- a/testkit/clients.py
+++ b/testkit/clients.py
@@ -8,7 +8,7 @@
 import asyncio
 from itertools import count
 
-from testkit.wire import RESPONSE_TIMEOUT_S, Answer, read_answer
+from testkit.wire import RESPONSE_TIMEOUT_S, Response, read_http_response
 
 TRACE_NUMBERS = count(1)  # numbers of trace ids: each request has a new one
 
@@ -39,9 +39,9 @@
         """Sends a request, as `request_bytes` makes it."""
         self.send(request_bytes(cls, body, target, **headers))
 
-    async def read_response(self) -> Answer:
+    async def read_response(self) -> Response:
         """The next response."""
-        return await read_answer(self.reader)
+        return await read_http_response(self.reader)
 
     async def read_to_end(self) -> bytes:
         """What still comes until the balancer closes."""
--- a/testkit/load_generator.py
+++ b/testkit/load_generator.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from testkit.request_log import RequestLog
-from testkit.wire import read_answer
+from testkit.wire import read_http_response
 
 REQUEST_NUMBERS = count(1)  # of trace ids, over all generators of the process
 
@@ -90,13 +90,13 @@
         entry = self._request_log.add(trace, request_class, asyncio.get_running_loop().time())
         try:
             writer.write(self._request(request_class, target, trace))
-            answer = await read_answer(reader)
+            response = await read_http_response(reader)
         except (OSError, AssertionError, asyncio.IncompleteReadError) as error:
             entry.lost = repr(error)
             return False
-        entry.answers.append(answer)
-        entry.answered_s = asyncio.get_running_loop().time()
-        return answer.headers.get("connection") != "close"
+        entry.responses.append(response)
+        entry.responded_s = asyncio.get_running_loop().time()
+        return response.headers.get("connection") != "close"
 
     def _request(self, request_class: str, target: str, trace: str) -> bytes:
         method = "POST" if request_class in self._non_idempotent else "GET"
--- a/testkit/wire.py
+++ b/testkit/wire.py
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class Answer:
+class Response:
     """A response as a fake client received it; names of header fields are in lower case."""
 
     status: int
@@ -49,7 +49,7 @@
     return MessageHead(start_line, {name.lower(): value.strip() for name, _, value in fields})
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Answer:
+async def read_http_response(reader: asyncio.StreamReader) -> Response:
     """The next response, whose body has a Content-Length or is empty.
 
     Raises:
@@ -60,7 +60,7 @@
         head = await read_head(reader)
         assert head is not None, "the connection ended without an answer"
         body = await reader.readexactly(int(head.headers.get("content-length", "0")))
-    return Answer(int(head.start_line.split()[1]), head.headers, body)
+    return Response(int(head.start_line.split()[1]), head.headers, body)
 
 
 def ok(body: bytes = b"served", extra: str = "") -> bytes:
