--- a/sandhatch/simulator/__init__.py
+++ b/sandhatch/simulator/__init__.py
@@ -1,4 +1,4 @@
-"""The simulator's wire protocol (`WIRE-sandhatch.md`): its codec, and the host of many instances on it.
+"""The simulator's wire protocol (`WIRE-sandhatch.md`): its codec, and a host of many balancer instances.
 
-Names of the protocol stay within this package; everything else sees events, actions and settings.
+The protocol's own names are used in this package only; other packages use events, actions and settings.
 """
