--- a/sandhatch/http1/__init__.py
+++ b/sandhatch/http1/__init__.py
@@ -1,4 +1,5 @@
-"""HTTP/1.1: messages, parsers and serializers, and where a connection meets the flows of bodies.
+"""HTTP/1.1: messages, parsers and serializers, and the adapter between a connection and its body flows.
 
-Parsers and serializers do no I/O: bytes in, events out, and back. Source: RFC 9110 and RFC 9112.
+Parsers turn bytes into events and serializers turn messages into bytes; neither does I/O. Source: RFC 9110
+and RFC 9112.
 """
--- a/sandhatch/http1/body_endpoint.py
+++ b/sandhatch/http1/body_endpoint.py
@@ -1,6 +1,6 @@
-"""Where a connection of HTTP/1.1 meets the flows: what client and server connections have in common.
+"""Adapter between an HTTP/1.1 connection and its body flows, shared by client and server connections.
 
-A connection is the source of one flow and the sink of the other. This decides nothing. Source:
+A connection is the source of one flow and the sink of the other. No decisions are made here. Source:
 `sandhatch.streaming.interfaces` for the contracts, RFC 9112 section 7.1 for chunks.
 """
 
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from sandhatch.http1.serializer import chunk, last_chunk
+from sandhatch.http1.serializer import encode_chunk, encode_last_chunk
 from sandhatch.runtime.memory_budget import MemoryWaiter
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import Piece
@@ -16,51 +16,55 @@
 
 
 class BodyEndpoint:
-    """To be inherited beside a protocol of the event loop."""
+    """Mixin for an asyncio protocol whose connection is the source and the sink of body flows.
+
+    Attributes:
+        ending: Whether reading from the connection has stopped for good.
+    """
 
     _transport: asyncio.Transport | None
-    ending: bool  # nothing more is read from it
+    ending: bool
 
     def __init__(self) -> None:
-        """Make an endpoint that neither sends a body nor waits for memory."""
-        self._socket_writer: SocketWriter | None = None  # while a body is sent
-        self._chunked = False  # whether that is in chunks
-        self._memory_waiter: MemoryWaiter | None = None  # in the queue for memory
-        self._reserved_bytes = 0  # bytes booked for a body that is buffered until it may begin
+        """Create an endpoint that neither sends a body nor waits for memory."""
+        self._socket_writer: SocketWriter | None = None  # None unless a body is being sent
+        self._chunked = False  # True if the body being sent uses the chunked transfer coding
+        self._memory_waiter: MemoryWaiter | None = None  # None unless queued for memory
+        self._reserved_bytes = 0  # memory reserved for a body that is buffered until it may be streamed
 
     def _cancel_memory_wait(self) -> None:
-        """Stop waiting for memory, and forget the reservation; the subclass books it back."""
+        """Stop waiting for memory and reset the reservation; the subclass returns its bytes to the budget."""
         if self._memory_waiter is not None:
             waiter = self._memory_waiter
             self._memory_waiter = None
             waiter.cancel()
         self._reserved_bytes = 0
 
-    # ------------------------------------------------ as a source
+    # ------------------------------------------------ Source
 
     def pause(self) -> None:
-        """Read no more until `resume`."""
+        """Stop reading from the socket until `resume` is called."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on, unless the connection is ending."""
+        """Resume reading, unless the connection is ending."""
         if self._transport is not None and not self.ending and not self._transport.is_closing():
             self._transport.resume_reading()
 
-    # ------------------------------------------------ as a sink
+    # ------------------------------------------------ Sink
 
     @property
     def unsent(self) -> int:
-        """Bytes that were written and that the system has not taken."""
+        """Bytes that were written but not yet accepted by the kernel."""
         return self._socket_writer.unsent if self._socket_writer is not None else 0
 
     def write(self, piece: Piece) -> None:
-        """Send a piece of the body, framed as its head has announced."""
+        """Send a piece of the body with the framing that its head has announced."""
         if self._socket_writer is not None:
-            self._socket_writer.write(chunk(piece) if self._chunked else (piece,))
+            self._socket_writer.write(encode_chunk(piece) if self._chunked else (piece,))
 
     def finish(self, trailers: Headers) -> None:
-        """Send the end of the body, where its framing has one."""
+        """Send the last chunk and the trailers if the body is chunked; other framings have no end marker."""
         if self._socket_writer is not None and self._chunked:
-            self._socket_writer.write((last_chunk(trailers),))
+            self._socket_writer.write((encode_last_chunk(trailers),))
--- a/sandhatch/http1/errors.py
+++ b/sandhatch/http1/errors.py
@@ -1,6 +1,7 @@
-"""What is wrong with bytes that should be HTTP/1.1, as an exception and as a value.
+"""Errors in HTTP/1.1 messages, as an exception and as a value.
 
-Carries the status and the text of the answer; never the bytes. Source: RFC 9112, RFC 9110 section 15.
+Both hold the status and the text of the response, never the received bytes. Source: RFC 9112, RFC 9110
+section 15.
 """
 
 from __future__ import annotations
@@ -9,27 +10,27 @@
 
 
 class FramingError(Exception):
-    """A message must not be accepted.
+    """A message is malformed, exceeds a limit or is rejected.
 
     Attributes:
-        status: HTTP status of the answer to a client that sent it.
+        status: HTTP status of the response if a client sent the message.
     """
 
     def __init__(self, status: int, text: str) -> None:
-        """Say why, in a text that the client may read."""
+        """Create the error; `text` is the reason and may be sent to the client."""
         super().__init__(text)
         self.status = status
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """Why a parser reads no further message.
+    """Reason why a parser has stopped for good.
 
-    Not the exception itself, whose traceback would keep the parser alive.
+    It replaces the exception, whose traceback would keep the parser alive.
 
     Attributes:
-        status: HTTP status of the answer to a client that sent the message.
-        text: Why, for the client or the log.
+        status: HTTP status of the response if a client sent the message.
+        text: Description of the fault, for the client or the log.
     """
 
     status: int
--- a/sandhatch/http1/events.py
+++ b/sandhatch/http1/events.py
@@ -1,4 +1,4 @@
-"""What a parser returns for the bytes of one read, in their order.
+"""Events that a parser returns for the bytes of one read, in the order of the bytes.
 
 Plain values without behaviour. Source: RFC 9112 section 6.
 """
@@ -17,11 +17,11 @@
     """The end of a body that was streamed.
 
     Attributes:
-        trailers: Fields behind a chunked body, without those that must not stand there.
+        trailers: Trailer fields of a chunked body, without the forbidden ones.
     """
 
     trailers: Headers
 
 
-# A complete message; or a piece of the streamed body; or that body's end.
+# A message that is complete, or a piece of a streamed body, or the end of a streamed body.
 Event = Message | Piece | End
--- a/sandhatch/http1/limits.py
+++ b/sandhatch/http1/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what a message may take, and the fields that must not stand behind a body.
+"""Limits on the size of a message, and the fields that are forbidden as trailers.
 
 Constants only. Source: PROTOCOL-sandhatch.md; RFC 9110 section 6.5.1 for the trailers.
 """
@@ -6,19 +6,20 @@
 from __future__ import annotations
 
 MAX_HEAD_BYTES = 32 * 1024
-# Rejects heads of thousands of short fields, which cost far more than their bytes.
+# Rejects heads with thousands of short fields, which cost far more than their size in bytes suggests.
 MAX_FIELDS = 100
 MAX_REQUEST_BODY_BYTES = 64 * 1024
-# The protocol says 64 KiB, but servers were seen to give good answers of 200 to 380 KiB; what all
-# connections hold together is bounded by the memory budget.
+# The protocol specifies 64 KiB, but servers send valid responses of 200 to 380 KiB. The memory budget bounds
+# the total of all connections.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
-# Beside a buffered body: rejects chunks, trailers or interim answers without end.
+# Framing in addition to a buffered body. Rejects endless chunks, trailers and interim responses.
 MAX_FRAMING_BYTES = 1024 * 1024
-# Beside a streamed body, beyond its own size: rejects chunks of a byte each, and extensions without end.
+# Framing of a streamed body in excess of the body's own size. Rejects one-byte chunks and endless chunk
+# extensions.
 MAX_STREAMED_FRAMING_BYTES = 64 * 1024
 MAX_LENGTH_DIGITS = 19
 
-# Fields that say how a message is framed, routed or trusted must not stand behind its body.
+# Fields for framing, routing and authentication are forbidden as trailers.
 FORBIDDEN_TRAILERS = frozenset(
     (
         b"authorization",
--- a/sandhatch/http1/message.py
+++ b/sandhatch/http1/message.py
@@ -1,7 +1,7 @@
-"""A request or an answer: its head, and its body where that is buffered completely.
+"""A request or a response: its head, and its body if that is buffered completely.
 
-A body that is streamed is a `sandhatch.streaming.flow.Flow` beside it. No I/O. Source: RFC 9110, of which
-section 7.6.1 names the fields that concern one connection only.
+A streamed body is a separate `sandhatch.streaming.flow.Flow`. No I/O. Source: RFC 9110, where section 7.6.1
+lists the hop-by-hop fields.
 """
 
 from __future__ import annotations
@@ -11,8 +11,9 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.terms import StreamTerms
 
-# Fields that concern one connection and are never forwarded; the framing is written anew.
-HOP_BY_HOP = frozenset(
+# Fields that apply to a single connection and are never forwarded. The framing of the forwarded message is
+# generated anew.
+HOP_BY_HOP_FIELDS = frozenset(
     (
         b"connection",
         b"content-length",
@@ -28,25 +29,26 @@
     )
 )
 
-# About what one header field costs in memory beside its bytes.
+# Approximate memory overhead of one header field in addition to its bytes.
 FIELD_OVERHEAD_BYTES = 128
 
 
 class Message:
-    """A request or an answer. Header names keep their case; look-ups go by lower case.
+    """A request or a response. Header names retain their case; look-ups use lower case.
 
     Attributes:
-        method: Of a request, else empty.
-        target: Of a request, else empty.
-        status: Of an answer, else 0.
-        headers: The fields in their order.
-        lower_names: The fields' names in lower case: looked up many times, converted once.
-        body: The complete body, unless `flow` brings it.
-        flow: Brings a body that is streamed; None if it is complete.
-        terms: Limits under which the bodies may be streamed; None if they may not.
-        length: Bytes of the complete body; None if only its end will tell.
+        method: Method of a request; empty for a response.
+        target: Target of a request; empty for a response.
+        status: Status code of a response; 0 for a request.
+        headers: Header fields in the order in which they were received.
+        lower_names: Names of the header fields in lower case, converted once because they are looked up
+            often.
+        body: Complete body, unless `flow` supplies the body.
+        flow: Flow of a streamed body; None if the body is buffered completely.
+        terms: Limits under which the bodies may be streamed; None if streaming is not allowed.
+        length: Length of the complete body in bytes; None if unknown until the body ends.
         keep_alive: Whether the connection may carry another message.
-        is_http_1_0: Whether the client speaks HTTP/1.0, so that it takes no chunks.
+        is_http_1_0: Whether the client uses HTTP/1.0, which has no chunked transfer coding.
     """
 
     __slots__ = (
@@ -64,7 +66,7 @@
     )
 
     def __init__(self) -> None:
-        """Make an empty message, to be filled by a parser."""
+        """Create an empty message, to be filled in by a parser."""
         self.method = b""
         self.target = b""
         self.status = 0
@@ -79,7 +81,7 @@
 
     @property
     def size(self) -> int:
-        """About the bytes that it takes in memory."""
+        """Approximate size of the message in memory, in bytes."""
         fields = sum(len(name) + len(value) + FIELD_OVERHEAD_BYTES for name, value in self.headers)
         return len(self.body) + len(self.target) + fields
 
@@ -89,18 +91,20 @@
         self.lower_names.append(name.lower())
 
     def values(self, name: bytes) -> list[bytes]:
-        """Returns all values of a header, which is named in lower case."""
+        """Returns all values of a header; `name` is in lower case."""
         if name not in self.lower_names:
             return []
         return [
-            field[1] for lower, field in zip(self.lower_names, self.headers, strict=True) if lower == name
+            field[1]
+            for lower_name, field in zip(self.lower_names, self.headers, strict=True)
+            if lower_name == name
         ]
 
     def value(self, name: bytes) -> bytes | None:
-        """Returns the only value of a header, which is named in lower case; None if it is absent.
+        """Returns the single value of a header, or None if it is absent; `name` is in lower case.
 
         Raises:
-            FramingError: The header comes more than once.
+            FramingError: The header occurs more than once.
         """
         count = self.lower_names.count(name)
         if count > 1:
@@ -111,11 +115,11 @@
         """Returns the fields to forward to the other side.
 
         Args:
-            without: A field to leave out, named in lower case.
+            without: Name, in lower case, of a field to leave out.
         """
-        excluded: frozenset[bytes] | set[bytes] = HOP_BY_HOP
+        excluded: frozenset[bytes] | set[bytes] = HOP_BY_HOP_FIELDS
         if b"connection" in self.lower_names:
-            listed = (name for value in self.values(b"connection") for name in value.split(b","))
-            excluded = HOP_BY_HOP.union(name.strip().lower() for name in listed)
+            connection_options = (name for value in self.values(b"connection") for name in value.split(b","))
+            excluded = HOP_BY_HOP_FIELDS.union(name.strip().lower() for name in connection_options)
         fields = zip(self.lower_names, self.headers, strict=True)
-        return [field for lower, field in fields if lower not in excluded and lower != without]
+        return [field for lower_name, field in fields if lower_name not in excluded and lower_name != without]
--- a/sandhatch/http1/message_parser.py
+++ b/sandhatch/http1/message_parser.py
@@ -1,24 +1,24 @@
-"""What the parsers of both sides share: bytes in, messages and pieces of bodies out.
+"""Base of the request and response parsers: bytes in, messages and pieces of bodies out.
 
 No I/O, no clock, no decisions; httptools does the parsing. Source: RFC 9112, RFC 9110 section 6.5.1.
 
 Theory of operation. `feed` takes the bytes of one read and returns the events that they complete. By default
-a message comes complete, with its body. Its owner may let the body be streamed instead: the parser calls
-`on_head` with each head behind which a body follows; the owner calls `stream` from there, and later `open`
-once the parser is `openable`. `open` returns the head with what was buffered of the body; from then on each
-read brings pieces of it, and at last an `End`.
+a message is returned complete, with its body. The parser's owner may have the body streamed instead: the
+parser calls `on_head` with each head that is followed by a body, the owner calls `stream` from that callback,
+and later `open` once the parser is `openable`. `open` returns the head with the part of the body that is
+buffered. After that each read returns pieces of the body, and finally an `End`.
 
     ========= ============================== ========================= =====================================
-    state     bytes of a body go to          events                    next state
+    state     destination of body bytes      events                    next state
     ========= ============================== ========================= =====================================
     HEAD      (none)                         (none)                    BUFFERING at the head's end
     BUFFERING the parser's buffer            the message, at its end   HEAD at the end, or OPENED by `open`
     OPENED    the events, as pieces          each piece, then `End`    HEAD at the end
-    CLOSED    (nothing is read any more)     (none)                    (none)
+    CLOSED    (input is ignored)             (none)                    (none)
     ========= ============================== ========================= =====================================
 
-Every state goes to CLOSED by a fault in what was read, by `fail` and by `close`. An opened body of known
-length does not go through httptools at all: its pieces are views of the bytes read.
+A fault in the input, `fail` and `close` lead from every state to CLOSED. An opened body of known length
+bypasses httptools: its pieces are views of the bytes read.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.streaming.interfaces import Piece
 
-NEVER = -1  # as a number of buffered bytes: the body is not streamed
-UNKNOWN = -1  # as a number of remaining bytes: httptools finds the end
+NEVER = -1  # value of `open_at_bytes` for a body that must not be streamed
+UNKNOWN_LENGTH = -1  # value of `_remaining_bytes` for a body whose end is found by httptools
 
 
 class ParserState(Enum):
-    """What the bytes that are read belong to; see the table at the head of the module."""
+    """State of a parser; see the table in the module docstring."""
 
     HEAD = "head"
     BUFFERING = "buffering"
@@ -55,7 +55,8 @@
     CLOSED = "closed"
 
 
-# Compared with every read: Python 3.11 finds a member by its class ten times slower than by such a name.
+# Module-level names, because the state is compared on every read: in Python 3.11, looking up a member through
+# its enum class is ten times slower.
 HEAD = ParserState.HEAD
 BUFFERING = ParserState.BUFFERING
 OPENED = ParserState.OPENED
@@ -63,43 +64,47 @@
 
 
 class MessageParser:
-    """Feeds one connection's bytes to httptools and bounds what a message may take.
+    """Feeds one connection's bytes to httptools and enforces the size limits of messages.
 
-    httptools holds the parser's methods, and so the parser itself: `close` breaks that cycle, which would
-    else wait for the garbage collector with all that the connection held.
+    httptools holds references to this object's methods, and so to this object. `close` breaks that reference
+    cycle; otherwise everything that the connection holds would stay in memory until a garbage collection.
+
+    Attributes:
+        on_head: Callback that is called with each head that is followed by a body, before any byte of the
+            body is processed.
+        fault: Reason why the parser has stopped; None if there is none.
     """
 
     def __init__(self, max_body_bytes: int, max_messages: int) -> None:
-        """Make a parser of a connection from which nothing was read yet.
+        """Create a parser for a connection from which nothing has been read.
 
         Args:
-            max_body_bytes: Limit of a body, unless `stream` sets another for one.
-            max_messages: Messages that one read may bring.
+            max_body_bytes: Default limit of a body; `stream` may override it for a single body.
+            max_messages: Maximum number of messages in one read.
         """
-        # None in the state CLOSED.
+        # `_parser` is None in the state CLOSED.
         self._parser: httptools.HttpRequestParser | httptools.HttpResponseParser | None = self._make_parser()
         self._state = HEAD
         self._default_max_body_bytes = max_body_bytes
         self._max_body_bytes = max_body_bytes
         self._max_messages = max_messages
-        self._events: list[Event] = []  # of the read that is being parsed
+        self._events: list[Event] = []  # events of the read that is being parsed
         self._messages_in_read = 0
         self._message = Message()
         self._body_parts: list[bytes] = []
-        self._body_bytes = 0  # received of the present body
-        self._message_bytes = 0  # fed since the last complete message
+        self._body_bytes = 0  # bytes received of the current body
+        self._message_bytes = 0  # bytes fed since the last complete message
         self._trailers: Headers = []
-        self._bytes_since_body = 0  # fed of an opened message since the last piece of its body
-        self._open_at_bytes = NEVER  # buffered bytes of body from which it may be opened
-        self._remaining_bytes = UNKNOWN  # of an opened body of known length
-        # Called with each head behind which a body follows, before any of the body is looked at.
+        self._bytes_since_body = 0  # bytes fed since the last piece of an opened body
+        self._open_at_bytes = NEVER  # number of buffered body bytes from which the message may be opened
+        self._remaining_bytes = UNKNOWN_LENGTH  # bytes still missing of an opened body of known length
         self.on_head: Callable[[Message], None] | None = None
         self.fault: Fault | None = None
 
     def _make_parser(self) -> httptools.HttpRequestParser | httptools.HttpResponseParser:
         raise NotImplementedError
 
-    # ------------------------------------------------ what has been received
+    # ------------------------------------------------ state of the current message
 
     @property
     def has_partial_message(self) -> bool:
@@ -108,31 +113,31 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """About the bytes that the incomplete message takes in memory."""
+        """Approximate size of the incomplete message in memory, in bytes."""
         if self._state is OPENED or not self._message_bytes:
             return 0
         return min(self._message_bytes, MAX_HEAD_BYTES) + self._body_bytes
 
     @property
     def in_body(self) -> bool:
-        """Whether a message's head has been received, and not all of its body."""
+        """Whether the head of a message has been received but not its complete body."""
         return self._message_bytes > 0 and (self._state is BUFFERING or self._state is OPENED)
 
     @property
     def size(self) -> int:
-        """Bytes of the present body that have been received."""
+        """Bytes received of the current body."""
         return self._body_bytes
 
     @property
     def max_body_bytes(self) -> int:
-        """The limit of the present body in bytes."""
+        """Limit of the current body in bytes."""
         return self._max_body_bytes
 
     # ------------------------------------------------ streaming a body
 
     @property
     def openable(self) -> bool:
-        """Whether the present message may be opened, and enough of its body is buffered."""
+        """Whether the current message may be streamed and enough of its body is buffered for `open`."""
         return (
             self._state is BUFFERING
             and self._message_bytes > 0
@@ -140,23 +145,26 @@
         )
 
     def stream(self, open_at_bytes: int, max_body_bytes: int) -> None:
-        """Set how the present body is received; called from `on_head`.
+        """Set how the current body is received; called from `on_head`.
 
         Args:
-            open_at_bytes: Buffered bytes of body from which it may be opened; negative: it is never opened.
+            open_at_bytes: Number of buffered body bytes from which the message may be opened; negative if
+                never.
             max_body_bytes: Limit of the complete body.
         """
         self._open_at_bytes = open_at_bytes
         self._max_body_bytes = max_body_bytes
 
     def open(self) -> Message:
-        """Returns the present message with what is buffered of its body; the rest comes in pieces."""
+        """Returns the message with the buffered part of its body; `feed` returns the rest in pieces."""
         message = self._message
         message.body = b"".join(self._body_parts)
         self._body_parts = []
         self._state = OPENED
         self._bytes_since_body = 0
-        self._remaining_bytes = UNKNOWN if message.length is None else message.length - self._body_bytes
+        self._remaining_bytes = (
+            UNKNOWN_LENGTH if message.length is None else message.length - self._body_bytes
+        )
         return message
 
     # ------------------------------------------------ feeding
@@ -165,8 +173,8 @@
         """Parses the bytes of one read.
 
         Returns:
-            What they complete. Pieces may be views of `data`. A fault behind that is left in `fault`, for
-            good.
+            Events that the bytes complete. Pieces may be views of `data`. If the bytes contain a fault, the
+            events before it are returned and `fault` is set for good.
         """
         if self._parser is None:
             return []
@@ -176,32 +184,33 @@
         self._bytes_since_body += len(data)
         self._message_bytes += len(data)
         if self._state is OPENED and self._remaining_bytes >= 0:
-            data = self._take_piece(memoryview(data))
+            data = self._consume_piece(memoryview(data))
             if not data:
                 self._events = []
                 return events
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.fault = self._fault_of(error)
+            self.fault = self._fault_from(error)
         if self.fault is None:
-            self.fault = self._limit_exceeded()
+            self.fault = self._check_limits()
         self._events = []
         if self.fault is not None:
             self.fail(self.fault)
             if self.fault.status == 429:
-                return []  # nothing of such a read is accepted
+                return []  # too many messages in one read: none of them is accepted
         return events
 
     def fail(self, fault: Fault) -> None:
-        """Read no further: what follows is never parsed, and the incomplete message is discarded."""
+        """Stop parsing for good and discard the incomplete message."""
         had_partial_message = self.has_partial_message
         self.fault = fault
         self.close()
-        self._message_bytes = int(had_partial_message)  # `has_partial_message` goes on telling of it
+        # Preserve the value of `has_partial_message`, which `close` resets.
+        self._message_bytes = int(had_partial_message)
 
     def close(self) -> None:
-        """Read nothing more, and release what is held of an incomplete message."""
+        """Stop parsing and release the memory of an incomplete message."""
         self._state = CLOSED
         self._parser = None
         self.on_head = None
@@ -211,25 +220,25 @@
         self._body_bytes = 0
         self._message_bytes = 0
 
-    def _take_piece(self, data: memoryview) -> Piece:
-        """Take the opened body's part of what was read; returns what is behind it."""
+    def _consume_piece(self, data: memoryview) -> Piece:
+        """Add the part of `data` that belongs to the opened body as a piece; returns the bytes after it."""
         piece = data[: self._remaining_bytes]
         self._remaining_bytes -= len(piece)
         self._body_bytes += len(piece)
         self._events.append(piece)
         if self._remaining_bytes:
             return b""
-        rest = data[len(piece) :]
-        self._parser = self._make_parser()  # the one before still waits for this body
-        self._finish_opened()
-        self._message_bytes = len(rest)
-        return rest
-
-    def _limit_exceeded(self) -> Fault | None:
-        """Rejects a head, or chunk extensions and trailers, that never end."""
+        remainder = data[len(piece) :]
+        self._parser = self._make_parser()  # the old parser has not seen this body and still expects it
+        self._finish_opened_body()
+        self._message_bytes = len(remainder)
+        return remainder
+
+    def _check_limits(self) -> Fault | None:
+        """Returns a fault if the head, chunk extensions, trailers or the message exceed their limit."""
         if self._state is HEAD:
             return Fault(431, "the head is too long") if self._message_bytes > MAX_HEAD_BYTES else None
-        # An extension or a trailer, which httptools buffers until it ends.
+        # httptools buffers a chunk extension or a trailer until its end.
         if self._state is OPENED and self._bytes_since_body > MAX_HEAD_BYTES:
             return Fault(400, "too much framing at once")
         if self._open_at_bytes >= 0:
@@ -241,21 +250,21 @@
         return None
 
     @staticmethod
-    def _fault_of(error: Exception) -> Fault:
+    def _fault_from(error: Exception) -> Fault:
         cause = error.__context__
-        if isinstance(cause, FramingError):  # raised by a callback below
+        if isinstance(cause, FramingError):  # raised by one of the callbacks below
             return Fault(cause.status, str(cause))
         return Fault(400, f"malformed HTTP: {error}")
 
-    # ------------------------------------------------ called by httptools
+    # ------------------------------------------------ callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """Start the next message."""
+        """Begin a new message."""
         if self._messages_in_read >= self._max_messages:
             raise FramingError(429, "too many requests sent ahead")
         if not self._message_bytes:
-            # Behind a complete one in the same read. How much of the read is this message's is not known
-            # here; what matters is that there is one.
+            # This message follows a complete one in the same read. Its share of the read is unknown here, but
+            # the count must be positive for `has_partial_message`.
             self._message_bytes = 1
         self._message = Message()
         self._body_parts = []
@@ -271,31 +280,31 @@
         headers = message.headers
         if len(headers) >= MAX_FIELDS:
             raise FramingError(431, "the head has too many fields")
-        lower = name.lower()
+        lower_name = name.lower()
         headers.append((name, value))
-        message.lower_names.append(lower)
-        if lower == b"content-length":
+        message.lower_names.append(lower_name)
+        if lower_name == b"content-length":
             if message.length is not None:
                 raise FramingError(400, "Content-Length comes more than once")
-            # What is malformed counts as 0 here, and is rejected by httptools.
+            # A malformed length is set to 0 here and rejected by httptools.
             message.length = int(value) if len(value) <= MAX_LENGTH_DIGITS and value.isdigit() else 0
-        elif lower == b"transfer-encoding" and (
-            value.strip().lower() != b"chunked" or len(message.values(lower)) > 1
+        elif lower_name == b"transfer-encoding" and (
+            value.strip().lower() != b"chunked" or len(message.values(lower_name)) > 1
         ):
-            # Prevents request smuggling, by two parsers that find different ends: httptools accepts lists
-            # ending in `chunked`, and of an answer a second line of it.
+            # Prevents request smuggling, where two parsers find different ends of a message: httptools
+            # accepts lists that end in `chunked`, and in a response a second Transfer-Encoding line.
             raise FramingError(400, "Transfer-Encoding is not one `chunked`")
 
     def _on_trailer(self, name: bytes, value: bytes) -> None:
         if self._state is not OPENED:
-            return  # nothing here uses the trailers of a complete body
+            return  # trailers of a completely buffered body are not used
         if len(self._trailers) >= MAX_FIELDS:
             raise FramingError(431, "the trailers have too many fields")
         if name.lower() not in FORBIDDEN_TRAILERS:
             self._trailers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Check the version; subclasses do the rest."""
+        """Check the HTTP version; subclasses extend this."""
         assert self._parser is not None
         self._state = BUFFERING
         message = self._message
@@ -306,15 +315,15 @@
         message.is_http_1_0 = version == "1.0"
 
     def _announce_body(self) -> None:
-        """Let the owner choose how the body is received, then apply its limit to a stated length."""
+        """Call `on_head`, which may choose streaming, then check a stated length against the body's limit."""
         message = self._message
         if self.on_head is not None and message.length != 0:
             self.on_head(message)
         if message.length is not None and message.length > self._max_body_bytes:
-            raise FramingError(413, "the body is too long")  # rejected before the body is received
+            raise FramingError(413, "the body is too long")  # rejected before any of the body is received
 
     def on_body(self, data: bytes) -> None:
-        """Buffer a part of the body, or return it as a piece."""
+        """Buffer a part of the body, or add it to the events if the message is opened."""
         self._body_bytes += len(data)
         if self._body_bytes > self._max_body_bytes:
             raise FramingError(413, "the body is too long")
@@ -325,9 +334,9 @@
             self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """Return the complete message, or the end of an opened body."""
+        """Add the complete message, or the end of an opened body, to the events."""
         if self._state is OPENED:
-            self._finish_opened()
+            self._finish_opened_body()
             return
         message = self._message
         message.body = b"".join(self._body_parts)
@@ -335,14 +344,14 @@
         self._events.append(message)
         self._expect_next_message()
 
-    def _finish_opened(self) -> None:
-        self._remaining_bytes = UNKNOWN
+    def _finish_opened_body(self) -> None:
+        self._remaining_bytes = UNKNOWN_LENGTH
         self._events.append(End(self._trailers))
         self._trailers = []
         self._expect_next_message()
 
     def _expect_next_message(self) -> None:
-        """Forget the message that is complete."""
+        """Reset the state after a complete message."""
         self._messages_in_read += 1
         self._message_bytes = 0
         self._body_bytes = 0
--- a/sandhatch/http1/parser.py
+++ b/sandhatch/http1/parser.py
@@ -1,8 +1,8 @@
-"""The HTTP/1.1 parsers of the two sides: of clients' requests, and of servers' answers.
+"""HTTP/1.1 parsers for clients' requests and servers' responses.
 
-Each adds to `MessageParser`, whose module has the theory of operation, what its side alone has: the request
-line, the status line, 100 (Continue) and interim answers. It writes nothing and decides nothing. Source: RFC
-9112; RFC 9110 sections 10.1.1 and 15.2.
+Each extends `MessageParser`, whose module describes the theory of operation, with the parts that are specific
+to its side: the request line, the status line, 100 (Continue) and interim responses. No output and no
+decisions. Source: RFC 9112; RFC 9110 sections 10.1.1 and 15.2.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
     """Parses requests.
 
     Attributes:
-        expects_continue: Whether the client waits for 100 (Continue) before it sends the present body.
+        expects_continue: Whether the client waits for 100 (Continue) before it sends the current body.
     """
 
     _parser: httptools.HttpRequestParser | None
 
     def __init__(self, max_body_bytes: int = MAX_REQUEST_BODY_BYTES, max_messages: int = 4) -> None:
-        """Make a parser of a client's connection; see `MessageParser`."""
+        """Create a parser for a client connection; see `MessageParser`."""
         super().__init__(max_body_bytes, max_messages)
         self.expects_continue = False
 
@@ -32,11 +32,11 @@
         return httptools.HttpRequestParser(self)
 
     def on_url(self, url: bytes) -> None:
-        """Add a part of the request target."""
+        """Append a part of the request target."""
         self._message.target += url
 
     def on_headers_complete(self) -> None:
-        """Finish the head, and announce the body if there is one."""
+        """Complete the head, and announce the body if there is one."""
         super().on_headers_complete()
         assert self._parser is not None
         message = self._message
@@ -49,31 +49,32 @@
         self._announce_body()
 
     def on_message_complete(self) -> None:
-        """Return the request, or the end of its body."""
+        """Add the request, or the end of its body, to the events."""
         self.expects_continue = False
         super().on_message_complete()
 
 
 class ResponseParser(MessageParser):
-    """Parses answers.
+    """Parses responses.
 
-    An answer whose end only the close of the connection would mark never completes: it can't be told from a
-    truncated one.
+    A response that is delimited only by the close of the connection never completes, because it cannot be
+    distinguished from a truncated one.
     """
 
     _parser: httptools.HttpResponseParser | None
-    # Interim ones are not counted. Of the others the first is used; any behind it costs the connection.
+    # Interim responses are not counted. Of the others only the first is used; the connection is closed if
+    # more follow it.
     MAX_RESPONSES_IN_READ = 64
 
     def __init__(self, max_body_bytes: int = MAX_RESPONSE_BODY_BYTES) -> None:
-        """Make a parser of a connection to a server; see `MessageParser`."""
+        """Create a parser for a connection to a server; see `MessageParser`."""
         super().__init__(max_body_bytes, self.MAX_RESPONSES_IN_READ)
 
     def _make_parser(self) -> httptools.HttpResponseParser:
         return httptools.HttpResponseParser(self)
 
     def on_headers_complete(self) -> None:
-        """Finish the head, and announce the body if its framing has an end."""
+        """Complete the head, and announce the body if it is delimited by a length or by chunks."""
         super().on_headers_complete()
         assert self._parser is not None
         message = self._message
@@ -82,6 +83,6 @@
             self._announce_body()
 
     def on_message_complete(self) -> None:
-        """Return the answer, or the end of its body; an interim answer (1xx) is skipped."""
+        """Add the response, or the end of its body, to the events; interim responses (1xx) are skipped."""
         if self._message.status >= 200:
             super().on_message_complete()
--- a/sandhatch/http1/serializer.py
+++ b/sandhatch/http1/serializer.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 messages to bytes: heads, chunks, and small messages in one piece.
+"""Encoding of HTTP/1.1 messages: heads, chunks, and complete messages with small bodies.
 
-Checks nothing and writes to no socket. Source: RFC 9112.
+No validation and no I/O. Source: RFC 9112.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 CHUNKED_AND_HEAD_END = b"Transfer-Encoding: chunked\r\n\r\n"
 
-REASONS = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -32,7 +32,7 @@
 def encode_request(
     method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes
 ) -> bytes:
-    """Encodes a request in one piece. A body, or a method that usually has one, states its length."""
+    """Encodes a complete request. Content-Length is omitted only for a GET request without a body."""
     parts = [method, b" ", target, b" HTTP/1.1\r\n"]
     for name, value in headers:
         parts += (name, b": ", value, b"\r\n")
@@ -48,10 +48,10 @@
     """Encodes the head of a request whose body follows in pieces.
 
     Args:
-        method: Method.
+        method: Request method.
         target: Request target.
-        headers: Fields without those of the framing.
-        length: Bytes of the body; None if it follows in chunks.
+        headers: Header fields without the framing fields.
+        length: Length of the body in bytes; None if the body is chunked.
     """
     parts = [method, b" ", target, b" HTTP/1.1\r\n"]
     for name, value in headers:
@@ -63,8 +63,8 @@
 def encode_response(
     status: int, headers: Iterable[tuple[bytes, bytes]], body: bytes, close: bool = False
 ) -> bytes:
-    """Encodes an answer in one piece; `close` says that it is its connection's last."""
-    parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))]
+    """Encodes a complete response; `close` marks it as the last one of its connection."""
+    parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))]
     for name, value in headers:
         parts += (name, b": ", value, b"\r\n")
     parts.append(b"Content-Length: %d\r\n" % len(body))
@@ -81,18 +81,19 @@
     chunked: bool,
     close: bool,
 ) -> bytes:
-    """Encodes the head of an answer whose body follows in pieces.
+    """Encodes the head of a response whose body follows in pieces.
 
-    Without length and chunks the close of the connection marks the body's end, as a client of HTTP/1.0 needs.
+    Without a length and without chunks, the close of the connection marks the end of the body, as HTTP/1.0
+    clients require.
 
     Args:
         status: HTTP status code.
-        headers: Fields without those of the framing.
-        length: Bytes of the body; None if only its end will tell.
-        chunked: Whether a body of unknown length follows in chunks.
-        close: Whether the answer is its connection's last.
+        headers: Header fields without the framing fields.
+        length: Length of the body in bytes; None if unknown.
+        chunked: Whether a body of unknown length is chunked.
+        close: Whether the response is the last one of its connection.
     """
-    parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, b"Status"))]
+    parts = [b"HTTP/1.1 %d %s\r\n" % (status, REASON_PHRASES.get(status, b"Status"))]
     for name, value in headers:
         parts += (name, b": ", value, b"\r\n")
     if close:
@@ -104,14 +105,14 @@
     return b"".join(parts)
 
 
-def chunk(piece: Piece) -> Sequence[Piece]:
-    """Frames a piece as one chunk: parts to be written in this order, not joined (RFC 9112 section 7.1).
+def encode_chunk(piece: Piece) -> Sequence[Piece]:
+    """Encodes a piece as one chunk (RFC 9112 section 7.1), in parts to be written in order, without a copy.
 
-    An empty piece gives no chunk: it would mark the end of the body.
+    An empty piece produces no chunk, because an empty chunk would mark the end of the body.
     """
     return (b"%x\r\n" % len(piece), piece, b"\r\n") if len(piece) else ()
 
 
-def last_chunk(trailers: Headers) -> bytes:
-    """Encodes the end of a chunked body."""
+def encode_last_chunk(trailers: Headers) -> bytes:
+    """Encodes the last chunk and the trailers of a chunked body."""
     return b"".join((b"0\r\n", *(b"%b: %b\r\n" % field for field in trailers), b"\r\n"))
--- a/sandhatch/streaming/__init__.py
+++ b/sandhatch/streaming/__init__.py
@@ -1,4 +1,4 @@
-"""A body on its way: flow control, progress limits, memory, and the socket writer.
+"""Streaming of bodies: flow control, progress limits, memory accounting, and the socket writer.
 
-Nothing here knows HTTP, or which side is the client; only the socket writer does I/O.
+Independent of HTTP and of which side is the client. Only the socket writer does I/O.
 """
--- a/sandhatch/streaming/flow.py
+++ b/sandhatch/streaming/flow.py
@@ -1,20 +1,22 @@
-"""Flow control of one direction of an exchange: a body's pieces, trailers and end, from a source to a sink.
+"""Flow control for the body of a request or a response, from a source to a sink.
 
-No I/O, no protocol and no clock of its own. Source: Envoy's watermarks (its docs on flow control), and the
-flow control of HTTP/2 and HTTP/3 (RFC 9113 section 5.2, RFC 9000 section 4).
+No I/O and no protocol; the clock is supplied by the caller. Source: Envoy's watermarks (its docs on flow
+control), and the flow control of HTTP/2 and HTTP/3 (RFC 9113 section 5.2, RFC 9000 section 4).
 
     source --push, end--------> Flow --write, finish--> sink
     source <--pause, resume---- Flow <------drained---- sink
 
-The source may bring as many bytes as there is credit for: the ceiling, less what the flow has in memory. That
-is what the sink has not sent yet, and the replay buffer. So a body of any length passes in bounded memory, at
-the pace of the slower side.
+The source may push as many bytes as the flow has credit: the ceiling minus the bytes that the flow has in
+memory, which are those that the sink has not sent yet and those in the replay buffer. A body of any length is
+therefore streamed in bounded memory, at the rate of the slower side.
 
-The replay buffer keeps the bytes from the first, while they are few: until it is released, another sink can
-be given the complete body. `FlowObserver.on_unrepeatable` notifies of the release.
+The replay buffer retains the beginning of the body up to a limited size. Until it is released, the complete
+body can be written to another sink, for a retry. `FlowObserver.on_unrepeatable` is called when it is
+released.
 
-A flow has one sink at a time, and may have none. `ended` says that the source has brought the complete body,
-`sent` that the present sink has sent it, `closed` that nothing of it counts any more.
+A flow has at most one sink at a time. `ended` is set when the source has pushed the complete body, `sent`
+when the current sink has sent it, `closed` when the flow has released its resources and ignores further
+input.
 """
 
 from __future__ import annotations
@@ -30,7 +32,7 @@
 
 
 class Side(Enum):
-    """A side of a flow."""
+    """Side of a flow."""
 
     SOURCE = "source"
     SINK = "sink"
@@ -38,11 +40,11 @@
 
 @dataclass(slots=True, frozen=True)
 class SlowSide:
-    """The side of a flow that violates its progress limits.
+    """Violation of the progress limits by one side of a flow.
 
     Attributes:
-        side: Which of the two.
-        reason: Which limit and by how much, for the log.
+        side: Side that violates its limits.
+        reason: Description of the measured progress, for the log.
     """
 
     side: Side
@@ -50,15 +52,15 @@
 
 
 class Flow:
-    """One body on its way; see the head of the module.
+    """Flow of one body from a source to a sink; see the module docstring.
 
     Attributes:
-        terms: The body's limits.
-        source: Brings the body; None once all of it has come.
-        ended: Whether the source has brought all of it.
-        sent: Whether all of it has left through the present sink.
-        closed: Whether the flow has been closed, so that it takes nothing more.
-        trailers: Fields behind the body, once it has ended.
+        terms: Limits of the body.
+        source: Source of the body; None once the body has ended or the flow is closed.
+        ended: Whether the source has pushed the complete body.
+        sent: Whether the current sink has sent the complete body.
+        closed: Whether the flow has been closed; a closed flow ignores further input.
+        trailers: Trailer fields of the body, set when the body ends.
     """
 
     MIN_CREDIT_BYTES = MIN_CREDIT_BYTES
@@ -94,11 +96,12 @@
         """Open a flow without a sink.
 
         Args:
-            terms: The body's limits.
-            resources: The clock, the memory budget and the statistics of the process.
-            source: Brings the body.
-            reserved_bytes: Booked already in the memory budget; see `FlowMemory`.
-            leases_to_response: Whether a part of these is for the body of the answer; False for an answer's.
+            terms: Limits of the body.
+            resources: Clock, memory budget and flow statistics of the process.
+            source: Source of the body.
+            reserved_bytes: Bytes that are already reserved in the memory budget; see `FlowMemory`.
+            leases_to_response: Whether a part of the reserved bytes is for the body of the response; False
+                for the flow of a response.
         """
         self.terms = terms
         self.source: Source | None = source
@@ -113,8 +116,8 @@
         )
         self._observer: FlowObserver | None = None
         self._sink: Sink | None = None
-        self._unsent_bytes = 0  # of the sink, as last looked at
-        # Before the first sink this is what waits for it; afterwards what another one would be given.
+        self._unsent_bytes = 0  # unsent bytes of the sink at the last check
+        # Before the first sink is attached, the bytes that wait for it; afterwards, the bytes for a retry.
         self._replay_buffer: list[bytes] | None = []
         self._replay_bytes = 0
         self._source_paused = False
@@ -127,18 +130,18 @@
 
     @property
     def credit(self) -> int:
-        """Bytes that the source may bring now.
+        """Bytes that the source may push now.
 
-        Bounded by the body's ceiling and by the free memory; a flow keeps the credit of its reserved bytes
-        however short memory is.
+        The body's ceiling and the free memory limit the credit. The credit for the reserved bytes remains
+        even if no memory is free.
         """
-        # As `memory_bytes`, but without another call: this is asked for with every read.
+        # Repeats the sum in `memory_bytes` to save a call, because every read from a socket needs the credit.
         unsent_bytes = self._sink.unsent if self._sink is not None else 0
-        most_bytes = min(self.terms.ceiling_bytes, self._memory.available_bytes)
-        return max(0, most_bytes - self._replay_bytes - unsent_bytes)
+        max_bytes = min(self.terms.ceiling_bytes, self._memory.available_bytes)
+        return max(0, max_bytes - self._replay_bytes - unsent_bytes)
 
     def push(self, piece: Piece) -> None:
-        """Take the next bytes of the body; a view is copied where it must outlast the call."""
+        """Accept the next bytes of the body; a view is copied if it is needed after the call."""
         if self.closed:
             return
         size = len(piece)
@@ -157,7 +160,7 @@
         self._update()
 
     def end(self, trailers: Headers) -> None:
-        """Take the end: the source has brought all of the body."""
+        """Mark the end of the body: the source has pushed all of it."""
         if self.closed or self.ended:
             return
         self.ended = True
@@ -170,34 +173,36 @@
     # ------------------------------------------------ called by the sink
 
     def drained(self) -> None:
-        """Go on: all that the sink was given has been sent."""
+        """Continue after the sink has sent everything that was written to it."""
         self._update()
 
-    # ------------------------------------------------ called by whoever runs the exchange
+    # ------------------------------------------------ called by the owner of the exchange
 
     @property
     def memory_bytes(self) -> int:
-        """Bytes in memory on the body's behalf."""
+        """Bytes of the body in memory: the replay buffer and what the sink has not sent."""
         return self._replay_bytes + (self._sink.unsent if self._sink is not None else 0)
 
     @property
     def repeatable(self) -> bool:
-        """Whether a sink could be given the complete body."""
+        """Whether the complete body can still be written to another sink."""
         return self._replay_buffer is not None
 
     def observe(self, observer: FlowObserver) -> None:
-        """Notify this observer from now on, in place of any other."""
+        """Set the observer that is notified from now on, in place of any other."""
         self._observer = observer
 
     def attach(self, sink: Sink) -> None:
         """Write the body to this sink, from its first byte."""
         if self._replay_buffer is None or self._sink is not None:
-            raise AssertionError("a flow that has a sink, or has released its replay buffer, takes no sink")
+            raise AssertionError(
+                "cannot attach a sink: the flow has a sink or has released its replay buffer"
+            )
         self._sink = sink
         self._unsent_bytes = 0
         for piece in self._replay_buffer:
             sink.write(piece)
-            if self._sink is not sink:  # it broke, and was detached
+            if self._sink is not sink:  # the sink has failed during the write and was detached
                 return
         if self._replay_bytes > self.terms.replay_bytes:
             self._release_replay_buffer()
@@ -206,14 +211,14 @@
         self._update()
 
     def detach(self, sink: Sink) -> None:
-        """Write no more to this sink."""
+        """Stop writing to this sink."""
         if self._sink is sink:
             self._sink = None
             self.sent = False
             self._update()
 
     def close(self) -> None:
-        """Release everything; what the source still brings is discarded."""
+        """Release all resources; anything that the source still pushes is discarded."""
         if self.closed:
             return
         self.closed = True
@@ -226,7 +231,7 @@
         self._statistics.open -= 1
 
     def slow_side(self, now_ms: float) -> SlowSide | None:
-        """Returns which side violates its progress limits; None if neither does."""
+        """Returns the side that violates its progress limits, or None."""
         if self.closed:
             return None
         self._record_sink_progress(now_ms)
@@ -239,13 +244,14 @@
         return None
 
     def lease_to_response(self) -> int:
-        """Hand `MIN_CREDIT_BYTES` of the reserved bytes over to the body of the other direction.
+        """Lease `MIN_CREDIT_BYTES` of the reserved bytes to the flow of the response.
 
-        So a request that has begun does not wait for the memory of its answer. The answer of another attempt
-        gets as many, booked anew: what was handed over before went back to the budget.
+        This way a request that has been started does not wait for memory for its response. The response of a
+        further attempt gets the same number of bytes, which are reserved anew because the flow of the earlier
+        response has returned its bytes to the budget.
 
         Returns:
-            The bytes, which are booked.
+            Number of leased bytes, which are already reserved in the budget.
         """
         if self._memory.lease():
             self._update()
@@ -254,7 +260,7 @@
     # ------------------------------------------------
 
     def _release_replay_buffer(self) -> None:
-        """Keep what was sent no longer."""
+        """Release the replay buffer, so that the body cannot be written to another sink."""
         self._replay_buffer = None
         self._replay_bytes = 0
         self._memory.shrink_reservation()
@@ -268,25 +274,25 @@
         self._unsent_bytes = unsent_bytes
 
     def _update(self) -> None:
-        """After any change: book the memory, see which side is waited for, pause or resume the source."""
+        """Update memory accounting, progress monitors and the source's pause state after any change."""
         if self.closed:
             return
         now_ms = self._clock.now_ms()
         self._record_sink_progress(now_ms)
         self._memory.update(self._replay_bytes + self._unsent_bytes)
-        sink_behind = self._unsent_bytes > 0
-        if sink_behind:
+        is_sink_behind = self._unsent_bytes > 0
+        if is_sink_behind:
             self._sink_progress.start_waiting(now_ms)
         else:
             self._sink_progress.stop_waiting(now_ms)
-        if self._sink is None or sink_behind or self.ended:
+        if self._sink is None or is_sink_behind or self.ended:
             self._source_progress.stop_waiting(now_ms)
         else:
             self._source_progress.start_waiting(now_ms)
-        paused = self._sink is None or sink_behind or not self.credit
+        paused = self._sink is None or is_sink_behind or not self.credit
         if paused != self._source_paused:
             self._set_source_paused(paused)
-        if self.ended and not sink_behind and self._sink is not None and not self.sent:
+        if self.ended and not is_sink_behind and self._sink is not None and not self.sent:
             self.sent = True
             if self._observer is not None:
                 self._observer.on_sent()
--- a/sandhatch/streaming/flow_memory.py
+++ b/sandhatch/streaming/flow_memory.py
@@ -1,10 +1,11 @@
-"""What one flow has booked of the memory budget: what it buffers, or its reservation if that is more.
+"""Memory accounting of one flow: the buffered bytes or the reservation, whichever is larger.
 
-It buffers nothing itself, and knows neither source nor sink. Source: docs/design/bodies.md.
+No data is buffered here, and source and sink are unknown here. Source: docs/design/bodies.md.
 
-A flow begins with a reservation that was booked before it was opened. So a body that has begun never waits
-for memory: whatever the budget says, it may buffer what is reserved. The reservation shrinks once the replay
-buffer is released, and a request's flow leases a part of it to the body of its answer.
+A flow starts with a reservation that was made before the flow was opened. A body that has begun therefore
+never waits for memory: it may buffer up to its reservation even if the budget is exhausted. The reservation
+shrinks when the replay buffer is released, and the flow of a request leases a part of it to the flow of the
+response.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from sandhatch.runtime.flow_statistics import FlowStatistics
 from sandhatch.runtime.memory_budget import MemoryBudget
 
-MIN_CREDIT_BYTES = 16 * 1024  # bytes of credit for a body that has begun, however short memory is
+MIN_CREDIT_BYTES = 16 * 1024  # guaranteed credit of a body that has begun, even if no memory is free
 
 
 class FlowMemory:
-    """The memory of one flow; see the head of the module."""
+    """Memory accounting of one flow; see the module docstring."""
 
     __slots__ = (
         "_accounted_bytes",
@@ -38,11 +39,11 @@
         """Take over a reservation.
 
         Args:
-            budget: Where the memory is booked.
-            statistics: Records the most that a flow buffered.
-            ceiling_bytes: The most that this one should buffer.
-            reserved_bytes: Booked already.
-            leasable: Whether `MIN_CREDIT_BYTES` of these are for the body of the other direction.
+            budget: Memory budget in which the bytes are counted.
+            statistics: Flow statistics, which record peak usage and exceeded ceilings.
+            ceiling_bytes: Maximum number of bytes that this flow should buffer.
+            reserved_bytes: Bytes that are already reserved in the budget.
+            leasable: Whether `MIN_CREDIT_BYTES` of the reservation may be leased to the flow of the response.
         """
         self._budget = budget
         self._statistics = statistics
@@ -53,11 +54,11 @@
 
     @property
     def available_bytes(self) -> int:
-        """Bytes that the flow may buffer: its reservation, or more where the budget has more."""
+        """Bytes that the flow may buffer: its reservation, or more if the budget has free memory."""
         return max(self._reserved_bytes, self._accounted_bytes + self._budget.free)
 
     def update(self, buffered_bytes: int) -> None:
-        """Book what the flow buffers now, or its reservation if that is more."""
+        """Account for the bytes that the flow buffers now, or for its reservation if that is larger."""
         statistics = self._statistics
         if buffered_bytes > statistics.peak_bytes:
             statistics.peak_bytes = buffered_bytes
@@ -70,15 +71,18 @@
             self._budget.update_usage(accounted_before, accounted_bytes)
 
     def shrink_reservation(self) -> None:
-        """Reserve only what a body needs that is not kept for another sink; booked with the next `update`."""
+        """Reduce the reservation to what a body without a replay buffer needs.
+
+        The budget is adjusted by the next `update`.
+        """
         self._reserved_bytes = min(self._reserved_bytes, MIN_CREDIT_BYTES + self._leasable_bytes)
 
     def lease(self) -> bool:
-        """Hand `MIN_CREDIT_BYTES`, which stay booked, over to the body of the other direction.
+        """Lease `MIN_CREDIT_BYTES` to the flow of the response; the bytes remain counted in the budget.
 
         Returns:
-            Whether they came out of the reservation, so that an `update` is due. They do only once: after
-            that they are booked anew.
+            Whether the bytes were taken from the reservation, so that an `update` is due. This is the case
+            for the first lease only; the bytes of a later lease are added to the budget.
         """
         leased_bytes = self._leasable_bytes
         if not leased_bytes:
@@ -90,7 +94,7 @@
         return True
 
     def release(self) -> None:
-        """Book nothing any more: the flow is closed."""
+        """Return all bytes to the budget because the flow is closed."""
         self._leasable_bytes = 0
         self._budget.update_usage(self._accounted_bytes, 0)
         self._accounted_bytes = 0
--- a/sandhatch/streaming/headers.py
+++ b/sandhatch/streaming/headers.py
@@ -1,9 +1,9 @@
-"""Header fields as each protocol hands them on: of a message's head, and of a body's trailers.
+"""Type of header and trailer fields, independent of the protocol version.
 
-A type only. Source: RFC 9110 section 5.
+Source: RFC 9110 section 5.
 """
 
 from __future__ import annotations
 
-# Names and values as they were received, in their order.
+# Pairs of name and value as received, in order.
 Headers = list[tuple[bytes, bytes]]
--- a/sandhatch/streaming/interfaces.py
+++ b/sandhatch/streaming/interfaces.py
@@ -1,6 +1,6 @@
-"""The contracts around a flow: what brings a body, what takes it, who is notified, and what all flows share.
+"""Interfaces of a flow: the source and the sink of a body, the observer, and resources shared by all flows.
 
-Types only. Source: `sandhatch.streaming.flow`, whose head shows how they meet.
+Types only. Source: `sandhatch.streaming.flow`, whose docstring shows how they interact.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from sandhatch.runtime.memory_budget import MemoryBudget
 from sandhatch.streaming.headers import Headers
 
-# A part of a body. A view is valid only during the call that hands it over.
+# A part of a body. A view is valid only during the call to which it is passed.
 Piece = bytes | memoryview
 
 
@@ -19,54 +19,54 @@
     """A monotonic clock."""
 
     def now_ms(self) -> float:
-        """Milliseconds since any fixed moment."""
+        """Milliseconds since an arbitrary fixed point in time."""
 
 
 class FlowResources(Protocol):
-    """What all flows of a process share; `SharedResources` has it."""
+    """Resources shared by all flows of a process; implemented by `SharedResources`."""
 
     @property
     def clock(self) -> MonotonicClock:
-        """Measures the progress of both sides."""
+        """Clock by which the progress of both sides is measured."""
 
     @property
     def memory_budget(self) -> MemoryBudget:
-        """Where the memory of flows is booked."""
+        """Memory budget in which the memory of flows is counted."""
 
     @property
     def flows(self) -> FlowStatistics:
-        """Counts all flows."""
+        """Statistics of all flows."""
 
 
 class Source(Protocol):
-    """Brings a body."""
+    """Producer of a body, for example a connection that is read."""
 
     def pause(self) -> None:
-        """Bring no more until `resume`."""
+        """Stop pushing until `resume` is called."""
 
     def resume(self) -> None:
-        """Bring more again."""
+        """Start pushing again."""
 
 
 class Sink(Protocol):
-    """Takes a body."""
+    """Consumer of a body, for example a connection that is written to."""
 
     @property
     def unsent(self) -> int:
-        """Bytes that were written and that the system has not taken."""
+        """Bytes that were written but not yet accepted by the kernel."""
 
     def write(self, piece: Piece) -> None:
-        """Take the complete piece; it is not looked at again after the return."""
+        """Accept the complete piece; the piece is not accessed after the call returns."""
 
     def finish(self, trailers: Headers) -> None:
-        """Take the end: the body is complete."""
+        """Mark the end of the body and send its trailers."""
 
 
 class FlowObserver(Protocol):
-    """Is notified of a flow's progress; whoever runs the exchange."""
+    """Observer of a flow's progress, implemented by the owner of the exchange."""
 
     def on_unrepeatable(self) -> None:
-        """What was sent is no longer kept completely: no other sink can be given the body."""
+        """The replay buffer was released: the body can no longer be written to another sink."""
 
     def on_sent(self) -> None:
-        """The complete body, with its end, has left through the sink."""
+        """The sink has sent the complete body, including its end."""
--- a/sandhatch/streaming/progress.py
+++ b/sandhatch/streaming/progress.py
@@ -1,8 +1,9 @@
-"""How fast one side of a flow moves while it is the side that is waited for.
+"""Progress limits of one side of a flow: maximum stall time and minimum rate.
 
-Time counts only while the other side is ready: a reader that does not read is never held against the writer,
-nor the other way round. No clock: the times are handed in. Source: Envoy's stream idle timeout and HAProxy's
-`timeout client` and `timeout server` for stalls; the slow-request guards of nginx and Apache for the rate.
+Time counts only while the flow is waiting for this side: a reader that does not read is never counted against
+the writer, and vice versa. No clock: the caller passes the times. Source: Envoy's stream idle timeout and
+HAProxy's `timeout client` and `timeout server` for stalls; the slow-request guards of nginx and Apache for
+the rate.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 
 @dataclass(slots=True, frozen=True)
 class ProgressLimits:
-    """What one side must achieve. Only time during which it is waited for counts.
+    """Minimum progress of one side. Only time during which the flow waits for that side counts.
 
     Attributes:
-        stall_ms: Longest time without a byte.
-        floor_bytes_per_s: Least rate over each complete window; 0 for none.
+        stall_ms: Maximum time without a byte.
+        floor_bytes_per_s: Minimum rate over each complete window; 0 for no minimum.
         window_ms: Length of a window.
     """
 
@@ -26,38 +27,39 @@
 
 
 class ProgressMonitor:
-    """Measures one side's progress against its limits."""
+    """Monitor that checks one side's progress against its limits."""
 
     __slots__ = ("_last_byte_ms", "_limits", "_waited_ms", "_waiting_since_ms", "_window_bytes")
 
     def __init__(self, limits: ProgressLimits) -> None:
-        """Make a monitor of a side that is not waited for yet."""
+        """Create a monitor for a side that the flow is not waiting for yet."""
         self._limits = limits
-        self._waiting_since_ms: float | None = None  # what came before is in `_waited_ms`
-        self._last_byte_ms = 0.0  # or since when it is waited for, if that is later
-        self._waited_ms = 0.0  # in the present window
+        # Start of the current wait, or of the window if that is later; None while not waiting.
+        self._waiting_since_ms: float | None = None
+        self._last_byte_ms = 0.0  # time of the last byte, or start of the current wait if that is later
+        self._waited_ms = 0.0  # duration of the earlier waits in the current window
         self._window_bytes = 0
 
     def start_waiting(self, now_ms: float) -> None:
-        """Start to count time: this side is the one that is waited for."""
+        """Start counting time because the flow is waiting for this side."""
         if self._waiting_since_ms is None:
             self._waiting_since_ms = self._last_byte_ms = now_ms
 
     def stop_waiting(self, now_ms: float) -> None:
-        """Stop counting time: something else is waited for."""
+        """Stop counting time because the flow is not waiting for this side."""
         if self._waiting_since_ms is not None:
             self._waited_ms += now_ms - self._waiting_since_ms
             self._waiting_since_ms = None
 
     def record_bytes(self, size: int, now_ms: float) -> None:
-        """Count bytes that this side has moved."""
+        """Count bytes that this side has transferred."""
         self._window_bytes += size
         self._last_byte_ms = now_ms
 
     def violation(self, now_ms: float) -> str | None:
-        """Returns which limit is violated, for the log; None if none is.
+        """Returns a description of the violated limit for logs and error responses; None if there is none.
 
-        Ends a window that is complete; to be called several times in the length of a window.
+        A complete window is closed by this call, so call it several times per window.
         """
         if self._waiting_since_ms is None:
             return None
--- a/sandhatch/streaming/socket_writer.py
+++ b/sandhatch/streaming/socket_writer.py
@@ -1,7 +1,7 @@
-"""Writes to a transport without copying what the system takes at once.
+"""Writes to a transport without copying the bytes that the kernel accepts immediately.
 
-A piece of a body is a view of the buffer that it was read into. Only what the system does not take directly
-is copied, into the transport's own queue, which the flow counts. Source: writev(2).
+A piece of a body is a view of the buffer into which it was read. Only bytes that the kernel does not accept
+immediately are copied, into the transport's own buffer, which the flow counts. Source: writev(2).
 """
 
 from __future__ import annotations
@@ -13,43 +13,44 @@
 from sandhatch.streaming.interfaces import Piece
 
 READ_BYTES = 256 * 1024
-# One read buffer for the whole process: each read is used up before the next, and the rest is copied.
+# Read buffer shared by all connections of the process. The data of each read is processed before the next
+# read; data that is needed longer is copied.
 SCRATCH = memoryview(bytearray(READ_BYTES))
 
 
 class SocketWriter:
-    """Writes to one transport, in order: pieces never overtake what the transport's own buffer holds."""
+    """Writes to one transport in order: new pieces never overtake bytes in the transport's own buffer."""
 
-    __slots__ = ("_descriptor", "_transport")
+    __slots__ = ("_file_descriptor", "_transport")
 
     def __init__(self, transport: asyncio.WriteTransport) -> None:
-        """Write to a transport that is up."""
+        """Create a writer for a connected transport."""
         self._transport = transport
-        self._descriptor: int = transport.get_extra_info("socket").fileno()
+        self._file_descriptor: int = transport.get_extra_info("socket").fileno()
 
     @property
     def unsent(self) -> int:
-        """Bytes that were written and that the system has not taken."""
+        """Bytes that were written but not yet accepted by the kernel."""
         transport = self._transport
         return 0 if transport.is_closing() else transport.get_write_buffer_size()
 
     def write(self, pieces: Sequence[Piece]) -> None:
-        """Write all pieces, in order; after the return none is looked at again."""
+        """Write all pieces in order; they are not accessed after the call returns."""
         transport = self._transport
         if transport.is_closing():
             return
-        taken_bytes = 0
+        written_bytes = 0
         if not transport.get_write_buffer_size():
             try:
-                taken_bytes = os.writev(self._descriptor, pieces)
+                written_bytes = os.writev(self._file_descriptor, pieces)
             except BlockingIOError:
                 pass
             except OSError:
-                return  # broken: the system reports it to the transport, and that to its protocol
+                return  # connection failed: the event loop reports this to the transport and its protocol
         for piece in pieces:
             size = len(piece)
-            if taken_bytes >= size:
-                taken_bytes -= size
+            if written_bytes >= size:
+                written_bytes -= size
             else:
-                transport.write(bytes(piece[taken_bytes:]))
-                taken_bytes = 0
+                transport.write(bytes(piece[written_bytes:]))
+                written_bytes = 0
--- a/sandhatch/streaming/terms.py
+++ b/sandhatch/streaming/terms.py
@@ -1,6 +1,6 @@
-"""The limits under which bodies are streamed, as the configuration of a request's class sets them.
+"""Limits for streaming bodies, as set by the configuration of a request's class.
 
-Values only. Source: `docs/operators/bodies.md`, which names the keys, their defaults and bounds.
+Values only. Source: `docs/operators/bodies.md`, which documents the keys, their defaults and their ranges.
 """
 
 from __future__ import annotations
@@ -15,12 +15,13 @@
     """Limits of the body in one direction.
 
     Attributes:
-        max_bytes: Largest body that is accepted.
-        hold_bytes: Bytes that are buffered before streaming begins; a smaller body is buffered completely.
-        replay_bytes: Size of the replay buffer: what was sent is kept for a retry up to this size.
-        ceiling_bytes: Most memory that the body may ever take.
-        writer: Progress of the side that sends the body.
-        reader: Progress of the side that receives it.
+        max_bytes: Maximum size of the body.
+        hold_bytes: Number of bytes that are buffered before streaming begins; a smaller body is buffered
+            completely.
+        replay_bytes: Size of the replay buffer, which retains the sent bytes for a retry up to this size.
+        ceiling_bytes: Maximum memory that the body may use at any time.
+        writer: Progress limits of the side that sends the body.
+        reader: Progress limits of the side that receives the body.
     """
 
     max_bytes: int
@@ -36,12 +37,13 @@
     """Limits of a request in both directions.
 
     Attributes:
-        request: Of the request's body.
-        response: Of the answer's body.
-        total_ms: Time of the complete exchange, from its begin.
-        memory_wait_ms: How long a new request waits for memory before it is rejected; the key `room_wait_ms`.
-        response_hold_ms: Time after which an answer that has begun is streamed, however little of it has
-            come.
+        request: Limits of the request body.
+        response: Limits of the response body.
+        total_ms: Maximum duration of the complete exchange, from its start.
+        memory_wait_ms: Maximum time that a new request waits for memory before it is rejected; the
+            configuration key is `room_wait_ms`.
+        response_hold_ms: Time after which a response that has begun is streamed even if less than its
+            `hold_bytes` have been received; the configuration key is `answer_hold_ms`.
     """
 
     request: BodyTerms
