--- a/sandhatch/dispatch/__init__.py
+++ b/sandhatch/dispatch/__init__.py
@@ -1,4 +1,5 @@
-"""Carries out what a balancer decides for one pool's requests.
+"""Carries out a balancer's decisions for the requests of one pool.
 
-Events go to the balancer, its actions come back and are carried out. Nothing is decided here.
+Events are delivered to the balancer, and the actions that it returns are carried out. All decisions are made
+in `sandhatch.balancing`.
 """
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -1,7 +1,7 @@
-"""Starts the attempts and probes that a balancer orders, and notifies it of their ends.
+"""Starts the attempts and probes that a balancer requests, and notifies the balancer of their ends.
 
-Each `Send` leads to exactly one `AttemptEnded`, each `Probe` to exactly one `ProbeEnded`. It never chooses a
-server and never retries. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
+Each `Send` leads to exactly one `AttemptEnded`, each `Probe` to exactly one `ProbeEnded`. Servers and retries
+are chosen by the balancer. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from sandhatch.streaming.flow import Flow
 from sandhatch.upstream.attempt import Attempt
 from sandhatch.upstream.connection_pool import ConnectionPool
-from sandhatch.upstream.load_report import LOAD_HEADER, report_of
+from sandhatch.upstream.load_report import LOAD_HEADER, extract_load_report
 from sandhatch.upstream.server import UpstreamServer
 
-TIME_LEFT_HEADER = b"x-expires-in-ms"  # in lower case, as it is looked up
+TIME_LEFT_HEADER = b"x-expires-in-ms"  # in lower case for look-ups in `Message`
 
 
 @dataclass(slots=True, eq=False)
 class AttemptContext:
-    """The owner of one attempt of an exchange: what the attempt calls back on.
+    """The owner of one attempt of an exchange; implements `AttemptOwner`.
 
     Attributes:
-        runner: the runner that starts it.
-        exchange: the exchange.
-        attempt_number: the attempt's number within the exchange.
-        server: the server that it goes to.
-        started_ms: when it was started, in Unix milliseconds.
-        timeout_ms: how long its answer is awaited.
+        runner: The runner that starts the attempt.
+        exchange: The exchange that the attempt belongs to.
+        attempt_number: Number of the attempt within the exchange.
+        server: The server that the attempt is sent to.
+        started_ms: Start of the attempt in Unix milliseconds.
+        timeout_ms: Time allowed for the response.
     """
 
     runner: AttemptRunner
@@ -46,40 +46,42 @@
     timeout_ms: float
 
     def make_request(self) -> Message:
-        """Build the request for the server, with the time that is left for it now."""
+        """Build the request for the server, with the time now remaining until its deadline."""
         now_ms = self.runner.clock.now_ms()
         message = self.exchange.message
         if message.flow is None:
             time_left_ms = self.started_ms + self.timeout_ms - now_ms
-        else:  # the timeout runs from the last byte, and the server's time with it
+        else:  # the timeout starts only after a streamed body, so the exchange's deadline applies
             time_left_ms = self.exchange.deadline_ms - now_ms
         request = Message()
         request.method = message.method
         request.target = message.target
         headers = request.headers = message.forwarded_headers(TIME_LEFT_HEADER)
-        # Only written from here on, so `Message.lower_names`, which serves look-ups, is not kept.
+        # The headers are only written from here on, so `Message.lower_names`, the look-up index, is not
+        # updated.
         headers.append((b"X-Expires-In-Ms", b"%d" % max(1, int(time_left_ms))))
         request.body = message.body
         request.length = message.length
         return request
 
     def blocked_by(self) -> Outcome | None:
-        """Return DISCARDED if the request is over, or its server has drained for too long."""
-        self.runner.check_client(self.exchange)
-        if self.exchange.closed or self.runner.connection_pool.grace_expired(self.server):
+        """Return DISCARDED if the exchange is closed or the server's drain grace period is over."""
+        self.runner.close_if_client_disconnected(self.exchange)
+        if self.exchange.closed or self.runner.connection_pool.has_drain_grace_expired(self.server):
             return Outcome.DISCARDED
         return None
 
     def on_response_started(self, attempt: Attempt, response: Message, reserved_bytes: int) -> Flow | None:
-        """Start to stream the answer to the client."""
+        """Start to stream the response to the client."""
         return self.runner.bodies.start_response(
             self.exchange, self.attempt_number, attempt, response, reserved_bytes
         )
 
     def on_ended(self, outcome: Outcome, response: Message | None) -> None:
-        """Answer the client if this is the answer, and notify the balancer."""
+        """Forward the response to the client if it is the final one, and notify the balancer."""
         attempt = self.exchange.attempts[self.attempt_number]
-        # Not the start: the time a client took to send a long body says nothing of the server.
+        # The response time runs from the attempt's `sent_ms`: the time that a client takes to send a long
+        # body must not count as the server's.
         sent_ms = self.started_ms if attempt is None else attempt.sent_ms
         self.runner.end_attempt(
             self.exchange, self.attempt_number, self.server.number, outcome, sent_ms, response
@@ -88,13 +90,13 @@
 
 @dataclass(slots=True, eq=False)
 class ProbeContext:
-    """The owner of one probe: what the probe calls back on.
+    """The owner of one probe; implements `AttemptOwner`.
 
     Attributes:
-        runner: the runner that starts it.
-        server: the server that it goes to.
-        request: its request.
-        started_ms: when it was started, in Unix milliseconds.
+        runner: The runner that starts the probe.
+        server: The server that is probed.
+        request: The request of the probe.
+        started_ms: Start of the probe in Unix milliseconds.
     """
 
     runner: AttemptRunner
@@ -103,12 +105,12 @@
     started_ms: float
 
     def make_request(self) -> Message:
-        """Return the probe's request, which names no time that is left."""
+        """Return the probe's request, which has no header with a remaining time."""
         return self.request
 
     def blocked_by(self) -> Outcome | None:
-        """Return DISCARDED if the server has drained for too long."""
-        return Outcome.DISCARDED if self.runner.connection_pool.grace_expired(self.server) else None
+        """Return DISCARDED if the server's drain grace period is over."""
+        return Outcome.DISCARDED if self.runner.connection_pool.has_drain_grace_expired(self.server) else None
 
     def on_response_started(
         self,
@@ -116,11 +118,11 @@
         response: Message,  # noqa: ARG002 - part of the protocol
         reserved_bytes: int,  # noqa: ARG002 - part of the protocol
     ) -> Flow | None:
-        """Return None: a probe's answer is never streamed."""
+        """Return None: the response to a probe is never streamed."""
         return None
 
     def on_ended(self, outcome: Outcome, response: Message | None) -> None:
-        """Notify the balancer, with the load report that came."""
+        """Notify the balancer of the end of the probe and of the load report in the response."""
         self.runner.end_probe(self.server.number, outcome, self.started_ms, response)
 
 
@@ -128,12 +130,12 @@
     """Starts and ends the attempts and probes of one pool.
 
     Attributes:
-        clock: the process's clock.
-        connection_pool: the pool's connections.
-        bodies: the pool's streamed bodies.
+        clock: Clock of the process.
+        connection_pool: Connections of the pool.
+        bodies: Streamed bodies of the pool.
     """
 
-    PROBE_TIMEOUT_MS = 50.0  # for its answer; a new connection may take its own time before that
+    PROBE_TIMEOUT_MS = 50.0  # time for the response; the connect timeout is added for a new connection
 
     def __init__(
         self,
@@ -147,12 +149,12 @@
         """Create the runner of one pool.
 
         Args:
-            plan: what the pool is run by.
-            shared: the clock and log of the process.
-            exchanges: the pool's open exchanges.
-            connection_pool: the pool's connections.
-            bodies: the pool's streamed bodies.
-            callbacks: the dispatcher's.
+            plan: Settings and limits of the pool.
+            shared: Clock and log of the process.
+            exchanges: Open exchanges of the pool.
+            connection_pool: Connections of the pool.
+            bodies: Streamed bodies of the pool.
+            callbacks: Callbacks of the dispatcher.
         """
         settings = plan.settings
         self.clock = shared.clock
@@ -169,32 +171,33 @@
         self._inline_reports = settings.report_mode is ReportMode.INLINE
         self._probe_target = b"/status/load" if has_reports else b"/health"
 
-    def check_client(self, exchange: Exchange) -> None:
-        """Close an exchange whose client has left, before anything is started for it.
+    def close_if_client_disconnected(self, exchange: Exchange) -> None:
+        """Close an exchange whose client has disconnected, before anything is started for it.
 
-        Guards against attempts for a client whose end waits unread or unseen, whatever the request has waited
-        for.
+        Prevents attempts for a client whose end of stream has not been read or handled yet, whatever the
+        request was waiting for.
         """
         if not exchange.closed and exchange.client.has_disconnected():
             self._disconnect(exchange.number, 0)
 
     def send(self, action: Send) -> None:
-        """Start an attempt; one that may not start any more ends at once as DISCARDED."""
+        """Start an attempt; an attempt that may not be started ends at once as DISCARDED."""
         exchange = self._exchanges.get(action.request)
         if exchange is None:
-            self._logger.line(f"an attempt for request {action.request}, which is over")
+            self._logger.line(f"ignored an attempt for request number {action.request}: no such open request")
             return
         now_ms = self.clock.now_ms()
         attempt_number = len(exchange.attempts)
         time_left_ms = exchange.deadline_ms - now_ms
         timeout_ms = min(time_left_ms, action.timeout_ms) if action.timeout_ms else time_left_ms
         server = self.connection_pool.table.get(action.server)
-        self.check_client(exchange)
+        self.close_if_client_disconnected(exchange)
         exchange.attempts.append(None)
         exchange.servers.append(action.server)
         exchange.pending_attempts += 1
         flow = exchange.message.flow
-        # A streamed body goes to one server at a time, and to another only while all of it is kept.
+        # A streamed body goes to one server at a time, and can be sent again only while all of it is
+        # buffered.
         body_unavailable = flow is not None and (not flow.repeatable or exchange.pending_attempts > 1)
         is_over = exchange.closed or exchange.response_flow is not None or timeout_ms <= 0.0
         if server is None or is_over or body_unavailable or attempt_number >= self._max_attempts:
@@ -214,15 +217,15 @@
         sent_ms: float,
         response: Message | None,
     ) -> None:
-        """Act on the end of an attempt.
+        """Handle the end of an attempt: respond to the client if it succeeded, and notify the balancer.
 
         Args:
-            exchange: the exchange.
-            attempt_number: the attempt's number within the exchange.
-            server_number: the number of its server.
-            outcome: its outcome.
-            sent_ms: since when its answer was awaited, in Unix milliseconds.
-            response: its answer, if one arrived.
+            exchange: The exchange that the attempt belongs to.
+            attempt_number: Number of the attempt within the exchange.
+            server_number: Number of the attempt's server.
+            outcome: Outcome of the attempt.
+            sent_ms: Start of the wait for the response in Unix milliseconds.
+            response: The response, None if none arrived.
         """
         if exchange.response_flow is not None:
             if attempt_number == exchange.responding_attempt and not exchange.response_flow.ended:
@@ -231,7 +234,9 @@
             self._exchanges.close(exchange, 200)
             exchange.client.respond(200, response.forwarded_headers(LOAD_HEADER), response.body)
         exchange.pending_attempts -= 1
-        report = report_of(response, self._report_names, from_body=False) if self._inline_reports else ()
+        report = (
+            extract_load_report(response, self._report_names, from_body=False) if self._inline_reports else ()
+        )
         final = exchange.closed or exchange.response_flow is not None
         spent_ms = self.clock.now_ms() - sent_ms
         self._deliver(
@@ -240,7 +245,7 @@
         self._exchanges.remove_if_done(exchange)
 
     def probe(self, server_number: int) -> None:
-        """Start a probe of a server; one that is not listed ends at once as CONNECT_FAILED."""
+        """Start a probe; the probe of a server that is not listed ends at once as CONNECT_FAILED."""
         now_ms = self.clock.now_ms()
         server = self.connection_pool.table.get(server_number)
         if server is None:
@@ -257,6 +262,6 @@
     def end_probe(
         self, server_number: int, outcome: Outcome, started_ms: float, response: Message | None
     ) -> None:
-        """Notify the balancer of the end of a probe, with the load report in its answer."""
-        report = report_of(response, self._report_names, from_body=True)
+        """Notify the balancer of the end of a probe and of the load report in the response."""
+        report = extract_load_report(response, self._report_names, from_body=True)
         self._deliver(ProbeEnded(server_number, outcome, self.clock.now_ms() - started_ms, report))
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -1,7 +1,7 @@
-"""The dispatcher of one pool: events go to its balancer, and the balancer's actions are carried out.
+"""The dispatcher of one pool: delivers events to its balancer and carries out the balancer's actions.
 
-It never decides which server to use, whether to retry, to reject or to fail: that is `sandhatch.balancing`.
-One event is handled at a time; an event that comes up meanwhile waits in a queue. Source:
+The choice of a server, retries, rejections and failures are decided by `sandhatch.balancing`. One event is
+handled at a time; an event that occurs meanwhile waits in a queue. Source:
 PROTOCOL-sandhatch.md, "Callers to balancers".
 """
 
@@ -50,21 +50,21 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.connection_pool import ConnectionLimits, ConnectionPool
 
-NO_REQUEST = 0  # in place of a request's number
+NO_REQUEST = 0  # number that no request has
 
 
 class Dispatcher:
-    """One pool's requests, from arrival to answer.
+    """Handles the requests of one pool, from arrival to response.
 
     Attributes:
-        plan: what the pool is run by.
-        clock: the process's clock.
-        logger: the process's log.
-        memory_budget: the memory that all pools of the process share.
-        connection_pool: the pool's connections to its servers.
-        source: where its endpoint list comes from.
-        balancer: what decides.
-        observer: sees every event and action, if set.
+        plan: Settings and limits of the pool.
+        clock: Clock of the process.
+        logger: Log of the process.
+        memory_budget: Memory budget shared by all pools of the process.
+        connection_pool: Connections to the pool's servers.
+        source: Source of the pool's endpoint list.
+        balancer: The balancer, which makes all decisions.
+        observer: Observer of all events and actions, None if not set.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         source: SourceFactory,
         decisions: Decisions | None = None,
     ) -> None:
-        """Create the dispatcher of a pool; its source is not started yet.
+        """Create the dispatcher of a pool without starting the source of its endpoint list.
 
         Args:
-            plan: what the pool is run by.
-            shared: the clock, log, memory and ids of the process.
-            source: makes the source of the pool's endpoint list.
-            decisions: what decides; by default a new balancer with the plan's settings.
+            plan: Settings and limits of the pool.
+            shared: Clock, log, memory budget and request ids of the process.
+            source: Factory of the source of the pool's endpoint list.
+            decisions: The balancer; by default a new one with the plan's settings.
         """
         settings = plan.settings
         self.plan = plan
@@ -108,17 +108,17 @@
 
     @property
     def ready(self) -> bool:
-        """Whether there is a server that requests can be sent to."""
+        """Whether any server is ready to receive requests."""
         return self._endpoints.has_ready_server
 
     @property
     def open(self) -> int:
-        """The number of requests that are not answered, or have an attempt pending."""
+        """Number of requests without a response or with a pending attempt."""
         return len(self._exchanges)
 
     @property
     def pending_requests(self) -> int:
-        """The number of requests that wait for their answer."""
+        """Number of requests that wait for their response."""
         return self._exchanges.pending_requests
 
     # ------------------------------------------------ clients
@@ -132,19 +132,19 @@
         event: RequestArrived,
         done: DoneCallback | None = None,
     ) -> int:
-        """Take a request that has arrived, complete or with a flow that brings its body.
+        """Accept a request that has arrived, either complete or with a flow that streams its body.
 
         Args:
-            client: where its answer goes.
-            message: the request.
-            time_left_ms: how long it may take.
-            trace: its id, which is not in flight.
-            event: the request as the balancer is to see it; its number is filled in here.
-            done: called once, when the request is answered, or its client has left, and none of its attempts
-                is pending.
+            client: Receiver of the response.
+            message: The request.
+            time_left_ms: Time remaining until the request's deadline.
+            trace: Id of the request; must not be in flight.
+            event: The request as presented to the balancer; its number is set here.
+            done: Callback, called once when the response was sent or the client has disconnected, and no
+                attempt is pending.
 
         Returns:
-            The request's number, for `client_disconnected`.
+            Number of the request, for `client_disconnected`.
         """
         number = self._next_number
         self._next_number += 1
@@ -158,11 +158,11 @@
         return number
 
     def client_disconnected(self, number: int, status: int = 0) -> None:
-        """Close a request whose client has left, or whose body is of no use.
+        """Close a request whose client has disconnected, or whose body cannot be used.
 
         Args:
-            number: the request's number.
-            status: the status that the client is answered with, 0 if it has left.
+            number: Number of the request.
+            status: Status of the response to the client, 0 if the client has disconnected.
         """
         exchange = self._exchanges.get(number)
         if exchange is None or exchange.closed:
@@ -172,16 +172,16 @@
             exchange.truncated_by = TruncatedBy.CLIENT
         self._exchanges.close(exchange, status)
         self._deliver(ClientDisconnected(number))
-        if is_streamed:  # what its attempts send or receive has lost its other end
+        if is_streamed:  # a streamed body has lost its source or its sink
             exchange.end_attempts(Outcome.CANCELLED)
         self._exchanges.remove_if_done(exchange)
 
     def _on_deadline(self, exchange: Exchange) -> None:
-        """End the attempts of a request whose time is over, then answer what the balancer has not."""
+        """End the attempts of a request whose deadline has passed, and respond with 504 if still needed."""
         if any(not flow.sent for flow in exchange.open_flows):
             if exchange.response_flow is not None:
                 self._bodies.abort_response(exchange, TruncatedBy.TIME)
-            else:  # the time went on the body's transfer, in which either side may have been slow
+            else:  # the body's transfer took too long; the client or the server may have been slow
                 exchange.truncated_by = TruncatedBy.TIME
                 self._exchanges.respond(exchange, 504)
             exchange.end_attempts(Outcome.CANCELLED)
@@ -194,39 +194,39 @@
     # ------------------------------------------------ endpoint lists
 
     def on_listing(self, listing: Listing) -> None:
-        """Take what the source publishes."""
+        """Apply a listing published by the source, and deliver it to the balancer."""
         listing = self._endpoints.apply(listing, self.clock.now_ms())
         update = ListUpdate(listing.kind, listing.version, listing.entries, listing.call)
-        self._show_list(update, listing)
+        self._notify_observer(update, listing)
         self._deliver(update)
 
-    def _show_list(self, update: ListUpdate, listing: Listing) -> None:
+    def _notify_observer(self, update: ListUpdate, listing: Listing) -> None:
         if self.observer is not None:
             self.observer.on_endpoint_list(update, list(map(format_address, listing.addresses)), listing.why)
 
-    def withdraw(self, keep: frozenset[int], notified_ms: float) -> None:
-        """Send nothing new to any server but some, until `restore`.
+    def withdraw(self, retained_servers: frozenset[int], notified_ms: float) -> None:
+        """Drain all servers except the retained ones, until `restore` is called.
 
-        A newer configuration has no other servers for this pool. What the source publishes meanwhile is
-        narrowed in the same way.
+        Used when a newer configuration lists only the retained servers for this pool. Listings published by
+        the source meanwhile are restricted in the same way.
 
         Args:
-            keep: the numbers of the servers that may still be sent to.
-            notified_ms: since when that configuration is in force, in Unix milliseconds.
+            retained_servers: Numbers of the servers that may still receive requests.
+            notified_ms: Time in Unix milliseconds at which that configuration came into force.
         """
-        drained = self._endpoints.withdraw(keep, notified_ms)
+        drained = self._endpoints.withdraw(retained_servers, notified_ms)
         if drained:
             self._deliver(ListUpdate(ListKind.DELTA, 0, drained))
 
     def restore(self) -> None:
-        """Undo `withdraw`: the source publishes its complete list anew."""
+        """Undo `withdraw`: have the source publish its complete list again."""
         if self._endpoints.restore():
             self.source.republish()
 
     # ------------------------------------------------ planners and observers
 
     def apply_guidance(self, event: Guidance | OwnSharesLeased) -> None:
-        """Hand a planner's guidance to the balancer."""
+        """Deliver a planner's guidance to the balancer."""
         self._deliver(event)
 
     def on_guidance_rejected(self, callback: Callable[[GuidanceRejected], None]) -> None:
@@ -234,15 +234,15 @@
         self._on_guidance_rejected = callback
 
     def observe(self, observer: Observer) -> None:
-        """Show an observer the present endpoint list, and everything from now on."""
+        """Set the observer, and notify it of the present endpoint list."""
         self.observer = observer
         listing = self._endpoints.snapshot()
-        self._show_list(ListUpdate(listing.kind, listing.version, list(listing.entries)), listing)
+        self._notify_observer(ListUpdate(listing.kind, listing.version, list(listing.entries)), listing)
 
     # ------------------------------------------------ events to the balancer
 
     def _deliver(self, event: Event) -> None:
-        """Have the balancer handle an event, after the one that it is handling, if any."""
+        """Have the balancer handle an event, after any that it is handling or that are queued."""
         self._events.append(event)
         if self._handling_event:
             return
@@ -260,25 +260,26 @@
                 self.observer.on_event(event, actions)
             for action in actions:
                 self._act(action)
-        except Exception as problem:
-            # Guards the other requests: whatever went wrong with this one, it alone is answered 500.
-            self._on_fault(event, problem)
-
-    def _on_fault(self, event: Event, problem: Exception) -> None:
-        """Log an exception, and answer the request that it belongs to with 500."""
-        # Of some events this is no request's number, and of others there is none: then no exchange is found.
+        except Exception as error:
+            # An exception must not affect other requests: only this one gets a response of 500.
+            self._on_handler_error(event, error)
+
+    def _on_handler_error(self, event: Event, error: Exception) -> None:
+        """Log an exception, and respond with 500 to the request that it belongs to, if any."""
+        # Some events have no request number, and the cookie of some timers is not one: no exchange matches
+        # these.
         number = event.cookie if isinstance(event, TimerFired) else getattr(event, "request", NO_REQUEST)
         exchange = self._exchanges.get(number)
         trace = exchange.trace_text if exchange is not None else "-"
         frames = traceback.format_exc(limit=-3).strip().replace("\n", " | ")
-        self.logger.line(f"request {trace}: {type(event).__name__}: {problem!r}: {frames}")
+        self.logger.line(f"request {trace}: {type(event).__name__}: {error!r}: {frames}")
         if exchange is not None:
             self._exchanges.respond(exchange, 500)
 
     # ------------------------------------------------ actions of the balancer
 
     def _act(self, action: Action) -> None:
-        """Carry out one of the actions that most requests lead to; the others follow in `_act_on_pool`."""
+        """Carry out an action; actions that belong to no request are left to `_act_on_pool`."""
         match action:
             case Send():
                 self._attempts.send(action)
@@ -310,7 +311,7 @@
                 if self._on_guidance_rejected is not None:
                     self._on_guidance_rejected(action)
             case _:
-                self.logger.line(f"the action {type(action).__name__} is not supported")
+                self.logger.line(f"ignored an unsupported action of the balancer: {type(action).__name__}")
 
     def _cancel(self, number: int, attempt_number: int) -> None:
         exchange = self._exchanges.get(number)
@@ -327,5 +328,5 @@
 
 
 def _retry_after(wait_ms: float) -> Headers:
-    """Return the headers that name how long a client should wait, none for no wait."""
+    """Return a Retry-After header for a wait in milliseconds, or no header if there is no wait."""
     return [(b"Retry-After", b"%.3f" % (wait_ms / 1000.0))] if wait_ms > 0.0 else []
--- a/sandhatch/dispatch/endpoint_updates.py
+++ b/sandhatch/dispatch/endpoint_updates.py
@@ -1,7 +1,8 @@
-"""Applies endpoint lists to a pool's connections, and says what the balancer is to see of them.
+"""Applies endpoint lists to a pool's connections, and produces the listings for its balancer.
 
-While a newer configuration withdraws servers, they count as draining whatever the source says. It fetches no
-list and decides on no server. Source: PROTOCOL-sandhatch.md, "Discovery".
+Servers that a newer configuration has withdrawn count as draining even if the source lists them as ready.
+Lists are fetched by `sandhatch.discovery`, and servers are chosen by the balancer. Source:
+PROTOCOL-sandhatch.md, "Discovery".
 """
 
 from __future__ import annotations
@@ -20,22 +21,22 @@
     """The endpoint list of one pool, as last published by its source.
 
     Attributes:
-        current_since_ms: when the source last published an answer that was current, in Unix milliseconds;
-            infinite before the first listing.
+        current_since_ms: Time in Unix milliseconds at which the source last published a current list or
+            delta; infinite before the first listing.
     """
 
     def __init__(self, settings: Settings, connection_pool: ConnectionPool) -> None:
         """Create the state before the first list.
 
         Args:
-            settings: say after how long a change counts as received.
-            connection_pool: the table of servers that is kept up to date.
+            settings: Settings that determine after how long a change counts as received.
+            connection_pool: The connection pool whose table of servers is updated.
         """
         self.current_since_ms = math.inf
         self._connection_pool = connection_pool
-        self._entries: dict[int, ServerEntry] = {}  # by server
+        self._entries: dict[int, ServerEntry] = {}  # by server number
         self._notified_after_ms = notified_after_ms(settings) if settings.one_shot_watches else math.inf
-        self._retained_servers: frozenset[int] | None = None  # that may be sent to; None stands for all
+        self._retained_servers: frozenset[int] | None = None  # server numbers; None if no server is withdrawn
 
     @property
     def has_ready_server(self) -> bool:
@@ -46,15 +47,16 @@
         """Apply a listing to the connections.
 
         Args:
-            listing: as the source published it.
-            now_ms: the present time, in Unix milliseconds.
+            listing: The listing as published by the source.
+            now_ms: Present time in Unix milliseconds.
 
         Returns:
-            The listing as the balancer is to see it.
+            The listing for the balancer.
         """
         if self._retained_servers is not None:
             listing = self._drain_withdrawn(listing, self._retained_servers)
-        # A grace period runs from when its notice counted as received: before it came, if the list is old.
+        # A drain grace period starts when its notice counts as received, which is before its arrival if the
+        # list is old.
         notified_ms = min(now_ms, self.current_since_ms + self._notified_after_ms)
         if self.current_since_ms == math.inf or listing.kind in (ListKind.FULL, ListKind.DELTA):
             self.current_since_ms = now_ms
@@ -66,7 +68,7 @@
         return listing
 
     def _remove_absent(self, listing: Listing, notified_ms: float) -> None:
-        """Remove the servers that a complete list does not name."""
+        """Remove the servers that a complete list does not contain."""
         listed = {entry.server for entry in listing.entries}
         for server in list(self._connection_pool.table.values()):
             if server.number not in listed:
@@ -76,21 +78,21 @@
         self._entries = {number: entry for number, entry in self._entries.items() if number in listed}
 
     def snapshot(self) -> Listing:
-        """Return the present list, complete."""
+        """Return the present endpoint list as a complete listing."""
         table = self._connection_pool.table
         entries = tuple(entry for entry in self._entries.values() if entry.server in table)
         addresses = tuple(table[entry.server].address for entry in entries)
         return Listing(ListKind.FULL, 0, entries, addresses)
 
     def withdraw(self, retained_servers: frozenset[int], notified_ms: float) -> list[ServerEntry]:
-        """Drain all servers but some, now and in what the source publishes, until `restore`.
+        """Drain all servers except the retained ones, now and in later listings, until `restore` is called.
 
         Args:
-            retained_servers: the servers that may still be sent to.
-            notified_ms: when the notice of it counted as received, in Unix milliseconds.
+            retained_servers: Numbers of the servers that may still receive requests.
+            notified_ms: Time in Unix milliseconds at which notice of the withdrawal counted as received.
 
         Returns:
-            The entries that have changed.
+            The changed entries of the endpoint list.
         """
         self._retained_servers = retained_servers
         drained = []
@@ -103,14 +105,14 @@
         return drained
 
     def restore(self) -> bool:
-        """End what `withdraw` began; return whether any servers were withdrawn."""
+        """Undo `withdraw`; return whether a withdrawal was in force."""
         withdrawn = self._retained_servers is not None
         self._retained_servers = None
         return withdrawn
 
     @staticmethod
     def _drain_withdrawn(listing: Listing, retained_servers: frozenset[int]) -> Listing:
-        """Return the listing with the ready servers that are not kept as draining."""
+        """Return the listing with those ready servers marked as draining that are not retained."""
         entries = tuple(
             entry
             if entry.server in retained_servers or entry.state is not ServerState.READY
--- a/sandhatch/dispatch/exchange.py
+++ b/sandhatch/dispatch/exchange.py
@@ -1,7 +1,7 @@
-"""The state of one request, and the table of the requests that a pool has open.
+"""The state of one request, and the table of a pool's open requests.
 
-An exchange lasts from the request's arrival until it is answered and its last attempt has ended. It has at
-most one answer. Source: PROTOCOL-sandhatch.md, "Callers to balancers".
+An exchange lasts from the request's arrival until its response is sent and its last attempt has ended. It has
+at most one response. Source: PROTOCOL-sandhatch.md, "Callers to balancers".
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from sandhatch.streaming.headers import Headers
 from sandhatch.upstream.attempt import Attempt
 
-NO_ATTEMPT = -1  # in place of an attempt's number
+NO_ATTEMPT = -1  # number that no attempt has
 
 
 class TruncatedBy(StrEnum):
-    """Why a streamed body ended early; the values stand in the access log (docs/operators/bodies.md)."""
+    """Why a streamed body was truncated; the values appear in the access log (docs/operators/bodies.md)."""
 
     NOTHING = ""
     CLIENT = "client"
@@ -33,25 +33,25 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request, and all that happens on its behalf.
+    """One request with its attempts and its response.
 
     Attributes:
-        number: the request's number, by which the balancer knows it.
-        client: where the answer goes.
-        message: the request.
-        deadline_ms: when it must have been answered, in Unix milliseconds.
-        trace: its id.
-        on_done: called once when it is closed and none of its attempts is pending.
-        attempts: its attempts by their numbers; None for one that was never started.
-        servers: the servers of its attempts, those never started included.
-        pending_attempts: attempts whose end the balancer has not been notified of.
-        closed: whether it has been answered, or its client has left.
-        status: the status of its answer; 0 if the client left before.
-        responded_ms: when it was closed, in Unix milliseconds.
-        deadline_timer: fires at the deadline.
-        response_flow: the body of its answer, once that is streamed.
-        responding_attempt: the number of the attempt that the streamed answer comes from, or `NO_ATTEMPT`.
-        truncated_by: why its body or its answer was truncated.
+        number: Number of the request, used in the balancer's events and actions.
+        client: Receiver of the response.
+        message: The request.
+        deadline_ms: Deadline for the response in Unix milliseconds.
+        trace: Id of the request.
+        on_done: Callback, called once when the exchange is closed and no attempt is pending.
+        attempts: Attempts, indexed by number; None for an attempt that was never started.
+        servers: Server numbers of the attempts, including those never started.
+        pending_attempts: Number of attempts whose end has not been reported to the balancer.
+        closed: Whether the response is complete or aborted, or the client has disconnected.
+        status: Status of the response; 0 if the client disconnected before.
+        responded_ms: Time in Unix milliseconds at which the exchange was closed.
+        deadline_timer: Timer that fires at the deadline.
+        response_flow: Flow of the response body if that is streamed, else None.
+        responding_attempt: Number of the attempt whose response is streamed, or `NO_ATTEMPT`.
+        truncated_by: Reason why the request body or the response was truncated.
     """
 
     number: int
@@ -78,12 +78,12 @@
 
     @property
     def open_flows(self) -> list[Flow]:
-        """The flows of the answer and of the request, as far as they are open."""
+        """The open flows of the response and of the request."""
         flows = (self.response_flow, self.message.flow)
         return [flow for flow in flows if flow is not None and not flow.closed]
 
     def close_flows(self) -> None:
-        """Close both flows."""
+        """Close the open flows of the response and of the request."""
         for flow in self.open_flows:
             flow.close()
 
@@ -99,13 +99,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeCallbacks:
-    """What the parts of a dispatcher call back on.
+    """Callbacks of the dispatcher for its components.
 
     Attributes:
-        deliver: takes an event for the balancer.
-        on_deadline: called for an exchange whose deadline has come.
-        disconnect: closes the exchange of a number, as its client has left, or with a status other than 0 as
-            its body is of no use.
+        deliver: Delivers an event to the balancer.
+        on_deadline: Handles an exchange whose deadline has passed.
+        disconnect: Closes the exchange with the given number: with status 0 if its client has disconnected,
+            with another status if its body cannot be used.
     """
 
     deliver: Callable[[Event], None]
@@ -114,14 +114,14 @@
 
 
 class ExchangeTable(dict[int, Exchange]):
-    """The open exchanges of one pool, by number: how they are added, answered and removed."""
+    """The open exchanges of one pool, by number, with the operations to add, respond to and remove them."""
 
     def __init__(self, clock: Clock, in_flight_ids: InFlightIds) -> None:
         """Create an empty table.
 
         Args:
-            clock: the process's clock.
-            in_flight_ids: the ids of the requests that are open in any pool.
+            clock: Clock of the process.
+            in_flight_ids: Ids of the requests that are open in any pool of the process.
         """
         super().__init__()
         self._clock = clock
@@ -129,16 +129,16 @@
 
     @property
     def pending_requests(self) -> int:
-        """The number of requests that wait for their answer."""
+        """Number of requests that wait for their response."""
         return sum(not exchange.closed for exchange in self.values())
 
     def add(self, exchange: Exchange) -> None:
-        """Add a new exchange, whose id is in flight from now on."""
+        """Add a new exchange, and register its id as in flight."""
         self[exchange.number] = exchange
         self._in_flight_ids.begin(exchange.trace)
 
     def close(self, exchange: Exchange, status: int) -> None:
-        """Close an exchange: its client is sent nothing more, but for an answer of this status."""
+        """Close an exchange; nothing but a response with this status may be sent to its client afterwards."""
         exchange.closed = True
         exchange.status = status
         exchange.responded_ms = self._clock.now_ms()
@@ -150,7 +150,7 @@
     def respond(
         self, exchange: Exchange, status: int, headers: Headers | None = None, body: bytes = b""
     ) -> None:
-        """Send the final answer; a second one is dropped."""
+        """Send the final response; does nothing if the exchange is closed already."""
         if exchange.closed:
             return
         self.close(exchange, status)
@@ -158,7 +158,7 @@
         self.remove_if_done(exchange)
 
     def remove_if_done(self, exchange: Exchange) -> None:
-        """Remove an exchange that is closed and has no attempt pending."""
+        """Remove an exchange and call its `on_done`, if it is closed and no attempt is pending."""
         if not exchange.closed or exchange.pending_attempts:
             return
         if self.pop(exchange.number, None) is None:
--- a/sandhatch/dispatch/plan.py
+++ b/sandhatch/dispatch/plan.py
@@ -1,6 +1,6 @@
-"""What one pool is run by.
+"""The settings and limits with which one pool runs.
 
-Plain data, made by the programs from their configuration: `sandhatch.platform` and `sandhatch.service`.
+Plain data, created from their configuration by the programs in `sandhatch.platform` and `sandhatch.service`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
     """The settings and limits of one pool.
 
     Attributes:
-        settings: the balancer's settings.
-        seed: the seed of the balancer's random draws.
-        sockets: the most connections to the pool's servers.
-        drain_grace_ms: from the notice that a server drains to the last request that may still go there.
-        report_names: the values wanted of load reports, in the balancer's order.
+        settings: Settings of the balancer.
+        seed: Seed of the balancer's random number generator.
+        sockets: Maximum number of connections to the pool's servers.
+        drain_grace_ms: Time after the notice that a server is draining during which requests may still be
+            sent to it.
+        report_names: Names of the values that the balancer uses from load reports, in the balancer's order.
     """
 
     settings: Settings
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -1,6 +1,6 @@
-"""What a dispatcher works with: the balancer, a client, the source of the endpoint list, and observers.
+"""Interfaces of a dispatcher's collaborators: balancer, client, source of the endpoint list, and observer.
 
-Interfaces only; nothing is implemented here. The implementations are in `sandhatch.balancing`,
+The implementations are in `sandhatch.balancing`,
 `sandhatch.downstream`, `sandhatch.discovery`, and `sandhatch.telemetry` and `sandhatch.planning`.
 """
 
@@ -18,76 +18,84 @@
 
 
 class Decisions(Protocol):
-    """What decides: `sandhatch.balancing.Balancer`."""
+    """Makes all decisions on a pool's requests; implemented by `sandhatch.balancing.Balancer`."""
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Handle an event at a time in Unix milliseconds; return what is to be done, in order."""
+        """Handle an event.
+
+        Args:
+            now_ms: Present time in Unix milliseconds.
+            event: The event.
+
+        Returns:
+            The actions to carry out, in order.
+        """
 
 
 class DownstreamClient(Sink, Protocol):
-    """Where an answer goes.
+    """The client connection that receives a response.
 
-    The answer is either complete (`respond`), or its head comes first (`begin_response`) and the client is
-    the sink of a flow until `end_response` or `abort_response`.
+    A response is either sent completely (`respond`), or its head is sent first (`begin_response`) and the
+    client is the sink of a flow until `end_response` or `abort_response`.
     """
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a complete answer."""
+        """Send a complete response."""
 
     def begin_response(self, status: int, headers: Headers, length: int | None, flow: Flow) -> None:
-        """Send the head of an answer whose body is streamed.
+        """Send the head of a response whose body is streamed.
 
         Args:
-            status: the status of the answer.
-            headers: its headers, but for those of its framing.
-            length: the bytes of its body, None if only its end will tell.
-            flow: brings the body, and is notified when written bytes have drained.
+            status: Status of the response.
+            headers: Headers of the response, without those that frame its body.
+            length: Length of the body in bytes, None if it is known only at the end of the body.
+            flow: The flow that writes the body, and is notified when written bytes have drained.
         """
 
     def end_response(self) -> None:
-        """End the streamed answer, all of which has been sent."""
+        """End the streamed response, all of which has been sent."""
 
     def abort_response(self) -> None:
-        """Abort the streamed answer, so that the client can tell that it is truncated."""
+        """Abort the streamed response in such a way that the client detects the truncation."""
 
     def has_disconnected(self) -> bool:
-        """Return whether the client is known to have left, also where nothing is read from it at present."""
+        """Return whether the client has disconnected, even while reading from it is paused."""
 
 
 class Source(Protocol):
-    """Where a pool's endpoint list comes from."""
+    """The source of a pool's endpoint list."""
 
     def start(self) -> None:
-        """Publish the list as known from before."""
+        """Start, and publish the endpoint list that is already known, if any."""
 
     def stop(self) -> None:
-        """Publish nothing more."""
+        """Stop publishing."""
 
     def fetch(self) -> None:
         """Fetch the complete list once."""
 
     def watch(self, order: WatchList) -> None:
-        """Make this call in place of the one that is pending; its end is published under its number."""
+        """Replace the pending call by this one; its result is published under the number of the order."""
 
     def republish(self) -> None:
-        """Publish the complete list as last known, or fetch it."""
+        """Publish the last known complete list, or fetch it."""
 
 
 class Observer(Protocol):
-    """Sees what a balancer receives and what it decides; it changes nothing."""
+    """Observes a balancer's events and actions without changing them."""
 
     def on_event(self, event: Event, actions: Sequence[Action]) -> None:
-        """Note an event, and the actions that it led to."""
+        """Record an event, and the actions that it led to."""
 
     def on_endpoint_list(self, update: ListUpdate, addresses: Sequence[str], why: str = "") -> None:
-        """Note an update of the endpoint list before the balancer sees it.
+        """Record an update of the endpoint list before it is delivered to the balancer.
 
         Args:
-            update: the update.
-            addresses: where its entries listen, as `address:port`, in the same order.
-            why: why the call for the list failed, if it did.
+            update: The update.
+            addresses: Addresses of the update's entries as `address:port`, in the same order.
+            why: Reason why the call for the list failed, empty if it succeeded.
         """
 
 
-# Makes a source from a callback that takes its listings and one that takes its log lines.
+# Creates a source; the arguments are callbacks for its listings and for its log lines.
 SourceFactory = Callable[[Callable[[Listing], None], Callable[[str], None]], Source]
--- a/sandhatch/upstream/__init__.py
+++ b/sandhatch/upstream/__init__.py
@@ -1,5 +1,5 @@
-"""Servers: pooled connections to them, and the attempts carried out on these.
+"""Pooled connections to servers, and the attempts that are sent on them.
 
-The package decides nothing (which server, whether to retry, when to give up: `sandhatch.balancing`). Source:
+The choice of a server, retries and timeouts are decided by `sandhatch.balancing`, not here. Source:
 PROTOCOL-sandhatch.md, "Balancers to upstreams".
 """
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -1,8 +1,8 @@
-"""A pool's servers, its connections to them, and the limit on its sockets.
+"""The servers of a pool, the connections to them, and the limit on the number of connections.
 
-It starts attempts on the servers that it is given and keeps idle connections for reuse. It never chooses a
-server and never retries. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams" (connections closed when
-idle, the grace period of a draining server).
+The pool starts attempts on the servers that it is given and caches idle connections for reuse. It never
+chooses a server and never retries. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams" (closing of idle
+connections, grace period of a draining server).
 """
 
 from __future__ import annotations
@@ -23,43 +23,45 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionLimits:
-    """The limits of one pool's connections.
+    """Limits of one pool's connections.
 
     Attributes:
-        sockets: the most connections to its servers.
-        idle_ms: how long a server keeps an idle connection open.
-        connect_timeout_ms: how long a connection may take to come up.
-        drain_grace_ms: from the notice that a server drains to the last request that may still go there.
+        max_connections: Maximum number of connections to the pool's servers.
+        server_idle_timeout_ms: Time after which a server closes an idle connection.
+        connect_timeout_ms: Time allowed for establishing a connection.
+        drain_grace_ms: Time after the notice that a server is draining during which requests may still be
+            sent to it.
     """
 
-    sockets: int
-    idle_ms: float
+    max_connections: int
+    server_idle_timeout_ms: float
     connect_timeout_ms: float
     drain_grace_ms: float
 
 
 class ConnectionPool:
-    """The table of servers, the connections to them, and the attempts on these.
+    """The table of servers, the connections to them, and the attempts on these connections.
 
     Attributes:
-        clock: the process's clock.
-        memory_budget: the memory that all connections of the process share.
-        table: the servers of the endpoint list, by number.
+        clock: Clock of the process.
+        memory_budget: Memory budget shared by all connections of the process.
+        table: Servers of the endpoint list, by number.
     """
 
-    SWEEP_MS = 1_000.0
-    # After an attempt's answer a connection takes no new attempt for so long, and what arrives in that time
-    # closes it: guards against a repeated answer, or noise, that arrives one read later and would be taken
-    # for the answer to the next request. A probe comes just before an attempt, so its connection does not
-    # rest: there an answer that repeats the probe's is recognized by its body.
+    SWEEP_INTERVAL_MS = 1_000.0
+    # Cooldown after the response to an attempt: the connection takes no new attempt, and any byte received
+    # closes it. Otherwise a duplicate response, or garbage, that arrives one read later would be taken for
+    # the response to the next request. No cooldown follows the response to a probe, because an attempt
+    # usually follows a probe immediately; a duplicate of a probe's response is recognized by its body.
     COOLDOWN_MS = 25.0
-    # On a connection used before, the last byte of a request is written so much later: a server that closed
-    # the connection unseen resets it on the first bytes, an incomplete request has not run, and it goes out
-    # on a new connection. Guards non-idempotent requests, which nobody may retry after a reset.
+    # Delay of the last byte of a request on a reused connection. If the server has closed the connection and
+    # the balancer has not noticed, the server resets it on the first bytes. The incomplete request has not
+    # run and can be sent on a new connection, even if it is non-idempotent and could not be retried after a
+    # reset.
     LAST_BYTE_DELAY_MS = 2.0
-    CONNECT_MARGIN_MS = 100.0  # off the drain's grace period, for lists that are read late
-    IDLE_MARGIN_MS = 5_000.0  # at most, before the server closes an idle connection
-    IDLE_MARGIN_FRACTION = 0.2  # the same, as a part of the time that the server keeps it
+    CONNECT_MARGIN_MS = 100.0  # subtracted from the drain grace period, for endpoint lists read late
+    IDLE_MARGIN_MS = 5_000.0  # upper limit of the margin before the server's idle timeout
+    IDLE_MARGIN_FRACTION = 0.2  # margin as a fraction of the server's idle timeout
 
     def __init__(
         self,
@@ -71,30 +73,30 @@
         """Create an empty pool.
 
         Args:
-            clock: the process's clock.
-            memory_budget: the memory that all connections of the process share.
-            descriptors: the descriptors that all pools of the process share.
-            limits: the limits of this pool.
+            clock: Clock of the process.
+            memory_budget: Memory budget shared by all connections of the process.
+            descriptors: File descriptor budget shared by all pools of the process.
+            limits: Limits of this pool.
         """
         self.clock = clock
         self._descriptors = descriptors
         descriptors.holders[self] = None
         self.memory_budget = memory_budget
-        self._budget = limits.sockets
-        # Guards against writing to a connection in the moment when the server closes it as idle.
-        margin_ms = min(self.IDLE_MARGIN_MS, self.IDLE_MARGIN_FRACTION * limits.idle_ms)
-        self._reuse_within_ms = limits.idle_ms - margin_ms
+        self._budget = limits.max_connections
+        # The margin avoids writing a request to a connection while the server closes it as idle.
+        margin_ms = min(self.IDLE_MARGIN_MS, self.IDLE_MARGIN_FRACTION * limits.server_idle_timeout_ms)
+        self._max_idle_ms = limits.server_idle_timeout_ms - margin_ms
         self._connect_timeout_ms = limits.connect_timeout_ms
-        self._grace_ms = max(0.0, limits.drain_grace_ms - self.CONNECT_MARGIN_MS)
+        self._drain_grace_ms = max(0.0, limits.drain_grace_ms - self.CONNECT_MARGIN_MS)
         self.table: dict[int, UpstreamServer] = {}
-        self._idle: dict[int, list[ServerConnection]] = {}  # by server, the one used last at the end
+        self._idle: dict[int, list[ServerConnection]] = {}  # by server number, most recently used last
         self._open: set[ServerConnection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
-        self._sweeping = False
+        self._is_sweeping = False
 
     @property
     def sockets(self) -> int:
-        """The number of connections, those that are coming up included."""
+        """Number of connections, including those being established."""
         return len(self._open) + len(self._connecting)
 
     # ------------------------------------------------ servers
@@ -102,14 +104,14 @@
     def update(
         self, number: int, address: Address, state: ServerState, started_ms: float, notified_ms: float
     ) -> None:
-        """Apply a row of the endpoint list.
+        """Apply an entry of the endpoint list.
 
         Args:
-            number: the server's number.
-            address: where it listens.
-            state: its state.
-            started_ms: when its process started, in Unix milliseconds.
-            notified_ms: when the row counted as received, in Unix milliseconds.
+            number: Number of the server.
+            address: Address on which the server listens.
+            state: State of the server.
+            started_ms: Start time of the server process in Unix milliseconds.
+            notified_ms: Time in Unix milliseconds at which the entry counted as received.
         """
         server = self.table.get(number)
         if server is None:
@@ -121,21 +123,21 @@
         if not same_process or state is ServerState.GONE:
             self.close_idle(number)
         if state is ServerState.GONE:
-            del self.table[number]  # attempts on their way to it hold it, and see its state
+            del self.table[number]  # attempts to this server keep a reference and see its state
 
-    def grace_expired(self, server: UpstreamServer) -> bool:
-        """Return whether nothing new may go to a server any more."""
-        return bool(server.notified_ms) and self.clock.now_ms() >= server.notified_ms + self._grace_ms
+    def has_drain_grace_expired(self, server: UpstreamServer) -> bool:
+        """Return whether a server's drain grace period is over, so that nothing new may be sent to it."""
+        return bool(server.notified_ms) and self.clock.now_ms() >= server.notified_ms + self._drain_grace_ms
 
     # ------------------------------------------------ attempts
 
     def start(self, attempt: Attempt, timeout_ms: float) -> None:
-        """Start an attempt, on an idle connection or a new one.
+        """Start an attempt on an idle connection, or on a new one if none can be reused.
 
         Args:
-            attempt: the attempt.
-            timeout_ms: how long its answer is awaited: from now, or for a streamed request, which always gets
-                a new connection, from when all of it has been sent.
+            attempt: The attempt to start.
+            timeout_ms: Time allowed for the response. It runs from now, or for a streamed request, which
+                always uses a new connection, from the time when all of the request has been sent.
         """
         attempt.timeout_ms = timeout_ms
         if attempt.flow is not None:
@@ -150,17 +152,20 @@
         self.start_on_new_connection(attempt)
 
     def start_response_timeout(self, attempt: Attempt) -> None:
-        """Await the answer to a streamed request, now that all of it has been sent."""
+        """Start the timeout for the response to a streamed request, all of which has been sent."""
         if not attempt.ended:
             attempt.sent_ms = self.clock.now_ms()
             attempt.timer = self.clock.call_after(attempt.timeout_ms, attempt.time_out)
 
     def later(self, callback: Callable[[], None]) -> None:
-        """Call back when a withheld last byte is due."""
+        """Schedule a callback for the time when a withheld last byte is due."""
         self.clock.call_after(self.LAST_BYTE_DELAY_MS, callback)
 
     def start_on_new_connection(self, attempt: Attempt) -> None:
-        """Open a connection and write an attempt's request there; the attempt fails if none may be opened."""
+        """Open a connection and write an attempt's request to it.
+
+        The attempt ends as CONNECT_FAILED if the limits on connections and descriptors allow no new one.
+        """
         if (
             self.sockets >= self._budget and not self.close_oldest()
         ) or not self._descriptors.ensure_one_free():
@@ -175,11 +180,11 @@
         try:
             async with asyncio.timeout(self._connect_timeout_ms / 1000.0):
                 await asyncio.get_running_loop().create_connection(lambda: connection, *connection.address)
-        except OSError:  # refused, unreachable, out of descriptors, or not up in time
+        except OSError:  # connection refused, unreachable, out of descriptors, or timeout
             attempt.end(Outcome.CONNECT_FAILED)
             return
         self._open.add(connection)
-        if not connection.usable():
+        if not connection.is_usable():
             self.on_connection_closed(connection)
             connection.abort()
             attempt.end(Outcome.CONNECT_FAILED)
@@ -189,7 +194,7 @@
     # ------------------------------------------------ idle connections
 
     def _take_idle(self, server: UpstreamServer) -> ServerConnection | None:
-        """Take the idle connection to a server that was used last, and close those found unusable."""
+        """Take the most recently used idle connection to a server, closing unusable ones on the way."""
         idle = self._idle.get(server.number, [])
         now_ms = self.clock.now_ms()
         for index in range(len(idle) - 1, -1, -1):
@@ -198,13 +203,13 @@
             if connection.needs_cooldown and unused_ms < self.COOLDOWN_MS:
                 continue
             del idle[index]
-            if unused_ms < self._reuse_within_ms and connection.usable():
+            if unused_ms < self._max_idle_ms and connection.is_usable():
                 return connection
             connection.abort()
         return None
 
     def put(self, connection: ServerConnection) -> None:
-        """Keep a connection for reuse, if it still leads to a server that takes new requests."""
+        """Cache an idle connection for reuse, or close it if its server takes no new requests."""
         server = connection.server
         leads_to_server = (
             self.table.get(server.number) is server
@@ -216,13 +221,13 @@
             return
         connection.idle_since_ms = self.clock.now_ms()
         self._idle.setdefault(server.number, []).append(connection)
-        if not self._sweeping:
-            self._sweeping = True
-            self.clock.call_after(self.SWEEP_MS, self._sweep)
+        if not self._is_sweeping:
+            self._is_sweeping = True
+            self.clock.call_after(self.SWEEP_INTERVAL_MS, self._sweep)
 
     def _sweep(self) -> None:
-        """Close connections that have been idle for nearly as long as the server keeps them."""
-        oldest_ms = self.clock.now_ms() - self._reuse_within_ms + self.SWEEP_MS
+        """Close connections whose idle time is near the server's idle timeout."""
+        oldest_ms = self.clock.now_ms() - self._max_idle_ms + self.SWEEP_INTERVAL_MS
         for number in list(self._idle):
             remaining = []
             for connection in self._idle[number]:
@@ -234,12 +239,12 @@
                 self._idle[number] = remaining
             else:
                 del self._idle[number]
-        self._sweeping = bool(self._idle)
-        if self._sweeping:
-            self.clock.call_after(self.SWEEP_MS, self._sweep)
+        self._is_sweeping = bool(self._idle)
+        if self._is_sweeping:
+            self.clock.call_after(self.SWEEP_INTERVAL_MS, self._sweep)
 
     def close_oldest(self) -> bool:
-        """Close the connection that has been idle for longest; return False if none is idle."""
+        """Close the connection that has been idle the longest; return False if none is idle."""
         idle = [connection for connections in self._idle.values() for connection in connections]
         if not idle:
             return False
@@ -255,19 +260,22 @@
             connection.abort()
 
     def on_connection_closed(self, connection: ServerConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection from the pool."""
         self._open.discard(connection)
         idle = self._idle.get(connection.server.number)
         if idle and connection in idle:
             idle.remove(connection)
 
-    # ------------------------------------------------ succession and end of the pool
+    # ------------------------------------------------ migration and shutdown
 
     def migrate_idle(self, successor: ConnectionPool) -> list[int]:
-        """Give the idle connections to another pool, where that has the same server at the same address.
+        """Migrate idle connections to another pool, for servers that it has at the same address.
+
+        Args:
+            successor: The pool that takes over the connections.
 
         Returns:
-            The numbers of the servers that had idle connections here and are ready there.
+            Numbers of the servers that had idle connections in this pool and are ready in the successor.
         """
         numbers = []
         for number, idle in list(self._idle.items()):
@@ -283,14 +291,14 @@
         return numbers
 
     def adopt(self, connection: ServerConnection) -> None:
-        """Take over an idle connection, which stays idle since the same time."""
+        """Take over an idle connection without changing the start of its idle period."""
         self._open.add(connection)
         idle_since_ms = connection.idle_since_ms
         self.put(connection)
         connection.idle_since_ms = idle_since_ms
 
     def close(self) -> None:
-        """Close all connections, at the end of the pool."""
+        """Close all connections and stop those being established."""
         self._descriptors.holders.pop(self, None)
         for task in list(self._connecting):
             task.cancel()
--- a/sandhatch/upstream/load_report.py
+++ b/sandhatch/upstream/load_report.py
@@ -1,7 +1,7 @@
-"""Load reports: how busy a server says that it is, in an answer's header or in a probe's body.
+"""Parses load reports, which servers send in a response header or in the body of a probe response.
 
 A report is text such as `TEXT inflight=7, queue=2, util=0.61`. A report that is incomplete or malformed
-counts as absent: nothing here raises. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
+counts as absent: no function here raises. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from sandhatch.http1.message import Message
 
 LOAD_HEADER = b"endpoint-load-metrics"
-VALUE_LIMIT = 1e9  # values from here on are not plausible
+VALUE_LIMIT = 1e9  # values of this size or more are implausible
 
 
-def parse_report(text: bytes, names: Sequence[str]) -> tuple[float, ...]:
+def parse_load_report(text: bytes, names: Sequence[str]) -> tuple[float, ...]:
     """Parse the text of a load report.
 
     Args:
-        text: the report as the server sent it.
-        names: the names of the wanted values.
+        text: The report as sent by the server.
+        names: Names of the values to return.
 
     Returns:
-        The values in the order of `names`, or an empty tuple if the text is no report, lacks one of them, or
-        has a value outside 0 to `VALUE_LIMIT`.
+        The values in the order of `names`, or an empty tuple if the text is not a report, lacks one of the
+        names, or has a value below 0 or not below `VALUE_LIMIT`.
     """
     kind, _, fields = text.strip().partition(b" ")
     if kind.upper() != b"TEXT":
@@ -40,13 +40,13 @@
     return values if all(0.0 <= value < VALUE_LIMIT for value in values) else ()
 
 
-def report_of(response: Message | None, names: Sequence[str], from_body: bool) -> tuple[float, ...]:
-    """Read the load report that an answer carries.
+def extract_load_report(response: Message | None, names: Sequence[str], from_body: bool) -> tuple[float, ...]:
+    """Extract the load report from a response.
 
     Args:
-        response: the answer, None if there was none.
-        names: the names of the wanted values.
-        from_body: whether the report is the answer's body, as a probe's is, rather than a header.
+        response: The response, None if none was received.
+        names: Names of the values to return.
+        from_body: Whether the report is the body, as in the response to a probe, rather than a header.
 
     Returns:
         The values in the order of `names`, or an empty tuple if there is no valid report.
@@ -55,6 +55,6 @@
         return ()
     try:
         text = response.body if from_body else response.value(LOAD_HEADER)
-    except FramingError:  # the header is repeated
+    except FramingError:  # repeated header
         return ()
-    return parse_report(text, names) if text else ()
+    return parse_load_report(text, names) if text else ()
--- a/sandhatch/upstream/outcomes.py
+++ b/sandhatch/upstream/outcomes.py
@@ -1,16 +1,16 @@
-"""The outcome of an attempt whose answer arrived complete.
+"""Determines the outcome of an attempt from its complete response.
 
-It decides nothing about a retry: that is `sandhatch.balancing`. Source: the table of outcomes in
-PROTOCOL-sandhatch.md, "Balancers to upstreams":
+Retries are decided by `sandhatch.balancing`. Source: the table of outcomes in PROTOCOL-sandhatch.md,
+"Balancers to upstreams":
 
-    answer                            outcome        may the request have run?
+    response                          outcome        may the request have run?
     --------------------------------  -------------  -------------------------
     200                               OK             yes
     503 or 504 with `X-Never-Ran: 1`  FULL           never
     any other 4xx                     CLIENT_ERROR   yes
     anything else                     ERROR          yes
 
-Attempts without a complete answer get their outcome from `sandhatch.upstream.attempt`.
+Attempts without a complete response get their outcome from `sandhatch.upstream.attempt`.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 NEVER_RAN_HEADER = b"x-never-ran"
 
 
-def outcome_of(response: Message) -> Outcome:
-    """Look up the outcome that a complete answer stands for."""
+def classify_response(response: Message) -> Outcome:
+    """Return the outcome of an attempt that received this complete response."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504) and response.values(NEVER_RAN_HEADER) == [b"1"]:
