--- a/sandhatch/balancing/actions.py
+++ b/sandhatch/balancing/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a balancer returns to its caller, which carries them out in that order.
+"""Actions that a balancer returns to its caller, which carries them out in the order returned.
 
 Servers, requests and timers are identified by the integers of the events. Times are durations in
 milliseconds. A balancer never waits for an action: its result arrives as an event.
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -177,7 +177,8 @@
         self._spreads_failure = not self._is_polled
         self._knows_only_cached = False  # only the cached list is known, and no request was sent
         self._suspect: Suspect | None = None  # server that is listed as ready, but rejects requests
-        # Minimum time between two requests caused by suspects; 0 if there was none.
+        # Pause, before jitter, after the last request caused by a suspect; 0 if there was none since the last
+        # response.
         self._suspicion_pause_ms = 0.0
         self._next_suspicion_ms = 0.0  # earliest time of the next request caused by a suspect
 
@@ -188,7 +189,7 @@
         if not (self._is_polled or self._has_one_shot_watches):
             return []
         if update.kind is ListKind.RELOCATED:
-            return self._on_relocated(now_ms)
+            return self._on_discovery_address_changed(now_ms)
         if self.state is State.NOT_STARTED:
             return self._on_first_list(update, now_ms)
         if update.kind is ListKind.FAILED:
@@ -237,7 +238,7 @@
         precedence = 3.0 if update.version == NO_VERSION else 1.0
         return self._schedule(self._first_kind(), self._spread_ms(now_ms) / precedence, now_ms)
 
-    def _on_relocated(self, now_ms: float) -> list[Action]:
+    def _on_discovery_address_changed(self, now_ms: float) -> list[Action]:
         """Start again at the new address, where earlier requests and versions are unknown."""
         self._version = NO_VERSION
         self._due_ms = min(self._due_ms, now_ms + RELOCATED_MS)
@@ -275,7 +276,8 @@
             return []
         if self.state is State.SCHEDULED:
             return []  # a request is about to be sent anyway
-        # Each request that brings nothing new doubles the pause: the list may not be out of date.
+        # The pause doubles with each such request until discovery responds: the rejections may have a cause
+        # other than a list that is out of date.
         max_pause_ms = 4.0 * self._poll_interval_ms
         next_pause_ms = 2.0 * (self._suspicion_pause_ms or self.SUSPICION_MS)
         self._suspicion_pause_ms = min(max_pause_ms, next_pause_ms)
--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -260,10 +260,11 @@
         planner: The planner's name.
         report_sent_ms: Time when this instance sent the report that the guidance responds to.
         until_ms: Expiry time of the guidance.
-        weights: Weights of servers; servers not named have the weight 1. None extends the previous weights.
+        weights: Weights of servers; servers without an entry have the weight 1. None extends the previous
+            weights.
         leased: Whether this instance has leased its own shares to that planner.
         leased_until_ms: Time until which these shares are leased to others.
-        parts: Shares of ramps; servers not named have no share.
+        parts: Shares of ramps; servers without an entry have no share.
         own_part: Share of the tier's capacity. None extends the previous share.
     """
 
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -106,7 +106,7 @@
         return list(self._warming)
 
     def warm_up_deficit(self, now_ms: float) -> float:
-        """Return the capacity that ready servers lack because they are warming up, in warm servers."""
+        """Return the capacity, in units of warm servers, that warming servers lack until they are warm."""
         warming = [
             server
             for server in self._warming.values()
--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -17,17 +17,17 @@
 # target alone would allow: a server of two cores with 8 to 14 waiting requests becomes three times slower and
 # stays so.
 MAX_ATTEMPTS_PER_SERVER = 7.0
-UNQUEUED_SLOWDOWN = 1.8  # latency through all tiers over the hinted work, without queues
-QUEUED_SLOWDOWN = 2.2  # latency through all tiers over the hinted work, with queues
+UNQUEUED_SLOWDOWN = 1.8  # ratio of latency through all tiers to hinted work, without queues
+QUEUED_SLOWDOWN = 2.2  # ratio of latency through all tiers to hinted work, with queues
 LOAD_TIME_CONSTANT_MS = 1_000.0  # averaging time of the load; overload takes longer to make a server slow
 MIN_INITIAL_WINDOW = 0.5  # lower bound of the window until outcomes are known
 MIN_WINDOW = 0.1  # below 1, requests are admitted by chance, so that low-rate instances can reject too
 IN_FLIGHT_EWMA_WEIGHT = 1.0 / 8.0  # weight of a new sample in the mean of attempts in flight
-WINDOW_GAIN = 0.2  # fraction of the window, per round trip, for a latency off by the whole target
+WINDOW_GAIN = 0.2  # change of the window per round trip, as a fraction, if latency is off by the whole target
 # Used fraction of the window; below it, latency carries no information about the limit.
 MIN_WINDOW_UTILIZATION = 0.6
 TARGET_FRACTION = 0.5  # target latency, as a fraction of the way from the low-load latency to the objective
-MAX_TARGET_FACTOR = 3.0  # maximum target over low-load latency; limits the delay from queuing and contention
+MAX_TARGET_FACTOR = 3.0  # maximum ratio of target to low-load latency; limits queuing and contention
 MAX_OVER_QUOTA_FRACTION = 0.9  # maximum fraction of the window for traffic over its tenant's quota
 OVER_QUOTA_STEP = 0.05  # reduction of that fraction per rejected request within its quota
 # Rejected fraction of the requests within quota at which the over-quota fraction is constant.
@@ -108,7 +108,10 @@
         return self.load < 0.5 * self.capacity(now_ms)
 
     def server_limit(self, now_ms: float) -> float:
-        """Return the limit of own attempts at one server; protects the few left when others fail or start."""
+        """Return the limit of own attempts at one server; infinite if servers are not in the first tier.
+
+        Protects the few warm servers while others fail or start.
+        """
         return (
             math.inf
             if self.settings.tier
@@ -116,9 +119,11 @@
         )
 
     def record_outcome(self, event: AttemptEnded, request: Request) -> None:
-        """Adjust the window by the difference between a latency and its target.
+        """Adjust the window by the difference between a response's latency and its target.
 
-        A failure lowers the window by the time spent, at most by as much as a whole objective.
+        A failure lowers the window in proportion to the time spent, at most by as much as a whole objective.
+        A rejection by a full server lowers it by a fixed step, and only from the second attempt on. A failed
+        connection changes nothing.
         """
         objective_ms = request.request_class.objective_ms
         if event.outcome is Outcome.CONNECT_FAILED:
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -1,9 +1,10 @@
 """The balancer of one tier: consumes `events` and returns `actions`; no I/O, no clock, no global state.
 
-The common path is PULL (Stolyar) in its single-token form: a request goes to a server drawn uniformly from
-the token holders, which are the ready servers without an outstanding attempt of this instance. If no server
-holds a token, the request goes to a uniformly random ready server. The common path comes first in this
-module; the exceptions to it follow, each with its condition.
+The common path is the PULL policy (Stolyar) in its single-token form: a request goes to a server drawn
+uniformly from the token holders, which are the ready servers without an outstanding attempt of this instance,
+except those whose token is withheld or removed for a probe. If no server holds a token, the request goes to a
+uniformly random ready server. The common path comes first in this module; the exceptions to it follow, each
+with its condition.
 """
 
 import math
@@ -149,7 +150,12 @@
             self._send(request, server)
 
     def _draw(self, request: Request) -> Server | None:
-        """Draw a token holder uniformly, else a uniformly random ready server."""
+        """Draw a server by the rule of an exception that applies, else by the PULL policy.
+
+        PULL draws uniformly from the servers with a token, else from all ready servers; in both cases servers
+        of the own zone come first if `ZoneRouting` prefers them. If a few draws find no server that is
+        allowed and not avoided, all allowed servers are considered. Returns None if there are none.
+        """
         return (
             self._draw_by_exception(request)
             or self._draw_from(self.server_list.tokens, request)
@@ -158,7 +164,7 @@
         )
 
     def _draw_from(self, zones: list[IndexedSet[Server]], request: Request) -> Server | None:
-        """Draw from all zones; where cross-zone attempts have a price, from the own zone first."""
+        """Draw from all zones, but first from the own zone if `ZoneRouting` prefers it for this request."""
         if self.zone_routing.prefers_own_zone(request):
             server = self._draw_acceptable([zones[self.settings.own_zone]], request)
             if server is not None:
@@ -266,12 +272,12 @@
     def _give_up(self, request: Request) -> None:
         """Send the final response of a request that will not be served.
 
-        The suggested wait before a retry is about the time until slots are free, if a response can still meet
-        the objective after it; otherwise it is the longest wait that clients respect.
+        The suggested wait before a retry is about the time until servers are free, if a response can still
+        meet the objective after it; otherwise it is the longest wait that clients respect.
         """
         if self.retry_rules.may_reject(request):
             mean_ms = self.latency.mean_ms[request.class_index]
-            # Jitter, as many requests are rejected at the same time.
+            # The wait has jitter, as many requests are rejected at the same time.
             wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())
             if self.now_ms + wait_ms + mean_ms > request.objective_deadline_ms:
                 wait_ms = self.settings.max_retry_after_ms
@@ -283,12 +289,12 @@
     # ------------------------------------------------ exceptions to the draw
 
     def _draw_by_exception(self, request: Request) -> Server | None:
-        """Draw by another rule than PULL where the condition of an exception holds."""
+        """Draw by another rule than the PULL policy if the condition of an exception holds, else None."""
         loaded = self.admission.is_loaded(self.now_ms)
         self._per_server_limit = self.admission.server_limit(self.now_ms) if loaded else math.inf
         server = None
         if self.connections.is_connecting_expensive:
-            # Exception while connecting is slow: token holders with an open connection are drawn first.
+            # Exception while connecting is slow: servers with a token and an open connection are drawn first.
             server = self._draw_connected(request)
         if server is None and (loaded or self.server_list.is_oversubscribed):
             # Exception while this instance has more attempts in flight than there are ready servers, so that
@@ -388,7 +394,7 @@
             self._give_up(request)
 
     def _send_probe(self, request: Request, server: Server) -> None:
-        # Reserves the server, because one load report must not admit two requests.
+        # The server is reserved by removing its token, because one load report must not admit two requests.
         self.server_list.remove_token(server)
         self.probing.record_probe_sent(request, server)
         self.actions.append(Probe(server.id))
@@ -410,7 +416,7 @@
             return
         request.probed_server = None
         idle = load is not None and load < IDLE_THRESHOLD
-        # Checked again: requests dispatched while the probe was in flight may have spent the slow-start
+        # Slow start is checked again: requests dispatched while the probe was in flight may have spent the
         # credit of the server.
         admitted = self.slow_start.admits(server, self.now_ms)
         if idle and admitted and self.retry_rules.may_send(request, server, self.now_ms):
@@ -419,7 +425,7 @@
             self._continue_dispatch(request)
 
     def _set_timer(self, request: Request, delay_ms: float) -> None:
-        # At the latest when a response is still in time: a request may have less time left than the delay.
+        # The timer fires while a response can still be in time, as less time than the delay may be left.
         latest_ms = request.objective_deadline_ms - self.settings.tick_ms - self.now_ms
         delay_ms = max(0.0, min(delay_ms, latest_ms))
         request.timer_due_ms = self.now_ms + delay_ms
--- a/sandhatch/balancing/policy/connection_reuse.py
+++ b/sandhatch/balancing/policy/connection_reuse.py
@@ -66,7 +66,7 @@
         self.connected.discard(server)
 
     def find_expired(self, now_ms: float) -> Server | None:
-        """Return the server with the least recently used connection if that exceeds the idle limit."""
+        """Return the server with the least recently used connection if its idle time exceeds the limit."""
         if (
             self._new_excess - self._reused_excess > EXPENSIVE_CONNECT_FRACTION
             and self._refused_fraction < MAX_REFUSED_FRACTION
@@ -89,7 +89,7 @@
             mean_ms: Mean latency of its request class.
             objective_ms: Latency objective of its request class.
         """
-        if self.is_connecting_expensive:  # a low idle limit costs reconnects: probes a higher one
+        if self.is_connecting_expensive:  # a low idle limit causes reconnects, so a higher one is tried
             self.idle_limit_ms = min(self._max_idle_limit_ms, IDLE_LIMIT_GROWTH * self.idle_limit_ms)
         if attempt.connection_idle_ms is None:
             self._record_new(attempt, spent_ms, mean_ms, objective_ms)
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -14,7 +14,7 @@
 MAX_BACKOFF_DOUBLINGS = 16
 # Probability of a run of failures by chance, below which the server is ejected.
 EJECTION_SIGNIFICANCE_LEVEL = 0.05
-SLOW_FACTOR = 4.0  # latency over the mean of its class and size, above which a response counts as a failure
+SLOW_FACTOR = 4.0  # ratio of latency to the mean of class and size, above which a response is a failure
 MIN_RELATIVE_SIZE = 0.25  # lower bound when latencies are normalized by size: small cost hints are inaccurate
 MAX_LATENCY_RATIO = 8.0  # cap on the latency ratio of a single response
 BASELINE_LATENCY_RATIO = 1.0  # mean latency ratio above which a server counts as slow
@@ -53,7 +53,7 @@
         ratio = min(spent_ms / (mean_ms * max(MIN_RELATIVE_SIZE, request.relative_size)), MAX_LATENCY_RATIO)
         kind_ratio = self.latency_ratio_by_kind.get(server.kind, 1.0)
         self.latency_ratio_by_kind[server.kind] = kind_ratio + EWMA_WEIGHT * (ratio - kind_ratio)
-        # The ratio of its kind is the prior for a server from which there is no response yet.
+        # A server without a response so far starts with the mean ratio of its kind.
         known = kind_ratio if server.latency_ratio is None else server.latency_ratio
         server.latency_ratio = known + SERVER_EWMA_WEIGHT * (ratio - known)
 
@@ -107,7 +107,7 @@
         ready = self.servers.ready_count
         unlikely = self.failure_rate**server.consecutive_failures < EJECTION_SIGNIFICANCE_LEVEL
         if unlikely and 2 * self.servers.ejected_count < ready:
-            # Doubles with each ejection, not with each failure: in a failing tier all servers fail.
+            # The time doubles with each ejection, not with each failure: in a failing tier all servers fail.
             server.ejections += 1
             # A low-rate instance visits a server seldom: a shorter ejection would have no effect.
             base_ms = max(self.latency.mean_ms[class_index], self.interarrival.mean_ms * ready)
--- a/sandhatch/balancing/policy/servers.py
+++ b/sandhatch/balancing/policy/servers.py
@@ -1,4 +1,4 @@
-"""The servers of one tier and their tokens; in PULL a token marks a server believed to be idle."""
+"""The servers of one tier and their tokens; in the PULL policy a token marks a server believed to be idle."""
 
 from collections.abc import Iterator
 from heapq import heappop, heappush
@@ -10,7 +10,7 @@
 
 
 class ServerList:
-    """The endpoint list, with the ready servers and the token holders of each zone."""
+    """The endpoint list, with the ready servers and the servers with a token, by zone."""
 
     def __init__(self, zones: int) -> None:
         """Start with no servers."""
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -10,7 +10,7 @@
 # Planned load as a fraction of the overload that makes a server fail. The rest is a margin for random
 # variation, expensive requests, retries and instances with a different endpoint list.
 PLANNED_OVERLOAD_FRACTION = 0.25
-# Updates of the warming servers' total capacity; one per request would be expensive.
+# Number of updates of the warming servers' total capacity; one per request would be expensive.
 REFRESHES_PER_WARM_UP = 100.0
 
 
@@ -18,9 +18,10 @@
     """Credits of the servers that are warming up; each send costs one credit.
 
     Each request earns each warming server a credit in proportion to its present share of the capacity of all
-    ready servers. All instances together thus load it `overload` times as much as the whole tier, relative to
-    its capacity, and never more than a server of a warm tier. Sends are spaced and credits are not saved up;
-    otherwise the sum over many instances could overload the server.
+    ready servers. Relative to its capacity, all instances together thus load it at most x times as much as
+    the whole tier, where x is `PLANNED_OVERLOAD_FRACTION` of `Settings.overload_multiple`, but at most 1; and
+    never more than a server of a warm tier. Sends are spaced and credits are not saved up; otherwise the sum
+    over many instances could overload the server.
 
     Attributes:
         credits: Credit of each warming server by its id, and the `earned_credit` at which it was computed.
--- a/sandhatch/balancing/policy/tenant_quotas.py
+++ b/sandhatch/balancing/policy/tenant_quotas.py
@@ -7,7 +7,7 @@
 
 SHARE_EWMA_WEIGHT = 1.0 / 32.0  # weight of a new sample in the shares of tenants
 RETRY_EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the retry fractions
-OVER_QUOTA_FACTOR = 1.5  # traffic share over quota share, above which a tenant is over its quota
+OVER_QUOTA_FACTOR = 1.5  # ratio of traffic share to quota share, above which a tenant is over its quota
 MAX_RETRY_FRACTION = 0.5  # retry fraction of a tenant, above which its retries are over quota
 
 
--- a/sandhatch/balancing/policy/zone_routing.py
+++ b/sandhatch/balancing/policy/zone_routing.py
@@ -9,7 +9,7 @@
 
 EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the mean costs
 NEVER_RAN_COST = 0.5  # cost of an attempt that never ran, in objectives; 1 if it may have run and failed
-WORSE_FACTOR = 1.5  # cost of the own zone over that of other zones, above which requests overflow
+WORSE_FACTOR = 1.5  # ratio of the cost in the own zone to that in others, above which requests overflow
 MIN_CROSS_ZONE_FRACTION = 0.02  # minimum fraction of cross-zone rounds, to learn the cost in other zones
 OVERFLOW_STEP = 0.1  # step of the overflow fraction towards 0 or 1 per ended attempt
 MAX_OWN_ZONE_PROBES = 2  # maximum probes in the own zone before a round of draws covers all zones
@@ -20,7 +20,7 @@
     """Mean cost of attempts in the own zone and in other zones, and the resulting overflow fraction.
 
     Running out of tokens does not show that a zone has more traffic than its own servers can take, because a
-    low-rate instance always finds a token there. The cost of attempts shows it.
+    low-rate instance always finds a server with a token there. The cost of attempts shows it.
 
     Attributes:
         settings: Settings of the instance.
--- a/sandhatch/planning/forwarder.py
+++ b/sandhatch/planning/forwarder.py
@@ -303,7 +303,7 @@
 
 
 def _to_server_weights(rows: Iterable[WeightRow], reporter: PoolReporter) -> list[ServerWeight]:
-    """Convert weights to the balancer's server numbers; servers not named in the session are omitted."""
+    """Convert weights to the balancer's server numbers; omit servers without a number in the session."""
     weights = []
     for row in rows:
         server = reporter.server_of(row.server)
@@ -313,7 +313,7 @@
 
 
 def _to_ramp_shares(rows: Iterable[RampShareRow], reporter: PoolReporter) -> list[RampShare]:
-    """Convert ramp shares to the balancer's server numbers; servers not named in the session are omitted."""
+    """Convert ramp shares to the balancer's server numbers; omit servers without a number in the session."""
     ramp_shares = []
     for row in rows:
         server = reporter.server_of(row.server)
--- a/sandhatch/planning/grant_ledger.py
+++ b/sandhatch/planning/grant_ledger.py
@@ -60,7 +60,7 @@
         self._grants: dict[str, list[Grant]] = {}
         # Sums are maintained incrementally: with hundreds of forwarders and hundreds of servers warming up,
         # each advice would otherwise visit all grants. The sums still include grants that have expired since
-        # the last full pass, which can only make new grants smaller.
+        # the sums were last recomputed, which can only make new grants smaller.
         self._max_granted: dict[str, RampAmount] = {}
         self._total_rate = 0.0
         self._total_burst = 0.0
--- a/sandhatch/planning/load.py
+++ b/sandhatch/planning/load.py
@@ -17,7 +17,7 @@
 from sandhatch.planning.server_view import Assessment, ServerView
 from sandhatch.planning.weights import EVIDENCE_DECAY_MS, assess_servers, median
 
-MAX_SERVERS = 20_000  # servers that one session may name in a pool
+MAX_SERVERS = 20_000  # servers of a pool whose addresses one session may send
 OUTSTANDING_SMOOTHING_MS = 400.0  # time constant
 DEMAND_SMOOTHING_MS = 5_000.0  # time constant
 MAX_DEMAND_RATIO = 4.0  # bound on a forwarder's demand relative to the median, above and below
@@ -32,7 +32,7 @@
 
     Attributes:
         instance_index: Index of the forwarder among the pool's instances.
-        key: Key of `numbering`, derived from the server names that the forwarder sent in this session.
+        key: Key of `numbering`, derived from the server addresses that the forwarder sent in this session.
         numbering: Servers by their numbers in this session.
         readiness: One `Readiness` value for each server number.
         warming_up: Numbers of the servers reported to be warming up.
@@ -55,7 +55,7 @@
     )
 
     def __init__(self, empty: ServerNumbering) -> None:
-        """Start with a session that has not named any server."""
+        """Start with a session that has not sent any server's address."""
         self.instance_index = 0
         self.key = b""
         self.numbering = empty
@@ -72,7 +72,7 @@
 
     Attributes:
         name: Name of the pool.
-        servers: Servers named in any session, by address.
+        servers: Servers whose address was sent in any session, by address.
         members: Forwarders that report on the pool, by name.
         warming_up: Servers that any forwarder reports to be warming up, by address.
         weights_version: Counter that increases whenever a weight changes.
@@ -116,7 +116,8 @@
             span_ms: Time span that the report covers.
 
         Raises:
-            InvalidReportError: The session names too many servers, or a number is not assigned to a server.
+            InvalidReportError: The session has sent too many addresses, or a number is not assigned to a
+                server.
         """
         member = self.members.get(name)
         if member is None:
--- a/sandhatch/planning/messages.py
+++ b/sandhatch/planning/messages.py
@@ -281,7 +281,7 @@
 Handshake = Hello | Welcome | Proof | Bye
 
 _handshake_decoder: msgspec.msgpack.Decoder[Handshake] = msgspec.msgpack.Decoder(Handshake)
-_body_decoder: msgspec.msgpack.Decoder[WelcomeBody] = msgspec.msgpack.Decoder(WelcomeBody)
+_welcome_body_decoder: msgspec.msgpack.Decoder[WelcomeBody] = msgspec.msgpack.Decoder(WelcomeBody)
 
 
 def encode_handshake(message: Handshake | WelcomeBody) -> bytes:
@@ -304,4 +304,4 @@
     Raises:
         BadMessageError: The payload is not a valid body.
     """
-    return _decode(_body_decoder, payload)
+    return _decode(_welcome_body_decoder, payload)
--- a/sandhatch/planning/numbering.py
+++ b/sandhatch/planning/numbering.py
@@ -1,7 +1,8 @@
 """Numberings of servers, assigned by forwarders' sessions.
 
-Sessions that name the same servers in the same order share one table: with thousands of servers and thousands
-of forwarders, a table for each forwarder would take up most of a planner's memory. No I/O, no clock.
+Sessions that send the same server addresses in the same order share one table: with thousands of servers and
+thousands of forwarders, a table for each forwarder would take up most of a planner's memory. No I/O, no
+clock.
 """
 
 from __future__ import annotations
@@ -73,10 +74,10 @@
 
 
 class NumberingTable:
-    """Numberings in use in one pool, each shared by the sessions that have named the same servers."""
+    """Numberings in use in one pool, each shared by the sessions that sent the same addresses in order."""
 
     def __init__(self) -> None:
-        """Start with the empty numbering, for sessions that have not named any server."""
+        """Start with the empty numbering, for sessions that have not sent any address."""
         self.empty = ServerNumbering([])
         self._by_key: WeakValueDictionary[bytes, ServerNumbering] = WeakValueDictionary()
 
--- a/sandhatch/planning/planner.py
+++ b/sandhatch/planning/planner.py
@@ -220,9 +220,9 @@
         """
         if plan.lessors is None or self.is_learning(now_ms):
             return False
-        is_wait_over = now_ms >= self.started_ms + MAX_WAIT_SHARE_LEASES * self.terms.share_lease_ms
+        is_report_wait_over = now_ms >= self.started_ms + MAX_WAIT_SHARE_LEASES * self.terms.share_lease_ms
         return (
-            is_wait_over
+            is_report_wait_over
             or len(plan.load.members) >= self.terms.min_reporting_fraction * plan.lessors.instances
         )
 
--- a/sandhatch/planning/planner_status.py
+++ b/sandhatch/planning/planner_status.py
@@ -24,7 +24,7 @@
         until_ms: Expiry time of a grant made now.
 
     Returns:
-        Values by the keys of the JSON output; None if no forwarder has named the server.
+        Values by the keys of the JSON output; None if no forwarder has reported the server.
     """
     view = plan.load.servers.get(address)
     if view is None:
--- a/sandhatch/planning/pool_reporter.py
+++ b/sandhatch/planning/pool_reporter.py
@@ -74,12 +74,12 @@
     """Reports on one pool in one session with a planner.
 
     Attributes:
-        changed: Servers whose totals changed since their last row.
-        relisted: Servers whose entry in the endpoint list changed since it was reported.
+        changed_totals: Servers whose totals changed since their last row.
+        changed_entries: Servers whose entry in the endpoint list changed since it was reported.
     """
 
     def __init__(self, observer: ReporterSource) -> None:
-        """Mark all of the observer's state for the first report."""
+        """Mark all of the observer's servers as changed, so that the first report contains them."""
         self._observer = observer
         self._is_first = True
         self._numbers: dict[int, int] = {}  # session's number, by the balancer's number
@@ -95,7 +95,7 @@
         self._observer.reporters.discard(self)
 
     def server_of(self, number: int) -> int | None:
-        """The balancer's number for the session's number of a server; None if it was not named."""
+        """The balancer's number for the session's number of a server; None if none has this number."""
         return self._servers[number] if number < len(self._servers) else None
 
     def discard_totals(self, server: int) -> None:
@@ -108,13 +108,13 @@
     ) -> BudgetedReport:
         """Report the changes since the last report, as far as they fit into the budget.
 
-        Names of servers come first, then changes of their readiness, then rows of the servers that changed
-        most.
+        Addresses of new servers come first, then changes of their readiness, then rows of the servers that
+        changed most.
 
         Args:
             pool: Name of the pool.
             now_ms: Current time.
-            budget_bytes: Maximum encoded size of the names, numbers, shares and rows.
+            budget_bytes: Maximum encoded size of the addresses, numbers, shares and rows.
             previous_grants: Ramp shares that the planner's previous incarnation granted, by the balancer's
                 numbers of the servers.
         """
@@ -152,7 +152,7 @@
             number = self._numbers.get(server)
             if number is None:
                 if server not in self._observer.listed:
-                    self.changed_entries.discard(server)  # the server was removed before it was named
+                    self.changed_entries.discard(server)  # removed before its address was sent in a report
                 continue
             if remaining_bytes < NUMBER_BYTES:
                 break
--- a/sandhatch/planning/quantile_sketch.py
+++ b/sandhatch/planning/quantile_sketch.py
@@ -1,7 +1,6 @@
 """Quantile sketches of latencies, in buckets that grow by a fixed ratio to bound the relative error.
 
-Sketches are mergeable. No I/O. Source: DDSketch (Masson, Rim and
-Lee, VLDB 2019).
+Sketches are mergeable. No I/O. Source: DDSketch (Masson, Rim and Lee, VLDB 2019).
 """
 
 from __future__ import annotations
--- a/sandhatch/planning/ramp_assignment.py
+++ b/sandhatch/planning/ramp_assignment.py
@@ -21,7 +21,7 @@
     """Divide a ramp in proportion to demand among at most `max_holders` forwarders.
 
     Demand is the weight of the rendezvous hash: a forwarder that joins or leaves changes only its own
-    shares, and holders differ between servers.
+    shares, and the forwarders with a share differ between servers.
 
     Args:
         demands: Demand of each forwarder, greater than zero.
--- a/sandhatch/planning/server.py
+++ b/sandhatch/planning/server.py
@@ -43,19 +43,19 @@
         """Prepare a connection; asyncio opens it."""
         session = PlannerSession(server.identity, server.planner.name, server.planner.epoch)
         super().__init__(session, server.clock, server.bytes_per_s)
-        self._server = server
+        self._planner_server = server
         self.name = ""
         self.last_report_ms = server.clock.now_ms()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Admit the connection, or close it if there are too many."""
         super().connection_made(transport)
-        if not self._server.admit(self):
-            self.close(f"{self._server.max_connections} connections are there already")
+        if not self._planner_server.admit(self):
+            self.close(f"{self._planner_server.max_connections} connections are there already")
 
     def data_received(self, data: bytes) -> None:
         """Count these bytes, and handle the events that they complete."""
-        self._server.bytes_in += len(data)
+        self._planner_server.bytes_in += len(data)
         super().data_received(data)
 
     def _handle(self, event: Event, now_ms: float) -> None:
@@ -64,7 +64,7 @@
                 self._deadline.cancel()
                 self.name = event.peer
                 self.last_report_ms = now_ms
-                self._server.register(self)
+                self._planner_server.register(self)
             case Report():
                 self.last_report_ms = now_ms
                 self._respond(event, now_ms)
@@ -78,19 +78,19 @@
     def _respond(self, report: Report, now_ms: float) -> None:
         """Send the planner's advice on a report."""
         try:
-            advice = self._server.planner.report(self.name, report, now_ms)
+            advice = self._planner_server.planner.report(self.name, report, now_ms)
         except InvalidReportError as error:
             raise SessionError(str(error)) from None
         if self._is_send_buffer_full:
             raise SessionError("it does not read")
-        self._server.bytes_out += self.session.send(advice)
+        self._planner_server.bytes_out += self.session.send(advice)
 
     def _session_failed(self, error: SessionError) -> None:
         if isinstance(error, SupersededEpochError):
             self.flush()
-            self._server.start_new_incarnation(error.known_epoch + 1)
+            self._planner_server.start_new_incarnation(error.known_epoch + 1)
             return
-        self._server.record_rejection(self, str(error))
+        self._planner_server.record_rejection(self, str(error))
         self.close(str(error))
 
     def close(self, reason: str) -> None:
@@ -104,7 +104,7 @@
         self._deadline.cancel()
         transport = self._transport
         self._transport = None
-        self._server.remove(self)
+        self._planner_server.remove(self)
         if transport is not None:
             transport.close()
             self._clock.call_after(CLOSE_TIMEOUT_MS, transport.abort)
@@ -113,7 +113,7 @@
         """Handle a connection closed by the forwarder or the network."""
         self._transport = None
         self._deadline.cancel()
-        self._server.remove(self)
+        self._planner_server.remove(self)
 
 
 class PlannerServer:
--- a/sandhatch/planning/weights.py
+++ b/sandhatch/planning/weights.py
@@ -16,7 +16,8 @@
 EVIDENCE_DECAY_MS = 10_000.0  # time constant of the decay of evidence
 MIN_ATTEMPTS = 8.0  # decayed number of attempts below which a server is not assessed
 MAX_TOLERATED_RELATIVE_LATENCY = 1.5  # multiple of the median latency up to which a server is not slow
-MAX_TOLERATED_EXCESS_FAILURE_RATE = 0.05  # failure rate above the bound that does not reduce a weight
+# Excess over twice the tier's failure rate, plus one failure, that does not reduce a weight.
+MAX_TOLERATED_EXCESS_FAILURE_RATE = 0.05
 MIN_WEIGHT = 0.1
 MIN_LOAD_FACTOR = 0.3  # lower bound of the factor for outstanding attempts; its upper bound is 2.0 minus this
 EXCESS_REMOVAL_MS = 1_000.0  # time in which outstanding attempts in excess of the mean should complete
--- a/sandhatch/simulator/action_encoder.py
+++ b/sandhatch/simulator/action_encoder.py
@@ -27,6 +27,7 @@
 
 # ---------------------------------------------------------------- codes and limits of the wire protocol
 
+# The comment behind each code is its name in `WIRE-sandhatch.md`.
 _CANCEL = 1  # abandon
 _CLOSE_IDLE = 2  # free_links
 _FAIL = 3  # end_failed
--- a/sandhatch/simulator/event_decoder.py
+++ b/sandhatch/simulator/event_decoder.py
@@ -61,6 +61,7 @@
 
 # ---------------------------------------------------------------- codes of the wire protocol
 
+# The comment behind each code is its name in `WIRE-sandhatch.md`.
 _TIMER_FIRED = 1  # wakeup
 _CLIENT_DISCONNECTED = 2  # hangup
 _PEER_MESSAGE = 3  # neighbour_says
--- a/sandhatch/simulator/json_reader.py
+++ b/sandhatch/simulator/json_reader.py
@@ -1,6 +1,7 @@
 """Typed access to the values of a JSON object, with errors that name the key's path and the value.
 
-A key that is absent or null has its default. Keys that are not read are ignored.
+A key that is absent or null has its default, but a label that is null is read as "None". Keys that are not
+read are ignored.
 """
 
 from __future__ import annotations
@@ -78,7 +79,7 @@
             raise SettingsError(f"{self._path}{key}: {value!r} is not one of {', '.join(choices)}")
         return choices[value]
 
-    def text(self, key: str) -> str:
+    def label(self, key: str) -> str:
         """Read a label, converted to a string without checks; empty if absent."""
         return str(self._data.get(key, ""))
 
--- a/sandhatch/simulator/settings_decoder.py
+++ b/sandhatch/simulator/settings_decoder.py
@@ -169,9 +169,9 @@
         deduplication_ms=section.number("MemorySpanMs") if has_key else 0.0,
         streaming=section.boolean("Streaming", False),
         objective_stretch=section.number("AimStretch", 0.0),
-        name=section.text("Name"),
+        name=section.label("Name"),
     )
 
 
 def _read_tenant(section: ObjectReader) -> Tenant:
-    return Tenant(section.number("QuotaPerS"), section.number("Fraction", 0.0), section.text("Name"))
+    return Tenant(section.number("QuotaPerS"), section.number("Fraction", 0.0), section.label("Name"))
--- a/tests/balancing/endpoint_freshness/test_polling.py
+++ b/tests/balancing/endpoint_freshness/test_polling.py
@@ -62,7 +62,8 @@
         first_poll_ms.append(driver.timers[0][0] - driver.now)
     # Within the bound on the list's age, with time left to be served.
     assert max(first_poll_ms) <= 0.9 * 6_000.0
-    # With forty polls in little more than a second, half were rejected, or none was served.
+    # Guards against forty polls in little more than a second: discovery then rejects half of them, or serves
+    # none.
     assert max(first_poll_ms) - min(first_poll_ms) > 3_000.0
 
 
--- a/tests/balancing/policy/test_balancer.py
+++ b/tests/balancing/policy/test_balancer.py
@@ -42,7 +42,7 @@
         driver.end_attempt(driver.next_id, 0, Outcome.OK)
     assert len(busy) == 4
     assert not busy & counts.keys()
-    # 20.5 is the limit for 5 degrees of freedom and a probability of 0.001.
+    # 20.5 is the limit of chi-square for 5 degrees of freedom and a probability of 0.001.
     assert chi_square([counts[n] for n in range(10) if n not in busy]) < 20.5
 
 
@@ -54,7 +54,7 @@
             driver.request()
         (server,) = sends(driver.request())
         counts[server] += 1
-    # 13.9 is the limit for 2 degrees of freedom and a probability of 0.001.
+    # 13.9 is the limit of chi-square for 2 degrees of freedom and a probability of 0.001.
     assert chi_square([counts[n] for n in range(3)]) < 13.9
 
 
@@ -72,7 +72,7 @@
 
 
 def test_sequential_requests_of_an_instance_visit_every_server() -> None:
-    # Guards against a single sticky token: a low-rate instance always returned to its first server.
+    # Guards against a single token that makes a low-rate instance always return to its first server.
     driver = make_driver(servers=10)
     seen = set()
     for _ in range(100):
@@ -92,7 +92,8 @@
 
 
 def test_fewest_attempts_rule_applies_only_while_attempts_outnumber_servers() -> None:
-    # Guards the fallback of PULL: without token holders any ready server may be drawn, also a withheld one.
+    # Guards the fallback of the PULL policy: if no server has a token, any ready server may be drawn, also
+    # one whose token is withheld.
     counts: Counter[bool] = Counter()
     for seed in range(600):
         driver = make_driver(replace(PLAIN, tier=1, tiers=2), servers=3, seed=seed)
@@ -169,7 +170,7 @@
 
 
 def test_rejection_wait_leaves_time_for_a_retry_or_is_the_maximum() -> None:
-    # Guards against a wait beyond the objective, which loses requests although slots become free.
+    # Guards against advising a wait beyond the objective, which loses requests that servers could soon take.
     settings = replace(
         PLAIN,
         max_retry_after_ms=2000.0,
--- a/tests/balancing/policy/test_probing.py
+++ b/tests/balancing/policy/test_probing.py
@@ -110,7 +110,7 @@
 
 
 def test_queued_request_probes_two_servers_per_round_instead_of_eight() -> None:
-    # Guards against a thundering herd: under overload the probes of all instances met at each idle server.
+    # Guards against a thundering herd: under overload the probes of all instances meet at each idle server.
     driver = make_driver(
         replace(PROBING, classes=(RequestClass(2000.0, 4000.0, Effect.IDEMPOTENT),)), servers=100
     )
--- a/tests/balancing/simulation/test_endpoint_lists.py
+++ b/tests/balancing/simulation/test_endpoint_lists.py
@@ -61,7 +61,7 @@
     tier.at(10_000.0, disconnect)
     tier.run(70_000.0)
     polls_per_instance = len([at for at in tier.discovery.poll_times_ms if at > 1_010_000.0]) / 40
-    # Within a minute: each poll that brings nothing new doubles the time to the next one.
+    # In the minute since then, each poll that brings nothing new doubles the time to the next one.
     assert 1.0 <= polls_per_instance <= 5.0
 
 
