--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -227,7 +227,7 @@
         return parse_listing(data, self._numbering)
 
     def _publish_response(self, listing: Listing, accepted_count_before: int, call: int) -> None:
-        """Publish a response, unless a newer one was accepted after its call began.
+        """Publish a response, or no changes if a newer response was accepted after its call began.
 
         An older version without another accepted response in between means that discovery has restarted its
         version count.
--- a/sandhatch/dispatch/attempts.py
+++ b/sandhatch/dispatch/attempts.py
@@ -1,7 +1,7 @@
 """Starts the attempts and probes that a balancer requests, and notifies the balancer of their ends.
 
-Each `Send` leads to exactly one `AttemptEnded`, each `Probe` to exactly one `ProbeEnded`. Servers and retries
-are chosen by the balancer. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
+Each `Send` for an open request leads to exactly one `AttemptEnded`, each `Probe` to exactly one `ProbeEnded`.
+Servers and retries are chosen by the balancer. Source: PROTOCOL-sandhatch.md, "Balancers to upstreams".
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
     timeout_ms: float
 
     def make_request(self) -> Message:
-        """Build the request for the server, with the time now remaining until its deadline."""
+        """Build the request for the server; a header states the time that now remains for the response."""
         now_ms = self.runner.clock.now_ms()
         message = self.exchange.message
         if message.flow is None:
@@ -65,7 +65,10 @@
         return request
 
     def blocked_by(self) -> Outcome | None:
-        """Return DISCARDED if the exchange is closed or the server's drain grace period is over."""
+        """Return DISCARDED if the exchange is closed or the server's drain grace period is over, else None.
+
+        An exchange whose client has disconnected is closed first.
+        """
         self.runner.close_if_client_disconnected(self.exchange)
         if self.exchange.closed or self.runner.connection_pool.has_drain_grace_expired(self.server):
             return Outcome.DISCARDED
@@ -78,7 +81,7 @@
         )
 
     def on_ended(self, outcome: Outcome, response: Message | None) -> None:
-        """Forward the response to the client if it is the final one, and notify the balancer."""
+        """Hand the outcome and the response to `AttemptRunner.end_attempt`."""
         attempt = self.exchange.attempts[self.attempt_number]
         # The response time runs from the attempt's `sent_ms`: the time that a client takes to send a long
         # body must not count as the server's.
@@ -109,7 +112,7 @@
         return self.request
 
     def blocked_by(self) -> Outcome | None:
-        """Return DISCARDED if the server's drain grace period is over."""
+        """Return DISCARDED if the server's drain grace period is over, else None."""
         return Outcome.DISCARDED if self.runner.connection_pool.has_drain_grace_expired(self.server) else None
 
     def on_response_started(
@@ -135,7 +138,7 @@
         bodies: Streamed bodies of the pool.
     """
 
-    PROBE_TIMEOUT_MS = 50.0  # time for the response; the connect timeout is added for a new connection
+    PROBE_TIMEOUT_MS = 50.0  # time for the response; the connect timeout is always added to it
 
     def __init__(
         self,
@@ -181,7 +184,10 @@
             self._disconnect(exchange.number, 0)
 
     def send(self, action: Send) -> None:
-        """Start an attempt; an attempt that may not be started ends at once as DISCARDED."""
+        """Start an attempt; an attempt that may not be started ends at once as DISCARDED.
+
+        An attempt for a request that is not open is only logged.
+        """
         exchange = self._exchanges.get(action.request)
         if exchange is None:
             self._logger.write_line(
@@ -198,8 +204,8 @@
         exchange.servers.append(action.server)
         exchange.pending_attempts += 1
         flow = exchange.message.flow
-        # A streamed body goes to one server at a time, and can be sent again only while all of it is
-        # buffered.
+        # A streamed body goes to one server at a time, and can be sent again only while it is still buffered
+        # from its first byte on.
         body_unavailable = flow is not None and (not flow.is_repeatable or exchange.pending_attempts > 1)
         is_over = exchange.closed or exchange.response_flow is not None or timeout_ms <= 0.0
         if server is None or is_over or body_unavailable or attempt_number >= self._max_attempts:
@@ -219,7 +225,10 @@
         sent_ms: float,
         response: Message | None,
     ) -> None:
-        """Handle the end of an attempt: respond to the client if it succeeded, and notify the balancer.
+        """Handle the end of an attempt, and notify the balancer.
+
+        A complete response with the outcome OK is forwarded to the client if the exchange is not closed. If
+        the attempt ends before the end of its streamed response, that response is aborted.
 
         Args:
             exchange: The exchange that the attempt belongs to.
@@ -247,7 +256,7 @@
         self._exchanges.remove_if_done(exchange)
 
     def probe(self, server_number: int) -> None:
-        """Start a probe; the probe of a server that is not listed ends at once as CONNECT_FAILED."""
+        """Start a probe; if the pool has no server of that number, the probe ends as CONNECT_FAILED."""
         now_ms = self.clock.now_ms()
         server = self.connection_pool.servers.get(server_number)
         if server is None:
--- a/sandhatch/dispatch/dispatcher.py
+++ b/sandhatch/dispatch/dispatcher.py
@@ -266,13 +266,13 @@
             for action in actions:
                 self._execute(action)
         except Exception as error:
-            # An exception must not affect other requests: only this one gets a response of 500.
+            # An exception must not affect other requests: only the one of this event gets a 500.
             self._on_handler_error(event, error)
 
     def _on_handler_error(self, event: Event, error: Exception) -> None:
         """Log an exception, and respond with 500 to the request that it belongs to, if any."""
-        # Some events have no request number, and the cookie of some timers is not one: no exchange matches
-        # these.
+        # Some events have no request number, and the cookie of some timers is not a request number: no
+        # exchange matches these.
         number = event.cookie if isinstance(event, TimerFired) else getattr(event, "request", NO_REQUEST)
         exchange = self._exchanges.get(number)
         trace = exchange.trace_text if exchange is not None else "-"
--- a/sandhatch/dispatch/endpoint_updates.py
+++ b/sandhatch/dispatch/endpoint_updates.py
@@ -21,12 +21,12 @@
     """The endpoint list of one pool, as last published by its source.
 
     Attributes:
-        current_since_ms: Time in Unix milliseconds at which the source last published a current list or
-            delta; infinite before the first listing.
+        current_since_ms: Time in Unix milliseconds at which the source last published a FULL or DELTA
+            listing, or its first listing of any kind; infinite before the first listing.
     """
 
     def __init__(self, settings: Settings, connection_pool: ConnectionPool) -> None:
-        """Create the state before the first list.
+        """Create the state of a pool that has received no endpoint list yet.
 
         Args:
             settings: Settings that determine after how long a change counts as received.
@@ -44,7 +44,7 @@
         return any(server.state is ServerState.READY for server in self._connection_pool.servers.values())
 
     def apply(self, listing: Listing, now_ms: float) -> Listing:
-        """Apply a listing to the connections.
+        """Apply a listing to the servers and connections of the pool.
 
         Args:
             listing: The listing as published by the source.
@@ -55,8 +55,8 @@
         """
         if self._retained_servers is not None:
             listing = self._drain_withdrawn(listing, self._retained_servers)
-        # A drain grace period starts when its notice counts as received, which is before its arrival if the
-        # list is old.
+        # A drain grace period starts when its notice counts as received, which is before the notice
+        # arrives if the list is old.
         notified_ms = min(now_ms, self.current_since_ms + self._list_age_bound_ms)
         if self.current_since_ms == math.inf or listing.kind in (ListKind.FULL, ListKind.DELTA):
             self.current_since_ms = now_ms
@@ -79,9 +79,9 @@
 
     def snapshot(self) -> Listing:
         """Return the present endpoint list as a complete listing."""
-        table = self._connection_pool.servers
-        entries = tuple(entry for entry in self._entries.values() if entry.server in table)
-        addresses = tuple(table[entry.server].address for entry in entries)
+        servers = self._connection_pool.servers
+        entries = tuple(entry for entry in self._entries.values() if entry.server in servers)
+        addresses = tuple(servers[entry.server].address for entry in entries)
         return Listing(ListKind.FULL, 0, entries, addresses)
 
     def withdraw(self, retained_servers: frozenset[int], notified_ms: float) -> list[ServerEntry]:
--- a/sandhatch/dispatch/plan.py
+++ b/sandhatch/dispatch/plan.py
@@ -1,6 +1,6 @@
 """The settings and limits with which one pool runs.
 
-Plain data, created from their configuration by the programs in `sandhatch.platform` and `sandhatch.service`.
+Plain data, created from the configuration by the programs in `sandhatch.platform` and `sandhatch.service`.
 """
 
 from __future__ import annotations
--- a/sandhatch/dispatch/protocols.py
+++ b/sandhatch/dispatch/protocols.py
@@ -66,7 +66,7 @@
     """The source of a pool's endpoint list."""
 
     def start(self) -> None:
-        """Start, and publish the endpoint list that is already known, if any."""
+        """Start, and publish the endpoint list that is already known, which may be empty."""
 
     def stop(self) -> None:
         """Stop publishing."""
@@ -75,7 +75,10 @@
         """Fetch the complete list once."""
 
     def watch(self, command: WatchList) -> None:
-        """Replace the pending call by this one; its result is published under the number of the command."""
+        """Make a watch call in place of any pending one, and publish its result with the command's number.
+
+        A source whose list never changes does nothing.
+        """
 
     def republish(self) -> None:
         """Publish the last known complete list, or fetch it."""
@@ -90,7 +93,9 @@
     def on_endpoint_list(
         self, update: ListUpdate, addresses: Sequence[str], failure_reason: str = ""
     ) -> None:
-        """Record an update of the endpoint list before it is delivered to the balancer.
+        """Record an update of the endpoint list, before the balancer receives it.
+
+        Also called with the present list, as a complete one, when the observer is set.
 
         Args:
             update: The update.
--- a/sandhatch/dispatch/streamed_bodies.py
+++ b/sandhatch/dispatch/streamed_bodies.py
@@ -1,8 +1,8 @@
 """Bodies of requests and responses that are streamed as they arrive.
 
 This module starts the flow of a response, notifies the balancer when a request can no longer be retried, and
-ends exchanges in which a side makes too little progress. `sandhatch.streaming.flow` moves the bytes. Source:
-docs/operators/bodies.md.
+ends exchanges in which the client or a server makes too little progress. `sandhatch.streaming.flow` moves the
+bytes. Source: docs/operators/bodies.md.
 """
 
 from __future__ import annotations
@@ -178,7 +178,7 @@
             self._clock.call_after(self.CHECK_INTERVAL_MS, self._check_progress)
 
     def _check_progress(self) -> None:
-        """End exchanges in which one side makes too little progress."""
+        """End exchanges in which the client or the server makes too little progress."""
         now_ms = self._clock.now_ms()
         for exchange in list(self._streaming):
             flows = exchange.open_flows
--- a/sandhatch/downstream/client_connection.py
+++ b/sandhatch/downstream/client_connection.py
@@ -112,7 +112,7 @@
         """Notify the request handler, and release the connection's resources."""
         self._transport = None
         self.is_ending = True
-        # Called first, so that memory released below is not granted to this connection.
+        # The wait for memory ends first, so that memory released below is not granted to this connection.
         self._stop_buffering()
         self._on_disconnect()
         self._close_request_flow()
@@ -287,7 +287,8 @@
             raise AssertionError("response without a current request")
         self._current_request = None
         self._notify_disconnect = None
-        # The request handler may have enlarged the head; clamping and resetting keeps the sum from drifting.
+        # The request handler may have enlarged the head; clamping and resetting `_request_bytes`
+        # keeps its error from growing.
         self._request_bytes = (
             max(0, self._request_bytes - message.approximate_bytes) if self._queued_requests else 0
         )
@@ -369,7 +370,7 @@
         A full close with bytes unread would reset the connection, which could discard a response in transit.
         """
         self.is_ending = True
-        # Called first, so that memory released below is not granted to this connection.
+        # The wait for memory ends first, so that memory released below is not granted to this connection.
         self._stop_buffering()
         self._discard_queued()
         self._close_request_flow()
--- a/sandhatch/downstream/connection_state.py
+++ b/sandhatch/downstream/connection_state.py
@@ -20,7 +20,7 @@
     RESPONSE_UNREAD    the client does not read a response               aborted after `REQUEST_TIMEOUT_MS`
     SERVING            a request is in flight or queued                  aborted if the client disconnected
     WAITING_FOR_MEMORY head of a request with a long body received       503 after the limit `memory_wait_ms`
-    RECEIVING_BODY     first part of a body is being buffered            408 by its writer's progress limits
+    RECEIVING_BODY     first part of a body is being buffered            408 if the client sends too slowly
     READING            a request is partially received                   408 after `FIRST_REQUEST_TIMEOUT_MS`,
                                                                          later ones after `REQUEST_TIMEOUT_MS`
     FRESH              no request has been received yet                  closed by `FIRST_REQUEST_TIMEOUT_MS`
--- a/sandhatch/downstream/eviction.py
+++ b/sandhatch/downstream/eviction.py
@@ -17,9 +17,9 @@
 def find_evictable(*groups: Iterable[ClientConnection]) -> ClientConnection | None:
     """Find a connection that can be closed without losing a complete request or a response.
 
-    Protects active clients against clients that connect and stay silent. A connection with unread bytes is
-    not evicted, since closing it would abort a request; neither is one whose last response has not been sent
-    completely.
+    Protects active clients against clients that connect and stay silent. An idle connection with unread bytes
+    is not evicted, since closing it would abort a request; neither is one whose last response has not been
+    sent completely.
 
     Args:
         groups: Connections in the order of eviction, all of a group before the next group.
--- a/sandhatch/downstream/listener.py
+++ b/sandhatch/downstream/listener.py
@@ -26,7 +26,7 @@
     """The listening socket and the connections that were accepted from it."""
 
     ACCEPT_PAUSE_S = 0.05
-    # Accepts in a row; the limit lets requests of accepted clients be read during a flood of connections.
+    # Maximum of accepts in a row, so that requests of accepted clients are read in a flood of connections.
     ACCEPT_BATCH_SIZE = 16
     SWEEP_INTERVAL_MS = 250.0
     # Time between two polls for disconnects of clients whose connections are not read. No request may be
--- a/sandhatch/downstream/request_parsing.py
+++ b/sandhatch/downstream/request_parsing.py
@@ -79,7 +79,7 @@
         request_class = self._settings.classes[class_index]
         time_left_ms = self._time_left_ms(message, request_class.deadline_ms)
         if request_class.effect is Effect.IDEMPOTENT_WITH_KEY and not message.value(b"idempotency-key"):
-            # Without the key, servers could not detect and drop a retry.
+            # Without the idempotency key, servers could not detect and drop a retry.
             raise FramingError(400, "a keyed request without its key")
         size_hint = message.value(b"x-size-hint")
         object_key = message.value(b"x-object")
--- a/sandhatch/downstream/request_receiver.py
+++ b/sandhatch/downstream/request_receiver.py
@@ -34,7 +34,7 @@
 
 
 class RequestReceiver(ClientTransport):
-    """Receiving side of a client connection; the module's docstring describes the ways of a body."""
+    """Receiving side of a client connection; the module's docstring describes how a body is received."""
 
     def __init__(self, listener: ConnectionOwner, max_queued: int) -> None:
         """Create the receiving side of a connection that `listener` has just accepted.
--- a/sandhatch/http1/limits.py
+++ b/sandhatch/http1/limits.py
@@ -12,10 +12,11 @@
 # The protocol specifies 64 KiB, but servers send valid responses of 200 to 380 KiB. The memory budget bounds
 # the total of all connections.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
-# Framing in addition to a buffered body. Rejects endless chunks, trailers and interim responses.
+# Bytes of framing allowed in addition to a buffered body. Rejects endless chunks, trailers and interim
+# responses.
 MAX_FRAMING_BYTES = 1024 * 1024
-# Framing of a streamed body in excess of the body's own size. Rejects one-byte chunks and endless chunk
-# extensions.
+# Bytes of framing of a streamed body allowed in excess of the body's own size. Rejects one-byte chunks and
+# endless chunk extensions.
 MAX_STREAMED_FRAMING_BYTES = 64 * 1024
 MAX_LENGTH_DIGITS = 19
 
--- a/sandhatch/http1/message_parser.py
+++ b/sandhatch/http1/message_parser.py
@@ -6,14 +6,14 @@
 a message is returned complete, with its body. The parser's owner may have the body streamed instead: the
 parser calls `on_head` with each head that is followed by a body, the owner calls `stream` from that callback,
 and later `open` once the parser is `is_openable`. `open` returns the head with the part of the body that is
-buffered. After that each read returns pieces of the body, and finally an `BodyEnd`.
+buffered. After that each read returns pieces of the body, and finally a `BodyEnd`.
 
     ========= ============================== ========================= =====================================
     state     destination of body bytes      events                    next state
     ========= ============================== ========================= =====================================
     HEAD      (none)                         (none)                    BUFFERING at the head's end
     BUFFERING the parser's buffer            the message, at its end   HEAD at the end, or OPENED by `open`
-    OPENED    the events, as pieces          each piece, then `BodyEnd`    HEAD at the end
+    OPENED    the events, as pieces          pieces, then a `BodyEnd`  HEAD at the end
     CLOSED    (input is ignored)             (none)                    (none)
     ========= ============================== ========================= =====================================
 
--- a/sandhatch/http1/parser.py
+++ b/sandhatch/http1/parser.py
@@ -62,8 +62,8 @@
     """
 
     _parser: httptools.HttpResponseParser | None
-    # Interim responses are not counted. Of the others only the first is used; the connection is closed if
-    # more follow it.
+    # Interim responses are not counted. Of the final responses only the first is used; the connection is
+    # closed if more follow it.
     MAX_RESPONSES_IN_READ = 64
 
     def __init__(self, max_body_bytes: int = MAX_RESPONSE_BODY_BYTES) -> None:
--- a/sandhatch/streaming/limits.py
+++ b/sandhatch/streaming/limits.py
@@ -16,8 +16,8 @@
 
     Attributes:
         max_bytes: Maximum size of the body.
-        hold_bytes: Number of bytes that are buffered before streaming begins; a smaller body is buffered
-            completely.
+        hold_bytes: Number of bytes that are buffered before streaming begins; a body of at most this size is
+            buffered completely.
         replay_bytes: Size of the replay buffer, which retains the sent bytes for a retry up to this size.
         ceiling_bytes: Maximum memory that the body may use at any time.
         writer: Progress limits of the side that sends the body.
--- a/sandhatch/streaming/progress.py
+++ b/sandhatch/streaming/progress.py
@@ -59,7 +59,7 @@
     def violation(self, now_ms: float) -> str | None:
         """Returns a description of the violated limit for logs and error responses; None if there is none.
 
-        A complete window is closed by this call, so call it several times per window.
+        Only this call ends a complete window and starts the next, so call it several times per window.
         """
         if self._waiting_since_ms is None:
             return None
--- a/sandhatch/upstream/attempt.py
+++ b/sandhatch/upstream/attempt.py
@@ -11,8 +11,9 @@
     a partial body.
     Any byte received from the server means that the request may have run, however much of it was sent.
 
-An attempt that fails before that point ends as CONNECT_FAILED, which proves that the request has not run. An
-attempt that fails after it ends as TIMEOUT or RESET, which proves nothing.
+An attempt whose connection cannot be opened or fails, or whose timeout passes, before its request may have
+run ends as CONNECT_FAILED, which proves that the request has not run. Afterwards it ends as RESET or TIMEOUT,
+which prove nothing, or, if its response waits for memory when the timeout passes, as CANCELLED.
 """
 
 from __future__ import annotations
@@ -35,10 +36,10 @@
     """The starter of an attempt: provides the request, and is notified of the response and of the end."""
 
     def make_request(self) -> Message:
-        """Build the request at the time of writing, since a header gives the remaining time."""
+        """Return the request; called when it is written, since a header may state the time remaining then."""
 
     def blocked_by(self) -> Outcome | None:
-        """Return the outcome of an attempt that may no longer be written, None if it may be written."""
+        """Return the outcome that ends the attempt if its request may no longer be written, else None."""
 
     def on_response_started(self, attempt: Attempt, response: Message, reserved_bytes: int) -> Flow | None:
         """Handle the head of a response that can be streamed; called only for an attempt with `limits`.
@@ -71,7 +72,8 @@
         timeout_ms: Time allowed for the response.
         timer: The running timeout, None before it is started.
         connection: The connection that carries the attempt, None before it is written and after its end.
-        request_sent: Whether so much was sent that the request may have run (see the module docstring).
+        sent_enough_to_run: Whether so much of the request was sent that it may have run (see the module
+            docstring).
         response_started: Whether any byte of a response has been received.
     """
 
@@ -84,7 +86,7 @@
     timeout_ms: float = 0.0
     timer: Timer | None = None
     connection: ServerConnection | None = None
-    request_sent: bool = False
+    sent_enough_to_run: bool = False
     response_started: bool = False
 
     @property
@@ -95,7 +97,7 @@
     @property
     def may_have_run(self) -> bool:
         """Whether the server may have started the request."""
-        return self.request_sent or self.response_started
+        return self.sent_enough_to_run or self.response_started
 
     @property
     def bytes_before_streaming(self) -> int:
@@ -111,7 +113,7 @@
         )
 
     def write(self, connection: ServerConnection) -> bool:
-        """Send the request on an established connection, unless the attempt has ended.
+        """Send the request on an established connection, unless the attempt has ended or must end unwritten.
 
         Returns:
             Whether anything was written.
@@ -126,7 +128,7 @@
     def may_be_written(self) -> bool:
         """Check whether the request may still be written; end the attempt if it may not.
 
-        Called before the first byte, and again before a withheld last byte.
+        Called before the first byte of the request, and again before a withheld last byte.
         """
         if self.owner is None:
             return False
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -75,7 +75,7 @@
         if attempt.flow is not None:
             attempt.flow.drained()
         elif not self._withheld_byte:
-            attempt.request_sent = True
+            attempt.sent_enough_to_run = True
 
     def buffer_updated(self, nbytes: int) -> None:
         """Parse the bytes that were read, and act on the result."""
@@ -110,7 +110,7 @@
         self._fail_attempt()
 
     def connection_lost(self, exc: Exception | None) -> None:  # noqa: ARG002 - part of the protocol
-        """Release the resources of the connection, and fail its attempt."""
+        """Release the connection's resources; fail its attempt, or move it if its last byte is withheld."""
         self._pool.on_connection_closed(self)
         self._transport = None
         self._parser.close()
@@ -155,7 +155,7 @@
         self._has_carried_attempt = True
         self._socket_writer = SocketWriter(self._transport)
         self._chunked = request.length is None
-        attempt.request_sent = True  # the server may act on any part of a streamed request
+        attempt.sent_enough_to_run = True  # the server may act on any part of a streamed request
         head = encode_request_head(request.method, request.target, request.headers, request.length)
         self._socket_writer.write((head,))
         flow.attach(self)
@@ -177,10 +177,10 @@
         assert self._attempt is not None
         self._transport.write(data)
         if not self._withheld_byte and self._transport.get_write_buffer_size() == 0:
-            self._attempt.request_sent = True
+            self._attempt.sent_enough_to_run = True
 
     def _move_to_new_connection(self, attempt: Attempt) -> None:
-        """Have the pool send the request on a new connection; no server has received all of it."""
+        """Have the pool send the attempt's request on a new connection; no server has received all of it."""
         self._withheld_byte = b""
         self._attempt = None
         attempt.connection = None
@@ -190,7 +190,7 @@
     # ------------------------------------------------ complete responses
 
     def _on_complete_responses(self, attempt: Attempt, responses: list[Message]) -> None:
-        """End the attempt with the first of the responses."""
+        """End the attempt with the first response, or as failed if that repeats the response to a probe."""
         response = responses[0]
         if self._response_state is BUFFERING:  # the response was complete before streaming started
             self._stop_receiving()
--- a/sandhatch/upstream/connection_pool.py
+++ b/sandhatch/upstream/connection_pool.py
@@ -194,7 +194,10 @@
     # ------------------------------------------------ idle connections
 
     def _take_idle(self, server: UpstreamServer) -> ServerConnection | None:
-        """Take the most recently used idle connection to a server, closing unusable ones on the way."""
+        """Take the most recently used idle connection to a server that is not in its cooldown.
+
+        Connections that turn out to be unusable during the search are closed.
+        """
         idle = self._idle.get(server.number, [])
         now_ms = self.clock.now_ms()
         for index in range(len(idle) - 1, -1, -1):
@@ -209,7 +212,7 @@
         return None
 
     def put(self, connection: ServerConnection) -> None:
-        """Cache an idle connection for reuse, or close it if its server takes no new requests."""
+        """Cache an idle connection for reuse, or close it if it no longer leads to a ready server."""
         server = connection.server
         leads_to_server = (
             self.servers.get(server.number) is server
--- a/sandhatch/upstream/outcomes.py
+++ b/sandhatch/upstream/outcomes.py
@@ -7,7 +7,7 @@
     --------------------------------  -------------  -------------------------
     200                               OK             yes
     503 or 504 with `X-Never-Ran: 1`  FULL           never
-    any other 4xx                     CLIENT_ERROR   yes
+    any 4xx                           CLIENT_ERROR   yes
     anything else                     ERROR          yes
 
 Attempts without a complete response get their outcome from `sandhatch.upstream.attempt`.
--- a/sandhatch/upstream/response_receiver.py
+++ b/sandhatch/upstream/response_receiver.py
@@ -73,7 +73,7 @@
         self._response_state = READING
         self._accounted_bytes = 0  # bytes booked in the shared memory budget
         self._streamed_response: Message | None = None  # head of the response that is being streamed
-        self._response_flow: Flow | None = None  # takes the rest of that response's body
+        self._response_flow: Flow | None = None  # flow of the body of a response that is being streamed
 
     # ------------------------------------------------ implemented by the connection
 
@@ -123,7 +123,7 @@
     # ------------------------------------------------ buffering
 
     def _on_buffering_timeout(self, attempt: Attempt) -> None:
-        """Stream a response whose buffering time is over, however little of it has arrived."""
+        """Let a response be streamed once its buffering time is over, however little of it has arrived."""
         if self._attempt is attempt and self._response_state is not STREAMING and self._parser.is_in_body:
             self._parser.stream(0, self._parser.max_body_bytes)
             if self._reserved_bytes and self._parser.is_openable:
@@ -204,7 +204,7 @@
             if isinstance(event, BodyEnd):
                 self._on_streamed_end(attempt, flow, event, nothing_follows=index == last_index)
                 return
-            if not isinstance(event, Message):  # always true: only pieces precede the end
+            if not isinstance(event, Message):  # always true: only pieces of the body precede its end
                 flow.push(event)
         if self._parser.fault is not None and self._attempt is attempt:
             self.abort()
@@ -237,7 +237,7 @@
             Whether the connection can carry another attempt.
         """
         parser = self._parser
-        request_complete = attempt.request_sent and (attempt.flow is None or attempt.flow.sent)
+        request_complete = attempt.sent_enough_to_run and (attempt.flow is None or attempt.flow.sent)
         self._attempt = None
         self._socket_writer = None
         if attempt.flow is not None:
