--- a/sandhatch/balancing/actions.py
+++ b/sandhatch/balancing/actions.py
@@ -47,7 +47,7 @@
 
     Attributes:
         request: The request.
-        wait_ms: Suggested wait before a retry (Retry-After); 0 if there is none.
+        wait_ms: Suggested wait before a retry (Retry-After); 0 suggests no wait.
     """
 
     request: int
@@ -122,7 +122,7 @@
     Attributes:
         active: Whether to watch the list.
         call: The request's number, which its response carries; 0 for a standing subscription.
-        after: The version since which changes are requested; `NO_VERSION` requests the complete list.
+        after: The list version since which changes are requested; `NO_VERSION` requests the complete list.
         wait_ms: Maximum time for which discovery may hold the request until there is a change.
         response_timeout_ms: Time after which the request is abandoned and counts as failed.
     """
--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -48,7 +48,7 @@
 from sandhatch.balancing.events import NO_VERSION, ListKind, ListUpdate, ServerState
 from sandhatch.balancing.settings import Settings
 
-REQUEST_COOKIE = 1 << 40  # above all request ids
+REQUEST_COOKIE = 1 << 40  # timer cookies for discovery start here, above all ids of client requests
 SUSPICION_COOKIE = REQUEST_COOKIE + 1
 COOKIES = (REQUEST_COOKIE, SUSPICION_COOKIE)
 
@@ -112,8 +112,8 @@
     overdue_pause_ms: float
 
 
-# Spread per instance of each tier: twice the assumed service time of a request at discovery. Nothing states
-# that time.
+# Width of the spread of first polls, per instance of each tier: twice the assumed service time of a request
+# at discovery. No setting states that time.
 SPREAD_MS = 500.0
 
 
@@ -125,7 +125,7 @@
     # Once the list is overdue, each instance sends about one request per bound, so that a discovery service
     # that can serve all instances within the bound is not saturated by rejections. The pause must leave time
     # for a response within the grace period once discovery is back.
-    grace_ms = min(settings.drain_grace_ms, notified_ms)  # the setting may be arbitrarily large
+    grace_ms = min(settings.drain_grace_ms, notified_ms)  # `drain_grace_ms` may be arbitrarily large
     return Pacing(SPREAD_MS, 2.0 * (notified_ms / 3.0), notified_ms + grace_ms / 2.0)
 
 
@@ -142,11 +142,11 @@
         state: State of the requests to discovery.
     """
 
-    MAX_SPREAD_FRACTION = 0.9  # maximum spread, as a fraction of the time until the list is due
+    MAX_SPREAD_FRACTION = 0.9  # longest random delay of a poll, as a fraction of the time until a list is due
     # Time beyond a renewal's wait for its response to arrive. Renewals don't queue at discovery, but an
     # instance on a fraction of a core may read late.
     RESPONSE_MARGIN_MS = 500.0
-    NEXT_REQUEST_MS = 25.0  # pause after a response: far below what ends a watch, but no busy loop
+    NEXT_REQUEST_MS = 25.0  # pause after discovery's response: too short to end the watch, but no busy loop
     SUSPICION_MS = (
         2_000.0  # mean delay of a check, about the time that a change takes to arrive with the list
     )
@@ -154,7 +154,8 @@
     def __init__(self, settings: Settings, rng: Random) -> None:
         """Start without a list; the first list event starts the requests."""
         self._rng = rng
-        self._fleet_size = settings.instances * settings.tiers  # estimate, as tiers differ in size
+        # Estimated number of instances that call discovery; tiers may differ in size.
+        self._fleet_size = settings.instances * settings.tiers
         self._half_tick_ms = settings.tick_ms / 2.0
         self._poll_interval_ms = settings.poll_interval_ms
         self._has_one_shot_watches = settings.one_shot_watches
@@ -162,25 +163,27 @@
         self.notified_ms = list_age_bound_ms(settings)
         self._pacing = _pacing(settings, self.notified_ms)
         self._max_wait_ms = self.notified_ms / 3.0
-        # A queued request that is abandoned loses its place, so it may take half of the bound.
+        # A request that is abandoned loses its place in discovery's queue, so it may take half of the bound
+        # on the list's age.
         self._response_timeout_ms = self.notified_ms / 2.0 + self.RESPONSE_MARGIN_MS
 
         self.state = State.NOT_STARTED
-        self._kind = RequestKind.OPEN_WATCH  # kind of the request that is scheduled or in flight
-        self._request_number = 0  # number of the request sent last
+        self._kind = RequestKind.OPEN_WATCH  # kind of the request to discovery that is scheduled or in flight
+        self._request_number = 0  # number of the request last sent to discovery
         self._version = NO_VERSION  # version of the known list
-        self._due_ms = math.inf  # time at which the next complete response is due: the bound
-        self._scheduled_ms = math.inf  # time at which the scheduled request is sent
-        self._sent_ms = 0.0  # time at which the last request was sent
-        # Whether the retry after the next failure is spread, as it is for the first failure since the last
-        # list. Requests of instances that start at the same time are already spread.
+        self._due_ms = math.inf  # time at which discovery's next complete response is due
+        self._scheduled_ms = math.inf  # time at which the scheduled request to discovery is sent
+        self._sent_ms = 0.0  # time at which the last request to discovery was sent
+        # Whether the retry after the next failed poll gets a random delay, so that instances don't poll at
+        # the same time: the first retry since the last list does. First polls after a start already have
+        # such a delay.
         self._spreads_failure = not self._is_polled
-        self._knows_only_cached = False  # only the cached list is known, and no request was sent
+        self._knows_only_cached = False  # only the cached list is known, and discovery was not asked yet
         self._suspect: Suspect | None = None  # server that is listed as ready, but rejects requests
-        # Pause, before jitter, after the last request caused by a suspect; 0 if there was none since the last
-        # response.
+        # Pause, before jitter, after the last poll caused by a suspect (listed server that rejects requests);
+        # 0 if no suspect caused a poll since discovery's last response.
         self._suspicion_pause_ms = 0.0
-        self._next_suspicion_ms = 0.0  # earliest time of the next request caused by a suspect
+        self._next_suspicion_ms = 0.0  # earliest time of the next poll that a rejecting server may cause
 
     # ------------------------------------------------ events
 
@@ -219,7 +222,7 @@
             # start together would all poll.
             return self._schedule(self._kind, max(0.0, self._scheduled_ms - now_ms) / 3.0, now_ms)
         if self._has_one_shot_watches:
-            return []  # renewals detect a silent watch earlier
+            return []  # renewals of a watch detect its silence earlier than rejections do
         if self._suspect is not None or now_ms < self._next_suspicion_ms:
             return []
         self._suspect = server
@@ -230,7 +233,8 @@
     def _on_first_list(self, update: ListUpdate, now_ms: float) -> list[Action]:
         """Use the cached list at first, and spread the first requests of the fleet.
 
-        An instance without any list can't serve, so its request is sent earlier than those of others.
+        An instance without any list can't serve, so its request is sent earlier than instances with one send
+        theirs.
         """
         self._version = update.version
         self._due_ms = now_ms + self.notified_ms
@@ -248,7 +252,7 @@
     def _on_response(self, update: ListUpdate, now_ms: float) -> list[Action]:
         self._version = update.version
         if self._has_one_shot_watches and not self._is_response_to_request(update):
-            return []  # response to an earlier request; the request in flight continues
+            return []  # response to an earlier request; the request now in flight continues
         self._due_ms = now_ms + self.notified_ms
         self._reset_failures()
         if not self._has_one_shot_watches:
@@ -269,15 +273,15 @@
         return self._schedule(self._first_kind(), self._pause_after_failure_ms(now_ms), now_ms)
 
     def _confirm_suspicion(self, now_ms: float) -> list[Action]:
-        """Send a request if the suspect is still listed as ready and has served nothing since."""
+        """Poll discovery if the rejecting server is still listed as ready and has served nothing since."""
         suspect = self._suspect
         self._suspect = None
         if suspect is None or suspect.state is not ServerState.READY or not suspect.consecutive_failures:
             return []
         if self.state is State.SCHEDULED:
-            return []  # a request is about to be sent anyway
-        # The pause doubles with each such request until discovery responds: the rejections may have a cause
-        # other than a list that is out of date.
+            return []  # a request to discovery is about to be sent anyway
+        # The pause doubles with each poll caused by rejections until discovery responds: the rejections may
+        # have a cause other than a list that is out of date.
         max_pause_ms = 4.0 * self._poll_interval_ms
         next_pause_ms = 2.0 * (self._suspicion_pause_ms or self.SUSPICION_MS)
         self._suspicion_pause_ms = min(max_pause_ms, next_pause_ms)
@@ -302,7 +306,7 @@
         return RequestKind.OPEN_WATCH
 
     def _spread_ms(self, now_ms: float) -> float:
-        """Return the delay of a request that other instances may send at the same time."""
+        """Return the random delay of a poll that other instances may send at the same time."""
         left_ms = max(0.0, self._due_ms - now_ms)
         return self._rng.random() * min(
             self._pacing.spread_ms * self._fleet_size, self.MAX_SPREAD_FRACTION * left_ms
--- a/sandhatch/balancing/events.py
+++ b/sandhatch/balancing/events.py
@@ -69,7 +69,7 @@
         kind: Kind of the event.
         version: Version of the list that is known after this event.
         entries: All entries of the list, or the changed ones.
-        call: Number of the `WatchList` that this responds to; 0 if there is none.
+        call: Number of the `WatchList` that this list answers; 0 if it answers no numbered `WatchList`.
     """
 
     kind: ListKind
@@ -109,9 +109,9 @@
         class_index: Index of its class in `Settings.classes`.
         time_left_ms: Time until the client abandons the request.
         tenant: Index of its tenant in `Settings.tenants`.
-        key: Routing key: requests with the same key belong together; 0 means none.
+        key: Routing key: requests with the same key belong together; 0 means no key.
         expected_ms: Cost hint: expected work on a standard core; None if unknown.
-        client_retry: Whether the client marked it as a retry.
+        client_retry: Whether the client marked the request as a retry.
         write: Whether the request writes.
     """
 
--- a/sandhatch/balancing/guidance/bounds.py
+++ b/sandhatch/balancing/guidance/bounds.py
@@ -15,7 +15,7 @@
 MIN_SERVERS_SHARE = 0.5
 MIN_WEIGHT_SHARE = 0.5
 
-# Relative tolerance for sums of floating-point shares, which are not exact.
+# Relative tolerance for sums of shares, because sums of floating-point numbers are not exact.
 ROUNDING_TOLERANCE = 1e-9
 
 
--- a/sandhatch/balancing/guidance/gradual_value.py
+++ b/sandhatch/balancing/guidance/gradual_value.py
@@ -11,7 +11,7 @@
 
     Attributes:
         target: The value from `end_ms` on.
-        end_ms: Time at which the current change ends; 0 if there was none.
+        end_ms: Time at which the current change ends; 0 before the first change.
     """
 
     __slots__ = ("_start_ms", "_start_value", "end_ms", "target")
@@ -31,7 +31,7 @@
         return self._start_value + progress * (self.target - self._start_value)
 
     def change_to(self, target: float, now_ms: float, duration_ms: float) -> None:
-        """Move linearly from the present value to a new target; the present target has no effect."""
+        """Move linearly from the present value to a new target; the same target changes nothing."""
         if target == self.target:
             return
         self._start_value = self.value_at(now_ms)
--- a/sandhatch/balancing/guidance/server_weights.py
+++ b/sandhatch/balancing/guidance/server_weights.py
@@ -11,8 +11,8 @@
 
 from sandhatch.balancing.guidance.gradual_value import GradualValue
 
-WEIGHT_CHANGE_MS = 400.0  # duration of a weight's change to a newly advised one
-WEIGHT_RESET_MS = 3_000.0  # duration of a weight's change back to 1 after the advised ones have expired
+WEIGHT_CHANGE_MS = 400.0  # duration of a weight's change to a newly advised weight
+WEIGHT_RESET_MS = 3_000.0  # duration of a weight's change back to 1 after advised weights expire
 
 
 class _PlannerLease:
@@ -52,7 +52,7 @@
             lease.until_ms = until_ms
 
     def update_targets(self, now_ms: float, duration_ms: float) -> None:
-        """Drop expired leases, and start to move each weight to the median of the remaining ones."""
+        """Drop expired leases, and start to move each weight to the median of the weights still advised."""
         self._leases = {planner: lease for planner, lease in self._leases.items() if lease.until_ms > now_ms}
         advised_weights = [lease.weights for lease in self._leases.values()]
         self._next_expiry_ms = min((lease.until_ms for lease in self._leases.values()), default=math.inf)
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -53,14 +53,14 @@
 
     def __init__(self, started_ms: float, now_ms: float) -> None:
         self.started_ms = started_ms
-        self.credit = 0.0  # nothing accrues before the first use
+        self.credit = 0.0  # requests that may be sent now; none accrue before the bucket's first use
         self.updated_ms = now_ms
 
 
 class SharedRamp(WarmUp):
     """This instance's share of the ramps of a tier's warming servers."""
 
-    RATE_SHARE_RISE_MS = 1_000.0  # duration of a rise of a share of the rate
+    RATE_SHARE_RISE_MS = 1_000.0  # duration of a rise of this instance's share of a ramp's rate
 
     def __init__(self, settings: Settings) -> None:
         """Start without warming servers and without a grant."""
@@ -130,8 +130,8 @@
         """Use newly granted shares in place of those that were granted before.
 
         Args:
-            shares: The granted shares; servers without one are granted nothing.
-            report_sent_ms: Time at which the report was sent to which the grant responds.
+            shares: The granted shares; servers without an entry have no granted share.
+            report_sent_ms: Time at which this instance sent the report that the grant answers.
             until_ms: Expiry of the grant.
             leased_until_ms: Time until which this instance's own shares are leased to others.
             now_ms: The present time.
@@ -199,7 +199,7 @@
         return self._own_allocation(server).burst if phase is _Phase.OWN else 0.0
 
     def _leased_share(self, server: ListedServer) -> RampShare | None:
-        """Return the share granted on this server; None if it is too small for one request."""
+        """Return the share of this server's ramp that a planner granted; None if below one request."""
         share = self._leased_shares.get(server.id)
         return None if share is None or share.burst < 1.0 else share
 
--- a/sandhatch/balancing/guidance/state.py
+++ b/sandhatch/balancing/guidance/state.py
@@ -35,7 +35,7 @@
     # Bounds of an instance's share of the tier's capacity, as multiples of an even share.
     MIN_OWN_SHARE_FACTOR = 0.5
     MAX_OWN_SHARE_FACTOR = 8.0
-    OWN_SHARE_CHANGE_MS = 3_000.0  # duration of a change of that share
+    OWN_SHARE_CHANGE_MS = 3_000.0  # duration of a change of the instance's share of the tier's capacity
 
     def __init__(self, settings: Settings, rng: Random) -> None:
         """Start without guidance; the balancer's own `rng` decides which servers are passed over."""
@@ -94,7 +94,7 @@
             self._own_share_until_ms = event.until_ms
             self._own_share.change_to(event.own_part, now_ms, self.OWN_SHARE_CHANGE_MS)
         elif self._own_share_until_ms < math.inf:
-            self._own_share_until_ms = event.until_ms  # extends the share that was granted before
+            self._own_share_until_ms = event.until_ms  # also extends a share of the capacity granted earlier
 
     def lease_own_shares(self, until_ms: float, now_ms: float) -> None:
         """Lease this instance's own shares of ramps to others until `until_ms`."""
--- a/sandhatch/balancing/majority_value.py
+++ b/sandhatch/balancing/majority_value.py
@@ -7,8 +7,8 @@
 
 from dataclasses import dataclass
 
-MIN_VOTES = 8  # lead of the majority, from which other samples count as uncommon
-MAX_VOTES = 64  # bound on the votes: a new majority wins within this many samples
+MIN_VOTES = 8  # lead of the majority value in votes, from which other samples count as uncommon
+MAX_VOTES = 64  # bound on the majority value's lead: a new value wins within this many samples
 RELATIVE_TOLERANCE = 0.005
 
 
--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -13,23 +13,25 @@
 from sandhatch.balancing.records import Request
 from sandhatch.balancing.settings import Settings
 
-# Attempts, of all instances together, that one server can have in flight. Limits queues that the latency
+# Attempts, of all instances together, that one server can have in flight. It limits queues that the latency
 # target alone would allow: a server of two cores with 8 to 14 waiting requests becomes three times slower and
 # stays so.
 MAX_ATTEMPTS_PER_SERVER = 7.0
 UNQUEUED_SLOWDOWN = 1.8  # ratio of latency through all tiers to hinted work, without queues
 QUEUED_SLOWDOWN = 2.2  # ratio of latency through all tiers to hinted work, with queues
-LOAD_TIME_CONSTANT_MS = 1_000.0  # averaging time of the load; overload takes longer to make a server slow
-MIN_INITIAL_WINDOW = 0.5  # lower bound of the window until outcomes are known
-MIN_WINDOW = 0.1  # below 1, requests are admitted by chance, so that low-rate instances can reject too
+# Averaging time of the attempts in flight; overload must last longer to make a server slow.
+LOAD_TIME_CONSTANT_MS = 1_000.0
+MIN_INITIAL_WINDOW = 0.5  # lower bound, in attempts, of the window before any outcome is known
+# In attempts. Below 1, requests are admitted by chance, so that low-rate instances can reject requests too.
+MIN_WINDOW = 0.1
 IN_FLIGHT_EWMA_WEIGHT = 1.0 / 8.0  # weight of a new sample in the mean of attempts in flight
 WINDOW_GAIN = 0.2  # change of the window per round trip, as a fraction, if latency is off by the whole target
-# Used fraction of the window; below it, latency carries no information about the limit.
+# Used fraction of the window, below which latency doesn't show whether the window is too small.
 MIN_WINDOW_UTILIZATION = 0.6
 TARGET_FRACTION = 0.5  # target latency, as a fraction of the way from the low-load latency to the objective
 MAX_TARGET_FACTOR = 3.0  # maximum ratio of target to low-load latency; limits queuing and contention
 MAX_OVER_QUOTA_FRACTION = 0.9  # maximum fraction of the window for traffic over its tenant's quota
-OVER_QUOTA_STEP = 0.05  # reduction of that fraction per rejected request within its quota
+OVER_QUOTA_STEP = 0.05  # reduction of the over-quota fraction per rejected request within quota
 # Rejected fraction of the requests within quota at which the over-quota fraction is constant.
 OVER_QUOTA_EQUILIBRIUM = 0.02
 
@@ -71,7 +73,7 @@
             self.window = max(MIN_INITIAL_WINDOW, self.capacity(now_ms))
 
     def record_arrival(self, interarrival_ms: float) -> None:
-        """Update the mean load for the time since the previous request."""
+        """Update the mean number of attempts in flight for the time since the previous request."""
         self.load += (1.0 - math.exp(-interarrival_ms / LOAD_TIME_CONSTANT_MS)) * (
             self.servers.in_flight - self.load
         )
@@ -108,7 +110,7 @@
         return self.load < 0.5 * self.capacity(now_ms)
 
     def server_limit(self, now_ms: float) -> float:
-        """Return the limit of own attempts at one server; infinite if servers are not in the first tier.
+        """Return this instance's limit of attempts in flight at one server; infinite beyond the first tier.
 
         Protects the few warm servers while others fail or start.
         """
@@ -138,8 +140,8 @@
         elif len(request.attempts) < 2:
             return  # a single full server: another attempt is likely to succeed
         else:
-            # One attempt too many is in flight. Rejections arrive fast, so they must weigh more than slow
-            # responses.
+            # A rejection by a full server shows one attempt too many in flight. Rejections arrive fast, so
+            # each must weigh more than a slow response.
             step = -min(1.0, 0.25 * self.window)
         if step < 0.0 or self.servers.in_flight + 1.0 >= MIN_WINDOW_UTILIZATION * self.window:
             self.window = max(MIN_WINDOW, self.window + step)
@@ -152,7 +154,7 @@
         return max(1.0, self.servers.ready_count - self.slow_start.warm_up_deficit(now_ms))
 
     def _capacity_share(self, now_ms: float) -> float:
-        """Return this instance's share of the capacity, plus part of another instance's while nothing queues.
+        """Return this instance's share of the tier's capacity, plus part of another's while nothing queues.
 
         While one instance restarts, its traffic goes to the others. The share grows by no more than that;
         otherwise each instance would claim the whole capacity.
--- a/sandhatch/balancing/policy/balancer.py
+++ b/sandhatch/balancing/policy/balancer.py
@@ -31,13 +31,13 @@
 from sandhatch.balancing.records import Attempt, Request, Server
 from sandhatch.balancing.settings import Effect, Settings
 
-MAX_DRAWS = 8  # draws from one set until the retry rules and slow start allow the drawn server
+MAX_DRAWS = 8  # maximum draws from a set of servers until retry rules and slow start allow one
 # Minimum time left for an attempt, as a fraction of the mean latency. Prevents work whose result comes
 # too late to be used, and time-outs that count as failures of servers which had no time to respond.
 MIN_TIME_LEFT_FRACTION = 0.25
 # Minimum time left, as a fraction of the mean latency, to retry or to stay queued.
 MIN_RETRY_TIME_FRACTION = 0.75
-# Maximum queue length without probing, as a fraction of in-flight attempts: slots open one by one.
+# Maximum queue length without probing, as a fraction of attempts in flight: servers become free one by one.
 MAX_QUEUED_FRACTION = 0.25
 
 
@@ -68,7 +68,8 @@
         self.outliers = OutlierDetection(self.rng, self.server_list, self.latency, self.interarrival)
         self.zone_routing = ZoneRouting(settings, self.rng)
         self.probing = Probing(settings, self.rng)
-        self._per_server_limit = math.inf  # maximum own attempts at one server in the current draw
+        # Maximum number of this instance's attempts in flight at a server that the current draw may choose.
+        self._per_server_limit = math.inf
         self._handlers = {
             events.RequestArrived: self._on_request,
             events.AttemptEnded: self._on_attempt_ended,
@@ -144,7 +145,7 @@
             self._queue(request)
         elif self.probing.is_worthwhile(request, self.latency.mean_ms[request.class_index], self.now_ms):
             self._send_probe(request, server)
-        elif request.probes and self.probing.servers_are_serial:  # every drawn server reported itself busy
+        elif request.probes and self.probing.servers_are_serial:  # all servers drawn reported themselves busy
             self._queue(request)
         else:
             self._send(request, server)
@@ -245,7 +246,8 @@
         if outcome is Outcome.OK:
             self.outliers.record_response(server, request, event.spent_ms, self.now_ms)
             if not (self.probing.enabled and self.probing.servers_are_serial):
-                # No load report shows which server is idle.
+                # Needed unless load reports show which server is idle, as they do if servers run one request
+                # at a time.
                 self.outliers.withhold_slow_token(server, self.now_ms)
             self.latency.record_response(class_index, request.relative_size, event.spent_ms)
         elif not neutral:
@@ -259,7 +261,7 @@
             self.connections.mark_used(server, self.now_ms)
         elif server.connected and not server.outstanding:
             self.connections.mark_closed(server)
-            if outcome is Outcome.TIMEOUT:  # the connection may be dead without an error
+            if outcome is Outcome.TIMEOUT:  # after a time-out the connection may be dead without an error
                 self.actions.append(CloseIdle(server.id))
 
     def _finish(self, request: Request) -> None:
@@ -277,7 +279,7 @@
         """
         if self.retry_rules.may_reject(request):
             mean_ms = self.latency.mean_ms[request.class_index]
-            # The wait has jitter, as many requests are rejected at the same time.
+            # The suggested wait has jitter, as many requests are rejected at the same time.
             wait_ms = mean_ms * (0.75 + 0.5 * self.rng.random())
             if self.now_ms + wait_ms + mean_ms > request.objective_deadline_ms:
                 wait_ms = self.settings.max_retry_after_ms
@@ -384,7 +386,7 @@
         return slow_ms if retriable and left_ms - slow_ms > mean_ms else left_ms
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
-        """Dispatch a failed request without outstanding attempts again, or give it up."""
+        """Dispatch a failed request that has no outstanding attempts again, or reject or fail it."""
         min_left_ms = MIN_RETRY_TIME_FRACTION * self.latency.mean_ms[request.class_index]
         has_time = request.objective_deadline_ms - self.now_ms > min_left_ms
         allowed = has_time and self.retry_rules.may_send_somewhere(request, self.now_ms)
@@ -394,7 +396,7 @@
             self._give_up(request)
 
     def _send_probe(self, request: Request, server: Server) -> None:
-        # The server is reserved by removing its token, because one load report must not admit two requests.
+        # The server is reserved by removing its token: one load report must not send two requests to it.
         self.server_list.remove_token(server)
         self.probing.record_probe_sent(request, server)
         self.actions.append(Probe(server.id))
@@ -454,7 +456,7 @@
         # Tolerates half a tick: a clock may round below the delay that was set.
         if self.now_ms + self.settings.tick_ms / 2.0 < request.timer_due_ms:
             return
-        if request.probed_server is not None:  # probe timed out: the server counts as busy
+        if request.probed_server is not None:  # no report in time: the probed server counts as busy
             request.probed_server = None
             self._continue_dispatch(request)
         elif request.id in self.queued:
@@ -467,7 +469,7 @@
     def _on_list_update(self, event: events.ListUpdate) -> None:
         if event.kind is not ListKind.FAILED:
             change = self.server_list.update(event)
-            for server in change.removed:  # connections end with the server's process
+            for server in change.removed:  # the connections to a removed server end with its process
                 self.connections.mark_closed(server)
             self.slow_start.add_servers(change.added, self.now_ms)
             self.admission.open_window(self.now_ms)
--- a/sandhatch/balancing/policy/connection_reuse.py
+++ b/sandhatch/balancing/policy/connection_reuse.py
@@ -30,11 +30,12 @@
         self._settings = settings
         self._min_idle_limit_ms = settings.tick_ms
         self.idle_limit_ms = self._max_idle_limit_ms = settings.connection_idle_ms
-        # Lost fraction of attempts on new connections: losses not caused by idleness.
+        # Fraction of attempts on new connections that are reset or time out: losses not due to idleness.
         self._new_loss_rate = 0.0
-        self._idle_loss_rate = 0.0  # lost fraction of attempts on idle connections
+        self._idle_loss_rate = 0.0  # fraction of attempts on idle connections that were lost
         self._refused_fraction = 0.0  # fraction of new connections that is refused at once
-        # Time beyond the mean latency that attempts take on new and on reused connections, in objectives.
+        # Time beyond the mean latency that attempts take on new and on reused connections, as a fraction of
+        # their class's latency objective.
         self._new_excess = 0.0
         self._reused_excess = 0.0
         self._by_last_use: dict[int, Server] = {}  # connected servers, least recently used first
@@ -71,12 +72,12 @@
             self._new_excess - self._reused_excess > EXPENSIVE_CONNECT_FRACTION
             and self._refused_fraction < MAX_REFUSED_FRACTION
         ):
-            return None  # reconnecting is expensive, and few new connections are refused
+            return None  # keep idle connections while reconnecting is expensive and rarely refused
         server = next(iter(self._by_last_use.values()), None)
         if server is None or now_ms - server.last_used_ms <= self.idle_limit_ms:
             return None
         if server.outstanding:
-            self.mark_used(server, now_ms)  # the connection is in use and is checked again later
+            self.mark_used(server, now_ms)  # an attempt is using the connection; it is checked again later
             return None
         return server
 
--- a/sandhatch/balancing/policy/latency_estimates.py
+++ b/sandhatch/balancing/policy/latency_estimates.py
@@ -7,7 +7,7 @@
 from sandhatch.balancing.settings import Settings
 
 EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the running means
-LOW_LOAD_RISE_FACTOR = 0.1  # factor on that weight when the low-load latency rises
+LOW_LOAD_RISE_FACTOR = 0.1  # factor on the weight of a sample that raises the low-load latency
 
 
 class LatencyEstimates:
@@ -28,7 +28,7 @@
         self.responses = [0 for _ in settings.classes]
         self.hint_ms = [0.0 for _ in settings.classes]
         self.time_left = [MajorityValue() for _ in settings.classes]
-        # Over all classes: at low request rates the means of single classes are out of date.
+        # Means over all request classes: at low request rates the means of single classes are out of date.
         self._response_ms = 0.0
         self._response_hint_ms = 0.0
 
@@ -46,7 +46,7 @@
     def update_low_load_ms(self, class_index: int) -> float:
         """Move the low-load latency towards the mean, quickly down and slowly up; return it.
 
-        The mean is followed because single responses differ by their work.
+        The estimate follows the mean, not single responses, because requests differ in their work.
         """
         excess_ms = self.mean_ms[class_index] - self.low_load_ms[class_index]
         self.low_load_ms[class_index] += (
@@ -73,7 +73,7 @@
     last_ms: float = -1.0  # time of the last request; below 0 before the first one
 
     def record(self, now_ms: float) -> float:
-        """Record an arrival; return the time since the previous one, or 0 for the first."""
+        """Record a request's arrival; return the time since the previous request's, or 0 for the first."""
         interarrival_ms = 0.0
         if self.last_ms >= 0.0:
             interarrival_ms = now_ms - self.last_ms
--- a/sandhatch/balancing/policy/outlier_detection.py
+++ b/sandhatch/balancing/policy/outlier_detection.py
@@ -14,11 +14,11 @@
 MAX_BACKOFF_DOUBLINGS = 16
 # Probability of a run of failures by chance, below which the server is ejected.
 EJECTION_SIGNIFICANCE_LEVEL = 0.05
-SLOW_FACTOR = 4.0  # ratio of latency to the mean of class and size, above which a response is a failure
+SLOW_FACTOR = 4.0  # ratio of latency to the mean for class and size; a slower response is a failure
 MIN_RELATIVE_SIZE = 0.25  # lower bound when latencies are normalized by size: small cost hints are inaccurate
 MAX_LATENCY_RATIO = 8.0  # cap on the latency ratio of a single response
 BASELINE_LATENCY_RATIO = 1.0  # mean latency ratio above which a server counts as slow
-SLOW_TOKEN_VISITS = 2.0  # visit intervals without a token for a server of twice the baseline latency
+SLOW_TOKEN_VISITS = 2.0  # for a server of twice the baseline latency: time without draws, in visit intervals
 
 
 @dataclass
@@ -85,13 +85,13 @@
         self.failure_rate += EWMA_WEIGHT * (1.0 - self.failure_rate)
         server.consecutive_failures += 1
         if self.servers.is_oversubscribed and outcome in (Outcome.OK, Outcome.TIMEOUT):
-            # Slow, not broken: its attempts in flight already divert further ones. Ejecting servers for the
-            # load of the whole tier would move that load to the rest. With fewer attempts in flight, a slow
-            # response is evidence against the single server.
+            # The server is slow, not broken: its attempts in flight already divert further requests. Ejecting
+            # servers for the load of the whole tier would move that load to the other servers. With fewer
+            # attempts in flight, a slow response is evidence against the single server.
             return
         if outcome not in NEVER_RAN and outcome is not Outcome.OK:
-            # A circuit per class, because a server that fails one class and serves the others is cleared by
-            # those successes. One failure opens the circuit: other servers are drawn meanwhile, and if all
+            # A circuit per request class, because successes in other classes would clear a server that fails
+            # one class. One failure opens the circuit: other servers are drawn meanwhile, and if all
             # of them fail, the circuits change nothing.
             failures = server.circuits.get(class_index, Circuit()).failures + 1
             backoff_ms = self._backoff_ms(self.interarrival.mean_ms * self.servers.ready_count, failures)
@@ -107,7 +107,8 @@
         ready = self.servers.ready_count
         unlikely = self.failure_rate**server.consecutive_failures < EJECTION_SIGNIFICANCE_LEVEL
         if unlikely and 2 * self.servers.ejected_count < ready:
-            # The time doubles with each ejection, not with each failure: in a failing tier all servers fail.
+            # The ejection time doubles with each ejection, not with each failure: in a failing tier all
+            # servers fail.
             server.ejections += 1
             # A low-rate instance visits a server seldom: a shorter ejection would have no effect.
             base_ms = max(self.latency.mean_ms[class_index], self.interarrival.mean_ms * ready)
--- a/sandhatch/balancing/policy/probing.py
+++ b/sandhatch/balancing/policy/probing.py
@@ -15,7 +15,7 @@
 MAX_REDISPATCH_PROBES = 2  # maximum probes in a round after queuing, as such rounds are frequent
 EXPLORATION_PROBABILITY = 0.03  # probability of a probe that seems not worthwhile, to detect changes
 MIN_QUEUE_PAUSE_FRACTION = 1.0 / 32.0  # minimum pause of a queued request, as a fraction of the mean latency
-MAX_CONTENTION_FACTOR = 16.0  # maximum factor on the minimum pause
+MAX_CONTENTION_FACTOR = 16.0  # maximum factor on a queued request's minimum pause
 BUSY_PAUSE_FRACTION = 0.25  # time without a token after a busy report, as a fraction of the mean latency
 
 
@@ -40,7 +40,7 @@
         self.servers_are_serial = True
         self._idle_fraction = 0.5  # fraction of the reports that showed an idle server
         self._round_trip_ms = 2.0 * settings.tick_ms
-        # Requests by server, in the order of their probes.
+        # Requests that wait for a server's load report, by server, in the order of their probes.
         self._waiting_by_server: dict[int, list[Request]] = {}
 
     @property
--- a/sandhatch/balancing/policy/retry_rules.py
+++ b/sandhatch/balancing/policy/retry_rules.py
@@ -6,14 +6,14 @@
 from sandhatch.balancing.records import Attempt, Request, Server
 from sandhatch.balancing.settings import DeduplicationScope, Effect, Settings
 
-RETRIES_PER_REQUEST = 0.25  # retry budget earned by each request
-MAX_RETRY_BALANCE = 8.0  # maximum balance: covers a burst of failures, but not an outage
-NEVER_RAN_RETRY_COST = 0.25  # cost of a retry after an attempt that cost no server any work
+RETRIES_PER_REQUEST = 0.25  # number of retries that each new request adds to the budget
+MAX_RETRY_BALANCE = 8.0  # maximum retries saved up: covers a burst of failures, but not an outage
+NEVER_RAN_RETRY_COST = 0.25  # cost, in retries, of a retry after an attempt that cost no server any work
 
 
 @dataclass(frozen=True)
 class RetryRules:
-    """Attempts and rejections that the effect of a request and the settings allow, useful or not."""
+    """Which attempts and rejections a request's effect and the settings allow, useful or not."""
 
     settings: Settings
 
@@ -29,7 +29,7 @@
     def may_send(self, request: Request, server: Server, now_ms: float) -> bool:
         """Return whether an attempt at this server is allowed now."""
         if server.state is not ServerState.READY:
-            return False  # draining or removed: takes effect with the list update
+            return False  # a draining or removed server gets no attempt from its list update on
         return self.may_send_somewhere(request, now_ms) and self._in_scope(request, server)
 
     def may_send_somewhere(self, request: Request, now_ms: float) -> bool:
@@ -48,7 +48,7 @@
         return now_ms + settings.tick_ms < ran[0].sent_ms + request_class.deduplication_ms
 
     def _in_scope(self, request: Request, server: Server) -> bool:
-        """Return whether this server would deduplicate a request that an earlier attempt may have run."""
+        """Return whether this server deduplicates a keyed request that may have run; true without a key."""
         if request.request_class.effect is not Effect.IDEMPOTENT_WITH_KEY:
             return True
         scope = request.request_class.deduplication_scope
--- a/sandhatch/balancing/policy/servers.py
+++ b/sandhatch/balancing/policy/servers.py
@@ -19,8 +19,9 @@
         self.tokens = [IndexedSet[Server]() for _ in range(zones)]
         self.ready_count = 0
         self.ejected_count = 0
-        self.in_flight = 0  # own attempts in flight, including those at removed servers
-        self._withheld: list[tuple[float, int, Server]] = []  # heap by the time when the token is returned
+        self.in_flight = 0  # this instance's attempts in flight, including those at removed servers
+        # Heap of servers whose token is withheld, by the time at which it is returned.
+        self._withheld: list[tuple[float, int, Server]] = []
         self._sequence = 0  # tie-breaker of heap entries, as servers can't be compared
 
     @property
@@ -29,7 +30,7 @@
         return self.in_flight > self.ready_count
 
     def iter_ready(self, zone: int | None = None) -> Iterator[Server]:
-        """Yield the ready servers of one zone, or of all."""
+        """Yield the ready servers of one zone, or of all zones."""
         parts = self.ready if zone is None else [self.ready[zone]]
         return chain.from_iterable(part.items for part in parts)
 
@@ -60,7 +61,7 @@
         server.cell = entry.cell
         if entry.state is ServerState.READY:
             self._zone_set(self.ready, server).add(server)
-        else:  # draining: not drawn from now on
+        else:  # a draining server is not drawn from now on
             self._zone_set(self.ready, server).discard(server)
             self.remove_token(server)
 
@@ -74,7 +75,7 @@
 
     @staticmethod
     def _zone_set(sets: list[IndexedSet[Server]], server: Server) -> IndexedSet[Server]:
-        while server.zone >= len(sets):  # a zone beyond the number in the settings
+        while server.zone >= len(sets):  # the server's zone is beyond the number of zones in the settings
             sets.append(IndexedSet())
         return sets[server.zone]
 
--- a/sandhatch/balancing/policy/slow_start.py
+++ b/sandhatch/balancing/policy/slow_start.py
@@ -76,7 +76,7 @@
         credit, earned_before = self.credits.get(server.id, (0.0, self.earned_credit))
         credit += (self.earned_credit - earned_before) * self.capacity_share(server, now_ms)
         if credit >= 2.0:
-            credit %= 1.0  # unused credits expire; the fraction keeps the spacing of sends
+            credit %= 1.0  # unused whole credits expire; the fraction left keeps sends evenly spaced
         self.credits[server.id] = credit, self.earned_credit
         return credit
 
--- a/sandhatch/balancing/policy/tenant_quotas.py
+++ b/sandhatch/balancing/policy/tenant_quotas.py
@@ -5,10 +5,10 @@
 from sandhatch.balancing.events import RequestArrived
 from sandhatch.balancing.settings import Settings
 
-SHARE_EWMA_WEIGHT = 1.0 / 32.0  # weight of a new sample in the shares of tenants
-RETRY_EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the retry fractions
+SHARE_EWMA_WEIGHT = 1.0 / 32.0  # weight of a new request in the traffic shares of tenants
+RETRY_EWMA_WEIGHT = 1.0 / 16.0  # weight of a new request in the retry fraction of its tenant
 OVER_QUOTA_FACTOR = 1.5  # ratio of traffic share to quota share, above which a tenant is over its quota
-MAX_RETRY_FRACTION = 0.5  # retry fraction of a tenant, above which its retries are over quota
+MAX_RETRY_FRACTION = 0.5  # fraction of retries in a tenant's requests, above which its retries are over quota
 
 
 class TenantQuotas:
@@ -27,15 +27,16 @@
         total = sum(tenant.quota_per_s for tenant in settings.tenants) or 1.0
         self.shares = [tenant.quota_per_s / total for tenant in settings.tenants]
         self.retry_fractions = [0.0] * len(self.shares)
-        # Standard deviations of the running means.
+        # Standard deviations of the running means of traffic share and retry fraction.
         deviations = [math.sqrt(share * SHARE_EWMA_WEIGHT / 2.0) for share in self.shares]
         limits = zip(self.shares, deviations, strict=True)
         self._limits = [OVER_QUOTA_FACTOR * share + 2.0 * deviation for share, deviation in limits]
 
     def is_over_quota(self, event: RequestArrived) -> bool:
-        """Record a request; return whether its tenant is over quota, or it is a retry and most are.
+        """Record a request; return whether it counts as over its tenant's quota.
 
-        The latter covers clients that retry at once whatever wait a rejection asks for.
+        A retry also counts as over quota if most of the tenant's requests are retries. This covers clients
+        that retry at once whatever wait a rejection asks for.
         """
         tenant = event.tenant
         if not 0 <= tenant < len(self.shares):
--- a/sandhatch/balancing/policy/zone_routing.py
+++ b/sandhatch/balancing/policy/zone_routing.py
@@ -8,10 +8,11 @@
 from sandhatch.balancing.settings import Settings
 
 EWMA_WEIGHT = 1.0 / 16.0  # weight of a new sample in the mean costs
-NEVER_RAN_COST = 0.5  # cost of an attempt that never ran, in objectives; 1 if it may have run and failed
-WORSE_FACTOR = 1.5  # ratio of the cost in the own zone to that in others, above which requests overflow
-MIN_CROSS_ZONE_FRACTION = 0.02  # minimum fraction of cross-zone rounds, to learn the cost in other zones
-OVERFLOW_STEP = 0.1  # step of the overflow fraction towards 0 or 1 per ended attempt
+NEVER_RAN_COST = 0.5  # cost of a failed attempt that never ran, in objectives; 1 if it may have run
+WORSE_FACTOR = 1.5  # ratio of own-zone to other-zone attempt cost, above which draws leave the own zone
+# Minimum fraction of rounds of draws that cover all zones, to learn the cost of attempts in other zones.
+MIN_CROSS_ZONE_FRACTION = 0.02
+OVERFLOW_STEP = 0.1  # per ended attempt, step of the fraction of cross-zone draws towards 0 or 1
 MAX_OWN_ZONE_PROBES = 2  # maximum probes in the own zone before a round of draws covers all zones
 
 
@@ -57,7 +58,8 @@
             self.own_cost += EWMA_WEIGHT * (cost - self.own_cost)
         else:
             self.other_cost += EWMA_WEIGHT * (cost - self.other_cost)
-        # Few samples are available: without a margin, chance would send half of the traffic across zones.
+        # Few attempts go to other zones: without a margin between the mean costs, chance would send half of
+        # the traffic across zones.
         if self.own_cost > WORSE_FACTOR * self.other_cost + self.settings.price_cross_zone:
             self.overflow_fraction += OVERFLOW_STEP * (1.0 - self.overflow_fraction)
         else:
--- a/sandhatch/balancing/records.py
+++ b/sandhatch/balancing/records.py
@@ -16,7 +16,7 @@
     """A server's circuit breaker for one request class.
 
     Attributes:
-        failures: Number of failures, less the successes since.
+        failures: Number of the server's failures in the class, less its successes since.
         open_until_ms: Time until which other servers are preferred for this class.
     """
 
@@ -42,7 +42,7 @@
         consecutive_failures: Number of failures since the last success.
         ejections: Number of ejections, less the successes since.
         ejected: Whether the server is ejected.
-        failing_until_ms: End of the pause after a failure.
+        failing_until_ms: End of the pause after the server's last failure, in which it has no token.
         circuits: Circuit breakers by request class.
         latency_ratio: Mean latency relative to the mean of class and size; None before the first response.
         connected: Whether a connection to the server is believed to be open.
@@ -123,15 +123,15 @@
         objective_deadline_ms: Time after which a response has no value.
         attempts: All attempts so far.
         outstanding: Number of outstanding attempts.
-        done: Whether the request has ended or a streamed response has started: no further attempt.
+        done: Whether the request has ended or a streamed response has started, so that no attempt may follow.
         body_consumed: Whether the body can no longer be sent again.
         relative_size: Cost hint relative to the mean of its class.
         cross_zone: Whether draws cover all zones although cross-zone attempts have a price.
-        probes: Number of probes in this round of draws.
+        probes: Number of servers probed for the request since it was last dispatched.
         probed_server: Server whose load report the request waits for.
         idle_only: Whether the request is sent only to a server that reports itself idle.
         was_queued: Whether the request was queued before the current dispatch.
-        timer_due_ms: Time of the current timer; earlier ones are stale. Below 0 if none is set.
+        timer_due_ms: Time at which the current timer fires; earlier timers are ignored. Below 0 if not set.
     """
 
     id: int
--- a/sandhatch/balancing/settings.py
+++ b/sandhatch/balancing/settings.py
@@ -128,18 +128,18 @@
     tenants: Sequence[Tenant] = ()  # requests refer to tenants by index; no quotas if empty
 
     # ---- where this instance is
-    zones: int = 1  # number of zones
+    zones: int = 1  # number of zones in which servers may run
     own_zone: int = 0  # this instance's zone
     instance_index: int = 0  # this instance's index in its tier
     instances: int = 1  # number of instances in its tier
     tier: int = 0  # index of the tier that this instance sends to
-    tiers: int = 1  # number of tiers
+    tiers: int = 1  # number of tiers whose instances call the same discovery service
     tick_ms: float = 1.0  # minimum time between two batches of events
 
     # ---- discovery
     polled_discovery: bool = False  # endpoint lists are received only on request
     one_shot_watches: bool = False  # a watch ends with each response and has to be renewed
-    poll_interval_ms: float = 10_000.0  # changes older than this count as notified even without a request
+    poll_interval_ms: float = 10_000.0  # age from which a change counts as notified even without a poll
     drain_grace_ms: float = 0.0  # maximum time from the notification of draining to the last send
 
     # ---- responses
@@ -151,8 +151,10 @@
     # Requests per second that all instances together may send to a server at the end of its warm-up. 0 means
     # that there is no shared ramp, and each instance limits its sends by its own traffic.
     ramp_per_s: float = 0.0
-    ramp_burst: float = 0.0  # burst of all instances together beyond that rate; 0: one request per instance
-    overload_multiple: float = 2.0  # a warming server fails under this multiple of its capacity
+    # Requests that all instances together may send to a warming server at once beyond the ramp's rate; 0
+    # means one per instance.
+    ramp_burst: float = 0.0
+    overload_multiple: float = 2.0  # multiple of a warming server's capacity at which it fails
     overload_window_ms: float = 2_000.0  # duration of the overload after which a warming server fails
 
     # ---- permissions
@@ -166,9 +168,9 @@
     connect_timeout_ms: float = 250.0  # time-out of connection establishment
 
     # ---- clients
-    retry_advice: bool = False  # rejections may carry a suggested wait
-    max_retry_after_ms: float = 0.0  # longest suggested wait that clients respect
-    clients_mark_retries: bool = False  # clients mark retries as such
+    retry_advice: bool = False  # rejections may carry a suggested wait before a retry
+    max_retry_after_ms: float = 0.0  # longest suggested wait before a retry that clients respect
+    clients_mark_retries: bool = False  # clients mark requests that are retries
     propagates_deadline: bool = False  # servers forward the time left to the next tier
 
     # ---- load reports
@@ -177,7 +179,7 @@
     report_fields: Sequence[str] = ()
 
     # ---- weights and prices
-    over_quota_weight: float = 1.0  # weight of a request over quota, as a fraction of its class's weight
+    over_quota_weight: float = 1.0  # priority weight of a request over quota, as a fraction of its class's
     # Deductions from the score:
     price_cross_zone: float = 0.0  # price of cross-zone attempts, per first attempt
     price_probe: float = 0.0  # price of probes, per first attempt
--- a/sandhatch/balancing/state_transfer.py
+++ b/sandhatch/balancing/state_transfer.py
@@ -105,13 +105,13 @@
 
 
 def _inherit_token(successor: Balancer, server: Server, known: Server) -> None:
-    """Withhold the token if the predecessor withholds it or has attempts in flight at the server."""
+    """Withhold the server's token if the predecessor does, or has attempts in flight at the server."""
     if known.ejected:
         successor.server_list.eject(server, known.withheld_until_ms)
     elif known.withheld_until_ms > successor.now_ms:
         successor.server_list.withhold_token(server, known.withheld_until_ms)
     elif known.outstanding:
-        # Withheld for a limited time, not until an own attempt ends there: while other servers always hold
-        # a token, the server would never be drawn again.
+        # The token (mark of a server believed idle) is withheld for a limited time, not until the successor's
+        # next attempt at the server ends: while other servers hold tokens, this server is never drawn.
         until_ms = successor.now_ms + max(successor.latency.mean_ms)
         successor.server_list.withhold_token(server, until_ms)
--- a/sandhatch/simulator/action_encoder.py
+++ b/sandhatch/simulator/action_encoder.py
@@ -139,7 +139,7 @@
     return _TEXT_RECORD.pack(code, instance, len(data)) + data
 
 
-# A lookup by type is faster than `functools.singledispatch`.
+# Encoders by type of action; a lookup here is faster than `functools.singledispatch`.
 # GuidanceRejected has no record, because the simulator has no planners that send guidance.
 _ENCODERS: dict[type[Action], Callable[[int, Any], bytes]] = {
     Send: _encode_send,
--- a/sandhatch/simulator/event_decoder.py
+++ b/sandhatch/simulator/event_decoder.py
@@ -74,7 +74,7 @@
 _INSTANCE_STARTED = 10  # hello
 _PROBE_ENDED = 11  # echo
 
-# Codes under "How can an attempt end?" in the specification
+# Codes of outcomes, listed under "How can an attempt end?" in `WIRE-sandhatch.md`
 _OUTCOMES = {
     0: Outcome.OK,
     5: Outcome.ERROR,
--- a/sandhatch/simulator/json_reader.py
+++ b/sandhatch/simulator/json_reader.py
@@ -66,7 +66,7 @@
         return int(value)
 
     def boolean(self, key: str, default: bool) -> bool:
-        """Read a Boolean."""
+        """Read the Boolean value of a key, or return the default."""
         value = self._value(key, default)
         if not isinstance(value, bool):
             raise SettingsError(f"{self._path}{key}: {value!r} is neither true nor false")
--- a/sandhatch/simulator/settings_decoder.py
+++ b/sandhatch/simulator/settings_decoder.py
@@ -35,7 +35,7 @@
     "cell": DeduplicationScope.CELL,
 }
 _REPORT_MODES = {"inline": ReportMode.INLINE, "on_probe": ReportMode.ON_PROBE, "off": ReportMode.OFF}
-# Fields of a load report; others are not used.
+# Fields of a load report that the balancer uses; other fields are ignored.
 _REPORT_FIELDS = {"busy_reqs": "running_and_waiting", "pending": "waiting"}
 _IS_POLLED = {"pushed": False, "on_request": True}
 
--- a/tests/balancing/policy/test_latency_estimates.py
+++ b/tests/balancing/policy/test_latency_estimates.py
@@ -35,13 +35,13 @@
     driver.end_attempt(driver.next_id, 0, Outcome.OK)
     (send,) = [a for a in driver.request(1, time_left_ms=250.0) if isinstance(a, Send)]
     assert send.timeout_ms > 90.0
-    # With 210 ms left, 190 ms of the deadline have passed, and the objective with them.
+    # With 210 ms left, 190 ms of the deadline have passed, and with them the whole latency objective.
     late = driver.request(1, time_left_ms=210.0)
     assert [type(a) for a in late] == [Reject]
 
 
 def test_new_instance_learns_the_latency_from_its_first_responses() -> None:
-    # Guards the start: the initial estimate is derived from the objective and far above the real latency.
+    # Guards against keeping the initial estimate, derived from the objective and far above the real latency.
     driver = make_driver(
         replace(PLAIN, classes=(IDEMPOTENT, replace(NON_IDEMPOTENT, objective_ms=3000.0, deadline_ms=9000.0)))
     )
--- a/tests/balancing/policy/test_slow_start.py
+++ b/tests/balancing/policy/test_slow_start.py
@@ -41,8 +41,8 @@
         for server in sends(driver.request()):
             sends_by_server[server] += 1
             driver.end_attempt(*driver.open_attempts()[-1], Outcome.OK)
-    # Warm servers would receive 50 each. The capacity of these is a tenth of that, and three times their
-    # capacity makes them fail.
+    # Warm servers would receive 50 requests each. These starting servers have a tenth of a warm server's
+    # capacity, and three times their own capacity makes them fail.
     assert max(sends_by_server.values()) < 3 * 0.1 * 50 + 2
 
 
