--- a/sandhatch/balancing/endpoint_freshness.py
+++ b/sandhatch/balancing/endpoint_freshness.py
@@ -60,11 +60,12 @@
 
 
 def list_age_bound_ms(settings: Settings) -> float:
-    """Return the bound on a list's age: the time after which an instance is taken to know of a change.
+    """Return the bound on a list's age.
 
-    The instance is then taken to know of the change at discovery whether or not the list has reached the
-    instance. An instance that neither watches nor polls is taken to know of all changes that are older than
-    the settings' poll interval.
+    This is the time after a change at discovery from which an instance is taken to know of the change, even
+    if the change has not reached the instance. For pushed lists it is NOTIFIED_MS; for polled lists it is the
+    settings' poll interval, but at least MIN_NOTIFIED_MS and at most NOTIFIED_MS. It holds also for an
+    instance that neither watches nor polls.
     """
     if not settings.polled_discovery:
         return NOTIFIED_MS
--- a/sandhatch/balancing/guidance/shared_ramp.py
+++ b/sandhatch/balancing/guidance/shared_ramp.py
@@ -80,7 +80,8 @@
         self._leased_shares: dict[int, RampShare] = {}
         self._rate_shares: dict[int, GradualValue] = {}
         self._leased_shares_end_ms = 0.0
-        self._decay_ms = 1.0  # duration of the decay of leased shares of the rate, before their end
+        # Duration, before the end of the lease, in which the rates of leased shares decay to zero.
+        self._decay_ms = 1.0
         self._own_shares_leased_until_ms = 0.0
 
     # ------------------------------------------------ warming servers
--- a/sandhatch/balancing/policy/admission_control.py
+++ b/sandhatch/balancing/policy/admission_control.py
@@ -1,4 +1,7 @@
-"""Admission control by adaptive concurrency, as in Envoy: the first tier rejects before servers do work."""
+"""Admission control by adaptive concurrency, as in Envoy.
+
+Instances of tier 0, which clients call, reject requests before any server works on them.
+"""
 
 import math
 from dataclasses import dataclass
@@ -166,5 +169,5 @@
         return own_share * (queued_fraction + (1.0 - queued_fraction) * instances / max(1, instances - 1))
 
     def capacity(self, now_ms: float) -> float:
-        """Return the mean number of attempts that this instance may have in flight."""
+        """Return the upper bound for this instance's mean number of attempts in flight."""
         return MAX_ATTEMPTS_PER_SERVER * self._warm_equivalents(now_ms) * self._capacity_share(now_ms)
--- a/sandhatch/balancing/policy/latency_estimates.py
+++ b/sandhatch/balancing/policy/latency_estimates.py
@@ -1,4 +1,7 @@
-"""Running means of latencies, cost hints and interarrival times."""
+"""Running means of latencies, of interarrival times and of the cost hints that requests carry.
+
+Also the most common time left at arrival.
+"""
 
 import math
 from dataclasses import dataclass
--- a/sandhatch/balancing/policy/servers.py
+++ b/sandhatch/balancing/policy/servers.py
@@ -103,7 +103,7 @@
             heappush(self._withheld, (until_ms, self._sequence, server))
 
     def release_withheld_tokens(self, now_ms: float) -> None:
-        """Return the tokens whose withholding time has passed, and end the ejections of those servers."""
+        """Give withheld tokens that are due back to their servers, and end the ejections of these servers."""
         while self._withheld and self._withheld[0][0] <= now_ms:
             server = heappop(self._withheld)[2]
             if server.withheld_until_ms <= now_ms:
--- a/sandhatch/balancing/policy/zone_routing.py
+++ b/sandhatch/balancing/policy/zone_routing.py
@@ -58,8 +58,8 @@
             self.own_cost += EWMA_WEIGHT * (cost - self.own_cost)
         else:
             self.other_cost += EWMA_WEIGHT * (cost - self.other_cost)
-        # Few attempts go to other zones: without a margin between the mean costs, chance would send half of
-        # the traffic across zones.
+        # Few attempts go to other zones, so their mean cost is noisy: without a margin between the mean
+        # costs, chance would send half of the traffic across zones.
         if self.own_cost > WORSE_FACTOR * self.other_cost + self.settings.price_cross_zone:
             self.overflow_fraction += OVERFLOW_STEP * (1.0 - self.overflow_fraction)
         else:
--- a/sandhatch/discovery/client.py
+++ b/sandhatch/discovery/client.py
@@ -137,7 +137,7 @@
         if self._stopped or address == self._address:
             return
         self._set_address(address)
-        self._version = NO_VERSION  # versions of the two services are not comparable
+        self._version = NO_VERSION  # list versions of the old and the new address are not comparable
         self._cancel_calls()
         self._watch_task = None
         self._fetch_task = None
--- a/sandhatch/planning/keys.py
+++ b/sandhatch/planning/keys.py
@@ -36,7 +36,10 @@
         """Name of the authentication method, which must be the same at both peers."""
 
     def prove(self, role: bytes, transcript: bytes) -> bytes:
-        """Compute a proof of this peer's key over a handshake's transcript."""
+        """Return a signature or MAC over the role and the handshake's transcript.
+
+        It proves to the other peer that this peer holds its key.
+        """
 
     def accepts(self, name: str, role: bytes, transcript: bytes, proof: bytes) -> bool:
         """Whether a proof was made by the peer with this name."""
--- a/sandhatch/planning/lessors.py
+++ b/sandhatch/planning/lessors.py
@@ -79,8 +79,8 @@
         holders = min(self.instances, int(self.burst))
         if holders == 0:
             return ZERO_AMOUNT
-        # The `holders` instances that own a share of this server's ramp have consecutive indices, which start
-        # at the server's negated label and are taken modulo the number of instances.
+        # The `holders` instances that own a share of this server's ramp have consecutive indices
+        # modulo the number of instances; the first index is minus the server's number (`label`).
         first = -label % self.instances
         last = first + holders
         wrapped = counts[max(0, last - self.instances)]
--- a/sandhatch/planning/link.py
+++ b/sandhatch/planning/link.py
@@ -245,7 +245,7 @@
         self._execute(self.forwarder.connected(connection.planner, event.epoch, now_ms))
 
     def on_advice(self, connection: PlannerConnection, advice: Advice) -> None:
-        """Apply advice that a connection received."""
+        """Pass received advice to the forwarder, which checks it, and execute the resulting actions."""
         self._backoff[connection.planner].reset()
         self._execute(self.forwarder.handle_advice(connection.planner, advice, self.clock.now_ms()))
 
--- a/sandhatch/simulator/action_encoder.py
+++ b/sandhatch/simulator/action_encoder.py
@@ -28,18 +28,18 @@
 # ---------------------------------------------------------------- codes and limits of the wire protocol
 
 # The comment behind each code is its name in `WIRE-sandhatch.md`.
-_CANCEL = 1  # abandon
-_CLOSE_IDLE = 2  # free_links
-_FAIL = 3  # end_failed
-_SET_TIMER = 4  # schedule
-_SEND = 5  # pass_on
-_TELL_PEER = 6  # post
-_FETCH_LIST = 7  # refresh
-_CRASH = 8  # crash
-_LOG = 9  # emit
-_WATCH_LIST = 10  # track
-_REJECT = 11  # overload_reply
-_PROBE = 12  # ping
+_CANCEL = 1  # wire name: abandon
+_CLOSE_IDLE = 2  # wire name: free_links
+_FAIL = 3  # wire name: end_failed
+_SET_TIMER = 4  # wire name: schedule
+_SEND = 5  # wire name: pass_on
+_TELL_PEER = 6  # wire name: post
+_FETCH_LIST = 7  # wire name: refresh
+_CRASH = 8  # wire name: crash
+_LOG = 9  # wire name: emit
+_WATCH_LIST = 10  # wire name: track
+_REJECT = 11  # wire name: overload_reply
+_PROBE = 12  # wire name: ping
 
 _MAX_TIMER_MS = 71 * 60_000.0
 _MAX_TEXT_BYTES = 0xFFFF
--- a/sandhatch/simulator/event_decoder.py
+++ b/sandhatch/simulator/event_decoder.py
@@ -62,17 +62,17 @@
 # ---------------------------------------------------------------- codes of the wire protocol
 
 # The comment behind each code is its name in `WIRE-sandhatch.md`.
-_TIMER_FIRED = 1  # wakeup
-_CLIENT_DISCONNECTED = 2  # hangup
-_PEER_MESSAGE = 3  # neighbour_says
-_LIST_UPDATE = 4  # update
-_LIST_DEFINITION = 5  # catalog
-_RESPONSE_STARTED = 6  # opened
-_INSTANCE_KILLED = 7  # destroy
-_ATTEMPT_ENDED = 8  # attempt_end
-_REQUEST_ARRIVED = 9  # request
-_INSTANCE_STARTED = 10  # hello
-_PROBE_ENDED = 11  # echo
+_TIMER_FIRED = 1  # wire name: wakeup
+_CLIENT_DISCONNECTED = 2  # wire name: hangup
+_PEER_MESSAGE = 3  # wire name: neighbour_says
+_LIST_UPDATE = 4  # wire name: update
+_LIST_DEFINITION = 5  # wire name: catalog
+_RESPONSE_STARTED = 6  # wire name: opened
+_INSTANCE_KILLED = 7  # wire name: destroy
+_ATTEMPT_ENDED = 8  # wire name: attempt_end
+_REQUEST_ARRIVED = 9  # wire name: request
+_INSTANCE_STARTED = 10  # wire name: hello
+_PROBE_ENDED = 11  # wire name: echo
 
 # Codes of outcomes, listed under "How can an attempt end?" in `WIRE-sandhatch.md`
 _OUTCOMES = {
--- a/sandhatch/upstream/connection.py
+++ b/sandhatch/upstream/connection.py
@@ -191,7 +191,11 @@
     # ------------------------------------------------ complete responses
 
     def _on_complete_responses(self, attempt: Attempt, responses: list[Message]) -> None:
-        """End the attempt with the first response, or as failed if it is the repeated response to a probe."""
+        """End the attempt with the first response.
+
+        If the attempt before on this connection was a probe, and the response repeats the body of the probe's
+        response, the attempt fails and the connection is aborted. A blank body does not count as repeated.
+        """
         response = responses[0]
         if self._response_state is BUFFERING:  # the response was complete before streaming started
             self._stop_receiving()
--- a/testkit/simulation/planner.py
+++ b/testkit/simulation/planner.py
@@ -26,7 +26,8 @@
     advice: Advice | None
 
 
-# A fault of a planner: maps advice to the messages that arrive in its place.
+# Behaviour of a planner, with or without a fault: maps each advice to the messages that arrive in place of
+# the advice.
 Script = Callable[[Advice], Iterable[ArrivingMessage]]
 
 
--- a/tests/balancing/endpoint_freshness/test_bound.py
+++ b/tests/balancing/endpoint_freshness/test_bound.py
@@ -20,7 +20,8 @@
 
 from tests.balancing.endpoint_freshness.simulated_fleet import Fleet, max_in_one_second
 
-# By maximum queuing time in ms: minimum requests per second, and seconds to serve a request of each instance.
+# Capacity of discovery, by its maximum queuing time in ms: minimum rate in requests per second, and time in
+# seconds in which discovery serves one request from every instance.
 RATES = {1_000.0: (4.0, 2.5), 3_000.0: (2.7, 4.0)}
 
 
--- a/tests/dispatch/test_draining.py
+++ b/tests/dispatch/test_draining.py
@@ -66,7 +66,8 @@
             dispatcher = network.balancer.dispatcher
             clock = network.balancer.shared.clock
             address = ("127.0.0.1", network.server.port)
-            # The grace period is 0.5 s, and a change counts as received 6 s after the list was current.
+            # The drain grace period of 0.5 s begins 6 s (`NOTIFIED_MS`) after the list was last known to be
+            # current, so it ends at a list age of 6.5 s.
             for age_s, expired in ((5.0, False), (6.6, True)):
                 dispatcher._endpoints.current_since_ms = clock.now_ms() - 1_000.0 * age_s
                 draining = ServerEntry(1, ServerState.DRAINING)
